--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -92,7 +92,7 @@
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
-        'told = self._teller.news(now, self._current(), gateways)',
+        'told = self._deltas.next_state(now, self._current(), gateways)',
         'told = None',
     ),
     'holding-for-memory': _gateway(
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
@@ -136,8 +136,8 @@
         found = exchange.Exchange(core, node, join)
         found._transport = _Wire(self, address)
         self._hearers[address] = found
-        self._spawn(found.find())
-        self._spawn(found.tell())
+        self._spawn(found.join_directory())
+        self._spawn(found.publish_changes())
         self._spawn(self._begin(core.live, LONG_PER_S, LONG_S, True))
         self._spawn(self._begin(core.live, SHORT_PER_S, SHORT_S, False))
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quetzalsill_gateway.peers import bulletin, frame
+from quetzalsill_gateway.peers import frame, update_codec
 
 if TYPE_CHECKING:
     from quetzalsill_gateway.watch import news as news_lib
@@ -12,14 +12,14 @@
 __all__ = ['KINDS', 'flatten']
 
 KINDS = {
-    frame.Kind.MEMBERSHIP: frame.Kind.PLAIN_MEMBERSHIP,
-    frame.Kind.CONFIGURATION: frame.Kind.PLAIN_CONFIGURATION,
+    frame.Kind.MEMBERSHIP: frame.Kind.LEGACY_MEMBERSHIP,
+    frame.Kind.CONFIGURATION: frame.Kind.LEGACY_CONFIGURATION,
 }
 
 
 def flatten(node: str, told: news_lib.News) -> bytes:
     """Returns the datagram in which such a gateway tells news."""
-    kind, fields = frame.unpack(bulletin.encode(node, told))
+    kind, fields = frame.unpack(update_codec.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
         orders = [(zone, _version(at), is_on) for zone, at, is_on in drains]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway import routing_table, source
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import listener
-from quetzalsill_gateway.peers import bulletin, frame, relay
+from quetzalsill_gateway.peers import frame, relay, update_codec
 from quetzalsill_gateway.watch import configuration, epoch, membership
 from quetzalsill_gateway.watch import news as news_lib
 
@@ -246,7 +246,7 @@
                 kind, fields = frame.unpack(data)
                 if is_plain and kind in plain.KINDS:
                     return
-            _, told = bulletin.decode(kind, fields)
+            _, told = update_codec.decode(kind, fields)
             hearers[type(told)](told)
 
         broadcast = relay.Broadcast(
@@ -302,7 +302,7 @@
             for follower in (other.membership, other.configuration):
                 told = follower.whole()
                 if told is not None:
-                    encode = bulletin.encode
+                    encode = update_codec.encode
                     if other.node in self._plain:
                         encode = plain.flatten
                     data = encode(other.node, told)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/teller.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/delta.py
@@ -14,10 +14,10 @@
 from quetzalsill_gateway.fleet import pace
 from quetzalsill_gateway.peers import state as state_lib
 
-__all__ = ['Teller']
+__all__ = ['DeltaTracker']
 
 
-class Teller:
+class DeltaTracker:
     """Numbers what one process tells, and remembers what it has told."""
 
     def __init__(self, node: str, incarnation: int) -> None:
@@ -25,33 +25,33 @@
         self._whole_s = 0.0
         self._told_s = 0.0
 
-    def whole(self) -> state_lib.State:
+    def full_state(self) -> state_lib.State:
         """Returns all that was told last, for one that may not know it."""
         self._told = dataclasses.replace(
-            self._told, number=self._told.number + 1
+            self._told, sequence=self._told.sequence + 1
         )
         return self._told
 
-    def news(
+    def next_state(
         self, now: float, current: state_lib.State, gateways: int
     ) -> state_lib.State | None:
         """Returns what to tell all others; None for nothing.
 
         Args:
           now: Loop time, in seconds.
-          current: All there is, with any number.
+          current: All there is, with any sequence.
           gateways: How many tell each other.
         """
         before = self._told
-        number = before.number
+        sequence = before.sequence
         current = dataclasses.replace(
-            current, incarnation=before.incarnation, number=number
+            current, incarnation=before.incarnation, sequence=sequence
         )
         is_due = now - self._whole_s >= pace.whole_s(gateways)
         is_silent = now - self._told_s >= pace.alive_s(gateways)
         if current == before and not is_due and not is_silent:
             return None
-        self._told = dataclasses.replace(current, number=number + 1)
+        self._told = dataclasses.replace(current, sequence=sequence + 1)
         self._told_s = now
         if is_due:
             self._whole_s = now
@@ -66,5 +66,5 @@
         fresh = frozenset(current.leaving).difference(before.leaving)
         leaving = tuple(key for key in current.leaving if key in fresh)
         return dataclasses.replace(
-            self._told, held=held, leaving=leaving, is_whole=False
+            self._told, held=held, leaving=leaving, is_full=False
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -2,7 +2,7 @@
 
 Each gateway sees only its own generations, and many share an engine. Without
 word of the others' each would fill the engine that looks empty to itself. So
-each tells what it holds (`peers.teller` says how much of it, `peers.roster`
+each tells what it holds (`peers.delta` says how much of it, `peers.peer_table`
 whose word is taken), and a gateway that falls silent is forgotten. By the same
 way go news of configuration and membership (`watch`).
 
@@ -22,12 +22,12 @@
 from quetzalsill_gateway.fleet import held as held_lib
 from quetzalsill_gateway.fleet import pace
 from quetzalsill_gateway.peers import (
-    bulletin,
+    delta,
     frame,
     outbox,
+    peer_table,
     relay,
-    roster,
-    teller,
+    update_codec,
 )
 from quetzalsill_gateway.peers import state as state_lib
 
@@ -38,23 +38,23 @@
 
 __all__ = ['Exchange', 'Join']
 
-Address = roster.Address
+Address = peer_table.Address
 # Enters this gateway's address in the directory and returns those of the others
 # by name.
 Join = Callable[[str, str], Awaitable[dict[str, str]]]
 
 # What is given back is told this soon after one another: known late, it only
 # leaves room unused for a moment.
-CHANGED_S = 0.1
+PUBLISH_INTERVAL_S = 0.1
 # How many others a gateway asks that knows nothing: one may not hear it.
-ASKED = 2
+SNAPSHOT_REQUESTS = 2
 # Members of a directory that has aged are asked this often until they answer.
-JOIN_TRIES = 5
-JOIN_S = 1.0
+JOIN_ATTEMPTS = 5
+JOIN_RETRY_S = 1.0
 # All gateways see a new epoch of the source at about the same moment. Spread
 # out over this, their entries are no load, and who starts meanwhile finds those
 # that are entered already.
-REJOIN_S = 5.0
+REJOIN_SPREAD_S = 5.0
 
 
 class Exchange(asyncio.DatagramProtocol):
@@ -78,24 +78,24 @@
             epochs.on_new(self._is_lost.set)
         self._node = node
         self._join = join
-        self._roster = roster.Roster()
+        self._peers = peer_table.PeerTable()
         self._transport: asyncio.DatagramTransport | None = None
-        self._teller = teller.Teller(node, random.getrandbits(32))
+        self._deltas = delta.DeltaTracker(node, random.getrandbits(32))
         self._is_telling = False
-        self.taken = 0
-        self.left_out = 0
+        self.accepted = 0
+        self.dropped = 0
         self._hearers: dict[
             type[news_lib.News], Callable[[news_lib.News], None]
         ] = {}
         self._wholes: list[Callable[[], news_lib.News | None]] = []
         self._told_s = 0.0
         self._broadcast = relay.Broadcast(
-            node, lambda: self._roster.addresses, self._send
+            node, lambda: self._peers.addresses, self._send
         )
         self._outbox = outbox.Outbox(self._send)
         core.live.on_changed(self._tell_soon)
 
-    def on_news(
+    def on_update(
         self,
         kind: type[news_lib.News],
         hear: Callable[[news_lib.News], None],
@@ -103,20 +103,22 @@
         """Sets what takes the other gateways' news of a source."""
         self._hearers[kind] = hear
 
-    def on_ask(self, whole: Callable[[], news_lib.News | None]) -> None:
+    def on_snapshot_request(
+        self, whole: Callable[[], news_lib.News | None]
+    ) -> None:
         """Adds what answers a gateway that knows nothing of a source."""
         self._wholes.append(whole)
 
-    def ask_whole(self) -> None:
+    def request_snapshot(self) -> None:
         """Asks some others for all that they know of the sources.
 
         A gateway that restarts while the source is away would refuse every
         caller for as long as that lasts, beside others that serve. Others tell
         it of themselves at its address, so that it knows of them by then.
         """
-        found = self._roster.addresses
-        data = frame.pack(frame.Kind.ASK_WHOLE, (self._node,))
-        for address in random.sample(found, min(ASKED, len(found))):
+        found = self._peers.addresses
+        data = frame.pack(frame.Kind.SNAPSHOT_REQUEST, (self._node,))
+        for address in random.sample(found, min(SNAPSHOT_REQUESTS, len(found))):
             self._transport.sendto(data, address)
 
     def announce(self, told: news_lib.News) -> None:
@@ -126,9 +128,9 @@
         self._broadcast.announce(told)
 
     @property
-    def peers(self) -> int:
+    def peer_count(self) -> int:
         """How many others are heard."""
-        return len(self._roster)
+        return len(self._peers)
 
     @property
     def port(self) -> int:
@@ -148,7 +150,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    async def find(self) -> None:
+    async def join_directory(self) -> None:
         """Enters this gateway in the directory, and greets those listed there.
 
         Again in each epoch of the source: its copy may lack the entry, so that
@@ -158,17 +160,17 @@
             self._is_lost.clear()
             await self._greet_listed(await self._listed())
             await self._is_lost.wait()
-            await asyncio.sleep(random.uniform(0.0, REJOIN_S))
+            await asyncio.sleep(random.uniform(0.0, REJOIN_SPREAD_S))
 
     async def _greet_listed(self, found: dict[str, str]) -> None:
-        for _ in range(JOIN_TRIES):
-            heard = set(self._roster.addresses)
+        for _ in range(JOIN_ATTEMPTS):
+            heard = set(self._peers.addresses)
             for text in found.values():
                 host, _, port = text.rpartition(':')
                 address = (host, int(port))
                 if address not in heard:
                     self._greet(address)
-            await asyncio.sleep(JOIN_S)
+            await asyncio.sleep(JOIN_RETRY_S)
 
     async def _listed(self) -> dict[str, str]:
         host, port = self._transport.get_extra_info('sockname')[:2]
@@ -177,21 +179,21 @@
                 found = await self._join(self._node, f'{host}:{port}')
             except error.SourceError as exc:
                 event.note(event.DirectoryUnreachable(str(exc)))
-                await asyncio.sleep(JOIN_S)
+                await asyncio.sleep(JOIN_RETRY_S)
                 continue
             now = asyncio.get_running_loop().time()
             self._core.members.list(found, now)
             event.note(event.PeersListed(len(found)))
             return found
 
-    async def tell(self) -> None:
+    async def publish_changes(self) -> None:
         """Publishes changes; runs until cancelled."""
         loop = asyncio.get_running_loop()
         turns = ticker.Ticker()
         while True:
-            if await turns.wait(CHANGED_S):
+            if await turns.wait(PUBLISH_INTERVAL_S):
                 self._forget_silent(loop.time())
-            gateways = 1 + len(self._roster)
+            gateways = 1 + len(self._peers)
             self._core.upstreams.sharers = gateways
             self._core.budget.share_among(gateways)
             if loop.time() - self._told_s >= self._gap_s():
@@ -213,20 +215,20 @@
             loop.call_soon(self._tell_news, is_urgent)
 
     def _gap_s(self) -> float:
-        return pace.gap_s(1 + len(self._roster))
+        return pace.gap_s(1 + len(self._peers))
 
     def _tell_news(self, is_urgent: bool = False) -> None:
         self._is_telling = False
         if self._transport.is_closing():
             return
         now = asyncio.get_running_loop().time()
-        gateways = 1 + len(self._roster)
-        told = self._teller.news(now, self._current(), gateways)
+        gateways = 1 + len(self._peers)
+        told = self._deltas.next_state(now, self._current(), gateways)
         if told is not None:
             self._told_s = now
-            self._outbox.tell(
+            self._outbox.send(
                 state_lib.encode(told),
-                self._roster.addresses,
+                self._peers.addresses,
                 pace.spread_s(gateways, is_urgent=is_urgent),
             )
 
@@ -249,14 +251,14 @@
             kind, fields = frame.unpack(data)
             if kind is frame.Kind.STATE:
                 self._hear_state(state_lib.decode(fields), addr)
-            elif kind is frame.Kind.ASK_WHOLE:
+            elif kind is frame.Kind.SNAPSHOT_REQUEST:
                 self._answer_whole(addr)
             elif kind is frame.Kind.RELAY:
                 self._relay(*relay.decode(fields), addr)
             else:
-                self._hear_news(*bulletin.decode(kind, fields))
+                self._hear_news(*update_codec.decode(kind, fields))
         except error.PeerError as exc:
-            self._leave_out(addr, str(exc))
+            self._drop(addr, str(exc))
 
     def _relay(
         self, data: bytes, addresses: list[Address], sender: Address
@@ -265,29 +267,29 @@
 
         Only for a gateway that is heard, and only to such.
         """
-        known = set(self._roster.addresses)
+        known = set(self._peers.addresses)
         if sender not in known:
             raise error.PeerError('relay for a stranger')
         for address in addresses:
             if address in known:
                 self._transport.sendto(data, address)
         kind, fields = frame.unpack(data)
-        self._hear_news(*bulletin.decode(kind, fields))
+        self._hear_news(*update_codec.decode(kind, fields))
 
-    def _leave_out(self, addr: Address, reason: str) -> None:
-        self.left_out += 1
+    def _drop(self, addr: Address, reason: str) -> None:
+        self.dropped += 1
         now = asyncio.get_running_loop().time()
-        if self._roster.may_complain(addr[0], now):
+        if self._peers.should_log_fault(addr[0], now):
             event.note(event.DatagramMalformed(addr[0], reason))
 
     def _answer_whole(self, addr: Address) -> None:
         # To nobody but a gateway: it holds the keys of callers.
-        if addr not in self._roster.addresses:
+        if addr not in self._peers.addresses:
             return
         for whole in self._wholes:
             told = whole()
             if told is not None:
-                data = bulletin.encode(self._node, told)
+                data = update_codec.encode(self._node, told)
                 self._transport.sendto(data, addr)
 
     def _hear_news(self, node: str, told: news_lib.News) -> None:
@@ -299,24 +301,24 @@
         node = told.node
         if node == self._node:
             return
-        is_new = not self._roster.is_known(node)
+        is_new = not self._peers.is_known(node)
         now = asyncio.get_running_loop().time()
-        if not self._roster.take(told, addr, now):
-            self.left_out += 1
+        if not self._peers.accept(told, addr, now):
+            self.dropped += 1
             return
-        self.taken += 1
+        self.accepted += 1
         if is_new:
-            event.note(event.PeerFound(node, len(self._roster)))
+            event.note(event.PeerFound(node, len(self._peers)))
             self._greet(addr)
         core = self._core
         core.members.hear((node,), now)
-        if told.is_whole:
+        if told.is_full:
             core.pages.hear(node, told.held)
         else:
             core.pages.hear_changes(node, told.held)
         core.pages.hear_waiting(node, told.waiting)
         core.link_queue.hear(node, told.moving)
-        core.health.hear(node, is_down=told.is_store_away)
+        core.health.hear(node, is_down=told.is_store_unavailable)
         core.upstreams.hear_leaving(told.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
@@ -325,7 +327,7 @@
 
     def _greet(self, address: Address) -> None:
         """Tells one gateway everything."""
-        whole = self._teller.whole()
+        whole = self._deltas.full_state()
         self._transport.sendto(state_lib.encode(whole), address)
 
     def _send(self, data: bytes, address: Address) -> None:
@@ -349,9 +351,9 @@
 
     def _forget_silent(self, now: float) -> None:
         core = self._core
-        for node in self._roster.forget_silent(now):
+        for node in self._peers.remove_expired(now):
             core.pages.hear(node, {})
             core.pages.hear_waiting(node, {})
             core.link_queue.hear(node, {})
             core.health.hear(node, is_down=False)
-            event.note(event.PeerLost(node, len(self._roster)))
+            event.note(event.PeerLost(node, len(self._peers)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
@@ -10,13 +10,20 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision as revision_lib
 
-__all__ = ['MALFORMED', 'Kind', 'count', 'pack', 'revision', 'unpack']
+__all__ = [
+    'DECODE_ERRORS',
+    'Kind',
+    'bounded_count',
+    'bounded_revision',
+    'pack',
+    'unpack',
+]
 
 VERSION = 8
 # No count that is told comes near it; a greater one is a fault of its sender's.
-MOST_COUNT = revision_lib.MOST
+MAX_COUNT = revision_lib.MOST
 # What reading fields of unexpected number, type or size raises.
-MALFORMED = (
+DECODE_ERRORS = (
     ValueError,
     TypeError,
     AttributeError,
@@ -35,9 +42,9 @@
     """
 
     STATE = 1
-    PLAIN_MEMBERSHIP = 2
-    PLAIN_CONFIGURATION = 3
-    ASK_WHOLE = 4
+    LEGACY_MEMBERSHIP = 2
+    LEGACY_CONFIGURATION = 3
+    SNAPSHOT_REQUEST = 4
     RELAY = 5
     MEMBERSHIP = 6
     CONFIGURATION = 7
@@ -59,16 +66,16 @@
         if version != VERSION:
             raise error.PeerError(f'version {version}, not {VERSION}')
         return Kind(kind), fields
-    except MALFORMED as exc:
+    except DECODE_ERRORS as exc:
         raise error.PeerError(f'no datagram of a gateway: {exc!r}') from exc
 
 
-def count(figure: Any) -> int:
+def bounded_count(figure: Any) -> int:
     """Returns a figure that is told, within what is possible."""
-    return min(MOST_COUNT, max(0, int(figure)))
+    return min(MAX_COUNT, max(0, int(figure)))
 
 
-def revision(figures: Any) -> revision_lib.Revision:
+def bounded_revision(figures: Any) -> revision_lib.Revision:
     """Returns a revision that is told, within what is possible."""
     epoch, version = figures
-    return revision_lib.Revision(count(epoch), count(version))
+    return revision_lib.Revision(bounded_count(epoch), bounded_count(version))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/outbox.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/outbox.py
@@ -22,7 +22,7 @@
 STEP_S = 0.01
 # For one gateway. Of what is told much sooner than it goes out, the oldest is
 # left out; the whole, which follows, makes it good.
-MOST_WAITING = 4
+MAX_QUEUED = 4
 
 
 class Outbox:
@@ -41,12 +41,12 @@
         """
         self._send = send
         self._rng = rng or random.Random()
-        self._waiting: dict[Address, collections.deque[bytes]] = {}
+        self._queued: dict[Address, collections.deque[bytes]] = {}
         self._size = 0
         self._timer: asyncio.TimerHandle | None = None
 
-    def tell(
-        self, data: bytes, addresses: list[Address], over_s: float
+    def send(
+        self, data: bytes, addresses: list[Address], spread_s: float
     ) -> None:
         """Sends a datagram to all addresses.
 
@@ -56,36 +56,36 @@
         Args:
           data: The datagram.
           addresses: Where to.
-          over_s: Time in which it goes out, in seconds; 0 for at once.
+          spread_s: Time in which it goes out, in seconds; 0 for at once.
         """
-        if not over_s and not self._waiting:
+        if not spread_s and not self._queued:
             for address in addresses:
                 self._send(data, address)
             return
         for address in self._rng.sample(addresses, len(addresses)):
-            waiting = self._waiting.setdefault(
-                address, collections.deque(maxlen=MOST_WAITING)
+            queue = self._queued.setdefault(
+                address, collections.deque(maxlen=MAX_QUEUED)
             )
-            waiting.append(data)
-        steps = max(1, math.ceil(over_s / STEP_S))
-        self._size = math.ceil(len(self._waiting) / steps)
+            queue.append(data)
+        steps = max(1, math.ceil(spread_s / STEP_S))
+        self._size = math.ceil(len(self._queued) / steps)
         if self._timer is None or steps == 1:
             self._step()
 
     def close(self) -> None:
         """Sends no more."""
-        self._waiting.clear()
+        self._queued.clear()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _step(self) -> None:
-        for address in list(itertools.islice(self._waiting, self._size)):
-            for data in self._waiting.pop(address):
+        for address in list(itertools.islice(self._queued, self._size)):
+            for data in self._queued.pop(address):
                 self._send(data, address)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._waiting:
+        if self._queued:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(STEP_S, self._step)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
@@ -19,20 +19,20 @@
 
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import pace
-from quetzalsill_gateway.peers import bulletin, frame
+from quetzalsill_gateway.peers import frame, update_codec
 from quetzalsill_gateway.watch import news as news_lib
 
-__all__ = ['Broadcast', 'decode', 'spread']
+__all__ = ['Broadcast', 'decode', 'fan_out']
 
 Address = tuple[str, int]
 
 # Gateways in one group, whoever asks: that of the largest fleet planned for,
 # and some.
-MOST_ADDRESSES = 64
+MAX_GROUP_SIZE = 64
 PORTS = range(1, 65536)
 # When news is told again. A datagram in ten may be lost on each of two legs,
 # and a gateway in twenty be paused: one telling misses a quarter of all.
-REPEATS_S = (0.15, 0.3, 0.4)
+RESEND_DELAYS_S = (0.15, 0.3, 0.4)
 
 
 class Broadcast:
@@ -62,36 +62,36 @@
 
     def announce(self, told: news_lib.News) -> None:
         """Tells news; in a large fleet a few times, if it is new."""
-        self._spread(bulletin.encode(self._node, told))
-        substance = _substance(told)
-        if self._newest.get(type(told)) == substance:
+        self._fan_out(update_codec.encode(self._node, told))
+        content = _content(told)
+        if self._newest.get(type(told)) == content:
             return
-        self._newest[type(told)] = substance
+        self._newest[type(told)] = content
         # What is told now says what was told just before, too.
         for repeat in self._repeats.pop(type(told), ()):
             repeat.cancel()
         if len(self._addresses()) >= pace.NEAR:
             echo = dataclasses.replace(told, is_echo=True)
-            data = bulletin.encode(self._node, echo)
+            data = update_codec.encode(self._node, echo)
             loop = asyncio.get_running_loop()
             self._repeats[type(told)] = [
-                loop.call_later(delay_s, self._spread, data)
-                for delay_s in REPEATS_S
+                loop.call_later(delay_s, self._fan_out, data)
+                for delay_s in RESEND_DELAYS_S
             ]
 
-    def _spread(self, data: bytes) -> None:
-        for address, datagram in spread(data, self._addresses(), self._rng):
+    def _fan_out(self, data: bytes) -> None:
+        for address, datagram in fan_out(data, self._addresses(), self._rng):
             self._send(datagram, address)
 
 
-def _substance(told: news_lib.News) -> object:
+def _content(told: news_lib.News) -> object:
     """Returns what counts of news, without how far the source has come."""
     if isinstance(told, news_lib.MembershipNews):
         return told.changes, told.lapses_s > 0
     return told.configuration, told.drains
 
 
-def spread(
+def fan_out(
     data: bytes,
     addresses: list[Address],
     rng: random.Random | None = None,
@@ -101,7 +101,7 @@
         yield from ((address, data) for address in addresses)
         return
     drawn = (rng or random).sample(addresses, len(addresses))
-    size = min(MOST_ADDRESSES, 1 + math.isqrt(len(drawn)))
+    size = min(MAX_GROUP_SIZE, 1 + math.isqrt(len(drawn)))
     for first in range(0, len(drawn), size):
         head, *group = drawn[first : first + size]
         told = [(socket.inet_aton(host), port) for host, port in group]
@@ -116,10 +116,10 @@
     """
     try:
         data, group = fields
-        if not isinstance(data, bytes) or len(group) > MOST_ADDRESSES:
+        if not isinstance(data, bytes) or len(group) > MAX_GROUP_SIZE:
             raise ValueError('no datagram to pass on')
         return data, [_address(*one) for one in group]
-    except (*frame.MALFORMED, OSError) as exc:
+    except (*frame.DECODE_ERRORS, OSError) as exc:
         raise error.PeerError(f'no relay: {exc!r}') from exc
 
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
@@ -15,9 +15,9 @@
 __all__ = ['State', 'decode', 'encode']
 
 # A greater figure is a fault of its sender's.
-MOST_FAILURES = 1000.0
+MAX_FAILURES = 1000.0
 # Names in one datagram; more than a gateway works with.
-MOST_NAMES = 4096
+MAX_NAMES = 4096
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -27,27 +27,27 @@
     Attributes:
       node: Name of the gateway.
       incarnation: Drawn by each process anew.
-      number: Grows with each datagram of a process.
+      sequence: Grows with each datagram of a process.
       held: By upstream id.
       leaving: Ids of upstreams that it knows to leave; if it is not whole,
       those
         that it did not tell of before.
       waiting: Tokens that wait there, by service and rank.
       moving: Runs of leaving engines that it has still to move.
-      is_store_away: Whether the store does not answer it.
-      is_whole: Whether an upstream that `held` does not name holds nothing of
+      is_store_unavailable: Whether the store does not answer it.
+      is_full: Whether an upstream that `held` does not name holds nothing of
         it; else it holds what was told before. The rest is always whole.
     """
 
     node: str
     incarnation: int
-    number: int
+    sequence: int
     held: dict[str, held_lib.Held]
     leaving: tuple[str, ...] = ()
     waiting: held_lib.Waiting = dataclasses.field(default_factory=dict)
     moving: link_queue.Moving = dataclasses.field(default_factory=dict)
-    is_store_away: bool = False
-    is_whole: bool = True
+    is_store_unavailable: bool = False
+    is_full: bool = True
 
 
 def encode(state: State) -> bytes:
@@ -67,13 +67,13 @@
         (
             state.node,
             state.incarnation,
-            state.number,
+            state.sequence,
             held,
             state.leaving,
             state.waiting,
             state.moving,
-            state.is_store_away,
-            state.is_whole,
+            state.is_store_unavailable,
+            state.is_full,
         ),
     )
 
@@ -85,35 +85,41 @@
       error.PeerError: They hold none.
     """
     try:
-        node, incarnation, number, held, leaving, waiting, *rest = fields
-        moving, is_store_away, is_whole = rest
-        if len(held) + len(leaving) + len(moving) > MOST_NAMES:
+        node, incarnation, sequence, held, leaving, waiting, *rest = fields
+        moving, is_store_unavailable, is_full = rest
+        if len(held) + len(leaving) + len(moving) > MAX_NAMES:
             raise ValueError('too many names')
         return State(
             str(node),
-            frame.count(incarnation),
-            frame.count(number),
+            frame.bounded_count(incarnation),
+            frame.bounded_count(sequence),
             {str(name): _held(entry) for name, entry in held.items()},
             tuple(str(name) for name in leaving),
             {str(name): _ranks(entry) for name, entry in waiting.items()},
             {str(name): _sizes(entry) for name, entry in moving.items()},
-            bool(is_store_away),
-            bool(is_whole),
+            bool(is_store_unavailable),
+            bool(is_full),
         )
-    except frame.MALFORMED as exc:
+    except frame.DECODE_ERRORS as exc:
         raise error.PeerError(f'no state: {exc!r}') from exc
 
 
 def _held(entry: list[Any]) -> held_lib.Held:
     *counts, failures = entry
-    memory, reading, runs, copied = (frame.count(figure) for figure in counts)
-    failures = min(MOST_FAILURES, max(0.0, float(failures)))
+    memory, reading, runs, copied = (
+        frame.bounded_count(figure) for figure in counts
+    )
+    failures = min(MAX_FAILURES, max(0.0, float(failures)))
     return held_lib.Held(memory, reading, runs, copied, failures)
 
 
 def _sizes(entry: dict[str, Any]) -> dict[str, int]:
-    return {str(name): frame.count(tokens) for name, tokens in entry.items()}
+    return {
+        str(name): frame.bounded_count(tokens) for name, tokens in entry.items()
+    }
 
 
 def _ranks(entry: dict[int, Any]) -> dict[int, int]:
-    return {int(rank): frame.count(tokens) for rank, tokens in entry.items()}
+    return {
+        int(rank): frame.bounded_count(tokens) for rank, tokens in entry.items()
+    }
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/bulletin.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -18,9 +18,9 @@
 __all__ = ['decode', 'encode']
 
 PORTS = range(1, 65536)
-MOST_LAPSE_S = 60.0
+MAX_LAPSE_S = 60.0
 # Of a document, in bytes; longer ones are none.
-MOST_DIGEST = 16
+MAX_DIGEST_BYTES = 16
 
 
 def encode(node: str, told: news_lib.News) -> bytes:
@@ -59,15 +59,15 @@
       error.PeerError: The fields hold none.
     """
     try:
-        if kind is frame.Kind.PLAIN_CONFIGURATION:
+        if kind is frame.Kind.LEGACY_CONFIGURATION:
             found = _plain_configuration(*fields)
         elif kind is frame.Kind.CONFIGURATION:
             found = _configuration(*fields)
-        elif kind is frame.Kind.PLAIN_MEMBERSHIP:
+        elif kind is frame.Kind.LEGACY_MEMBERSHIP:
             found = _plain_membership(*fields)
         else:
             found = _membership(*fields)
-    except frame.MALFORMED as exc:
+    except frame.DECODE_ERRORS as exc:
         raise error.PeerError(f'no news: {exc!r}') from exc
     return found.teller, found
 
@@ -82,18 +82,18 @@
     written: Any = (0, 0),
     digest: Any = b'',
 ) -> news_lib.ConfigurationNews:
-    newest = frame.revision(revision)
+    newest = frame.bounded_revision(revision)
     if not isinstance(patch, bytes):
         raise TypeError(f'patch {type(patch)}')
-    if not isinstance(digest, bytes) or len(digest) > MOST_DIGEST:
+    if not isinstance(digest, bytes) or len(digest) > MAX_DIGEST_BYTES:
         raise TypeError(f'digest {type(digest)}')
     return news_lib.ConfigurationNews(
         newest,
-        frame.count(number),
+        frame.bounded_count(number),
         patch,
         tuple(_drain(newest, *entry) for entry in drains),
         bool(is_echo),
-        min(newest, frame.revision(written)),
+        min(newest, frame.bounded_revision(written)),
         digest,
         str(node),
     )
@@ -108,10 +108,10 @@
     is_echo: Any,
 ) -> news_lib.MembershipNews:
     return news_lib.MembershipNews(
-        frame.revision(since),
-        frame.revision(revision),
+        frame.bounded_revision(since),
+        frame.bounded_revision(revision),
         tuple(_change(*change) for change in changes),
-        min(MOST_LAPSE_S, max(0.0, float(lapses_s))),
+        min(MAX_LAPSE_S, max(0.0, float(lapses_s))),
         bool(is_echo),
         str(node),
     )
@@ -150,7 +150,7 @@
 def _drain(
     newest: revision_lib.Revision, zone: Any, told: Any, is_on: Any
 ) -> zones.Drain:
-    name, revision = str(zone), frame.revision(told)
+    name, revision = str(zone), frame.bounded_revision(told)
     if revision > newest:
         raise ValueError(f'drain at {revision}, news at {newest}')
     if not name or len(name) > zones.MOST_NAME:
@@ -176,7 +176,7 @@
 
 
 def _change(name: Any, told: Any, *rest: Any) -> upstream.Change:
-    revision = frame.revision(told)
+    revision = frame.bounded_revision(told)
     if len(rest) == 1:
         [lapses] = rest
         return upstream.Change(str(name), revision, None, bool(lapses))
@@ -188,9 +188,9 @@
         service=str(service),
         address=(str(host), port),
         availability_zone=str(zone),
-        slots=max(1, frame.count(slots)),
+        slots=max(1, frame.bounded_count(slots)),
         leaving=bool(leaving),
-        incarnation=frame.count(incarnation),
+        incarnation=frame.bounded_count(incarnation),
         warmup_s=upstream.bounded_warmup_s(warmup_s),
     )
     return upstream.Change(str(name), revision, found)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -117,9 +117,9 @@
         }
         for kind, follower in kinds.items():
             follower.on_look(self.peers.announce)
-            follower.on_lack(self.peers.ask_whole)
-            self.peers.on_news(kind, follower.hear)
-            self.peers.on_ask(follower.whole)
+            follower.on_lack(self.peers.request_snapshot)
+            self.peers.on_update(kind, follower.hear)
+            self.peers.on_snapshot_request(follower.whole)
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
@@ -149,8 +149,8 @@
         }
         if self._settings.peers:
             await self.peers.open(settings_lib.address(self._settings.peers))
-            loops['directory'] = self.peers.find
-            loops['peers'] = self.peers.tell
+            loops['directory'] = self.peers.join_directory
+            loops['peers'] = self.peers.publish_changes
         self._tasks = [
             asyncio.create_task(background.keep_running(name, work))
             for name, work in loops.items()
--- a/tests/quetzalsill_gateway/peers/test_teller.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -9,7 +9,7 @@
 from quetzalsill_gateway.balance import book
 from quetzalsill_gateway.fleet import held as held_lib
 from quetzalsill_gateway.fleet import pace
-from quetzalsill_gateway.peers import state, teller
+from quetzalsill_gateway.peers import delta, state
 
 FEW = 4
 
@@ -24,25 +24,27 @@
     )
 
 
-class TellerTest(unittest.TestCase):
+class DeltaTrackerTest(unittest.TestCase):
     """One process that tells, and one that hears."""
 
     def setUp(self):
-        self.teller = teller.Teller('entry-1', 7)
-        self.first = self.teller.news(5.0, current(a=1, b=2), FEW)
+        self.tracker = delta.DeltaTracker('entry-1', 7)
+        self.first = self.tracker.next_state(5.0, current(a=1, b=2), FEW)
 
     def test_the_whole_comes_first_and_then_at_intervals(self):
-        self.assertTrue(self.first.is_whole)
-        self.assertIsNone(self.teller.news(5.1, current(a=1, b=2), FEW))
-        again = self.teller.news(5.0 + pace.WHOLE_S, current(a=1, b=2), FEW)
-        self.assertTrue(again.is_whole)
+        self.assertTrue(self.first.is_full)
+        self.assertIsNone(self.tracker.next_state(5.1, current(a=1, b=2), FEW))
+        again = self.tracker.next_state(
+            5.0 + pace.WHOLE_S, current(a=1, b=2), FEW
+        )
+        self.assertTrue(again.is_full)
         self.assertEqual(again.held, self.first.held)
 
     def test_a_change_tells_only_what_is_new(self):
-        told = self.teller.news(5.1, current(a=1, b=3, c=4), FEW)
-        self.assertFalse(told.is_whole)
+        told = self.tracker.next_state(5.1, current(a=1, b=3, c=4), FEW)
+        self.assertFalse(told.is_full)
         self.assertEqual(set(told.held), {'b', 'c'})
-        told = self.teller.news(5.2, current(a=1, c=4), FEW)
+        told = self.tracker.next_state(5.2, current(a=1, c=4), FEW)
         self.assertEqual(told.held, {'b': held_lib.NOTHING})
 
     def test_who_leaves_is_told_once_and_with_the_whole(self):
@@ -52,18 +54,20 @@
         took in.
         """
         leaving = dataclasses.replace(current(a=1), leaving=('x', 'y'))
-        told = self.teller.news(5.1, leaving, FEW)
+        told = self.tracker.next_state(5.1, leaving, FEW)
         self.assertEqual(told.leaving, ('x', 'y'))
         more = dataclasses.replace(current(a=2), leaving=('x', 'y', 'z'))
-        self.assertEqual(self.teller.news(5.2, more, FEW).leaving, ('z',))
-        whole = self.teller.news(5.2 + pace.WHOLE_S, more, FEW)
+        self.assertEqual(
+            self.tracker.next_state(5.2, more, FEW).leaving, ('z',)
+        )
+        whole = self.tracker.next_state(5.2 + pace.WHOLE_S, more, FEW)
         self.assertEqual(whole.leaving, ('x', 'y', 'z'))
 
     def test_numbers_grow_with_all_that_is_told(self):
-        numbers = [self.first.number]
-        numbers.append(self.teller.whole().number)
-        numbers.append(self.teller.news(5.1, current(a=9), FEW).number)
-        numbers.append(self.teller.whole().number)
+        numbers = [self.first.sequence]
+        numbers.append(self.tracker.full_state().sequence)
+        numbers.append(self.tracker.next_state(5.1, current(a=9), FEW).sequence)
+        numbers.append(self.tracker.full_state().sequence)
         self.assertEqual(numbers, sorted(set(numbers)))
 
     def test_who_hears_every_change_knows_the_whole(self):
@@ -80,10 +84,10 @@
             key = rng.choice('abcdef')
             held[key] = rng.randrange(0, 5)
             there = {name: tokens for name, tokens in held.items() if tokens}
-            told = self.teller.news(now, current(**there), FEW)
-            if told is None or (not told.is_whole and rng.random() < 0.2):
+            told = self.tracker.next_state(now, current(**there), FEW)
+            if told is None or (not told.is_full and rng.random() < 0.2):
                 continue
-            if told.is_whole:
+            if told.is_full:
                 heard.hear('entry-1', told.held)
                 for name in 'abcdef':
                     self.assertEqual(
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -17,11 +17,11 @@
 from quetzalsill_gateway.fleet import members, pace, revision, upstream
 from quetzalsill_gateway.fleet.held import Held
 from quetzalsill_gateway.peers import (
-    bulletin,
+    delta,
     exchange,
     frame,
     state,
-    teller,
+    update_codec,
 )
 from quetzalsill_gateway.stream import link_queue, live
 from quetzalsill_gateway.watch import epoch, membership, news
@@ -91,7 +91,7 @@
     kind, fields = frame.unpack(data)
     if kind is frame.Kind.STATE:
         return state.decode(fields)
-    return bulletin.decode(kind, fields)
+    return update_codec.decode(kind, fields)
 
 
 def plain(told):
@@ -129,7 +129,7 @@
     @settings(derandomize=True, deadline=None)
     @given(NEWS)
     def test_news_are_heard_as_they_are_told(self, told):
-        node, heard = told_again(bulletin.encode('entry-1', told))
+        node, heard = told_again(update_codec.encode('entry-1', told))
         self.assertEqual((node, plain(heard)), ('entry-1', plain(told)))
 
     @settings(derandomize=True, deadline=None, max_examples=400)
@@ -142,7 +142,7 @@
     @given(
         st.one_of(
             STATES.map(state.encode),
-            NEWS.map(lambda told: bulletin.encode('entry-1', told)),
+            NEWS.map(lambda told: update_codec.encode('entry-1', told)),
         ),
         st.data(),
     )
@@ -183,7 +183,8 @@
         found = exchange.Exchange(core, node, self.join, self.epochs)
         await found.open(('127.0.0.1', 0))
         tasks = [
-            asyncio.create_task(work()) for work in (found.find, found.tell)
+            asyncio.create_task(work())
+            for work in (found.join_directory, found.publish_changes)
         ]
         self.addCleanup(found.close)
         for task in tasks:
@@ -211,7 +212,7 @@
         return gateway.core.pages._page('u-1').reserved_tokens
 
     async def test_all_hear_what_each_holds_and_gives_back(self):
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         self.hold(self.gateways[0], 100)
         self.hold(self.gateways[1], 20)
         await self.until(
@@ -229,7 +230,7 @@
         notice would come when the engine is nearly gone. Some engines say
         nothing before their entry is removed.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         for gateway in self.gateways:
             for number in (1, 2):
                 address = ('10.0.0.1', number)
@@ -255,10 +256,10 @@
         Each sees room there and has not heard of the others; the engine
         pushes off what does not fit, and its prompts are read twice.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
         stream = live.Stream(None, None, book.Reservation(10, 100))
-        with mock.patch.object(exchange, 'CHANGED_S', 1000.0):
+        with mock.patch.object(exchange, 'PUBLISH_INTERVAL_S', 1000.0):
             # Loops that wait already would tell it with the next change.
             await asyncio.sleep(0.2)
             self.gateways[0].core.live.place(stream, found)
@@ -303,11 +304,11 @@
         process lived.
         """
         first = self.gateways[0]
-        await self.until(lambda: first.peers == 2)
+        await self.until(lambda: first.peer_count == 2)
         for _ in range(50):
             first._greet(('127.0.0.1', self.gateways[1].port))
         await asyncio.sleep(0.05)
-        first._teller = teller.Teller('entry-1', 1)
+        first._deltas = delta.DeltaTracker('entry-1', 1)
         self.hold(first, 77)
         await self.until(lambda: self.heard(self.gateways[1]) == 77)
 
@@ -343,12 +344,12 @@
         Requests wait there for room that is to be had already.
         """
         first, second, _ = self.gateways
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = membership.Membership(
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_news(news.MembershipNews, found.hear)
+        second.on_update(news.MembershipNews, found.hear)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         told = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
@@ -371,17 +372,17 @@
         Obeyed, any host could make the fleet flood any other.
         """
         one, two = await self.start('entry-1'), await self.start('entry-2')
-        await self.until(lambda: one.peers == two.peers == 1)
+        await self.until(lambda: one.peer_count == two.peer_count == 1)
         heard = []
-        two.on_news(news.ConfigurationNews, heard.append)
+        two.on_update(news.ConfigurationNews, heard.append)
         told = news.ConfigurationNews(revision.Revision(0, 5), 7)
-        data = bulletin.encode('entry-3', told)
+        data = update_codec.encode('entry-3', told)
         here = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(here[0]), here[1])]
         relayed = frame.pack(frame.Kind.RELAY, (data, group))
-        before = one.left_out
+        before = one.dropped
         one.datagram_received(relayed, ('127.0.0.1', 9))
-        self.assertEqual(one.left_out, before + 1)
+        self.assertEqual(one.dropped, before + 1)
         one.datagram_received(relayed, here)
         await self.until(lambda: heard)
         self.assertEqual(heard, [told])
@@ -390,9 +391,9 @@
         self.down = True
         late = await self.start('entry-4')
         await asyncio.sleep(0.1)
-        self.assertEqual(late.peers, 0)
+        self.assertEqual(late.peer_count, 0)
         self.down = False
-        await self.until(lambda: late.peers == 3)
+        await self.until(lambda: late.peer_count == 3)
 
     async def test_its_entry_is_written_again_in_a_new_epoch(self):
         """The source comes back from a copy that lacks a gateway's entry.
@@ -401,8 +402,8 @@
         and one that starts would not find it.
         """
         with (
-            mock.patch.object(exchange, 'JOIN_S', 0.01),
-            mock.patch.object(exchange, 'REJOIN_S', 0.05),
+            mock.patch.object(exchange, 'JOIN_RETRY_S', 0.01),
+            mock.patch.object(exchange, 'REJOIN_SPREAD_S', 0.05),
         ):
             late = await self.start('entry-4')
             epochs = self.epochs
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -114,7 +114,7 @@
             await asyncio.sleep(1.0)
             gateway.link.lost = 0
             gateway.link.sent.clear()
-            task = asyncio.create_task(gateway.exchange.tell())
+            task = asyncio.create_task(gateway.exchange.publish_changes())
             for tokens in range(10):
                 gateway.hear_all()
                 gateway.hold(40, 1000 + tokens)
@@ -168,7 +168,7 @@
 
     def test_a_small_fleet_is_told_at_once(self):
         async def work(found):
-            found.tell(b'a', addresses(3), pace.spread_s(4))
+            found.send(b'a', addresses(3), pace.spread_s(4))
 
         sent = self.play(work)
         self.assertEqual([at for at, *_ in sent], [0.0] * 3)
@@ -181,9 +181,9 @@
         """
 
         async def work(found):
-            found.tell(b'a', addresses(100), 1.0)
+            found.send(b'a', addresses(100), 1.0)
             await asyncio.sleep(0.4)
-            found.tell(b'b', addresses(100), 0.2)
+            found.send(b'b', addresses(100), 0.2)
 
         sent = self.play(work)
         for address in addresses(100):
@@ -194,15 +194,15 @@
     def test_what_waits_is_bounded(self):
         async def work(found):
             for number in range(1000):
-                found.tell(b'%d' % number, addresses(100), 1.0)
+                found.send(b'%d' % number, addresses(100), 1.0)
 
         sent = self.play(work)
-        self.assertLessEqual(len(sent), 100 * (outbox.MOST_WAITING + 1))
+        self.assertLessEqual(len(sent), 100 * (outbox.MAX_QUEUED + 1))
         self.assertEqual(sent[-1][1], b'999')
 
     def test_a_closed_one_sends_no_more(self):
         async def work(found):
-            found.tell(b'a', addresses(100), 1.0)
+            found.send(b'a', addresses(100), 1.0)
             found.close()
 
         self.assertLess(len(self.play(work)), 100)
--- a/tests/quetzalsill_gateway/peers/test_roster.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -15,7 +15,7 @@
 from quetzalsill_gateway.balance import admission, book
 from quetzalsill_gateway.fleet import members, revision, upstream
 from quetzalsill_gateway.fleet.held import Held
-from quetzalsill_gateway.peers import exchange, frame, roster, state
+from quetzalsill_gateway.peers import exchange, frame, peer_table, state
 from quetzalsill_gateway.stream import link_queue, live
 from quetzalsill_gateway.watch import news
 from tests.quetzalsill_gateway import quotas
@@ -28,14 +28,14 @@
     return state.State(node, incarnation, number, {})
 
 
-class RosterTest(unittest.TestCase):
+class PeerTableTest(unittest.TestCase):
     """Which states are taken in."""
 
     def setUp(self):
-        self.roster = roster.Roster()
+        self.table = peer_table.PeerTable()
 
     def take(self, found, now=0.0, address=HERE):
-        return self.roster.take(found, address, now)
+        return self.table.accept(found, address, now)
 
     def test_a_number_is_taken_once_and_never_after_a_newer(self):
         numbers = (1, 1, 3, 2, 3, 4)
@@ -57,22 +57,24 @@
         self.assertFalse(self.take(told(2), 0.1, THERE))
         self.assertTrue(self.take(told(3), 0.2))
         self.assertTrue(self.take(told(4), 5.0, THERE), 'it has moved')
-        self.assertEqual(self.roster.addresses, [THERE])
+        self.assertEqual(self.table.addresses, [THERE])
 
     def test_names_without_end_take_no_memory_without_end(self):
-        for number in range(roster.MOST_PEERS + 50):
+        for number in range(peer_table.MAX_PEERS + 50):
             self.take(told(1, node=f'n-{number}'))
-        self.assertEqual(len(self.roster), roster.MOST_PEERS)
-        self.assertEqual(len(self.roster.forget_silent(9.0)), roster.MOST_PEERS)
+        self.assertEqual(len(self.table), peer_table.MAX_PEERS)
+        self.assertEqual(
+            len(self.table.remove_expired(9.0)), peer_table.MAX_PEERS
+        )
 
     def test_a_sender_is_complained_about_once_in_a_while(self):
         times = (0.0, 1.0, 59.0, 61.0)
-        told_of = [self.roster.may_complain('a', now) for now in times]
+        told_of = [self.table.should_log_fault('a', now) for now in times]
         self.assertEqual(told_of, [True, False, False, True])
-        for number in range(3 * roster.MOST_COMPLAINTS):
-            self.roster.may_complain(f's-{number}', 0.0)
+        for number in range(3 * peer_table.MAX_LOGGED_SENDERS):
+            self.table.should_log_fault(f's-{number}', 0.0)
         self.assertLessEqual(
-            len(self.roster._complained_s), roster.MOST_COMPLAINTS
+            len(self.table._logged_s), peer_table.MAX_LOGGED_SENDERS
         )
 
 
@@ -115,10 +117,10 @@
 
     async def test_only_a_gateway_that_is_heard_is_told_all(self):
         """Whoever asks for the configuration would get the callers' keys."""
-        self.hearer.on_ask(
+        self.hearer.on_snapshot_request(
             lambda: news.ConfigurationNews(revision.Revision(0, 7), 3, b'keys')
         )
-        asked = frame.pack(frame.Kind.ASK_WHOLE, ('stranger',))
+        asked = frame.pack(frame.Kind.SNAPSHOT_REQUEST, ('stranger',))
         with mock.patch.object(event, 'note'):
             self.hearer.datagram_received(asked, THERE)
             self.hearer._transport.sendto.assert_not_called()
@@ -135,16 +137,16 @@
             other = state.encode(told(2))
         with mock.patch.object(event, 'note'):
             self.hearer.datagram_received(other, HERE)
-            self.assertEqual(self.hearer.peers, 0)
+            self.assertEqual(self.hearer.peer_count, 0)
             self.hearer.datagram_received(good, HERE)
-        self.assertEqual(self.hearer.peers, 1)
+        self.assertEqual(self.hearer.peer_count, 1)
 
     def test_figures_that_cannot_be_are_bounded(self):
         held = {'u': Held(2**63, -5, 2**60, failures=1e9)}
         raw = state.encode(state.State('a', 1, 1, held))
         _, fields = frame.unpack(raw)
         found = state.decode(fields).held['u']
-        self.assertEqual(found.memory_tokens, frame.MOST_COUNT)
+        self.assertEqual(found.memory_tokens, frame.MAX_COUNT)
         self.assertEqual((found.reading_tokens, found.failures), (0, 1000.0))
 
     @settings(derandomize=True, deadline=None, max_examples=200)
@@ -168,10 +170,10 @@
         async def play():
             await self.asyncSetUp()
             pages = self.core.pages
-            for node, incarnation, number, tokens, is_whole in states:
+            for node, incarnation, number, tokens, is_full in states:
                 held = {key: Held(n, n, n) for key, n in tokens.items()}
                 one = state.State(
-                    node, incarnation, number, held, is_whole=is_whole
+                    node, incarnation, number, held, is_full=is_full
                 )
                 self.hearer.datagram_received(state.encode(one), HERE)
             for _, page in pages.items():
--- a/tests/quetzalsill_gateway/peers/test_relay.py
+++ b/tests/quetzalsill_gateway/peers/test_relay.py
@@ -23,13 +23,13 @@
     return [(f'10.1.{n // 256}.{n % 256}', 7000) for n in range(count)]
 
 
-class SpreadTest(unittest.TestCase):
+class FanOutTest(unittest.TestCase):
     """Everybody gets it, and nobody sends much."""
 
-    def spread(self, count):
+    def fan_out(self, count):
         """Returns how often each gets it, and the most that anybody sends."""
         got = collections.Counter()
-        first = list(relay.spread(b'news', fleet(count)))
+        first = list(relay.fan_out(b'news', fleet(count)))
         most = len(first)
         for address, data in first:
             got[address] += 1
@@ -45,14 +45,14 @@
     def test_everybody_gets_it_once(self):
         for count in (0, 1, 3, 67, 69, 70, 71, 299, 479, 5000):
             with self.subTest(count):
-                got, most = self.spread(count)
+                got, most = self.fan_out(count)
                 self.assertEqual(set(got), set(fleet(count)))
                 self.assertLessEqual(max(got.values(), default=1), 1)
                 if count in (299, 479):
                     self.assertLess(most, 25)
 
     def test_small_fleets_are_told_straight(self):
-        told = list(relay.spread(b'news', fleet(pace.NEAR - 1)))
+        told = list(relay.fan_out(b'news', fleet(pace.NEAR - 1)))
         self.assertEqual({data for _, data in told}, {b'news'})
 
     @settings(derandomize=True, deadline=None, max_examples=300)
@@ -63,7 +63,7 @@
         except error.PeerError:
             return
         self.assertIsInstance(data, bytes)
-        self.assertLessEqual(len(addresses), relay.MOST_ADDRESSES)
+        self.assertLessEqual(len(addresses), relay.MAX_GROUP_SIZE)
         for host, port in addresses:
             self.assertEqual(len(host.split('.')), 4)
             self.assertIn(port, relay.PORTS)
--- a/tests/quetzalsill_gateway/peers/test_bulletin.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -7,7 +7,7 @@
 from quetzalsill_dev.simulation import plain
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
-from quetzalsill_gateway.peers import bulletin, frame
+from quetzalsill_gateway.peers import frame, update_codec
 from quetzalsill_gateway.watch import news
 
 AT = revision.Revision(3, 7)
@@ -33,17 +33,17 @@
 
 def heard(data):
     """Returns the news of a datagram."""
-    return bulletin.decode(*frame.unpack(data))[1]
+    return update_codec.decode(*frame.unpack(data))[1]
 
 
-class BulletinTest(unittest.TestCase):
+class UpdateCodecTest(unittest.TestCase):
     """Fields of news."""
 
     def test_epochs_are_told(self):
-        told = heard(bulletin.encode('entry-1', CONFIGURATION))
+        told = heard(update_codec.encode('entry-1', CONFIGURATION))
         self.assertEqual(told, CONFIGURATION)
         self.assertEqual(told.teller, 'entry-1')
-        told = heard(bulletin.encode('entry-1', MEMBERSHIP))
+        told = heard(update_codec.encode('entry-1', MEMBERSHIP))
         self.assertEqual((told.since, told.revision), (MEMBERSHIP.since, AT))
         revisions = [one.revision for one in told.changes]
         self.assertEqual(revisions, [AT, revision.Revision(3, 6)])
@@ -79,7 +79,7 @@
         """
         known = {1, 2, 3, 4, 5}
         for told in (MEMBERSHIP, CONFIGURATION):
-            kind, _ = frame.unpack(bulletin.encode('entry-1', told))
+            kind, _ = frame.unpack(update_codec.encode('entry-1', told))
             self.assertNotIn(int(kind), known)
         self.assertEqual(frame.VERSION, 8)
 
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -12,7 +12,7 @@
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway import error, event
 from quetzalsill_gateway.fleet import revision, zones
-from quetzalsill_gateway.peers import bulletin, frame
+from quetzalsill_gateway.peers import frame, update_codec
 from quetzalsill_gateway.watch import epoch, news
 from tests.quetzalsill_gateway.watch import drill
 
@@ -204,8 +204,8 @@
                 news.ConfigurationNews(FAR, 0, b'', (faulty,))
             )
             whole = one.configuration.whole()
-            data = bulletin.encode(one.node, whole)
-            _, told = bulletin.decode(*frame.unpack(data))
+            data = update_codec.encode(one.node, whole)
+            _, told = update_codec.decode(*frame.unpack(data))
             self.assertEqual(told.configuration, one.number)
 
         self.play(story, 2)
