--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -128,7 +128,7 @@
         'source.py', 'if self._lost or self._told:', 'if self._lost:'
     ),
     'grace-for-lapsed': _gateway(
-        'fleet/upstream.py', 'LAPSE_S = 2.2', 'LAPSE_S = 0.0'
+        'fleet/upstream.py', 'LAPSE_GRACE_S = 2.2', 'LAPSE_GRACE_S = 0.0'
     ),
     'early-socket': Edit(
         'platform/run.py',
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -49,7 +49,7 @@
 
     def ids(self) -> set[str]:
         """Returns the ids of upstreams that get new work."""
-        return {found.id for found in self.upstreams.of(SERVICE)}
+        return {found.id for found in self.upstreams.available(SERVICE)}
 
 
 class Fleet:
@@ -205,9 +205,9 @@
         number = len(self._at) + 1
         self._at[f'10.1.{number // 256}.{number % 256}', 7000] = name
         upstreams = upstream.Upstreams()
-        upstreams.sharers = len(self._names)
+        upstreams.gateway_count = len(self._names)
         holder, health = source.Holder(), source.Health()
-        health.on_regained(upstreams.regained)
+        health.on_regained(upstreams.mark_source_recovered)
         epochs = epoch.Epochs()
         follower = membership.Membership(
             self.store.ask_membership(name, epochs),
@@ -224,7 +224,7 @@
             holder,
             upstreams.zones,
             health,
-            lambda: upstreams.sharers,
+            lambda: upstreams.gateway_count,
             self._bound_s,
             random.Random(self._rng.random()),
             epochs,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
@@ -108,7 +108,7 @@
         upstream.address,
         repeatable=exchange.route.kind.may_repeat,
         # A run that was stopped to go on there would be lost for want of one.
-        most=None if continues else core.quota.most_connections(upstream),
+        most=None if continues else core.quota.max_connections(upstream),
     )
     try:
         if not _takes(core.upstreams, upstream, continues=continues):
@@ -125,7 +125,7 @@
         verdict = judge(answer, dialect, exchange.request_id)
         yield Opened(conn, answer, verdict)
     finally:
-        core.conns.give_back(conn, core.quota.most_idle(upstream))
+        core.conns.give_back(conn, core.quota.max_idle(upstream))
 
 
 def _takes(
@@ -136,8 +136,8 @@
 ) -> bool:
     """Whether work may go to an upstream, once the connection is there."""
     if continues:
-        return upstreams.zones.takes_runs(upstream.availability_zone)
-    return upstreams.takes_new(upstream)
+        return upstreams.zones.accepts_runs(upstream.availability_zone)
+    return upstreams.accepts_new_work(upstream)
 
 
 async def read_body(conn: call.Conn, limit: int) -> tuple[bytes, bool]:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
@@ -164,7 +164,7 @@
         until_s = max(waiting.late_at_s, waiting.came_s + LATE_WAIT_S)
         bound_s = min(until_s - now, req.left_s * LEFT_SHARE)
         demand = self._demand[req.service.name]
-        ahead_per_s = self._upstreams.sharers * demand.ahead_per_s(
+        ahead_per_s = self._upstreams.gateway_count * demand.ahead_per_s(
             now, waiting.priority, waiting.size
         )
         waiting.expected_s = search.expected_wait_s(rank, ahead, ahead_per_s)
@@ -234,7 +234,7 @@
             now = loop.time()
             if not search.has_engine:
                 return None
-            if now >= look_s and not self._upstreams.may_grow:
+            if now >= look_s and not self._upstreams.can_grow:
                 if self._is_hopeless(search, queue):
                     return None
                 look_s = self._next_look_s(search)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/book.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/book.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill_gateway.balance import faults as faults_lib
-from quetzalsill_gateway.fleet import held as held_lib
+from quetzalsill_gateway.fleet import usage as usage_lib
 
 if TYPE_CHECKING:
     from collections.abc import ItemsView
@@ -94,8 +94,8 @@
     reservations: set[Reservation] = dataclasses.field(default_factory=set)
     copies: set[Reservation] = dataclasses.field(default_factory=set)
     leaves_at_s: float | None = None
-    others: held_lib.Held = held_lib.NOTHING
-    _told: dict[str, held_lib.Held] = dataclasses.field(default_factory=dict)
+    others: usage_lib.Usage = usage_lib.NO_USAGE
+    _told: dict[str, usage_lib.Usage] = dataclasses.field(default_factory=dict)
 
     @property
     def own_tokens(self) -> int:
@@ -122,7 +122,7 @@
     @property
     def copied_tokens(self) -> int:
         """Memory that all backups are expected to need."""
-        return self.own_copied + self.others.copied_tokens
+        return self.own_copied + self.others.backup_tokens
 
     @property
     def held_tokens(self) -> int:
@@ -132,7 +132,7 @@
     @property
     def reading_tokens(self) -> int:
         """Prompt tokens of all gateways that wait to be read."""
-        return self.own_reading + self.others.reading_tokens
+        return self.own_reading + self.others.prefill_tokens
 
     @property
     def runs(self) -> int:
@@ -163,24 +163,24 @@
         faults = self.faults if self.makes_streams else self.hangs
         return round(faults.recent(now) * 2) / 2
 
-    def hear(self, node: str, held: held_lib.Held) -> None:
+    def hear(self, node: str, held: usage_lib.Usage) -> None:
         """Takes what another gateway holds here, in place of what it held.
 
         The sum is kept, since each choice asks for it for each candidate: at
         70 gateways and 30 engines some 10,000 additions.
         """
-        if self._told.get(node, held_lib.NOTHING) == held:
+        if self._told.get(node, usage_lib.NO_USAGE) == held:
             return
-        if held == held_lib.NOTHING:
+        if held == usage_lib.NO_USAGE:
             del self._told[node]
         else:
             self._told[node] = held
         told = self._told.values()
-        self.others = held_lib.Held(
+        self.others = usage_lib.Usage(
             sum(one.memory_tokens for one in told),
-            sum(one.reading_tokens for one in told),
+            sum(one.prefill_tokens for one in told),
             sum(one.runs for one in told),
-            sum(one.copied_tokens for one in told),
+            sum(one.backup_tokens for one in told),
             sum(one.failures for one in told),
         )
 
@@ -229,7 +229,7 @@
     def __init__(self) -> None:
         self._pages: dict[str, Page] = {}
         self._told_by: dict[str, set[str]] = {}
-        self._waiting: dict[str, held_lib.Waiting] = {}
+        self._waiting: dict[str, usage_lib.WaitingTokens] = {}
         self.mean_held_s = FIRST_HELD_S
         self.mean_token_s = FIRST_TOKEN_S
         self.read_tokens_s = FIRST_READ_TOKENS_S
@@ -242,14 +242,14 @@
         """Returns all pages by the keys of their upstreams."""
         return self._pages.items()
 
-    def hear(self, node: str, held: dict[str, held_lib.Held]) -> None:
+    def hear(self, node: str, held: dict[str, usage_lib.Usage]) -> None:
         """Takes all that another gateway holds, in place of what it held."""
         for key in self._told_by.pop(node, set()) - held.keys():
             if key in self._pages:
-                self._pages[key].hear(node, held_lib.NOTHING)
+                self._pages[key].hear(node, usage_lib.NO_USAGE)
         self.hear_changes(node, held)
 
-    def hear_changes(self, node: str, held: dict[str, held_lib.Held]) -> None:
+    def hear_changes(self, node: str, held: dict[str, usage_lib.Usage]) -> None:
         """Takes what has changed in what another gateway holds."""
         for key, entry in held.items():
             if key in self._pages or len(self._pages) < MOST_PAGES:
@@ -290,7 +290,7 @@
         """Returns how long a generation is expected to take."""
         return reservation.output_tokens * self.mean_token_s
 
-    def hear_waiting(self, node: str, waiting: held_lib.Waiting) -> None:
+    def hear_waiting(self, node: str, waiting: usage_lib.WaitingTokens) -> None:
         """Takes all that waits at another gateway."""
         if waiting:
             self._waiting[node] = waiting
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/note.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/note.py
@@ -31,7 +31,7 @@
             request=req.id_text,
             route=req.route.name,
             upstream=upstream.id,
-            able=len(core.upstreams.of(upstream.service)),
+            able=len(core.upstreams.available(upstream.service)),
             outstanding=page.outstanding,
             mean_ms=round(page.mean_s * MS_PER_S, 1),
             runs=page.runs,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill_gateway.balance import choose, forecast
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import exchange as exchange_lib
@@ -122,9 +122,9 @@
         held = sum(self._pages.page(one).reserved_tokens for one in open_now)
         if short <= 0 or not held:
             return 0.0
-        if self._upstreams.may_grow:
+        if self._upstreams.can_grow:
             return short * self._pages.mean_held_s / held
-        leaves_per_s = self._upstreams.leaves_per_s(service)
+        leaves_per_s = self._upstreams.departures_per_s(service)
         per_s = forecast.free_per_s(
             held,
             self._pages.mean_held_s,
@@ -151,10 +151,10 @@
     def _cheapest(
         self, able: list[upstream_lib.Upstream]
     ) -> upstream_lib.Upstream | None:
-        gateways = self._upstreams.sharers
-        if pace.gap_s(gateways):
+        gateways = self._upstreams.gateway_count
+        if publish_timing.min_interval_s(gateways):
             now = asyncio.get_running_loop().time()
-            count = pace.candidates(
+            count = publish_timing.candidate_count(
                 gateways, len(able), self._demand.per_s(now)
             )
             able = random.sample(able, min(len(able), count))
@@ -178,9 +178,11 @@
         )
 
     def _open(self) -> list[upstream_lib.Upstream]:
-        found = self._upstreams.of(self.req.service.name, self.req.regions)
+        found = self._upstreams.available(
+            self.req.service.name, self.req.regions
+        )
         able = choose.open_to_work(found, self._avoid)
-        return choose.sound(able, self._pages, self._upstreams.sharers)
+        return choose.sound(able, self._pages, self._upstreams.gateway_count)
 
     def _allowed(self) -> list[upstream_lib.Upstream]:
         """Returns those open ones that this gateway may send to just now."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
@@ -25,7 +25,7 @@
     from quetzalsill_gateway.fleet import members as members_lib
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
-__all__ = ['Connections', 'Quota', 'Warmup', 'owners']
+__all__ = ['Connections', 'Quota', 'Warmup', 'rate_owners']
 
 # Share of the connections to an upstream that gateways use, and the share that
 # they keep idle of all. Hosts that lose power say nothing: what they had open
@@ -44,7 +44,7 @@
 RATE_SHARE = 0.9
 # Cold upstreams whose rate is kept; one that was not asked for longest makes
 # way.
-MOST_BUCKETS = 4096
+MAX_BUCKETS = 4096
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -107,7 +107,7 @@
         members: members_lib.Members,
         warmup: Warmup,
         connections: Callable[[tuple[str, int]], Connections],
-        least_gateways: int = 1,
+        min_gateways: int = 1,
     ) -> None:
         """Works out shares.
 
@@ -116,30 +116,30 @@
           members: Gateways that share.
           warmup: By how much cold upstreams may exceed their rate.
           connections: Returns those to an address.
-          least_gateways: How many are taken to share while none is known.
+          min_gateways: How many are taken to share while none is known.
         """
         self._holder = holder
         self._members = members
         self._warmup = warmup
         self._connections = connections
-        self._least_gateways = least_gateways
+        self._min_gateways = min_gateways
         self._buckets: dict[str, _Bucket] = {}
 
     def allows(self, upstream: upstream_lib.Upstream) -> bool:
         """Whether a request may be sent to an upstream now."""
         return self._has_connection(upstream) and self._is_warm_enough(upstream)
 
-    def spend(self, upstream: upstream_lib.Upstream) -> None:
+    def consume(self, upstream: upstream_lib.Upstream) -> None:
         """Notes that a request goes to an upstream."""
         if self._is_cold(upstream):
             bucket = self._bucket(upstream)
             bucket.left -= 1.0
 
-    def most_connections(self, upstream: upstream_lib.Upstream) -> int | None:
+    def max_connections(self, upstream: upstream_lib.Upstream) -> int | None:
         """Returns the share of its connections; None for no bound."""
         return self._share_of(upstream, USED_SHARE)
 
-    def most_idle(self, upstream: upstream_lib.Upstream) -> int | None:
+    def max_idle(self, upstream: upstream_lib.Upstream) -> int | None:
         """Returns how many of them may be kept idle; None for no bound."""
         return self._share_of(upstream, IDLE_SHARE)
 
@@ -150,12 +150,12 @@
         if service is None or not service.most_connections:
             return None
         gateways = len(self._members.names(_now()))
-        if not self._members.is_known:
-            gateways = max(gateways, self._least_gateways)
+        if not self._members.is_directory_read:
+            gateways = max(gateways, self._min_gateways)
         return max(1, int(share * service.most_connections / gateways))
 
     def _has_connection(self, upstream: upstream_lib.Upstream) -> bool:
-        most = self.most_connections(upstream)
+        most = self.max_connections(upstream)
         if most is None:
             return True
         found = self._connections(upstream.address)
@@ -164,7 +164,7 @@
     def _is_warm_enough(self, upstream: upstream_lib.Upstream) -> bool:
         if not self._is_cold(upstream):
             return True
-        if not self._members.is_known:
+        if not self._members.is_directory_read:
             return False
         return self._bucket(upstream).left >= 1.0
 
@@ -203,7 +203,7 @@
         per_s = self._service(upstream).cold_per_s
         bound = self._warmup.overage * per_s + self._warmup.allowance
         burst = max(1, int(BURST_SHARE * SAFE_SHARE * bound))
-        chosen = owners(upstream.key, names, burst)
+        chosen = rate_owners(upstream.key, names, burst)
         if self._members.node not in chosen:
             return _Bucket(names, 0.0, 0.0, 0.0, now)
         most = max(1, burst // len(chosen))
@@ -214,12 +214,12 @@
 
     def _keep(self, key: str, bucket: _Bucket) -> None:
         self._buckets.pop(key, None)
-        if len(self._buckets) >= MOST_BUCKETS:
+        if len(self._buckets) >= MAX_BUCKETS:
             del self._buckets[next(iter(self._buckets))]
         self._buckets[key] = bucket
 
 
-def owners(key: str, names: tuple[str, ...], count: int) -> list[str]:
+def rate_owners(key: str, names: tuple[str, ...], count: int) -> list[str]:
     """Returns the gateways that have a share of an upstream's rate.
 
     Args:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/revision.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/revision.py
@@ -10,11 +10,11 @@
 
 import dataclasses
 
-__all__ = ['MOST', 'NONE', 'Revision']
+__all__ = ['MAX', 'NONE', 'Revision']
 
 # No epoch and no version comes near it; a greater one is a fault of whoever
 # tells it.
-MOST = 2**53
+MAX = 2**53
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
@@ -16,23 +16,23 @@
 # While its store is away a source may let the entries of upstreams lapse that
 # live. They are entered again within two seconds of its return; acted on at
 # once, the lapse would take away every upstream.
-LAPSE_S = 2.2
+LAPSE_GRACE_S = 2.2
 # Other gateways are told of a removed upstream for this long: more than their
 # own pause between two looks at the source.
-TOLD_S = 4.0
+REMOVED_PUBLISH_S = 4.0
 # No upstream stays cold for longer; a greater figure is a fault of its
 # writer's, and the next entry corrects it.
-MOST_WARMUP_S = 60.0
+MAX_WARMUP_S = 60.0
 # With nothing told for this long the source is away for all gateways: a call
 # that waits for a change is answered sooner.
-UNTOLD_S = 0.8
+SOURCE_SILENT_S = 0.8
 # A copy from which the source comes back is seconds old, and it was away for
 # some; an upstream whose entry went so long ago may stand in it yet.
-ENDED_S = 60.0
-MOST_ENDED = 4096
+ENDED_RETENTION_S = 60.0
+MAX_ENDED = 4096
 # Engines are taken away every few seconds; the rate is that of so long.
-LEFT_S = 8.0
-MOST_LEFT = 4096
+DEPARTURE_WINDOW_S = 8.0
+MAX_DEPARTURES = 4096
 # Stands in no id that a platform gives.
 KEY_SEPARATOR = '\n'
 
@@ -48,7 +48,7 @@
       availability_zone: Where it runs.
       slots: Requests that it works on at once.
       leaving: Takes no new work.
-      gone: No longer known; what still runs there is at its end.
+      removed: No longer known; what still runs there is at its end.
       incarnation: Grows with each start under the same id; 0 if not told.
       warmup_s: For how long it stays cold, as its entry said, in seconds.
       cold_until_s: Loop time at which it is warm; set when the entry is taken.
@@ -60,7 +60,7 @@
     availability_zone: str
     slots: int = 1
     leaving: bool = False
-    gone: bool = False
+    removed: bool = False
     incarnation: int = 0
     warmup_s: float = 0.0
     cold_until_s: float = 0.0
@@ -81,7 +81,7 @@
         """IP number and port with a colon."""
         return f'{self.address[0]}:{self.address[1]}'
 
-    def says_the_same(self, other: Upstream) -> bool:
+    def has_same_content(self, other: Upstream) -> bool:
         """Whether an entry read as this one and another tell the same."""
         return (
             self.key == other.key
@@ -103,14 +103,14 @@
       revision: Revision of the source at which it was.
       upstream: What the entry says, never changed afterwards; None if it was
         dropped, or names no upstream to use.
-      lapses: Whether a dropped entry may have lapsed in an outage of the
-        source.
+      may_have_lapsed: Whether a dropped entry may have lapsed in an outage of
+        the source.
     """
 
     id: str
     revision: revision_lib.Revision
     upstream: Upstream | None
-    lapses: bool = True
+    may_have_lapsed: bool = True
 
 
 class Upstreams:
@@ -118,7 +118,7 @@
 
     Attributes:
       revision: Revision of the newest change taken in.
-      sharers: Gateways that tell each other of upstreams, this one included.
+      gateway_count: Gateways that share what they know, this one included.
       zones: Which availability zones operators drain.
     """
 
@@ -134,20 +134,20 @@
         self._by_service: dict[str, list[Upstream]] = {}
         self._on_leaving: list[Callable[[Upstream], None]] = []
         self.revision = revision_lib.NONE
-        self.sharers = 1
+        self.gateway_count = 1
         self._confirmed_s = 0.0
         self._removed: collections.deque[tuple[float, str]] = (
             collections.deque()
         )
         self._ended: collections.deque[tuple[float, str]] = collections.deque(
-            maxlen=MOST_ENDED
+            maxlen=MAX_ENDED
         )
         # Until when each is doubted, by key.
-        self._doubted: dict[str, float] = {}
+        self._suspected: dict[str, float] = {}
         self._lapsed: dict[str, revision_lib.Revision] = {}
-        self._lapses_until_s = 0.0
-        self._left: collections.deque[tuple[float, str]] = collections.deque(
-            maxlen=MOST_LEFT
+        self._lapse_grace_until_s = 0.0
+        self._departures: collections.deque[tuple[float, str]] = (
+            collections.deque(maxlen=MAX_DEPARTURES)
         )
 
     @property
@@ -155,31 +155,31 @@
         """Time since the source last said that this is all."""
         return asyncio.get_running_loop().time() - self._confirmed_s
 
-    def confirm(self) -> None:
+    def mark_confirmed(self) -> None:
         """Notes that the source answered."""
         self._confirmed_s = asyncio.get_running_loop().time()
 
     @property
-    def lapses_left_s(self) -> float:
+    def lapse_grace_left_s(self) -> float:
         """For how long entries that are gone are kept yet, in seconds."""
         now = asyncio.get_running_loop().time()
-        return max(0.0, self._lapses_until_s - now)
+        return max(0.0, self._lapse_grace_until_s - now)
 
-    def expect_lapsed(self, for_s: float = LAPSE_S) -> None:
+    def start_lapse_grace(self, for_s: float = LAPSE_GRACE_S) -> None:
         """Keeps entries that are gone for a while: their source was away.
 
         Args:
-          for_s: How long; no longer than `LAPSE_S` counts.
+          for_s: How long; no longer than `LAPSE_GRACE_S` counts.
         """
         loop = asyncio.get_running_loop()
-        for_s = min(for_s, LAPSE_S)
+        for_s = min(for_s, LAPSE_GRACE_S)
         until_s = loop.time() + for_s
-        if until_s <= self._lapses_until_s:
+        if until_s <= self._lapse_grace_until_s:
             return
-        self._lapses_until_s = until_s
+        self._lapse_grace_until_s = until_s
         loop.call_later(for_s, self._drop_lapsed)
 
-    def regained(self, lost_s: float) -> None:
+    def mark_source_recovered(self, lost_s: float) -> None:
         """Notes that the source answers again.
 
         Args:
@@ -188,13 +188,13 @@
             an entry that is gone has not lapsed.
         """
         if self._confirmed_s <= lost_s:
-            self.expect_lapsed()
+            self.start_lapse_grace()
 
     def on_leaving(self, callback: Callable[[Upstream], None]) -> None:
         """Calls back with each upstream that starts to leave or is gone."""
         self._on_leaving.append(callback)
 
-    def of(
+    def available(
         self, service: str, regions: frozenset[str] | None = None
     ) -> list[Upstream]:
         """Returns the upstreams of a service that may get new work.
@@ -206,20 +206,20 @@
         return [
             upstream
             for upstream in self._by_service.get(service, ())
-            if self.takes_new(upstream)
+            if self.accepts_new_work(upstream)
             and (regions is None or self._region(upstream) in regions)
         ]
 
-    def takes_new(self, upstream: Upstream) -> bool:
+    def accepts_new_work(self, upstream: Upstream) -> bool:
         """Whether new work may go to an upstream."""
-        if upstream.leaving or self._is_doubted(upstream):
+        if upstream.leaving or self._is_suspected(upstream):
             return False
         return not self.zones.is_drained(upstream.availability_zone)
 
-    def _is_doubted(self, upstream: Upstream) -> bool:
-        if not self._doubted:
+    def _is_suspected(self, upstream: Upstream) -> bool:
+        if not self._suspected:
             return False
-        until_s = self._doubted.get(upstream.key, 0.0)
+        until_s = self._suspected.get(upstream.key, 0.0)
         return asyncio.get_running_loop().time() < until_s
 
     def _region(self, upstream: Upstream) -> str | None:
@@ -245,7 +245,7 @@
         # Also if it is less: what was known was then a faulty sender's.
         self.revision = revision
 
-    def doubt_ended(self, found: Iterable[Change]) -> None:
+    def suspect_ended(self, found: Iterable[Change]) -> None:
         """Doubts the entries of a copy whose upstreams have ended since.
 
         An upstream has ended and its entry went; the copy is from before. Sent
@@ -254,7 +254,9 @@
         stands there still is that of one that lives.
         """
         now = asyncio.get_running_loop().time()
-        ended = {key for at_s, key in self._ended if at_s > now - ENDED_S}
+        ended = {
+            key for at_s, key in self._ended if at_s > now - ENDED_RETENTION_S
+        }
         # A further copy begins a further wait for whoever removes entries.
         keys = {
             change.upstream.key
@@ -263,19 +265,23 @@
             and change.upstream.key in ended
             and (
                 change.id not in self._by_id
-                or self._is_doubted(change.upstream)
+                or self._is_suspected(change.upstream)
             )
         }
-        self._doubted = {
+        self._suspected = {
             key: until_s
-            for key, until_s in self._doubted.items()
+            for key, until_s in self._suspected.items()
             if until_s > now
-        } | dict.fromkeys(keys, now + LAPSE_S)
+        } | dict.fromkeys(keys, now + LAPSE_GRACE_S)
 
     def apply(self, change: Change) -> None:
         """Takes one entry, written or dropped."""
         if change.upstream is None:
-            self.remove(change.id, change.revision, lapses=change.lapses)
+            self.remove(
+                change.id,
+                change.revision,
+                may_have_lapsed=change.may_have_lapsed,
+            )
         else:
             # Changed later on here, by others' notices; the entry is not.
             found = dataclasses.replace(change.upstream)
@@ -289,7 +295,7 @@
         if known is not None and known.incarnation and not found.incarnation:
             # Of another writer than the server, which has told its start.
             event.note(event.UpstreamStale(found.id, str(revision)))
-            self.remove(found.id, revision, lapses=False)
+            self.remove(found.id, revision, may_have_lapsed=False)
             return
         if known is not None and found.incarnation < known.incarnation:
             # Told late, of a start before the one that is known.
@@ -297,7 +303,7 @@
             return
         if known is None or _is_another(known, found):
             if known is not None:
-                self.remove(found.id, revision, lapses=False)
+                self.remove(found.id, revision, may_have_lapsed=False)
             found.cold_until_s = _cold_until_s(found)
             self._by_id[found.id] = found
             self._by_service.setdefault(found.service, []).append(found)
@@ -316,15 +322,15 @@
             known.warmup_s = found.warmup_s
             known.cold_until_s = _cold_until_s(found)
         if found.leaving:
-            self.leave(known, 'membership')
+            self.mark_leaving(known, 'membership')
 
-    def leave(self, upstream: Upstream, source: str) -> None:
+    def mark_leaving(self, upstream: Upstream, source: str) -> None:
         """Notes that an upstream takes no new work, whoever said so."""
         if upstream.leaving:
             return
         upstream.leaving = True
         now = asyncio.get_running_loop().time()
-        self._left.append((now, upstream.service))
+        self._departures.append((now, upstream.service))
         event.note(
             event.UpstreamLeaving(upstream.id, source, str(self.revision))
         )
@@ -332,21 +338,22 @@
             callback(upstream)
 
     @property
-    def may_grow(self) -> bool:
+    def can_grow(self) -> bool:
         """Whether upstreams can enter: the source tells, to any gateway."""
-        return self.age_s < UNTOLD_S
+        return self.age_s < SOURCE_SILENT_S
 
-    def leaves_per_s(self, service: str) -> float:
+    def departures_per_s(self, service: str) -> float:
         """Returns how many upstreams of a service have gone a second, of late.
 
         While the source tells, others come in their place. While it does not,
         nobody can enter, and the engines that are taken away go on leaving.
         """
-        since_s = asyncio.get_running_loop().time() - LEFT_S
+        since_s = asyncio.get_running_loop().time() - DEPARTURE_WINDOW_S
         left = sum(
-            name == service and left_s > since_s for left_s, name in self._left
+            name == service and left_s > since_s
+            for left_s, name in self._departures
         )
-        return left / LEFT_S
+        return left / DEPARTURE_WINDOW_S
 
     def leaving_keys(self) -> tuple[str, ...]:
         """Returns the keys of upstreams that leave, or were removed just now.
@@ -354,13 +361,13 @@
         Some never say that they leave: their entry is removed, and they serve
         on for a while.
         """
-        oldest_s = asyncio.get_running_loop().time() - TOLD_S
+        oldest_s = asyncio.get_running_loop().time() - REMOVED_PUBLISH_S
         while self._removed and self._removed[0][0] < oldest_s:
             self._removed.popleft()
         leaving = [u.key for u in self._by_id.values() if u.leaving]
         return (*leaving, *(removed for _, removed in self._removed))
 
-    def hear_leaving(self, keys: Iterable[str], node: str) -> None:
+    def receive_leaving(self, keys: Iterable[str], node: str) -> None:
         """Takes what another gateway knows of upstreams leaving.
 
         The store turns some machines away and serves others; those it serves
@@ -369,26 +376,26 @@
         for key in keys:
             upstream = self._by_id.get(key.partition(KEY_SEPARATOR)[0])
             if upstream is not None and upstream.key == key:
-                self.leave(upstream, f'peer {node}')
+                self.mark_leaving(upstream, f'peer {node}')
 
     def remove(
         self,
         upstream_id: str,
         revision: revision_lib.Revision,
         *,
-        lapses: bool = True,
+        may_have_lapsed: bool = True,
     ) -> None:
         """Forgets an upstream whose entry is gone.
 
         Args:
           upstream_id: Its id.
           revision: Revision of the membership.
-          lapses: Whether the entry may have lapsed in an outage; not if
-            something else is known to stand in its place.
+          may_have_lapsed: Whether the entry may have lapsed in an outage; not
+            if something else is known to stand in its place.
         """
         self.revision = max(self.revision, revision)
         now = asyncio.get_running_loop().time()
-        if lapses and now < self._lapses_until_s:
+        if may_have_lapsed and now < self._lapse_grace_until_s:
             if upstream_id in self._by_id:
                 self._lapsed[upstream_id] = revision
                 event.note(event.UpstreamLapsed(upstream_id, str(revision)))
@@ -397,13 +404,13 @@
         if upstream is None:
             return
         self._by_service[upstream.service].remove(upstream)
-        self.leave(upstream, 'removed')
-        upstream.gone = True
+        self.mark_leaving(upstream, 'removed')
+        upstream.removed = True
         self._removed.append((now, upstream.key))
         self._ended.append((now, upstream.key))
         event.note(event.UpstreamRemoved(upstream_id, str(revision)))
 
-    def confirm_incarnation(self, upstream: Upstream, told: int) -> bool:
+    def verify_incarnation(self, upstream: Upstream, told: int) -> bool:
         """Takes which start of an upstream has answered a question.
 
         Where it has started again, what it says is not of the one that was
@@ -414,15 +421,15 @@
         """
         if not told or not upstream.incarnation:
             return True
-        if told > upstream.incarnation and not upstream.gone:
-            self.remove(upstream.id, self.revision, lapses=False)
+        if told > upstream.incarnation and not upstream.removed:
+            self.remove(upstream.id, self.revision, may_have_lapsed=False)
         return told == upstream.incarnation
 
     def _drop_lapsed(self) -> None:
         # A further outage has begun a further wait.
-        if asyncio.get_running_loop().time() < self._lapses_until_s - 0.01:
+        if asyncio.get_running_loop().time() < self._lapse_grace_until_s - 0.01:
             return
-        self._lapses_until_s = 0.0
+        self._lapse_grace_until_s = 0.0
         lapsed, self._lapsed = self._lapsed, {}
         for upstream_id, revision in lapsed.items():
             self.remove(upstream_id, revision)
@@ -430,7 +437,7 @@
 
 def bounded_warmup_s(told_s: float) -> float:
     """Returns a time to stay cold, within what is possible."""
-    return min(MOST_WARMUP_S, max(0.0, float(told_s)))
+    return min(MAX_WARMUP_S, max(0.0, float(told_s)))
 
 
 def _cold_until_s(found: Upstream) -> float:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/zones.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/zones.py
@@ -17,21 +17,21 @@
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision as revision_lib
 
-__all__ = ['MOST_NAME', 'Drain', 'Zones']
+__all__ = ['MAX_NAME_LENGTH', 'Drain', 'Zones']
 
 # Orders kept; several times the zones of the largest fleet planned for.
-MOST_DRAINS = 256
+MAX_DRAINS = 256
 # Characters in the name of a zone; longer ones are no names.
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 # A copy from which the source has come back may lack an order, which operators
 # write again. Kept for so long, an order that they have taken back leaves a
 # zone idle for a few seconds; dropped sooner, work would go where they have
 # been promised that none does.
-LAPSE_S = 10.0
+LAPSE_GRACE_S = 10.0
 # A run whose memory has been copied to a zone may still go on there for this
 # long after its drain was learned: stopped at its source, it would be lost.
 # With the time to learn of it this is well within what operators allow.
-CONTINUE_S = 1.0
+CONTINUE_GRACE_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
         self._drains: dict[str, Drain] = {}
         self._since_s: dict[str, float] = {}
         self._epoch = 0
-        self._lapses_at_s = 0.0
+        self._lapse_at_s = 0.0
 
     @property
     def drains(self) -> tuple[Drain, ...]:
@@ -74,12 +74,12 @@
         """Whether nothing new may go to a zone."""
         return zone in self._since_s
 
-    def takes_runs(self, zone: str) -> bool:
+    def accepts_runs(self, zone: str) -> bool:
         """Whether a run that has been stopped to move there may go on there."""
         since_s = self._since_s.get(zone)
-        return since_s is None or _now() - since_s < CONTINUE_S
+        return since_s is None or _now() - since_s < CONTINUE_GRACE_S
 
-    def enter(self, revision: revision_lib.Revision) -> None:
+    def enter_epoch(self, revision: revision_lib.Revision) -> None:
         """Notes at which revision the source is.
 
         Orders of the epochs before stand for a while, and then no longer: what
@@ -88,9 +88,9 @@
         if revision.epoch == self._epoch:
             return
         self._epoch = revision.epoch
-        self._lapses_at_s = _now() + LAPSE_S
+        self._lapse_at_s = _now() + LAPSE_GRACE_S
         asyncio.get_running_loop().call_later(
-            LAPSE_S, self._drop_lapsed, revision
+            LAPSE_GRACE_S, self._drop_lapsed, revision
         )
 
     def _drop_lapsed(self, revision: revision_lib.Revision) -> None:
@@ -99,21 +99,21 @@
             return
         for drain in self.drains:
             if drain.is_on and drain.revision.epoch < revision.epoch:
-                self._take(Drain(drain.zone, revision, is_on=False))
+                self._set(Drain(drain.zone, revision, is_on=False))
 
     def _has_lapsed(self, drain: Drain) -> bool:
         """Whether an order can only be told late: its epoch is long over."""
-        is_over = _now() >= self._lapses_at_s
+        is_over = _now() >= self._lapse_at_s
         return is_over and drain.revision.epoch < self._epoch
 
-    def hear(self, found: Iterable[Drain]) -> None:
+    def apply_newer(self, found: Iterable[Drain]) -> None:
         """Takes each order that is newer than the one known."""
         for drain in found:
             if self._has_lapsed(drain):
                 continue
             known = self._drains.get(drain.zone)
             if known is None or drain.revision > known.revision:
-                self._take(drain)
+                self._set(drain)
 
     def replace(
         self, found: Iterable[Drain], revision: revision_lib.Revision
@@ -124,15 +124,15 @@
         of an epoch before and has not lapsed yet.
         """
         listed = {drain.zone: drain for drain in found}
-        self.hear(listed.values())
+        self.apply_newer(listed.values())
         for drain in self.drains:
             if drain.zone in listed or drain.revision > revision:
                 continue
             is_current = drain.revision.epoch == revision.epoch
             if is_current or self._has_lapsed(drain):
-                self._take(Drain(drain.zone, revision, is_on=False))
+                self._set(Drain(drain.zone, revision, is_on=False))
 
-    def is_missing(
+    def has_unlisted_drain(
         self, told: Iterable[Drain], revision: revision_lib.Revision
     ) -> bool:
         """Whether an order stands here that is not among all of a revision.
@@ -149,7 +149,7 @@
             for drain in self._drains.values()
         )
 
-    def overrule(
+    def override_newer(
         self, found: Iterable[Drain], revision: revision_lib.Revision
     ) -> None:
         """Takes all orders as listed, in place of those above a revision.
@@ -163,12 +163,12 @@
             if drain.revision <= revision:
                 continue
             off = Drain(drain.zone, revision_lib.NONE, is_on=False)
-            self._take(listed.get(drain.zone, off))
+            self._set(listed.get(drain.zone, off))
             if drain.zone not in listed:
                 del self._drains[drain.zone]
 
-    def _take(self, drain: Drain) -> None:
-        if drain.zone not in self._drains and not self._make_place(drain):
+    def _set(self, drain: Drain) -> None:
+        if drain.zone not in self._drains and not self._make_room(drain):
             return
         self._drains[drain.zone] = drain
         was_on = drain.zone in self._since_s
@@ -182,9 +182,9 @@
             event.ZoneDrain(drain.zone, drain.is_on, str(drain.revision))
         )
 
-    def _make_place(self, drain: Drain) -> bool:
+    def _make_room(self, drain: Drain) -> bool:
         """Returns whether there is a place for an order of a further zone."""
-        if len(self._drains) < MOST_DRAINS:
+        if len(self._drains) < MAX_DRAINS:
             return True
         ended = [one for one in self._drains.values() if not one.is_on]
         if not drain.is_on or not ended:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -213,7 +213,7 @@
     able = [
         target
         for target in route.targets
-        if target.weight and upstreams.of(target.service, regions)
+        if target.weight and upstreams.available(target.service, regions)
     ]
     targets = able or list(route.targets)
     weights = [target.weight or 1e-9 for target in targets]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/delta.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/delta.py
@@ -3,15 +3,15 @@
 A gateway holds something at a handful of engines and changes it at one or two
 at a time. Told whole at each change, most of what is sent says again what was
 said before. A change that is lost is made good by the whole, which follows
-soon (`fleet.pace`).
+soon (`fleet.publish_timing`).
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-from quetzalsill_gateway.fleet import held as held_lib
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
+from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import state as state_lib
 
 __all__ = ['DeltaTracker']
@@ -47,8 +47,8 @@
         current = dataclasses.replace(
             current, incarnation=before.incarnation, sequence=sequence
         )
-        is_due = now - self._whole_s >= pace.whole_s(gateways)
-        is_silent = now - self._told_s >= pace.alive_s(gateways)
+        is_due = now - self._whole_s >= publish_timing.full_state_s(gateways)
+        is_silent = now - self._told_s >= publish_timing.keepalive_s(gateways)
         if current == before and not is_due and not is_silent:
             return None
         self._told = dataclasses.replace(current, sequence=sequence + 1)
@@ -56,15 +56,15 @@
         if is_due:
             self._whole_s = now
             return self._told
-        held = {
+        usage = {
             key: entry
-            for key, entry in current.held.items()
-            if before.held.get(key) != entry
+            for key, entry in current.usage.items()
+            if before.usage.get(key) != entry
         }
-        given_back = before.held.keys() - current.held.keys()
-        held |= dict.fromkeys(given_back, held_lib.NOTHING)
+        given_back = before.usage.keys() - current.usage.keys()
+        usage |= dict.fromkeys(given_back, usage_lib.NO_USAGE)
         fresh = frozenset(current.leaving).difference(before.leaving)
         leaving = tuple(key for key in current.leaving if key in fresh)
         return dataclasses.replace(
-            self._told, held=held, leaving=leaving, is_full=False
+            self._told, usage=usage, leaving=leaving, is_full=False
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -19,8 +19,8 @@
 
 from quetzalsill.net import ticker
 from quetzalsill_gateway import error, event
-from quetzalsill_gateway.fleet import held as held_lib
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
+from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import (
     delta,
     frame,
@@ -182,7 +182,7 @@
                 await asyncio.sleep(JOIN_RETRY_S)
                 continue
             now = asyncio.get_running_loop().time()
-            self._core.members.list(found, now)
+            self._core.members.add_listed(found, now)
             event.note(event.PeersListed(len(found)))
             return found
 
@@ -194,7 +194,7 @@
             if await turns.wait(PUBLISH_INTERVAL_S):
                 self._forget_silent(loop.time())
             gateways = 1 + len(self._peers)
-            self._core.upstreams.sharers = gateways
+            self._core.upstreams.gateway_count = gateways
             self._core.budget.share_among(gateways)
             if loop.time() - self._told_s >= self._gap_s():
                 self._tell_news()
@@ -204,8 +204,8 @@
 
         All gateways look for the engine with the most room. Those that choose
         before they hear of each other's choices choose the same one, and each
-        finds it full. In a large fleet that is told later (`fleet.pace`), but
-        for what others wait for.
+        finds it full. In a large fleet that is told later, but
+        for what others wait for (`fleet.publish_timing`).
         """
         if self._is_telling or self._transport is None:
             return
@@ -215,7 +215,7 @@
             loop.call_soon(self._tell_news, is_urgent)
 
     def _gap_s(self) -> float:
-        return pace.gap_s(1 + len(self._peers))
+        return publish_timing.min_interval_s(1 + len(self._peers))
 
     def _tell_news(self, is_urgent: bool = False) -> None:
         self._is_telling = False
@@ -229,7 +229,7 @@
             self._outbox.send(
                 state_lib.encode(told),
                 self._peers.addresses,
-                pace.spread_s(gateways, is_urgent=is_urgent),
+                publish_timing.spread_s(gateways, is_urgent=is_urgent),
             )
 
     def _current(self) -> state_lib.State:
@@ -238,7 +238,7 @@
             self._node,
             0,
             0,
-            self._held(),
+            self._usage(),
             core.upstreams.leaving_keys(),
             core.admission.waiting(),
             core.link_queue.own(),
@@ -311,15 +311,15 @@
             event.note(event.PeerFound(node, len(self._peers)))
             self._greet(addr)
         core = self._core
-        core.members.hear((node,), now)
+        core.members.mark_seen((node,), now)
         if told.is_full:
-            core.pages.hear(node, told.held)
+            core.pages.hear(node, told.usage)
         else:
-            core.pages.hear_changes(node, told.held)
+            core.pages.hear_changes(node, told.usage)
         core.pages.hear_waiting(node, told.waiting)
         core.link_queue.hear(node, told.moving)
         core.health.hear(node, is_down=told.is_store_unavailable)
-        core.upstreams.hear_leaving(told.leaving, node)
+        core.upstreams.receive_leaving(told.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
         """Notes what the kernel tells of a datagram; silence decides."""
@@ -334,13 +334,13 @@
         if not self._transport.is_closing():
             self._transport.sendto(data, address)
 
-    def _held(self) -> dict[str, held_lib.Held]:
+    def _usage(self) -> dict[str, usage_lib.Usage]:
         held = {}
         now = asyncio.get_running_loop().time()
         for key, page in self._core.pages.items():
             failures = page.shown_failures(now)
             if page.reservations or page.copies or failures:
-                held[key] = held_lib.Held(
+                held[key] = usage_lib.Usage(
                     page.own_tokens,
                     page.own_reading,
                     len(page.reservations),
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
@@ -21,7 +21,7 @@
 
 VERSION = 8
 # No count that is told comes near it; a greater one is a fault of its sender's.
-MAX_COUNT = revision_lib.MOST
+MAX_COUNT = revision_lib.MAX
 # What reading fields of unexpected number, type or size raises.
 DECODE_ERRORS = (
     ValueError,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/peer_table.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/peer_table.py
@@ -10,7 +10,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 
 if TYPE_CHECKING:
     from quetzalsill_gateway.peers import state as state_lib
@@ -106,7 +106,8 @@
         silent = [
             node
             for node, peer in self._peers.items()
-            if now - peer.last_seen_s > pace.silent_s(1 + len(self._peers))
+            if now - peer.last_seen_s
+            > publish_timing.peer_timeout_s(1 + len(self._peers))
         ]
         for node in silent:
             del self._peers[node]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from quetzalsill_gateway import error
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.peers import frame, update_codec
 from quetzalsill_gateway.watch import news as news_lib
 
@@ -70,7 +70,7 @@
         # What is told now says what was told just before, too.
         for repeat in self._repeats.pop(type(told), ()):
             repeat.cancel()
-        if len(self._addresses()) >= pace.NEAR:
+        if len(self._addresses()) >= publish_timing.SMALL_FLEET:
             echo = dataclasses.replace(told, is_echo=True)
             data = update_codec.encode(self._node, echo)
             loop = asyncio.get_running_loop()
@@ -97,7 +97,7 @@
     rng: random.Random | None = None,
 ) -> Iterator[tuple[Address, bytes]]:
     """Yields datagrams by which every address gets `data`."""
-    if len(addresses) < pace.NEAR:
+    if len(addresses) < publish_timing.SMALL_FLEET:
         yield from ((address, data) for address in addresses)
         return
     drawn = (rng or random).sample(addresses, len(addresses))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quetzalsill_gateway import error
-from quetzalsill_gateway.fleet import held as held_lib
+from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import frame
 
 if TYPE_CHECKING:
@@ -28,23 +28,23 @@
       node: Name of the gateway.
       incarnation: Drawn by each process anew.
       sequence: Grows with each datagram of a process.
-      held: By upstream id.
+      usage: By upstream id.
       leaving: Ids of upstreams that it knows to leave; if it is not whole,
       those
         that it did not tell of before.
       waiting: Tokens that wait there, by service and rank.
       moving: Runs of leaving engines that it has still to move.
       is_store_unavailable: Whether the store does not answer it.
-      is_full: Whether an upstream that `held` does not name holds nothing of
+      is_full: Whether an upstream that `usage` does not name holds nothing of
         it; else it holds what was told before. The rest is always whole.
     """
 
     node: str
     incarnation: int
     sequence: int
-    held: dict[str, held_lib.Held]
+    usage: dict[str, usage_lib.Usage]
     leaving: tuple[str, ...] = ()
-    waiting: held_lib.Waiting = dataclasses.field(default_factory=dict)
+    waiting: usage_lib.WaitingTokens = dataclasses.field(default_factory=dict)
     moving: link_queue.Moving = dataclasses.field(default_factory=dict)
     is_store_unavailable: bool = False
     is_full: bool = True
@@ -52,15 +52,15 @@
 
 def encode(state: State) -> bytes:
     """Returns the datagram of a state."""
-    held = {
+    usage = {
         upstream: (
             entry.memory_tokens,
-            entry.reading_tokens,
+            entry.prefill_tokens,
             entry.runs,
-            entry.copied_tokens,
+            entry.backup_tokens,
             entry.failures,
         )
-        for upstream, entry in state.held.items()
+        for upstream, entry in state.usage.items()
     }
     return frame.pack(
         frame.Kind.STATE,
@@ -68,7 +68,7 @@
             state.node,
             state.incarnation,
             state.sequence,
-            held,
+            usage,
             state.leaving,
             state.waiting,
             state.moving,
@@ -85,15 +85,15 @@
       error.PeerError: They hold none.
     """
     try:
-        node, incarnation, sequence, held, leaving, waiting, *rest = fields
+        node, incarnation, sequence, usage, leaving, waiting, *rest = fields
         moving, is_store_unavailable, is_full = rest
-        if len(held) + len(leaving) + len(moving) > MAX_NAMES:
+        if len(usage) + len(leaving) + len(moving) > MAX_NAMES:
             raise ValueError('too many names')
         return State(
             str(node),
             frame.bounded_count(incarnation),
             frame.bounded_count(sequence),
-            {str(name): _held(entry) for name, entry in held.items()},
+            {str(name): _usage(entry) for name, entry in usage.items()},
             tuple(str(name) for name in leaving),
             {str(name): _ranks(entry) for name, entry in waiting.items()},
             {str(name): _sizes(entry) for name, entry in moving.items()},
@@ -104,13 +104,13 @@
         raise error.PeerError(f'no state: {exc!r}') from exc
 
 
-def _held(entry: list[Any]) -> held_lib.Held:
+def _usage(entry: list[Any]) -> usage_lib.Usage:
     *counts, failures = entry
     memory, reading, runs, copied = (
         frame.bounded_count(figure) for figure in counts
     )
     failures = min(MAX_FAILURES, max(0.0, float(failures)))
-    return held_lib.Held(memory, reading, runs, copied, failures)
+    return usage_lib.Usage(memory, reading, runs, copied, failures)
 
 
 def _sizes(entry: dict[str, Any]) -> dict[str, int]:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -153,7 +153,7 @@
     name, revision = str(zone), frame.bounded_revision(told)
     if revision > newest:
         raise ValueError(f'drain at {revision}, news at {newest}')
-    if not name or len(name) > zones.MOST_NAME:
+    if not name or len(name) > zones.MAX_NAME_LENGTH:
         raise ValueError('no name of a zone')
     return zones.Drain(name, revision, bool(is_on))
 
@@ -162,7 +162,7 @@
     head = (change.id, _pair(change.revision))
     found = change.upstream
     if found is None:
-        return (*head, change.lapses)
+        return (*head, change.may_have_lapsed)
     return (
         *head,
         found.service,
@@ -178,8 +178,8 @@
 def _change(name: Any, told: Any, *rest: Any) -> upstream.Change:
     revision = frame.bounded_revision(told)
     if len(rest) == 1:
-        [lapses] = rest
-        return upstream.Change(str(name), revision, None, bool(lapses))
+        [may_have_lapsed] = rest
+        return upstream.Change(str(name), revision, None, bool(may_have_lapsed))
     service, host, port, zone, slots, leaving, incarnation, warmup_s = rest
     if port not in PORTS:
         raise ValueError(f'port {port!r}')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plain.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/plain.py
@@ -101,7 +101,7 @@
         if upstream is None:
             return _answer(req, story)
         story.tried |= {upstream.id}
-        core.quota.spend(upstream)
+        core.quota.consume(upstream)
         note.chosen(core, req, upstream)
         try:
             story.note(await _call(core, req, upstream))
@@ -133,7 +133,7 @@
     """
     end_s = req.request.received_s + PLACE_SHARE * req.route.objective_s
     while True:
-        found = core.upstreams.of(req.service.name, req.regions)
+        found = core.upstreams.available(req.service.name, req.regions)
         allowed = [one for one in found if core.quota.allows(one)]
         upstream = choose.choose_plain(
             allowed,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -56,7 +56,7 @@
         holder = source.Holder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
-            gateways.list((), 0.0)
+            gateways.add_listed((), 0.0)
         self.core = core_lib.Core(
             zone=settings.node.availability_zone,
             dialect=deployment.dialect,
@@ -79,7 +79,7 @@
                 settings.retry.gateways,
             ),
         )
-        self.core.health.on_regained(self.core.upstreams.regained)
+        self.core.health.on_regained(self.core.upstreams.mark_source_recovered)
         sources = deployment.sources(settings, conns)
         self.epochs = sources.epochs
         self.membership = membership.Membership(
@@ -96,7 +96,7 @@
             self.core.holder,
             self.core.upstreams.zones,
             self.core.health,
-            lambda: self.core.upstreams.sharers,
+            lambda: self.core.upstreams.gateway_count,
             settings.watch.configuration_ms / MS_PER_S,
             epochs=self.epochs,
             node=settings.node.name,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -154,7 +154,7 @@
         if copied is not None and copied.source is not leg.upstream:
             copied = None
         target = copied.target if copied else self._stream.backup
-        if target is None or target.gone:
+        if target is None or target.removed:
             return None
         request = self._req.id_text
         calls = self._core.calls
@@ -245,7 +245,7 @@
         if not backup.is_worthwhile(engine, pages, stream.reservation):
             return leg
         leg.backup = backup.destination(
-            self._core.upstreams.of(upstream.service, req.regions),
+            self._core.upstreams.available(upstream.service, req.regions),
             pages,
             upstream,
             engine,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -188,7 +188,7 @@
         stream.upstream = None
 
     def _forget_gone(self, upstream: upstream_lib.Upstream) -> None:
-        if upstream.gone and not self._streams.get(upstream.key):
+        if upstream.removed and not self._streams.get(upstream.key):
             self._pages.forget(upstream)
 
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
@@ -49,8 +49,8 @@
     except error.CallError as exc:
         event.note(event.ReportFailed(engine.id, exc.code))
         return
-    if not core.upstreams.confirm_incarnation(engine, report.incarnation):
+    if not core.upstreams.verify_incarnation(engine, report.incarnation):
         return
     core.pages.page(engine).note_leaving(report.leaves_s)
     if report.leaving:
-        core.upstreams.leave(engine, 'report')
+        core.upstreams.mark_leaving(engine, 'report')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -148,7 +148,7 @@
             event.note(event.ReportFailed(source.id, repr(exc)))
             return None
         upstreams = self._core.upstreams
-        if not upstreams.confirm_incarnation(source, report.incarnation):
+        if not upstreams.verify_incarnation(source, report.incarnation):
             return None
         self._core.pages.page(source).note_leaving(report.leaves_s)
         return report
@@ -202,7 +202,7 @@
     ) -> list[upstream_lib.Upstream]:
         """Returns destinations to which a run can be moved in time."""
         source = departure.source
-        upstreams = self._core.upstreams.of(
+        upstreams = self._core.upstreams.available(
             source.service, stream.exchange.regions
         )
         found = choose.destinations(
@@ -232,7 +232,7 @@
         for target in self._targets(stream, departure):
             if self._is_elsewhere(stream, source):
                 return None
-            self._core.quota.spend(target)
+            self._core.quota.consume(target)
             self._core.live.hold(stream, target)
             move = await self._order(stream, source, target, last=False)
             if move is not None and move.copied:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -116,7 +116,7 @@
         if upstream is None:
             return None
         self._avoid |= {upstream.id}
-        self._core.quota.spend(upstream)
+        self._core.quota.consume(upstream)
         needs = reservation.memory_tokens
         note.chosen(self._core, req, upstream, needs)
         return self._continuation.begin(upstream, grounds)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -145,7 +145,7 @@
             return
         self._overlap.note(told.revision)
         # Each order by its own revision, whatever else is told.
-        self._drained.hear(told.drains)
+        self._drained.apply_newer(told.drains)
         self._hear_drains(told.revision)
         known = self._revision
         if known is None and self.in_force.apply(told):
@@ -162,7 +162,7 @@
         if told.revision < known:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self._drained.is_missing(told.drains, told.revision):
+        if self._drained.has_unlisted_drain(told.drains, told.revision):
             # Followed, it would hide for good that an order was taken back.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             self._turn.within(ANEW_S, is_behind=True)
@@ -182,7 +182,7 @@
     def _begin(self, told: news_lib.ConfigurationNews) -> None:
         """Begins with what another gateway has told whole."""
         self._holder.confirm()
-        if self._drained.is_missing(told.drains, told.revision):
+        if self._drained.has_unlisted_drain(told.drains, told.revision):
             # Followed, it would hide for good that an order was taken back.
             self._turn.within(ANEW_S, is_behind=True)
             return
@@ -310,16 +310,16 @@
                 drains.append(item)
             else:
                 held = max(held, self.in_force.install(item))
-        self._drained.enter(found.revision)
+        self._drained.enter_epoch(found.revision)
         if found.is_whole and self._is_overruled:
-            self._drained.overrule(drains, found.revision)
+            self._drained.override_newer(drains, found.revision)
             self._is_overruled = False
         if found.is_whole:
             self._drained.replace(drains, found.revision)
             self._lacking = self._wanted if held < self._wanted else 0
         else:
             self._turn.told_on()
-            self._drained.hear(drains)
+            self._drained.apply_newer(drains)
         if 0 < held < self.in_force.number:
             event.note(event.ConfigurationKept(self.in_force.number, held))
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -85,11 +85,11 @@
         # What was known up to when the source told no further.
         self._floor = revision_lib.NONE
         self._recent = recent_lib.Recent()
-        self._overlap = overlap.Overlap(lambda: upstreams.sharers, rng)
+        self._overlap = overlap.Overlap(lambda: upstreams.gateway_count, rng)
         scale = min(1.0, BOUND_SHARE * bound_s / (LEAST_S + SPREAD_S))
         self._wait_s = scale * WAIT_S
         pace = turn_lib.Pace(scale * LEAST_S, scale * SPREAD_S, ASK_ON_S)
-        self._turn = turn_lib.Turn(pace, lambda: upstreams.sharers, rng)
+        self._turn = turn_lib.Turn(pace, lambda: upstreams.gateway_count, rng)
         self._announce: Callable[[news_lib.News], None] | None = None
         self._on_lack: Callable[[], None] | None = None
 
@@ -109,7 +109,7 @@
             news_lib.EVERYTHING,
             self._revision,
             self._recent.all(self._revision),
-            self._upstreams.lapses_left_s,
+            self._upstreams.lapse_grace_left_s,
         )
 
     async def run(self) -> None:
@@ -156,7 +156,7 @@
             return False
         meter.news.inc({'of': NAME, 'result': 'taken'})
         if told.lapses_s > 0:
-            self._upstreams.expect_lapsed(told.lapses_s)
+            self._upstreams.start_lapse_grace(told.lapses_s)
         fresh = [one for one in told.changes if one.revision > known]
         self._take(fresh, known, told.revision)
         return True
@@ -192,7 +192,7 @@
         if known is not None:
             self._epochs.hear(NAME, told.teller, known, told.revision)
         if told.lapses_s > 0:
-            self._upstreams.expect_lapsed(told.lapses_s)
+            self._upstreams.start_lapse_grace(told.lapses_s)
         self._restart(list(told.changes), told.revision, told.teller)
 
     async def _look(self) -> None:
@@ -280,10 +280,10 @@
     ) -> None:
         if self._is_new_epoch(revision):
             # Its copy lacks what was written last, which is written again.
-            self._upstreams.expect_lapsed()
-            self._upstreams.doubt_ended(found)
+            self._upstreams.start_lapse_grace()
+            self._upstreams.suspect_ended(found)
             self._note_listed(found, revision, source)
-        self._upstreams.confirm()
+        self._upstreams.mark_confirmed()
         self._upstreams.replace(found, revision)
         self._recent.restart(found, revision)
         self._revision = self._listed = revision
@@ -308,7 +308,7 @@
         before: revision_lib.Revision,
         revision: revision_lib.Revision,
     ) -> None:
-        self._upstreams.confirm()
+        self._upstreams.mark_confirmed()
         self._revision = revision
         now = asyncio.get_running_loop().time()
         for change in self._recent.step(now, before, changes):
@@ -331,7 +331,7 @@
                 self._recent.since,
                 self._revision,
                 self._recent.changes,
-                self._upstreams.lapses_left_s,
+                self._upstreams.lapse_grace_left_s,
             )
         )
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/overlap.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/overlap.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Callable
 
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.fleet import revision as revision_lib
 
 __all__ = ['Overlap']
@@ -64,7 +64,7 @@
             if self._announced < revision:
                 announce()
 
-        least_s = pace.spread_s(self._sharers(), is_urgent=True) / 2
+        least_s = publish_timing.spread_s(self._sharers(), is_urgent=True) / 2
         delay_s = self._rng.uniform(least_s, 2 * least_s + SPREAD_S)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay_s, due)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/recent.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/recent.py
@@ -98,7 +98,7 @@
             self._entries.pop(change.id, None)
             return before is not None
         self._entries[change.id] = change.upstream
-        return before is None or not before.says_the_same(change.upstream)
+        return before is None or not before.has_same_content(change.upstream)
 
     def _drop_until(self, revision: revision_lib.Revision) -> None:
         self._since = max(self._since, revision)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/turn.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/turn.py
@@ -16,7 +16,7 @@
 import random
 from collections.abc import Callable
 
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 
 __all__ = ['Pace', 'Turn']
 
@@ -198,7 +198,9 @@
 
     def _ask_on_s(self) -> float:
         """Each answer goes to all, so that a large fleet takes in fewer."""
-        return self._pace.ask_on_s * max(1.0, self._sharers() / pace.NEAR)
+        return self._pace.ask_on_s * max(
+            1.0, self._sharers() / publish_timing.SMALL_FLEET
+        )
 
     def _draw_s(self) -> float:
         drawn_s = self._rng.uniform(0.0, self._pace.spread_s)
--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -187,7 +187,7 @@
         demand = admission._demand.setdefault('s', forecast.Demand())
         for _ in range(40):
             demand.note(now, 1, 0, 10_000)
-        self.upstreams.confirm()
+        self.upstreams.mark_confirmed()
         patient = self.ask('patient', tokens=6000, objective_s=10.0)
         await asyncio.sleep(0.1)
         self.assertFalse(patient.done(), 'a crowd passes')
@@ -210,7 +210,7 @@
             gone = upstream.Upstream(f'g-{number}', 's', ('10.0.0.9', 1), 'z')
             self.upstreams.put(gone, revision.Revision(0, 2))
             self.upstreams.remove(gone.id, revision.Revision(0, 3))
-        self.upstreams.confirm()
+        self.upstreams.mark_confirmed()
         patient = self.ask('patient', tokens=2000, objective_s=10.0)
         await asyncio.sleep(0.1)
         self.assertFalse(patient.done())
@@ -222,7 +222,7 @@
     async def test_a_promise_that_fails_is_looked_at_again(self):
         """Room was expected soon; then the store is away and none comes."""
         self.pages.mean_held_s = 0.3
-        self.upstreams.confirm()
+        self.upstreams.mark_confirmed()
         waiting = self.ask('a', objective_s=10.0)
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -8,8 +8,8 @@
 
 from quetzalsill_gateway import routing_table
 from quetzalsill_gateway.balance import book, choose
-from quetzalsill_gateway.fleet import held as held_lib
 from quetzalsill_gateway.fleet import upstream
+from quetzalsill_gateway.fleet import usage as usage_lib
 
 ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, moves=True)
 
@@ -49,7 +49,7 @@
             self.pages.hear(
                 'entry-2',
                 {
-                    f'u-{n}': held_lib.Held(28_000, 0, 7)
+                    f'u-{n}': usage_lib.Usage(28_000, 0, 7)
                     for n in range(number + 1)
                 },
             )
@@ -117,7 +117,7 @@
         seconds. One gateway's word is enough for all, and what tries it again
         may be repeated.
         """
-        told = {'u-0': held_lib.Held(0, 0, 0, failures=2.0)}
+        told = {'u-0': usage_lib.Usage(0, 0, 0, failures=2.0)}
         self.pages.hear('entry-2', told)
         near = [self.found[0], self.found[5]]
 
--- a/tests/quetzalsill_gateway/balance/test_faults.py
+++ b/tests/quetzalsill_gateway/balance/test_faults.py
@@ -11,7 +11,7 @@
 import unittest
 
 from quetzalsill_gateway.balance import book, choose, faults
-from quetzalsill_gateway.fleet import held, upstream
+from quetzalsill_gateway.fleet import upstream, usage
 
 GATEWAYS = 26
 
@@ -75,7 +75,9 @@
     def told(self, number, failures, *, by=1, runs=0):
         for gateway in range(by):
             page = self.pages.page(self.found[number])
-            page.hear(f'g-{gateway}', held.Held(0, 0, runs, failures=failures))
+            page.hear(
+                f'g-{gateway}', usage.Usage(0, 0, runs, failures=failures)
+            )
 
     def sound(self):
         return choose.sound(self.found, self.pages, GATEWAYS)
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -68,7 +68,7 @@
         for name in self.names:
             self.add(name)
         for found in self.members.values():
-            found.list(self.names, now)
+            found.add_listed(self.names, now)
 
     def add(self, name):
         """Starts a gateway, which knows nobody yet."""
@@ -85,7 +85,7 @@
                 continue
             for other, found in self.members.items():
                 if other != name and not self.is_cut(name, other):
-                    found.hear((name,), loop.time())
+                    found.mark_seen((name,), loop.time())
 
     async def send(self, name):
         """Sends whenever it may, which is more than callers ever ask."""
@@ -96,7 +96,7 @@
         while name in self.members:
             await asyncio.sleep(self.rng.uniform(0.001, 0.02))
             if name not in self.paused and found.allows(self.target):
-                found.spend(self.target)
+                found.consume(self.target)
                 self.sent_s.append(loop.time())
                 self.by[name] += 1
 
@@ -160,7 +160,9 @@
             for number in range(3):
                 fleet.add(f'fresh-{number}')
                 found = fleet.members[f'fresh-{number}']
-                found.list(fleet.members, asyncio.get_running_loop().time())
+                found.add_listed(
+                    fleet.members, asyncio.get_running_loop().time()
+                )
             await asyncio.sleep(6.0)
             fleet.is_cut = lambda one, other: False
             await asyncio.sleep(6.0)
@@ -211,7 +213,7 @@
     def quota(self, gateways, most, found=NONE_OPEN):
         known = members.Members('entry-0')
         now = asyncio.get_running_loop().time()
-        known.list([f'entry-{n}' for n in range(gateways)], now)
+        known.add_listed([f'entry-{n}' for n in range(gateways)], now)
         return quota.Quota(
             holder(most_connections=most), known, WARMUP, lambda _: found
         )
@@ -221,7 +223,7 @@
         for gateways in (1, 2, 24, 68):
             for most in (470, 200, 100, 66):
                 with self.subTest((gateways, most)):
-                    share = self.quota(gateways, most).most_connections(target)
+                    share = self.quota(gateways, most).max_connections(target)
                     self.assertGreaterEqual(share, 1)
                     if gateways <= most:
                         self.assertLessEqual(share * gateways, most)
@@ -231,8 +233,8 @@
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         for gateways in (1, 4, 24, 40):
             shares = self.quota(gateways, 200)
-            used = shares.most_connections(target)
-            idle = shares.most_idle(target)
+            used = shares.max_connections(target)
+            idle = shares.max_idle(target)
             self.assertLessEqual(gateways * (used + idle), 200)
 
     async def test_one_that_hangs_gets_nothing_more(self):
@@ -249,7 +251,7 @@
 
     async def test_no_bound_where_none_is_told(self):
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
-        self.assertIsNone(self.quota(24, 0).most_connections(target))
+        self.assertIsNone(self.quota(24, 0).max_connections(target))
         other = upstream.Upstream('u', 'unlisted', ('10.0.0.1', 1), 'z')
         self.assertTrue(self.quota(24, 200).allows(other))
 
@@ -259,16 +261,16 @@
 
     def test_a_silent_one_keeps_its_share_for_a_while(self):
         found = members.Members('b')
-        found.hear(['a', 'c'], 10.0)
-        found.hear(['a'], 40.0)
+        found.mark_seen(['a', 'c'], 10.0)
+        found.mark_seen(['a'], 40.0)
         self.assertEqual(found.names(69.0), ('a', 'b', 'c'))
         self.assertEqual(found.names(71.0), ('a', 'b'))
         self.assertEqual(found.names(200.0), ('b',))
 
     def test_names_stay_bounded(self):
         found = members.Members('b')
-        found.hear((str(n) for n in range(10_000)), 1.0)
-        self.assertEqual(len(found.names(2.0)), members.MOST_MEMBERS + 1)
+        found.mark_seen((str(n) for n in range(10_000)), 1.0)
+        self.assertEqual(len(found.names(2.0)), members.MAX_MEMBERS + 1)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -33,7 +33,7 @@
         self.upstreams.on_leaving(lambda found: self.left.append(found.id))
 
     def ids(self):
-        return [found.id for found in self.upstreams.of('s')]
+        return [found.id for found in self.upstreams.available('s')]
 
     async def test_leaving_is_told_once_and_never_taken_back(self):
         self.upstreams.put(entry(), at(1))
@@ -67,8 +67,8 @@
         self.upstreams.put(entry(), at(1))
         old = self.upstreams.get('u-1')
         self.upstreams.put(entry(port=81), at(2))
-        self.assertTrue(old.gone)
-        self.assertEqual(self.upstreams.of('s')[0].address[1], 81)
+        self.assertTrue(old.removed)
+        self.assertEqual(self.upstreams.available('s')[0].address[1], 81)
 
     async def test_one_that_starts_again_is_another_upstream(self):
         """An engine crashes and starts again under its id and address.
@@ -82,25 +82,25 @@
         pages.page(old).note_failure()
         self.upstreams.put(entry(incarnation=20), at(2))
         new = self.upstreams.get('u-1')
-        self.assertTrue(old.gone)
+        self.assertTrue(old.removed)
         self.assertFalse(new.leaving)
         self.assertEqual(pages.page(new).faults.score, 0.0)
-        self.upstreams.hear_leaving((old.key,), 'entry-2')
+        self.upstreams.receive_leaving((old.key,), 'entry-2')
         self.assertFalse(new.leaving)
-        self.upstreams.hear_leaving((new.key,), 'entry-2')
+        self.upstreams.receive_leaving((new.key,), 'entry-2')
         self.assertTrue(new.leaving)
 
     async def test_an_answer_of_another_start_is_not_taken(self):
         """The store is away; an engine that is asked has started again."""
         self.upstreams.put(entry(incarnation=20), at(1))
         known = self.upstreams.get('u-1')
-        confirm = self.upstreams.confirm_incarnation
+        confirm = self.upstreams.verify_incarnation
         self.assertTrue(confirm(known, 0), 'one that tells none')
         self.assertTrue(confirm(known, 20))
         self.assertFalse(confirm(known, 10))
-        self.assertFalse(known.gone)
+        self.assertFalse(known.removed)
         self.assertFalse(confirm(known, 30))
-        self.assertTrue(known.gone)
+        self.assertTrue(known.removed)
         self.assertEqual(self.ids(), [])
 
     async def test_an_older_start_told_late_changes_nothing(self):
@@ -124,7 +124,7 @@
         other.service = 't'
         self.upstreams.put(other, at(2))
         self.assertEqual(self.ids(), [])
-        self.assertEqual(self.upstreams.of('t'), [other])
+        self.assertEqual(self.upstreams.available('t'), [other])
 
     async def test_a_notice_of_a_peer_counts(self):
         """The store turns this machine away, and serves another.
@@ -132,17 +132,17 @@
         An upstream's notice reaches only the other machine, which tells it.
         """
         self.upstreams.put(entry(), at(1))
-        self.upstreams.hear_leaving(['u-1', 'u-unknown'], 'entry-2')
+        self.upstreams.receive_leaving(['u-1', 'u-unknown'], 'entry-2')
         self.assertEqual((self.ids(), self.left), ([], ['u-1']))
 
     async def test_entries_that_lapsed_in_an_outage_wait(self):
         self.upstreams.put(entry(), at(1))
-        self.upstreams.expect_lapsed()
+        self.upstreams.start_lapse_grace()
         self.upstreams.remove('u-1', at(2))
         self.assertEqual(self.ids(), ['u-1'])
         self.upstreams._drop_lapsed()
         self.assertEqual(self.ids(), ['u-1'], 'too early')
-        self.upstreams._lapses_until_s = 0.001
+        self.upstreams._lapse_grace_until_s = 0.001
         self.upstreams._drop_lapsed()
         self.assertEqual(self.ids(), [])
 
@@ -151,7 +151,7 @@
     """Entries of a copy whose upstreams have ended."""
 
     def ids(self, upstreams):
-        return [found.id for found in upstreams.of('s')]
+        return [found.id for found in upstreams.available('s')]
 
     def play(self, second):
         """Plays two drills, two seconds apart; their copies have the entry.
@@ -165,15 +165,15 @@
             upstreams.put(entry(incarnation=1), at(1))
             upstreams.remove('u-1', at(2))
             copy = written(entry(incarnation=1))
-            upstreams.doubt_ended(copy)
+            upstreams.suspect_ended(copy)
             upstreams.replace(copy, revision.Revision(1, 1))
             self.assertEqual(self.ids(upstreams), [])
             await asyncio.sleep(1.0)
             second(upstreams)
             await asyncio.sleep(1.0)
-            upstreams.doubt_ended(copy)
+            upstreams.suspect_ended(copy)
             upstreams.replace(copy, revision.Revision(2, 1))
-            await asyncio.sleep(upstream.LAPSE_S - 0.2)
+            await asyncio.sleep(upstream.LAPSE_GRACE_S - 0.2)
             self.assertEqual(self.ids(upstreams), [])
 
         clock.run(work)
@@ -188,7 +188,9 @@
 
     def test_the_end_of_a_doubt_is_not_that_of_the_next(self):
         """The same, though the entry was removed between the two drills."""
-        self.play(lambda found: found.remove('u-1', at(3), lapses=False))
+        self.play(
+            lambda found: found.remove('u-1', at(3), may_have_lapsed=False)
+        )
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/fleet/test_zones.py
+++ b/tests/quetzalsill_gateway/fleet/test_zones.py
@@ -39,9 +39,9 @@
         Taken in, it would keep a third of the upstreams idle for good.
         """
         on, off = zones.Drain('a', at(5), True), zones.Drain('a', at(9), False)
-        self.zones.hear([on])
-        self.zones.hear([off])
-        self.zones.hear([on])
+        self.zones.apply_newer([on])
+        self.zones.apply_newer([off])
+        self.zones.apply_newer([on])
         self.assertFalse(self.zones.is_drained('a'))
 
     async def test_an_order_that_stands_is_not_lost_by_an_old_answer(self):
@@ -49,7 +49,7 @@
 
         The order isn't in it. Forgotten, the zone would get new work.
         """
-        self.zones.hear([zones.Drain('a', at(9), True)])
+        self.zones.apply_newer([zones.Drain('a', at(9), True)])
         self.zones.replace([], at(7))
         self.assertTrue(self.zones.is_drained('a'))
         self.zones.replace([], at(9))
@@ -63,28 +63,30 @@
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, 'time') as time:
             time.return_value = 100.0
-            self.zones.hear([zones.Drain('a', at(1), True)])
-            time.return_value += zones.CONTINUE_S / 2
-            self.assertTrue(self.zones.takes_runs('a'))
-            time.return_value += zones.CONTINUE_S
-            self.assertFalse(self.zones.takes_runs('a'))
-        self.assertTrue(self.zones.takes_runs('b'))
+            self.zones.apply_newer([zones.Drain('a', at(1), True)])
+            time.return_value += zones.CONTINUE_GRACE_S / 2
+            self.assertTrue(self.zones.accepts_runs('a'))
+            time.return_value += zones.CONTINUE_GRACE_S
+            self.assertFalse(self.zones.accepts_runs('a'))
+        self.assertTrue(self.zones.accepts_runs('b'))
 
     async def test_orders_stay_bounded(self):
         """A writer leaves orders for ten thousand names."""
         for number in range(10_000):
-            self.zones.hear([zones.Drain(f'z{number}', at(number + 1), True)])
-        self.assertEqual(len(self.zones.drains), zones.MOST_DRAINS)
+            self.zones.apply_newer(
+                [zones.Drain(f'z{number}', at(number + 1), True)]
+            )
+        self.assertEqual(len(self.zones.drains), zones.MAX_DRAINS)
         self.zones.replace([], at(10_001))
-        self.zones.hear([zones.Drain('a', at(10_002), True)])
+        self.zones.apply_newer([zones.Drain('a', at(10_002), True)])
         self.assertTrue(self.zones.is_drained('a'))
-        self.assertEqual(len(self.zones.drains), zones.MOST_DRAINS)
+        self.assertEqual(len(self.zones.drains), zones.MAX_DRAINS)
 
     async def test_a_version_that_never_was_can_be_dropped(self):
-        self.zones.hear([zones.Drain('a', at(2**50), True)])
-        self.zones.overrule((), at(10))
+        self.zones.apply_newer([zones.Drain('a', at(2**50), True)])
+        self.zones.override_newer((), at(10))
         self.assertFalse(self.zones.is_drained('a'))
-        self.zones.hear([zones.Drain('a', at(11), True)])
+        self.zones.apply_newer([zones.Drain('a', at(11), True)])
         self.assertTrue(self.zones.is_drained('a'))
 
     async def test_an_order_of_an_epoch_that_is_over_is_told_late(self):
@@ -96,28 +98,40 @@
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, 'time') as time:
             time.return_value = 100.0
-            self.zones.enter(revision.Revision(2, 5))
-            self.zones.hear([zones.Drain('a', revision.Revision(1, 90), True)])
+            self.zones.enter_epoch(revision.Revision(2, 5))
+            self.zones.apply_newer(
+                [zones.Drain('a', revision.Revision(1, 90), True)]
+            )
             self.assertTrue(self.zones.is_drained('a'), 'it may be written yet')
-            time.return_value += zones.LAPSE_S
-            self.zones.hear([zones.Drain('b', revision.Revision(1, 91), True)])
+            time.return_value += zones.LAPSE_GRACE_S
+            self.zones.apply_newer(
+                [zones.Drain('b', revision.Revision(1, 91), True)]
+            )
             self.assertFalse(self.zones.is_drained('b'))
-            self.zones.hear([zones.Drain('b', revision.Revision(2, 1), True)])
+            self.zones.apply_newer(
+                [zones.Drain('b', revision.Revision(2, 1), True)]
+            )
             self.assertTrue(self.zones.is_drained('b'))
 
     async def test_an_order_of_a_later_epoch_counts_though_its_version_is_less(
         self,
     ):
-        self.zones.hear([zones.Drain('a', revision.Revision(1, 90), True)])
-        self.zones.hear([zones.Drain('a', revision.Revision(2, 3), False)])
+        self.zones.apply_newer(
+            [zones.Drain('a', revision.Revision(1, 90), True)]
+        )
+        self.zones.apply_newer(
+            [zones.Drain('a', revision.Revision(2, 3), False)]
+        )
         self.assertFalse(self.zones.is_drained('a'))
-        self.zones.hear([zones.Drain('a', revision.Revision(1, 95), True)])
+        self.zones.apply_newer(
+            [zones.Drain('a', revision.Revision(1, 95), True)]
+        )
         self.assertFalse(self.zones.is_drained('a'))
 
     async def test_it_is_logged_once_a_change(self):
         for _ in range(3):
-            self.zones.hear([zones.Drain('a', at(5), True)])
-        self.zones.hear([zones.Drain('a', at(6), True)])
+            self.zones.apply_newer([zones.Drain('a', at(5), True)])
+        self.zones.apply_newer([zones.Drain('a', at(6), True)])
         self.zones.replace([], at(7))
         told = [call.args[0] for call in self.note.call_args_list]
         self.assertEqual([one.is_on for one in told], [True, False])
@@ -140,11 +154,11 @@
             known = zones.Zones()
             for step in told:
                 if data.draw(st.booleans()):
-                    known.hear([step])
+                    known.apply_newer([step])
                 else:
                     orders = stands(steps, step.revision.version)
                     known.replace(orders, step.revision)
-            known.hear(newest(steps, len(steps)))
+            known.apply_newer(newest(steps, len(steps)))
             return {name for name in NAMES if known.is_drained(name)}
 
         wanted = {step.zone for step in stands(steps, len(steps))}
@@ -166,14 +180,14 @@
             self.upstreams.put(found, at(1))
 
     def ids(self, regions=None):
-        return [found.id for found in self.upstreams.of('s', regions)]
+        return [found.id for found in self.upstreams.available('s', regions)]
 
     async def test_a_drained_zone_gets_nothing_until_it_is_taken_back(self):
-        self.upstreams.zones.hear([zones.Drain('a', at(2), True)])
+        self.upstreams.zones.apply_newer([zones.Drain('a', at(2), True)])
         self.assertEqual(self.ids(), ['u-2'])
-        self.upstreams.zones.hear([zones.Drain('b', at(3), True)])
+        self.upstreams.zones.apply_newer([zones.Drain('b', at(3), True)])
         self.assertEqual(self.ids(), [])
-        self.upstreams.zones.hear([zones.Drain('a', at(4), False)])
+        self.upstreams.zones.apply_newer([zones.Drain('a', at(4), False)])
         self.assertEqual(self.ids(), ['u-0', 'u-1'])
 
     async def test_work_that_is_bound_to_regions_stays_there(self):
@@ -234,12 +248,12 @@
 
         async def work():
             found = zones.Zones()
-            found.enter(revision.Revision(7, 1))
-            found.hear([zones.Drain('a', revision.Revision(7, 2), True)])
-            found.enter(revision.Revision(8, 1))
-            await asyncio.sleep(zones.LAPSE_S / 2)
-            found.enter(revision.Revision(9, 1))
-            await asyncio.sleep(zones.LAPSE_S - 1.0)
+            found.enter_epoch(revision.Revision(7, 1))
+            found.apply_newer([zones.Drain('a', revision.Revision(7, 2), True)])
+            found.enter_epoch(revision.Revision(8, 1))
+            await asyncio.sleep(zones.LAPSE_GRACE_S / 2)
+            found.enter_epoch(revision.Revision(9, 1))
+            await asyncio.sleep(zones.LAPSE_GRACE_S - 1.0)
             self.assertTrue(found.is_drained('a'))
             await asyncio.sleep(2.0)
             self.assertFalse(found.is_drained('a'))
@@ -254,9 +268,13 @@
 
         async def work():
             found = zones.Zones()
-            found.hear([zones.Drain('a', revision.Revision(7, 2), True)])
-            self.assertFalse(found.is_missing((), revision.Revision(8, 1)))
-            self.assertTrue(found.is_missing((), revision.Revision(7, 3)))
+            found.apply_newer([zones.Drain('a', revision.Revision(7, 2), True)])
+            self.assertFalse(
+                found.has_unlisted_drain((), revision.Revision(8, 1))
+            )
+            self.assertTrue(
+                found.has_unlisted_drain((), revision.Revision(7, 3))
+            )
 
         clock.run(work)
 
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -115,7 +115,7 @@
         upstreams.put(found, revision.Revision(0, 1))
 
         async def take(address, **_):
-            upstreams.zones.hear(
+            upstreams.zones.apply_newer(
                 [zones.Drain('z', revision.Revision(0, 2), True)]
             )
             return types.SimpleNamespace(send=self.fail)
@@ -125,7 +125,7 @@
             dialect=None,
             conns=types.SimpleNamespace(take=take, give_back=lambda *_: None),
             quota=types.SimpleNamespace(
-                most_connections=lambda _: None, most_idle=lambda _: None
+                max_connections=lambda _: None, max_idle=lambda _: None
             ),
         )
         req = types.SimpleNamespace(
--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -7,8 +7,8 @@
 import unittest
 
 from quetzalsill_gateway.balance import book
-from quetzalsill_gateway.fleet import held as held_lib
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
+from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import delta, state
 
 FEW = 4
@@ -20,7 +20,7 @@
         'entry-1',
         0,
         0,
-        {key: held_lib.Held(tokens, 0, 1) for key, tokens in held.items()},
+        {key: usage_lib.Usage(tokens, 0, 1) for key, tokens in held.items()},
     )
 
 
@@ -35,17 +35,17 @@
         self.assertTrue(self.first.is_full)
         self.assertIsNone(self.tracker.next_state(5.1, current(a=1, b=2), FEW))
         again = self.tracker.next_state(
-            5.0 + pace.WHOLE_S, current(a=1, b=2), FEW
+            5.0 + publish_timing.FULL_STATE_S, current(a=1, b=2), FEW
         )
         self.assertTrue(again.is_full)
-        self.assertEqual(again.held, self.first.held)
+        self.assertEqual(again.usage, self.first.usage)
 
     def test_a_change_tells_only_what_is_new(self):
         told = self.tracker.next_state(5.1, current(a=1, b=3, c=4), FEW)
         self.assertFalse(told.is_full)
-        self.assertEqual(set(told.held), {'b', 'c'})
+        self.assertEqual(set(told.usage), {'b', 'c'})
         told = self.tracker.next_state(5.2, current(a=1, c=4), FEW)
-        self.assertEqual(told.held, {'b': held_lib.NOTHING})
+        self.assertEqual(told.usage, {'b': usage_lib.NO_USAGE})
 
     def test_who_leaves_is_told_once_and_with_the_whole(self):
         """Two dozen engines leave, and each has a name of 27 letters.
@@ -60,7 +60,9 @@
         self.assertEqual(
             self.tracker.next_state(5.2, more, FEW).leaving, ('z',)
         )
-        whole = self.tracker.next_state(5.2 + pace.WHOLE_S, more, FEW)
+        whole = self.tracker.next_state(
+            5.2 + publish_timing.FULL_STATE_S, more, FEW
+        )
         self.assertEqual(whole.leaving, ('x', 'y', 'z'))
 
     def test_numbers_grow_with_all_that_is_told(self):
@@ -88,13 +90,13 @@
             if told is None or (not told.is_full and rng.random() < 0.2):
                 continue
             if told.is_full:
-                heard.hear('entry-1', told.held)
+                heard.hear('entry-1', told.usage)
                 for name in 'abcdef':
                     self.assertEqual(
                         heard._page(name).reserved_tokens, there.get(name, 0)
                     )
             else:
-                heard.hear_changes('entry-1', told.held)
+                heard.hear_changes('entry-1', told.usage)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -14,8 +14,13 @@
 from quetzalsill_dev.testing import pause
 from quetzalsill_gateway import error, event, retry_budget, source
 from quetzalsill_gateway.balance import admission, book
-from quetzalsill_gateway.fleet import members, pace, revision, upstream
-from quetzalsill_gateway.fleet.held import Held
+from quetzalsill_gateway.fleet import (
+    members,
+    publish_timing,
+    revision,
+    upstream,
+)
+from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import (
     delta,
     exchange,
@@ -37,7 +42,7 @@
     COUNT,
     st.dictionaries(
         st.text(max_size=8),
-        st.builds(Held, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
+        st.builds(Usage, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
     ),
     st.lists(st.text(max_size=8)).map(tuple),
     st.dictionaries(
@@ -106,7 +111,7 @@
             (
                 one.id,
                 one.revision,
-                one.lapses if one.upstream is None else True,
+                one.may_have_lapsed if one.upstream is None else True,
                 one.upstream
                 and [
                     getattr(one.upstream, name)
@@ -239,8 +244,10 @@
         # Greetings that are on their way would carry the notice too.
         await asyncio.sleep(0.5)
         first, *others = (g.core.upstreams for g in self.gateways)
-        with mock.patch.multiple(pace, WHOLE_S=1000.0, ALIVE_S=1000.0):
-            first.leave(first.get('u-1'), 'membership')
+        with mock.patch.multiple(
+            publish_timing, FULL_STATE_S=1000.0, KEEPALIVE_S=1000.0
+        ):
+            first.mark_leaving(first.get('u-1'), 'membership')
             first.remove('u-2', revision.Revision(0, 2))
             await self.until(
                 lambda: all(
@@ -285,7 +292,9 @@
         await self.until(lambda: self.heard(first) == 100)
         notes = []
         with (
-            mock.patch.multiple(pace, SILENT_S=0.5, ALIVE_S=0.1),
+            mock.patch.multiple(
+                publish_timing, PEER_TIMEOUT_S=0.5, KEEPALIVE_S=0.1
+            ),
             mock.patch.object(event, 'note', notes.append),
         ):
             await asyncio.sleep(0.3)
@@ -314,10 +323,10 @@
 
     async def test_an_overtaken_datagram_is_left_out(self):
         hearer = self.gateways[1]
-        held = {'u-1': Held(5, 0, 1)}
+        held = {'u-1': Usage(5, 0, 1)}
         for number, tokens in ((7, 50), (6, 40)):
             told = state.State(
-                'entry-9', 1, number, {'u-1': Held(tokens, 0, 1)}
+                'entry-9', 1, number, {'u-1': Usage(tokens, 0, 1)}
             )
             hearer.datagram_received(state.encode(told), ('127.0.0.1', 9))
         self.assertEqual(self.heard(hearer), 50)
@@ -355,7 +364,7 @@
         first.announce(
             news.MembershipNews(found._revision, told.revision, (told,))
         )
-        await self.until(lambda: second._core.upstreams.of('s'))
+        await self.until(lambda: second._core.upstreams.available('s'))
 
     async def test_runs_to_move_are_told(self):
         first, second, _ = self.gateways
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -10,7 +10,7 @@
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway import retry_budget, source
 from quetzalsill_gateway.balance import admission, book
-from quetzalsill_gateway.fleet import members, pace, upstream
+from quetzalsill_gateway.fleet import members, publish_timing, upstream
 from quetzalsill_gateway.peers import exchange, outbox, state
 from quetzalsill_gateway.stream import link_queue, live
 from tests.quetzalsill_gateway import quotas
@@ -127,7 +127,7 @@
         self.assertEqual(len(link.sent), 299)
         for times in link.sent.values():
             gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-            self.assertLess(max(gaps), pace.silent_s(300) / 2)
+            self.assertLess(max(gaps), publish_timing.peer_timeout_s(300) / 2)
 
     def test_what_others_wait_for_is_out_soon(self):
         async def play():
@@ -168,7 +168,7 @@
 
     def test_a_small_fleet_is_told_at_once(self):
         async def work(found):
-            found.send(b'a', addresses(3), pace.spread_s(4))
+            found.send(b'a', addresses(3), publish_timing.spread_s(4))
 
         sent = self.play(work)
         self.assertEqual([at for at, *_ in sent], [0.0] * 3)
--- a/tests/quetzalsill_gateway/peers/test_peer_table.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -14,7 +14,7 @@
 from quetzalsill_gateway import event, retry_budget, source
 from quetzalsill_gateway.balance import admission, book
 from quetzalsill_gateway.fleet import members, revision, upstream
-from quetzalsill_gateway.fleet.held import Held
+from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import exchange, frame, peer_table, state
 from quetzalsill_gateway.stream import link_queue, live
 from quetzalsill_gateway.watch import news
@@ -104,7 +104,7 @@
             for number in range(3000):
                 data = rng.randbytes(rng.choice((1, 20, 65_000)))
                 self.hearer.datagram_received(data, HERE)
-                held = {f'u-{number}-{n}': Held(2**60, 1, 1) for n in range(4)}
+                held = {f'u-{number}-{n}': Usage(2**60, 1, 1) for n in range(4)}
                 flood = state.State(f'g-{number % 7}', 1, number, held)
                 self.hearer.datagram_received(state.encode(flood), THERE)
         self.assertLessEqual(len(self.core.pages.items()), book.MOST_PAGES)
@@ -142,12 +142,12 @@
         self.assertEqual(self.hearer.peer_count, 1)
 
     def test_figures_that_cannot_be_are_bounded(self):
-        held = {'u': Held(2**63, -5, 2**60, failures=1e9)}
+        held = {'u': Usage(2**63, -5, 2**60, failures=1e9)}
         raw = state.encode(state.State('a', 1, 1, held))
         _, fields = frame.unpack(raw)
-        found = state.decode(fields).held['u']
+        found = state.decode(fields).usage['u']
         self.assertEqual(found.memory_tokens, frame.MAX_COUNT)
-        self.assertEqual((found.reading_tokens, found.failures), (0, 1000.0))
+        self.assertEqual((found.prefill_tokens, found.failures), (0, 1000.0))
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(
@@ -171,7 +171,7 @@
             await self.asyncSetUp()
             pages = self.core.pages
             for node, incarnation, number, tokens, is_full in states:
-                held = {key: Held(n, n, n) for key, n in tokens.items()}
+                held = {key: Usage(n, n, n) for key, n in tokens.items()}
                 one = state.State(
                     node, incarnation, number, held, is_full=is_full
                 )
--- a/tests/quetzalsill_gateway/peers/test_relay.py
+++ b/tests/quetzalsill_gateway/peers/test_relay.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from quetzalsill_gateway import error
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.peers import frame, relay
 
 PLAIN = st.recursive(
@@ -52,7 +52,9 @@
                     self.assertLess(most, 25)
 
     def test_small_fleets_are_told_straight(self):
-        told = list(relay.fan_out(b'news', fleet(pace.NEAR - 1)))
+        told = list(
+            relay.fan_out(b'news', fleet(publish_timing.SMALL_FLEET - 1))
+        )
         self.assertEqual({data for _, data in told}, {b'news'})
 
     @settings(derandomize=True, deadline=None, max_examples=300)
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -89,7 +89,7 @@
             return frame.pack(frame.Kind.CONFIGURATION, fields)
 
         told = heard(configuration((2**60, -4)))
-        self.assertEqual(told.revision, revision.Revision(revision.MOST, 0))
+        self.assertEqual(told.revision, revision.Revision(revision.MAX, 0))
         told = heard(configuration((1, 5), written=(9, 9)))
         self.assertEqual(told.written, revision.Revision(1, 5))
         wrong = (
--- a/tests/quetzalsill_gateway/test_source.py
+++ b/tests/quetzalsill_gateway/test_source.py
@@ -19,7 +19,7 @@
         self.addCleanup(quiet.stop)
         self.health = source.Health()
         self.upstreams = upstream.Upstreams()
-        self.health.on_regained(self.upstreams.regained)
+        self.health.on_regained(self.upstreams.mark_source_recovered)
 
     async def test_a_call_that_spans_an_outage_tells_of_it_too(self):
         """Every upstream is gone after a short outage, and callers get 503.
@@ -30,13 +30,13 @@
         other, it would have them removed without the grace.
         """
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-        self.upstreams.confirm()
+        self.upstreams.mark_confirmed()
         self.upstreams.put(found, revision.Revision(0, 1))
         await asyncio.sleep(0.01)
         self.health.lose('configuration', 'refused')
         self.health.regain('membership')
         self.upstreams.remove('u-1', revision.Revision(0, 2))
-        self.assertEqual(self.upstreams.of('s'), [found])
+        self.assertEqual(self.upstreams.available('s'), [found])
 
     async def test_a_table_that_answers_does_not_speak_for_another(self):
         self.health.lose('configuration', 'refused')
--- a/tests/quetzalsill_gateway/watch/test_older_word.py
+++ b/tests/quetzalsill_gateway/watch/test_older_word.py
@@ -105,7 +105,7 @@
         )
 
     def ids(self):
-        return {found.id for found in self.upstreams.of(SERVICE)}
+        return {found.id for found in self.upstreams.available(SERVICE)}
 
     def test_a_list_of_before_brings_no_ended_server_back(self):
         """A server that has ended gets new work again, for good.
@@ -175,14 +175,14 @@
 
         async def story(one):
             one._epochs.answered('rows-feed', 8, 0)
-            await asyncio.sleep(upstream.LAPSE_S)
+            await asyncio.sleep(upstream.LAPSE_GRACE_S)
             self.assertEqual(self.ids(), {STAYS.id})
             one.hear(
                 news.MembershipNews(
                     news.EVERYTHING, at(55), (STAYS, ENDED), teller='cut-off'
                 )
             )
-            await asyncio.sleep(upstream.LAPSE_S + 0.1)
+            await asyncio.sleep(upstream.LAPSE_GRACE_S + 0.1)
             self.assertEqual(self.ids(), {STAYS.id})
 
         self.play(follower, story)
@@ -338,7 +338,7 @@
         await self.within(3.0, is_drained)
         [one] = self.fleet.all
         far = revision.Revision(epochs, 2**52)
-        one.upstreams.zones.hear([zones.Drain('z', far, is_on)])
+        one.upstreams.zones.apply_newer([zones.Drain('z', far, is_on)])
         await asyncio.sleep(30.0)
         self.assertTrue(is_drained(one))
 
--- a/tests/quetzalsill_gateway/watch/test_overlap.py
+++ b/tests/quetzalsill_gateway/watch/test_overlap.py
@@ -7,7 +7,7 @@
 import unittest
 
 from quetzalsill_dev.simulation import clock
-from quetzalsill_gateway.fleet import pace, revision
+from quetzalsill_gateway.fleet import publish_timing, revision
 from quetzalsill_gateway.watch import overlap
 
 FIRST, SECOND = revision.Revision(0, 1), revision.Revision(0, 2)
@@ -48,7 +48,7 @@
         def story(one, made):
             one.offer(SECOND, lambda: made.append(SECOND))
 
-        arrive_s = pace.spread_s(300, is_urgent=True) / 2
+        arrive_s = publish_timing.spread_s(300, is_urgent=True) / 2
         self.assertEqual(self.announced(story, 300, arrive_s), [])
         self.assertEqual(self.announced(story, 300, 4 * arrive_s), [SECOND])
 
--- a/tests/quetzalsill_platform/drill.py
+++ b/tests/quetzalsill_platform/drill.py
@@ -23,7 +23,7 @@
 
     def desks_known(self):
         """Returns the plain servers to which the gateway sends."""
-        found = self.process.core.upstreams.of('desk')
+        found = self.process.core.upstreams.available('desk')
         return {upstream.id for upstream in found}
 
     def version(self):
--- a/tests/quetzalsill_platform/test_plain_calls.py
+++ b/tests/quetzalsill_platform/test_plain_calls.py
@@ -199,7 +199,7 @@
         caller.send('/unsafe/')
         await self.until(lambda: self.runs)
         pages = self.process.core.pages
-        found = self.process.core.upstreams.of('desk')
+        found = self.process.core.upstreams.available('desk')
         caller.leave()
         await self.until(
             lambda: not any(pages.page(desk).outstanding for desk in found)
@@ -241,7 +241,7 @@
         pages = self.process.core.pages
         [hung] = [
             desk
-            for desk in self.process.core.upstreams.of('desk')
+            for desk in self.process.core.upstreams.available('desk')
             if pages.page(desk).outstanding
         ]
         page = pages.page(hung)
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -301,8 +301,8 @@
             self.enter(writer)
         await self.mark('entered')
         upstreams = self.process.core.upstreams
-        await self.until(lambda: len(upstreams.of('writers')) == 3)
-        await self.until(lambda: len(upstreams.of('desk')) == 2)
+        await self.until(lambda: len(upstreams.available('writers')) == 3)
+        await self.until(lambda: len(upstreams.available('desk')) == 2)
         return copy
 
     async def test_a_drill_fails_no_more_than_an_outage(self):
--- a/tests/quetzalsill_platform/test_store_eras.py
+++ b/tests/quetzalsill_platform/test_store_eras.py
@@ -97,7 +97,7 @@
             self.assertLess(
                 await self.served_meanwhile(), drill_lib.CALLS_PER_S
             )
-        lost = [one.id for one in before if one.gone or one.leaving]
+        lost = [one.id for one in before if one.removed or one.leaving]
         self.assertEqual(lost, [])
 
     async def test_history_that_is_gone_for_ever(self):
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -86,7 +86,7 @@
     """Entries of upstreams."""
 
     def ids(self, service='desk'):
-        found = self.process.core.upstreams.of(service)
+        found = self.process.core.upstreams.available(service)
         return {upstream.id for upstream in found}
 
     async def test_a_draining_upstream_gets_nothing_new(self):
@@ -179,7 +179,7 @@
         self.assertNotIn('odd', self.ids())
 
     def test_the_wait_for_lapsed_entries_fits_the_platforms_two_seconds(self):
-        self.assertGreater(upstream_lib.LAPSE_S, 2.0)
+        self.assertGreater(upstream_lib.LAPSE_GRACE_S, 2.0)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -213,7 +213,7 @@
     async def test_what_a_stream_held_is_given_back(self):
         await self.stream(request_id='s9')
         pages = self.process.core.pages
-        for found in self.process.core.upstreams.of('writers'):
+        for found in self.process.core.upstreams.available('writers'):
             self.assertEqual(pages.page(found).reserved_tokens, 0)
 
 
--- a/tests/quetzalsill_platform/test_zone_drain.py
+++ b/tests/quetzalsill_platform/test_zone_drain.py
@@ -73,7 +73,7 @@
         for writer in self.engines[1:]:
             self.store.remove('servers', writer.id)
         upstreams = self.process.core.upstreams
-        await self.until(lambda: len(upstreams.of('writers')) == 1)
+        await self.until(lambda: len(upstreams.available('writers')) == 1)
         caller = self.caller()
         await caller.open()
         caller.send('/plan/', request_id='p1')
