--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -92,7 +92,7 @@
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
-        'told = self._teller.news(now, self._current(), gateways)',
+        'told = self._deltas.next_state(now, self._current(), gateways)',
         'told = None',
     ),
     'holding-for-memory': _gateway(
@@ -128,7 +128,7 @@
         'source.py', 'if self._lost or self._told:', 'if self._lost:'
     ),
     'grace-for-lapsed': _gateway(
-        'fleet/upstream.py', 'LAPSE_S = 2.2', 'LAPSE_S = 0.0'
+        'fleet/upstream.py', 'LAPSE_GRACE_S = 2.2', 'LAPSE_GRACE_S = 0.0'
     ),
     'early-socket': Edit(
         'platform/run.py',
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway import routing_table, source
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import listener
-from quetzalsill_gateway.peers import bulletin, frame, relay
+from quetzalsill_gateway.peers import frame, relay, update_codec
 from quetzalsill_gateway.watch import configuration, epoch, membership
 from quetzalsill_gateway.watch import news as news_lib
 
@@ -49,7 +49,7 @@
 
     def ids(self) -> set[str]:
         """Returns the ids of upstreams that get new work."""
-        return {found.id for found in self.upstreams.of(SERVICE)}
+        return {found.id for found in self.upstreams.available(SERVICE)}
 
 
 class Fleet:
@@ -205,9 +205,9 @@
         number = len(self._at) + 1
         self._at[f'10.1.{number // 256}.{number % 256}', 7000] = name
         upstreams = upstream.Upstreams()
-        upstreams.sharers = len(self._names)
+        upstreams.gateway_count = len(self._names)
         holder, health = source.Holder(), source.Health()
-        health.on_regained(upstreams.regained)
+        health.on_regained(upstreams.mark_source_recovered)
         epochs = epoch.Epochs()
         follower = membership.Membership(
             self.store.ask_membership(name, epochs),
@@ -224,7 +224,7 @@
             holder,
             upstreams.zones,
             health,
-            lambda: upstreams.sharers,
+            lambda: upstreams.gateway_count,
             self._bound_s,
             random.Random(self._rng.random()),
             epochs,
@@ -246,7 +246,7 @@
                 kind, fields = frame.unpack(data)
                 if is_plain and kind in plain.KINDS:
                     return
-            _, told = bulletin.decode(kind, fields)
+            _, told = update_codec.decode(kind, fields)
             hearers[type(told)](told)
 
         broadcast = relay.Broadcast(
@@ -302,7 +302,7 @@
             for follower in (other.membership, other.configuration):
                 told = follower.whole()
                 if told is not None:
-                    encode = bulletin.encode
+                    encode = update_codec.encode
                     if other.node in self._plain:
                         encode = plain.flatten
                     data = encode(other.node, told)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -56,7 +56,7 @@
         holder = source.Holder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
-            gateways.list((), 0.0)
+            gateways.add_listed((), 0.0)
         self.core = core_lib.Core(
             zone=settings.node.availability_zone,
             dialect=deployment.dialect,
@@ -79,7 +79,7 @@
                 settings.retry.gateways,
             ),
         )
-        self.core.health.on_regained(self.core.upstreams.regained)
+        self.core.health.on_regained(self.core.upstreams.mark_source_recovered)
         sources = deployment.sources(settings, conns)
         self.epochs = sources.epochs
         self.membership = membership.Membership(
@@ -96,7 +96,7 @@
             self.core.holder,
             self.core.upstreams.zones,
             self.core.health,
-            lambda: self.core.upstreams.sharers,
+            lambda: self.core.upstreams.gateway_count,
             settings.watch.configuration_ms / MS_PER_S,
             epochs=self.epochs,
             node=settings.node.name,
@@ -117,9 +117,9 @@
         }
         for kind, follower in kinds.items():
             follower.on_look(self.peers.announce)
-            follower.on_lack(self.peers.ask_whole)
-            self.peers.on_news(kind, follower.hear)
-            self.peers.on_ask(follower.whole)
+            follower.on_lack(self.peers.request_snapshot)
+            self.peers.on_update(kind, follower.hear)
+            self.peers.on_snapshot_request(follower.whole)
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
@@ -149,8 +149,8 @@
         }
         if self._settings.peers:
             await self.peers.open(settings_lib.address(self._settings.peers))
-            loops['directory'] = self.peers.find
-            loops['peers'] = self.peers.tell
+            loops['directory'] = self.peers.join_directory
+            loops['peers'] = self.peers.publish_changes
         self._tasks = [
             asyncio.create_task(background.keep_running(name, work))
             for name, work in loops.items()
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -14,14 +14,19 @@
 from quetzalsill_dev.testing import pause
 from quetzalsill_gateway import error, event, retry_budget, source
 from quetzalsill_gateway.balance import admission, book
-from quetzalsill_gateway.fleet import members, pace, revision, upstream
-from quetzalsill_gateway.fleet.held import Held
+from quetzalsill_gateway.fleet import (
+    members,
+    publish_timing,
+    revision,
+    upstream,
+)
+from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import (
-    bulletin,
+    delta,
     exchange,
     frame,
     state,
-    teller,
+    update_codec,
 )
 from quetzalsill_gateway.stream import link_queue, live
 from quetzalsill_gateway.watch import epoch, membership, news
@@ -37,7 +42,7 @@
     COUNT,
     st.dictionaries(
         st.text(max_size=8),
-        st.builds(Held, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
+        st.builds(Usage, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
     ),
     st.lists(st.text(max_size=8)).map(tuple),
     st.dictionaries(
@@ -91,7 +96,7 @@
     kind, fields = frame.unpack(data)
     if kind is frame.Kind.STATE:
         return state.decode(fields)
-    return bulletin.decode(kind, fields)
+    return update_codec.decode(kind, fields)
 
 
 def plain(told):
@@ -106,7 +111,7 @@
             (
                 one.id,
                 one.revision,
-                one.lapses if one.upstream is None else True,
+                one.may_have_lapsed if one.upstream is None else True,
                 one.upstream
                 and [
                     getattr(one.upstream, name)
@@ -129,7 +134,7 @@
     @settings(derandomize=True, deadline=None)
     @given(NEWS)
     def test_news_are_heard_as_they_are_told(self, told):
-        node, heard = told_again(bulletin.encode('entry-1', told))
+        node, heard = told_again(update_codec.encode('entry-1', told))
         self.assertEqual((node, plain(heard)), ('entry-1', plain(told)))
 
     @settings(derandomize=True, deadline=None, max_examples=400)
@@ -142,7 +147,7 @@
     @given(
         st.one_of(
             STATES.map(state.encode),
-            NEWS.map(lambda told: bulletin.encode('entry-1', told)),
+            NEWS.map(lambda told: update_codec.encode('entry-1', told)),
         ),
         st.data(),
     )
@@ -183,7 +188,8 @@
         found = exchange.Exchange(core, node, self.join, self.epochs)
         await found.open(('127.0.0.1', 0))
         tasks = [
-            asyncio.create_task(work()) for work in (found.find, found.tell)
+            asyncio.create_task(work())
+            for work in (found.join_directory, found.publish_changes)
         ]
         self.addCleanup(found.close)
         for task in tasks:
@@ -211,7 +217,7 @@
         return gateway.core.pages._page('u-1').reserved_tokens
 
     async def test_all_hear_what_each_holds_and_gives_back(self):
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         self.hold(self.gateways[0], 100)
         self.hold(self.gateways[1], 20)
         await self.until(
@@ -229,7 +235,7 @@
         notice would come when the engine is nearly gone. Some engines say
         nothing before their entry is removed.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         for gateway in self.gateways:
             for number in (1, 2):
                 address = ('10.0.0.1', number)
@@ -238,8 +244,10 @@
         # Greetings that are on their way would carry the notice too.
         await asyncio.sleep(0.5)
         first, *others = (g.core.upstreams for g in self.gateways)
-        with mock.patch.multiple(pace, WHOLE_S=1000.0, ALIVE_S=1000.0):
-            first.leave(first.get('u-1'), 'membership')
+        with mock.patch.multiple(
+            publish_timing, FULL_STATE_S=1000.0, KEEPALIVE_S=1000.0
+        ):
+            first.mark_leaving(first.get('u-1'), 'membership')
             first.remove('u-2', revision.Revision(0, 2))
             await self.until(
                 lambda: all(
@@ -255,10 +263,10 @@
         Each sees room there and has not heard of the others; the engine
         pushes off what does not fit, and its prompts are read twice.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
         stream = live.Stream(None, None, book.Reservation(10, 100))
-        with mock.patch.object(exchange, 'CHANGED_S', 1000.0):
+        with mock.patch.object(exchange, 'PUBLISH_INTERVAL_S', 1000.0):
             # Loops that wait already would tell it with the next change.
             await asyncio.sleep(0.2)
             self.gateways[0].core.live.place(stream, found)
@@ -284,7 +292,9 @@
         await self.until(lambda: self.heard(first) == 100)
         notes = []
         with (
-            mock.patch.multiple(pace, SILENT_S=0.5, ALIVE_S=0.1),
+            mock.patch.multiple(
+                publish_timing, PEER_TIMEOUT_S=0.5, KEEPALIVE_S=0.1
+            ),
             mock.patch.object(event, 'note', notes.append),
         ):
             await asyncio.sleep(0.3)
@@ -303,20 +313,20 @@
         process lived.
         """
         first = self.gateways[0]
-        await self.until(lambda: first.peers == 2)
+        await self.until(lambda: first.peer_count == 2)
         for _ in range(50):
             first._greet(('127.0.0.1', self.gateways[1].port))
         await asyncio.sleep(0.05)
-        first._teller = teller.Teller('entry-1', 1)
+        first._deltas = delta.DeltaTracker('entry-1', 1)
         self.hold(first, 77)
         await self.until(lambda: self.heard(self.gateways[1]) == 77)
 
     async def test_an_overtaken_datagram_is_left_out(self):
         hearer = self.gateways[1]
-        held = {'u-1': Held(5, 0, 1)}
+        held = {'u-1': Usage(5, 0, 1)}
         for number, tokens in ((7, 50), (6, 40)):
             told = state.State(
-                'entry-9', 1, number, {'u-1': Held(tokens, 0, 1)}
+                'entry-9', 1, number, {'u-1': Usage(tokens, 0, 1)}
             )
             hearer.datagram_received(state.encode(told), ('127.0.0.1', 9))
         self.assertEqual(self.heard(hearer), 50)
@@ -343,18 +353,18 @@
         Requests wait there for room that is to be had already.
         """
         first, second, _ = self.gateways
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = membership.Membership(
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_news(news.MembershipNews, found.hear)
+        second.on_update(news.MembershipNews, found.hear)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         told = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
             news.MembershipNews(found._revision, told.revision, (told,))
         )
-        await self.until(lambda: second._core.upstreams.of('s'))
+        await self.until(lambda: second._core.upstreams.available('s'))
 
     async def test_runs_to_move_are_told(self):
         first, second, _ = self.gateways
@@ -371,17 +381,17 @@
         Obeyed, any host could make the fleet flood any other.
         """
         one, two = await self.start('entry-1'), await self.start('entry-2')
-        await self.until(lambda: one.peers == two.peers == 1)
+        await self.until(lambda: one.peer_count == two.peer_count == 1)
         heard = []
-        two.on_news(news.ConfigurationNews, heard.append)
+        two.on_update(news.ConfigurationNews, heard.append)
         told = news.ConfigurationNews(revision.Revision(0, 5), 7)
-        data = bulletin.encode('entry-3', told)
+        data = update_codec.encode('entry-3', told)
         here = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(here[0]), here[1])]
         relayed = frame.pack(frame.Kind.RELAY, (data, group))
-        before = one.left_out
+        before = one.dropped
         one.datagram_received(relayed, ('127.0.0.1', 9))
-        self.assertEqual(one.left_out, before + 1)
+        self.assertEqual(one.dropped, before + 1)
         one.datagram_received(relayed, here)
         await self.until(lambda: heard)
         self.assertEqual(heard, [told])
@@ -390,9 +400,9 @@
         self.down = True
         late = await self.start('entry-4')
         await asyncio.sleep(0.1)
-        self.assertEqual(late.peers, 0)
+        self.assertEqual(late.peer_count, 0)
         self.down = False
-        await self.until(lambda: late.peers == 3)
+        await self.until(lambda: late.peer_count == 3)
 
     async def test_its_entry_is_written_again_in_a_new_epoch(self):
         """The source comes back from a copy that lacks a gateway's entry.
@@ -401,8 +411,8 @@
         and one that starts would not find it.
         """
         with (
-            mock.patch.object(exchange, 'JOIN_S', 0.01),
-            mock.patch.object(exchange, 'REJOIN_S', 0.05),
+            mock.patch.object(exchange, 'JOIN_RETRY_S', 0.01),
+            mock.patch.object(exchange, 'REJOIN_SPREAD_S', 0.05),
         ):
             late = await self.start('entry-4')
             epochs = self.epochs
