--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -54,8 +54,8 @@
     ),
     'backups': _gateway(
         'balance/backup.py',
-        'return pages.run_s(reservation) >= LEAST',
-        'return False and LEAST',
+        'return stats_table.generation_s(reservation) >= MIN',
+        'return False and MIN',
     ),
     'moves': _gateway(
         'stream/migration.py',
@@ -83,8 +83,8 @@
         'return is_full, False, drawn',
     ),
     'failures-of-all': _gateway(
-        'balance/book.py',
-        'sum(one.failures for one in told)',
+        'balance/upstream_stats.py',
+        'sum(one.failures for one in loads)',
         '0.0',
     ),
     'faulty-engines-out': _gateway(
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
@@ -18,7 +18,7 @@
 from quetzalsill.telemetry import log
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway import retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import members, upstream
 from quetzalsill_gateway.peers import exchange
 from quetzalsill_gateway.stream import link_queue, live
@@ -114,17 +114,17 @@
 
     def _start(self, address: tuple[str, int], node: str) -> None:
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.Live(core.stats_table)
         core.members = members.Members(node)
         core.quota = None
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', core.quota
+            core.upstreams, core.stats_table, 'z', core.quota
         )
 
         async def join(_: str, __: str) -> dict[str, str]:
@@ -156,7 +156,7 @@
     async def _generation(
         self, found: live.Live, lasts_s: float, backed_up: bool
     ) -> None:
-        stream = live.Stream(None, None, book.Reservation(2000, 3000))
+        stream = live.Stream(None, None, upstream_stats.Reservation(2000, 3000))
         engine, other = self.rng.choices(self._engines, k=2)
         found.place(stream, engine)
         found.back_up(stream, other if backed_up else None)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import exchange as exchange_lib
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.fleet import quota as quota_lib
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         upstreams: upstream_lib.Upstreams,
-        pages: book.Book,
+        stats_table: upstream_stats.StatsTable,
         zone: str,
         quota: quota_lib.Quota,
     ) -> None:
@@ -66,12 +66,12 @@
 
         Args:
           upstreams: Engines known.
-          pages: What is known of each.
+          stats_table: What is known of each.
           zone: Availability zone of this gateway.
           quota: Which of them may be sent to now.
         """
         self._upstreams = upstreams
-        self._pages = pages
+        self._stats_table = stats_table
         self._zone = zone
         self._quota = quota
         self._waiting: dict[str, list[waiting_lib.Waiting]] = {}
@@ -96,7 +96,7 @@
         self,
         req: exchange_lib.Exchange,
         engine: routing_table.Engine,
-        reservation: book.Reservation,
+        reservation: upstream_stats.Reservation,
         avoid: frozenset[str],
     ) -> upstream_lib.Upstream | None:
         """Returns the engine to send to, once it has room.
@@ -120,7 +120,7 @@
         queue = self._waiting.setdefault(req.service.name, [])
         search = search_lib.Search(
             self._upstreams,
-            self._pages,
+            self._stats_table,
             self._zone,
             self._quota,
             req,
@@ -196,7 +196,7 @@
             )
         )
 
-    def _size(self, route: str, reservation: book.Reservation) -> int:
+    def _size(self, route: str, reservation: upstream_stats.Reservation) -> int:
         output = reservation.memory_tokens - reservation.prompt_tokens
         mean = self._mean_output.get(route, output)
         self._mean_output[route] = mean + NEWEST_SIZE * (output - mean)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
@@ -22,7 +22,7 @@
     from collections.abc import Iterable
 
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.fleet import upstream
 
 __all__ = ['destination', 'is_worthwhile']
@@ -36,22 +36,22 @@
 FLEET_SHARE = 0.6
 # A copy is made as the run goes on. One that needs a quarter of the run's time
 # to arrive protects little of it.
-LEAST_COPIES_PER_RUN = 4.0
+MIN_COPIES_PER_RUN = 4.0
 
 
 def is_worthwhile(
     engine: routing_table.Engine,
-    pages: book.Book,
-    reservation: book.Reservation,
+    stats_table: upstream_stats.StatsTable,
+    reservation: upstream_stats.Reservation,
 ) -> bool:
     """Whether a run outlasts the copying of its prompt by far."""
     copy_s = engine.copy_s(reservation.prompt_tokens)
-    return pages.run_s(reservation) >= LEAST_COPIES_PER_RUN * copy_s
+    return stats_table.generation_s(reservation) >= MIN_COPIES_PER_RUN * copy_s
 
 
 def destination(
     found: Iterable[upstream.Upstream],
-    pages: book.Book,
+    stats_table: upstream_stats.StatsTable,
     source: upstream.Upstream,
     engine: routing_table.Engine,
     request_id: bytes,
@@ -70,18 +70,18 @@
         drawn = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
         return (
             crossing,
-            pages.page(candidate).held_tokens // max(1, needs_tokens),
+            stats_table.of(candidate).held_tokens // max(1, needs_tokens),
             drawn,
         )
 
     engines = list(choose.open_to_work(found, frozenset()))
-    held = sum(pages.page(candidate).held_tokens for candidate in engines)
+    held = sum(stats_table.of(candidate).held_tokens for candidate in engines)
     if held + needs_tokens > FLEET_SHARE * engine.memory_tokens * len(engines):
         return None
     able = [
         candidate
         for candidate in engines
         if candidate.id != source.id
-        and pages.page(candidate).held_tokens + needs_tokens <= bound
+        and stats_table.of(candidate).held_tokens + needs_tokens <= bound
     ]
     return min(able, key=rank, default=None)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.fleet import upstream
 
 __all__ = [
@@ -56,7 +56,7 @@
 
 def choose_plain(
     found: Iterable[upstream.Upstream],
-    pages: book.Book,
+    stats_table: upstream_stats.StatsTable,
     zone: str,
     avoid: frozenset[str] = frozenset(),
     *,
@@ -71,11 +71,11 @@
     now = asyncio.get_running_loop().time()
 
     def cost(candidate: upstream.Upstream) -> float:
-        page = pages.page(candidate)
-        waves = 1.0 + page.outstanding / max(1, candidate.slots)
-        time_s = page.mean_s * waves
-        time_s *= 1.0 + PLAIN_FAILURE_SHARE * page.recent_failures(now)
-        if faults.standing(page.told_hangs(now)) is faults.Standing.FAULTY:
+        stats = stats_table.of(candidate)
+        waves = 1.0 + stats.outstanding / max(1, candidate.slots)
+        time_s = stats.mean_latency_s * waves
+        time_s *= 1.0 + PLAIN_FAILURE_SHARE * stats.recent_failures(now)
+        if faults.standing(stats.fleet_hangs(now)) is faults.Standing.FAULTY:
             time_s *= hang_factor
         if candidate.availability_zone != zone:
             time_s += OTHER_ZONE_PLAIN_S
@@ -86,7 +86,7 @@
 
 def choose_engine(
     found: Iterable[upstream.Upstream],
-    pages: book.Book,
+    stats_table: upstream_stats.StatsTable,
     zone: str,
     engine: routing_table.Engine,
     needs_tokens: int,
@@ -96,11 +96,13 @@
     now = asyncio.get_running_loop().time()
 
     def cost(candidate: upstream.Upstream) -> float:
-        page = pages.page(candidate)
-        wait_s = pages.read_s(page.reading_tokens)
-        wait_s += page.runs * RUNNING_S
-        wait_s += FAILURE_S * page.told_failures(now)
-        share = (page.held_tokens + needs_tokens) / max(1, engine.memory_tokens)
+        stats = stats_table.of(candidate)
+        wait_s = stats_table.prefill_s(stats.prefill_tokens)
+        wait_s += stats.runs * RUNNING_S
+        wait_s += FAILURE_S * stats.fleet_failures(now)
+        share = (stats.held_tokens + needs_tokens) / max(
+            1, engine.memory_tokens
+        )
         wait_s += MEMORY_S * share
         if share > FULL_SHARE:
             wait_s += FULL_S * (share - FULL_SHARE)
@@ -112,7 +114,9 @@
 
 
 def sound(
-    found: Iterable[upstream.Upstream], pages: book.Book, sharers: int
+    found: Iterable[upstream.Upstream],
+    stats_table: upstream_stats.StatsTable,
+    sharers: int,
 ) -> list[upstream.Upstream]:
     """Returns the engines without those that failed of late.
 
@@ -125,10 +129,10 @@
     able = []
     out = 0
     for candidate in every:
-        page = pages.page(candidate)
-        state = faults.standing(page.told_failures(now))
+        stats = stats_table.of(candidate)
+        state = faults.standing(stats.fleet_failures(now))
         if state is faults.Standing.ON_TRIAL:
-            if page.runs or random.random() * sharers >= 1.0:
+            if stats.runs or random.random() * sharers >= 1.0:
                 out += 1
                 continue
         elif state is faults.Standing.FAULTY:
@@ -139,16 +143,18 @@
 
 
 def has_room(
-    page: book.Page, engine: routing_table.Engine, needs_tokens: int
+    stats: upstream_stats.UpstreamStats,
+    engine: routing_table.Engine,
+    needs_tokens: int,
 ) -> bool:
     """Whether a run may go on at an engine without pushing others off."""
-    tokens = page.held_tokens + needs_tokens
+    tokens = stats.held_tokens + needs_tokens
     return tokens <= ROOM_SHARE * engine.memory_tokens
 
 
 def destinations(
     found: Iterable[upstream.Upstream],
-    pages: book.Book,
+    stats_table: upstream_stats.StatsTable,
     source: upstream.Upstream,
     engine: routing_table.Engine,
     request_id: bytes,
@@ -163,7 +169,7 @@
     """
 
     def rank(candidate: upstream.Upstream) -> tuple[bool, bool, int]:
-        is_full = not has_room(pages.page(candidate), engine, needs_tokens)
+        is_full = not has_room(stats_table.of(candidate), engine, needs_tokens)
         crossing = candidate.availability_zone != source.availability_zone
         drawn = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
         return is_full, crossing, drawn
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/note.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/note.py
@@ -24,7 +24,7 @@
     needs_tokens: int = 0,
 ) -> None:
     """Logs a choice with what decided it, and how old that was."""
-    page = core.pages.page(upstream)
+    stats = core.stats_table.of(upstream)
     now = asyncio.get_running_loop().time()
     event.note(
         event.UpstreamChosen(
@@ -32,13 +32,13 @@
             route=req.route.name,
             upstream=upstream.id,
             able=len(core.upstreams.of(upstream.service)),
-            outstanding=page.outstanding,
-            mean_ms=round(page.mean_s * MS_PER_S, 1),
-            runs=page.runs,
-            reserved_tokens=page.reserved_tokens,
-            reading_tokens=page.reading_tokens,
+            outstanding=stats.outstanding,
+            mean_ms=round(stats.mean_latency_s * MS_PER_S, 1),
+            runs=stats.runs,
+            reserved_tokens=stats.reserved_tokens,
+            reading_tokens=stats.prefill_tokens,
             needs_tokens=needs_tokens,
-            failures=round(page.recent_failures(now), 2),
+            failures=round(stats.recent_failures(now), 2),
             configuration_age_ms=int(core.holder.age_s * MS_PER_S),
             membership_age_ms=int(core.upstreams.age_s * MS_PER_S),
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import exchange as exchange_lib
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.balance import waiting as waiting_lib
     from quetzalsill_gateway.fleet import quota as quota_lib
     from quetzalsill_gateway.fleet import upstream as upstream_lib
@@ -45,18 +45,18 @@
     def __init__(
         self,
         upstreams: upstream_lib.Upstreams,
-        pages: book.Book,
+        stats_table: upstream_stats.StatsTable,
         zone: str,
         quota: quota_lib.Quota,
         req: exchange_lib.Exchange,
         engine: routing_table.Engine,
-        reservation: book.Reservation,
+        reservation: upstream_stats.Reservation,
         avoid: frozenset[str],
         waiting: waiting_lib.Waiting,
         demand: forecast.Demand,
     ) -> None:
         self._upstreams = upstreams
-        self._pages = pages
+        self._stats_table = stats_table
         self._zone = zone
         self._quota = quota
         self.req = req
@@ -80,8 +80,8 @@
         able = self._able(now)
         rank = self.waiting.rank(now)
         service = self.req.service.name
-        upto = self._pages.waiting_elsewhere(service, rank)
-        ahead = self._pages.waiting_elsewhere(service, rank - 1)
+        upto = self._stats_table.waiting_at_peers(service, rank)
+        ahead = self._stats_table.waiting_at_peers(service, rank - 1)
         before = ahead + self._homeless()
         if not upto and not before:
             return self._cheapest(able)
@@ -117,17 +117,19 @@
         open_now = self._open()
         service = self.req.service.name
         wanted = self.waiting.tokens + ahead_tokens + self._homeless()
-        wanted += self._pages.waiting_elsewhere(service, rank)
+        wanted += self._stats_table.waiting_at_peers(service, rank)
         short = wanted - sum(self._usable(one) for one in open_now)
-        held = sum(self._pages.page(one).reserved_tokens for one in open_now)
+        held = sum(
+            self._stats_table.of(one).reserved_tokens for one in open_now
+        )
         if short <= 0 or not held:
             return 0.0
         if self._upstreams.may_grow:
-            return short * self._pages.mean_held_s / held
+            return short * self._stats_table.mean_held_s / held
         leaves_per_s = self._upstreams.leaves_per_s(service)
         per_s = forecast.free_per_s(
             held,
-            self._pages.mean_held_s,
+            self._stats_table.mean_held_s,
             ahead_per_s,
             leaves_per_s * self._engine.memory_tokens,
         )
@@ -143,7 +145,7 @@
         beside = [
             one
             for one in fitting
-            if self.waiting.tokens + self._pages.page(one).copied_tokens
+            if self.waiting.tokens + self._stats_table.of(one).backup_tokens
             <= self._room(one)
         ]
         return beside or fitting
@@ -160,7 +162,7 @@
             able = random.sample(able, min(len(able), count))
         return choose.choose_engine(
             able,
-            self._pages,
+            self._stats_table,
             self._zone,
             self._engine,
             self.waiting.tokens,
@@ -172,7 +174,7 @@
         They come first: a run that finds no room is lost.
         """
         return sum(
-            self._pages.page(one).reserved_tokens
+            self._stats_table.of(one).reserved_tokens
             for one in self._upstreams.all()
             if one.leaving and one.service == self.req.service.name
         )
@@ -180,7 +182,7 @@
     def _open(self) -> list[upstream_lib.Upstream]:
         found = self._upstreams.of(self.req.service.name, self.req.regions)
         able = choose.open_to_work(found, self._avoid)
-        return choose.sound(able, self._pages, self._upstreams.sharers)
+        return choose.sound(able, self._stats_table, self._upstreams.sharers)
 
     def _allowed(self) -> list[upstream_lib.Upstream]:
         """Returns those open ones that this gateway may send to just now."""
@@ -189,7 +191,7 @@
     def _room(self, candidate: upstream_lib.Upstream) -> float:
         urgent = self.waiting.priority <= URGENT
         share = URGENT_SHARE if urgent else FULL_SHARE
-        used = self._pages.page(candidate).reserved_tokens
+        used = self._stats_table.of(candidate).reserved_tokens
         return share * self._engine.memory_tokens - used
 
     def _usable(self, candidate: upstream_lib.Upstream) -> float:
@@ -200,8 +202,8 @@
     def _fits(self, candidate: upstream_lib.Upstream, now: float) -> bool:
         if self.waiting.tokens > self._room(candidate):
             return False
-        own_s = self._pages.read_s(self._reservation.prompt_tokens)
-        ahead = self._pages.page(candidate).reading_tokens
+        own_s = self._stats_table.prefill_s(self._reservation.prompt_tokens)
+        ahead = self._stats_table.of(candidate).prefill_tokens
         left_s = self.waiting.late_at_s - now
         bound_s = max(left_s - own_s, LATE_AHEAD_S)
-        return self._pages.read_s(ahead) <= bound_s
+        return self._stats_table.prefill_s(ahead) <= bound_s
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/book.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
@@ -14,33 +14,38 @@
 
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
-__all__ = ['REPORT_AGE_S', 'Book', 'Page', 'Reservation']
+__all__ = [
+    'MAX_REPORT_AGE_S',
+    'Reservation',
+    'StatsTable',
+    'UpstreamStats',
+]
 
 # Weight of the newest time in the running mean: follows a server that turns
 # slow within about ten calls.
-NEWEST = 0.2
-FIRST_GUESS_S = 0.02
+LATENCY_WEIGHT = 0.2
+INITIAL_LATENCY_S = 0.02
 # A report may be this old when it arrives; times in it count from then.
-REPORT_AGE_S = 0.5
+MAX_REPORT_AGE_S = 0.5
 # How long memory is held before any generation has ended: a long
 # one lasts some 8 s, a short one under one.
-FIRST_HELD_S = 5.0
+INITIAL_HELD_S = 5.0
 # Weight of the newest generation of usual size in the mean of that.
-NEWEST_HELD = 0.05
-USUAL_TOKENS = 4000
-USUAL_OUTPUT = 800
+GENERATION_WEIGHT = 0.05
+TYPICAL_TOKENS = 4000
+TYPICAL_OUTPUT_TOKENS = 800
 # Time of a token before any generation has ended: a step of an engine with a
 # few runs, some of which reads a prompt besides.
-FIRST_TOKEN_S = 0.01
+INITIAL_TOKEN_S = 0.01
 # Reading rate before any prompt was read: a chunk of 112 tokens in a step of
 # 16 ms.
-FIRST_READ_TOKENS_S = 7000.0
+INITIAL_PREFILL_TOKENS_PER_S = 7000.0
 # A prompt that the engine has kept in part is not read at a rate.
-MOST_READ_TOKENS_S = 50_000.0
-NEWEST_READ = 0.03
+MAX_PREFILL_TOKENS_PER_S = 50_000.0
+PREFILL_WEIGHT = 0.03
 # Pages kept, several times the upstreams of the largest fleet planned for:
 # others may tell of names that no upstream has.
-MOST_PAGES = 8192
+MAX_UPSTREAMS = 8192
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -50,12 +55,12 @@
     Attributes:
       prompt_tokens: Tokens to read before the first event.
       memory_tokens: Memory that it is expected to need at its end.
-      is_reading: No event has come yet.
+      is_prefilling: No event has come yet.
     """
 
     prompt_tokens: int = 0
     memory_tokens: int = 0
-    is_reading: bool = True
+    is_prefilling: bool = True
 
     @property
     def output_tokens(self) -> int:
@@ -64,38 +69,42 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Page:
+class UpstreamStats:
     """One upstream, as seen from here.
 
     Attributes:
       outstanding: Own calls that have not ended.
-      mean_s: Running mean of the time of a call.
+      mean_latency_s: Running mean of the time of a call.
       faults: Failures of own calls, fading.
       hangs: Own calls that went unanswered for long, fading.
-      answered_s: Loop time at which the newest call was sent that was
+      last_answered_sent_s: Loop time at which the newest call was sent that was
         answered.
-      makes_streams: Own generations were sent there.
+      serves_streams: Own generations were sent there.
       reservations: What own generations hold there.
-      copies: What backups of own generations hold there.
-      others: What generations of all other gateways hold there.
+      backup_reservations: What backups of own generations hold there.
+      peer_load: What generations of all other gateways hold there.
       leaves_at_s: Loop time at which it goes; None if not known.
     """
 
     outstanding: int = 0
-    mean_s: float = FIRST_GUESS_S
+    mean_latency_s: float = INITIAL_LATENCY_S
     faults: faults_lib.Faults = dataclasses.field(
         default_factory=faults_lib.Faults
     )
     hangs: faults_lib.Faults = dataclasses.field(
         default_factory=faults_lib.Faults
     )
-    answered_s: float = 0.0
-    makes_streams: bool = False
+    last_answered_sent_s: float = 0.0
+    serves_streams: bool = False
     reservations: set[Reservation] = dataclasses.field(default_factory=set)
-    copies: set[Reservation] = dataclasses.field(default_factory=set)
+    backup_reservations: set[Reservation] = dataclasses.field(
+        default_factory=set
+    )
     leaves_at_s: float | None = None
-    others: held_lib.Held = held_lib.NOTHING
-    _told: dict[str, held_lib.Held] = dataclasses.field(default_factory=dict)
+    peer_load: held_lib.Held = held_lib.NOTHING
+    _load_by_peer: dict[str, held_lib.Held] = dataclasses.field(
+        default_factory=dict
+    )
 
     @property
     def own_tokens(self) -> int:
@@ -103,92 +112,94 @@
         return sum(held.memory_tokens for held in self.reservations)
 
     @property
-    def own_copied(self) -> int:
+    def own_backup_tokens(self) -> int:
         """Memory that backups of own generations are expected to need."""
-        return sum(held.memory_tokens for held in self.copies)
+        return sum(held.memory_tokens for held in self.backup_reservations)
 
     @property
-    def own_reading(self) -> int:
+    def own_prefill_tokens(self) -> int:
         """Prompt tokens of own generations that wait to be read."""
         return sum(
-            held.prompt_tokens for held in self.reservations if held.is_reading
+            held.prompt_tokens
+            for held in self.reservations
+            if held.is_prefilling
         )
 
     @property
     def reserved_tokens(self) -> int:
         """Memory that all generations are expected to need."""
-        return self.own_tokens + self.others.memory_tokens
+        return self.own_tokens + self.peer_load.memory_tokens
 
     @property
-    def copied_tokens(self) -> int:
+    def backup_tokens(self) -> int:
         """Memory that all backups are expected to need."""
-        return self.own_copied + self.others.copied_tokens
+        return self.own_backup_tokens + self.peer_load.copied_tokens
 
     @property
     def held_tokens(self) -> int:
         """Memory that all generations and backups are expected to need."""
-        return self.reserved_tokens + self.copied_tokens
+        return self.reserved_tokens + self.backup_tokens
 
     @property
-    def reading_tokens(self) -> int:
+    def prefill_tokens(self) -> int:
         """Prompt tokens of all gateways that wait to be read."""
-        return self.own_reading + self.others.reading_tokens
+        return self.own_prefill_tokens + self.peer_load.reading_tokens
 
     @property
     def runs(self) -> int:
         """Generations of all gateways."""
-        return len(self.reservations) + self.others.runs
+        return len(self.reservations) + self.peer_load.runs
 
     def recent_failures(self, now: float) -> float:
         """Returns the failures of own calls, faded to now."""
         return self.faults.recent(now)
 
-    def told_failures(self, now: float) -> float:
+    def fleet_failures(self, now: float) -> float:
         """Returns the failures that all gateways have seen of late."""
-        return self.faults.recent(now) + self.others.failures
+        return self.faults.recent(now) + self.peer_load.failures
 
-    def told_hangs(self, now: float) -> float:
+    def fleet_hangs(self, now: float) -> float:
         """Returns the calls of all gateways that went unanswered of late.
 
         Only meant for plain upstreams: of them gateways tell nothing else.
         """
-        return self.hangs.recent(now) + self.others.failures
+        return self.hangs.recent(now) + self.peer_load.failures
 
-    def shown_failures(self, now: float) -> float:
+    def published_failures(self, now: float) -> float:
         """Returns what to tell other gateways of failures here, in steps.
 
         Fading alone is then no news. A plain server's own failures go with the
         request; told, they would change with every other call.
         """
-        faults = self.faults if self.makes_streams else self.hangs
+        faults = self.faults if self.serves_streams else self.hangs
         return round(faults.recent(now) * 2) / 2
 
-    def hear(self, node: str, held: held_lib.Held) -> None:
+    def set_peer_load(self, node: str, held: held_lib.Held) -> None:
         """Takes what another gateway holds here, in place of what it held.
 
         The sum is kept, since each choice asks for it for each candidate: at
         70 gateways and 30 engines some 10,000 additions.
         """
-        if self._told.get(node, held_lib.NOTHING) == held:
+        if self._load_by_peer.get(node, held_lib.NOTHING) == held:
             return
         if held == held_lib.NOTHING:
-            del self._told[node]
+            del self._load_by_peer[node]
         else:
-            self._told[node] = held
-        told = self._told.values()
-        self.others = held_lib.Held(
-            sum(one.memory_tokens for one in told),
-            sum(one.reading_tokens for one in told),
-            sum(one.runs for one in told),
-            sum(one.copied_tokens for one in told),
-            sum(one.failures for one in told),
+            self._load_by_peer[node] = held
+        loads = self._load_by_peer.values()
+        self.peer_load = held_lib.Held(
+            sum(one.memory_tokens for one in loads),
+            sum(one.reading_tokens for one in loads),
+            sum(one.runs for one in loads),
+            sum(one.copied_tokens for one in loads),
+            sum(one.failures for one in loads),
         )
 
-    def note_failure(self, weight: float = 1.0) -> None:
+    def record_failure(self, weight: float = 1.0) -> None:
         """Counts a failure of the upstream."""
         self.faults.fail(asyncio.get_running_loop().time(), weight)
 
-    def note_hang(self, begun_s: float) -> None:
+    def record_hang(self, begun_s: float) -> None:
         """Counts a call that has gone unanswered for long.
 
         One that was overtaken is only slow: an upstream that hangs answers
@@ -197,80 +208,86 @@
         Args:
           begun_s: Loop time at which it was sent.
         """
-        if self.answered_s < begun_s:
+        if self.last_answered_sent_s < begun_s:
             self.hangs.fail(asyncio.get_running_loop().time())
 
-    def note_leaving(self, leaves_s: float | None) -> None:
+    def record_time_left(self, leaves_s: float | None) -> None:
         """Takes the time that an engine says it has left, if it does."""
         if leaves_s is None:
             return
         now = asyncio.get_running_loop().time()
-        self.leaves_at_s = now + leaves_s - REPORT_AGE_S
+        self.leaves_at_s = now + leaves_s - MAX_REPORT_AGE_S
 
-    def note_time(self, took_s: float) -> None:
+    def record_latency(self, took_s: float) -> None:
         """Takes the time of a call that was answered."""
         self.hangs.succeed()
         begun_s = asyncio.get_running_loop().time() - took_s
-        self.answered_s = max(self.answered_s, begun_s)
-        self.mean_s += NEWEST * (took_s - self.mean_s)
+        self.last_answered_sent_s = max(self.last_answered_sent_s, begun_s)
+        self.mean_latency_s += LATENCY_WEIGHT * (took_s - self.mean_latency_s)
 
 
-class Book:
+class StatsTable:
     """Pages by upstream.
 
     Attributes:
       mean_held_s: How long a token of memory is held, in the mean.
-      read_tokens_s: Tokens of prompts that an engine reads in a second while it
-        also generates, in the mean.
+      prefill_tokens_per_s: Tokens of prompts that an engine reads in a second
+        while it also generates, in the mean.
       mean_token_s: Time that a generation takes per token of output that was
         expected of it, in the mean.
     """
 
     def __init__(self) -> None:
-        self._pages: dict[str, Page] = {}
-        self._told_by: dict[str, set[str]] = {}
-        self._waiting: dict[str, held_lib.Waiting] = {}
-        self.mean_held_s = FIRST_HELD_S
-        self.mean_token_s = FIRST_TOKEN_S
-        self.read_tokens_s = FIRST_READ_TOKENS_S
-
-    def page(self, upstream: upstream_lib.Upstream) -> Page:
+        self._stats: dict[str, UpstreamStats] = {}
+        self._keys_by_peer: dict[str, set[str]] = {}
+        self._waiting_by_peer: dict[str, held_lib.Waiting] = {}
+        self.mean_held_s = INITIAL_HELD_S
+        self.mean_token_s = INITIAL_TOKEN_S
+        self.prefill_tokens_per_s = INITIAL_PREFILL_TOKENS_PER_S
+
+    def of(self, upstream: upstream_lib.Upstream) -> UpstreamStats:
         """Returns the page of an upstream, a new one at first."""
-        return self._page(upstream.key)
+        return self._get_or_create(upstream.key)
 
-    def items(self) -> ItemsView[str, Page]:
+    def items(self) -> ItemsView[str, UpstreamStats]:
         """Returns all pages by the keys of their upstreams."""
-        return self._pages.items()
+        return self._stats.items()
 
-    def hear(self, node: str, held: dict[str, held_lib.Held]) -> None:
+    def replace_peer_loads(
+        self, node: str, held: dict[str, held_lib.Held]
+    ) -> None:
         """Takes all that another gateway holds, in place of what it held."""
-        for key in self._told_by.pop(node, set()) - held.keys():
-            if key in self._pages:
-                self._pages[key].hear(node, held_lib.NOTHING)
-        self.hear_changes(node, held)
-
-    def hear_changes(self, node: str, held: dict[str, held_lib.Held]) -> None:
+        for key in self._keys_by_peer.pop(node, set()) - held.keys():
+            if key in self._stats:
+                self._stats[key].set_peer_load(node, held_lib.NOTHING)
+        self.update_peer_loads(node, held)
+
+    def update_peer_loads(
+        self, node: str, held: dict[str, held_lib.Held]
+    ) -> None:
         """Takes what has changed in what another gateway holds."""
         for key, entry in held.items():
-            if key in self._pages or len(self._pages) < MOST_PAGES:
-                self._page(key).hear(node, entry)
-                self._told_by.setdefault(node, set()).add(key)
+            if key in self._stats or len(self._stats) < MAX_UPSTREAMS:
+                self._get_or_create(key).set_peer_load(node, entry)
+                self._keys_by_peer.setdefault(node, set()).add(key)
 
-    def note_run(self, reservation: Reservation, held_s: float) -> None:
+    def record_generation(
+        self, reservation: Reservation, held_s: float
+    ) -> None:
         """Takes for how long a generation has held its memory."""
-        weight = NEWEST_HELD * min(
-            1.0, reservation.memory_tokens / USUAL_TOKENS
+        weight = GENERATION_WEIGHT * min(
+            1.0, reservation.memory_tokens / TYPICAL_TOKENS
         )
         self.mean_held_s += weight * (held_s - self.mean_held_s)
         if reservation.output_tokens:
             token_s = held_s / reservation.output_tokens
             # One of a few tokens says more of its prompt than of its pace.
-            weight = NEWEST_HELD * min(
-                1.0, reservation.output_tokens / USUAL_OUTPUT
+            weight = GENERATION_WEIGHT * min(
+                1.0, reservation.output_tokens / TYPICAL_OUTPUT_TOKENS
             )
             self.mean_token_s += weight * (token_s - self.mean_token_s)
 
-    def note_read(self, tokens: int, took_s: float) -> None:
+    def record_prefill(self, tokens: int, took_s: float) -> None:
         """Takes how long an engine has read prompts one after another.
 
         Args:
@@ -278,26 +295,28 @@
           took_s: Time from the send to the first event.
         """
         if took_s > 0:
-            weight = NEWEST_READ * min(1.0, tokens / USUAL_TOKENS)
-            rate = min(tokens / took_s, MOST_READ_TOKENS_S)
-            self.read_tokens_s += weight * (rate - self.read_tokens_s)
+            weight = PREFILL_WEIGHT * min(1.0, tokens / TYPICAL_TOKENS)
+            rate = min(tokens / took_s, MAX_PREFILL_TOKENS_PER_S)
+            self.prefill_tokens_per_s += weight * (
+                rate - self.prefill_tokens_per_s
+            )
 
-    def read_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Returns how long an engine is expected to read so many tokens."""
-        return tokens / self.read_tokens_s
+        return tokens / self.prefill_tokens_per_s
 
-    def run_s(self, reservation: Reservation) -> float:
+    def generation_s(self, reservation: Reservation) -> float:
         """Returns how long a generation is expected to take."""
         return reservation.output_tokens * self.mean_token_s
 
-    def hear_waiting(self, node: str, waiting: held_lib.Waiting) -> None:
+    def set_peer_waiting(self, node: str, waiting: held_lib.Waiting) -> None:
         """Takes all that waits at another gateway."""
         if waiting:
-            self._waiting[node] = waiting
+            self._waiting_by_peer[node] = waiting
         else:
-            self._waiting.pop(node, None)
+            self._waiting_by_peer.pop(node, None)
 
-    def waiting_elsewhere(self, service: str, rank: int) -> int:
+    def waiting_at_peers(self, service: str, rank: int) -> int:
         """Returns the tokens that wait at others for engines of a service.
 
         Args:
@@ -306,17 +325,17 @@
         """
         return sum(
             tokens
-            for waiting in self._waiting.values()
+            for waiting in self._waiting_by_peer.values()
             for other_rank, tokens in waiting.get(service, {}).items()
             if other_rank <= rank
         )
 
-    def forget(self, upstream: upstream_lib.Upstream) -> None:
+    def remove(self, upstream: upstream_lib.Upstream) -> None:
         """Drops the page of an upstream that is gone."""
-        self._pages.pop(upstream.key, None)
+        self._stats.pop(upstream.key, None)
 
-    def _page(self, key: str) -> Page:
-        found = self._pages.get(key)
+    def _get_or_create(self, key: str) -> UpstreamStats:
+        found = self._stats.get(key)
         if found is None:
-            found = self._pages[key] = Page()
+            found = self._stats[key] = UpstreamStats()
         return found
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import dialect as dialect_lib
     from quetzalsill_gateway import retry_budget, source
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.fleet import members, quota, upstream
     from quetzalsill_gateway.http import pool
     from quetzalsill_gateway.stream import live
@@ -30,7 +30,7 @@
       holder: Configuration in force.
       health: Whether the sources answer.
       upstreams: Membership.
-      pages: What was learned of each upstream.
+      stats_table: What was learned of each upstream.
       conns: Kept connections.
       budget: Retries that may be sent.
       live: Streams being relayed.
@@ -48,7 +48,7 @@
     holder: source.Holder
     health: source.Health
     upstreams: upstream.Upstreams
-    pages: book.Book
+    stats_table: upstream_stats.StatsTable
     conns: pool.Pool
     budget: retry_budget.RetryBudget
     live: live.Live
@@ -62,5 +62,5 @@
 
     def __post_init__(self) -> None:
         self.admission = admission.Admission(
-            self.upstreams, self.pages, self.zone, self.quota
+            self.upstreams, self.stats_table, self.zone, self.quota
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -311,10 +311,10 @@
         core = self._core
         core.members.hear((node,), now)
         if told.is_whole:
-            core.pages.hear(node, told.held)
+            core.stats_table.replace_peer_loads(node, told.held)
         else:
-            core.pages.hear_changes(node, told.held)
-        core.pages.hear_waiting(node, told.waiting)
+            core.stats_table.update_peer_loads(node, told.held)
+        core.stats_table.set_peer_waiting(node, told.waiting)
         core.link_queue.hear(node, told.moving)
         core.health.hear(node, is_down=told.is_store_away)
         core.upstreams.hear_leaving(told.leaving, node)
@@ -335,14 +335,14 @@
     def _held(self) -> dict[str, held_lib.Held]:
         held = {}
         now = asyncio.get_running_loop().time()
-        for key, page in self._core.pages.items():
-            failures = page.shown_failures(now)
-            if page.reservations or page.copies or failures:
+        for key, stats in self._core.stats_table.items():
+            failures = stats.published_failures(now)
+            if stats.reservations or stats.backup_reservations or failures:
                 held[key] = held_lib.Held(
-                    page.own_tokens,
-                    page.own_reading,
-                    len(page.reservations),
-                    page.own_copied,
+                    stats.own_tokens,
+                    stats.own_prefill_tokens,
+                    len(stats.reservations),
+                    stats.own_backup_tokens,
                     failures,
                 )
         return held
@@ -350,8 +350,8 @@
     def _forget_silent(self, now: float) -> None:
         core = self._core
         for node in self._roster.forget_silent(now):
-            core.pages.hear(node, {})
-            core.pages.hear_waiting(node, {})
+            core.stats_table.replace_peer_loads(node, {})
+            core.stats_table.set_peer_waiting(node, {})
             core.link_queue.hear(node, {})
             core.health.hear(node, is_down=False)
             event.note(event.PeerLost(node, len(self._roster)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plain.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/plain.py
@@ -137,7 +137,7 @@
         allowed = [one for one in found if core.quota.allows(one)]
         upstream = choose.choose_plain(
             allowed,
-            core.pages,
+            core.stats_table,
             core.zone,
             story.tried,
             may_repeat=req.route.kind.may_repeat,
@@ -152,13 +152,13 @@
 async def _call(
     core: core_lib.Core, req: exchange.Exchange, upstream: upstream_lib.Upstream
 ) -> _Answer:
-    page = core.pages.page(upstream)
-    page.outstanding += 1
+    stats = core.stats_table.of(upstream)
+    stats.outstanding += 1
     begun_s = attempt.now()
-    patience_s = max(req.route.objective_s, HANG_MEANS * page.mean_s)
+    patience_s = max(req.route.objective_s, HANG_MEANS * stats.mean_latency_s)
     # Told while it hangs: its deadline is far, and all gateways send there.
     hanging = asyncio.get_running_loop().call_later(
-        TOLD_PATIENCES * patience_s, page.note_hang, begun_s
+        TOLD_PATIENCES * patience_s, stats.record_hang, begun_s
     )
     try:
         async with deadline.timeout(patience_s if _may_leave(req) else None):
@@ -166,19 +166,19 @@
     except error.NotSentError:
         raise
     except error.CallError:
-        page.note_failure()
+        stats.record_failure()
         raise
     except TimeoutError as exc:
-        page.note_failure()
-        page.note_hang(begun_s)
+        stats.record_failure()
+        stats.record_hang(begun_s)
         core.conns.drop(upstream.address)
         raise error.SilentError(upstream.address_text) from exc
     finally:
         hanging.cancel()
-        page.outstanding -= 1
-    page.note_time(attempt.now() - begun_s)
+        stats.outstanding -= 1
+    stats.record_latency(attempt.now() - begun_s)
     if answer.verdict is not attempt.Verdict.SUCCESS:
-        page.note_failure(0.3)
+        stats.record_failure(0.3)
     return answer
 
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -20,7 +20,7 @@
     source,
 )
 from quetzalsill_gateway import settings as settings_lib
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import members, quota, revision, upstream
 from quetzalsill_gateway.http import listener, pool
 from quetzalsill_gateway.peers import exchange as peer_exchange
@@ -52,7 +52,7 @@
     ) -> None:
         self._settings = settings
         conns = pool.Pool()
-        pages = book.Book()
+        stats_table = upstream_stats.StatsTable()
         holder = source.Holder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
@@ -64,10 +64,10 @@
             holder=holder,
             health=source.Health(),
             upstreams=upstream.Upstreams(settings.regions),
-            pages=pages,
+            stats_table=stats_table,
             conns=conns,
             budget=_budget(settings.retry),
-            live=live.Live(pages),
+            live=live.Live(stats_table),
             members=gateways,
             quota=quota.Quota(
                 holder,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -238,15 +238,19 @@
     ) -> leg_lib.Leg:
         """Returns a leg, with a backup if one is worth it."""
         leg = leg_lib.Leg(upstream, extra, grounds)
-        stream, req, pages = self._stream, self._req, self._core.pages
+        stream, req, stats_table = (
+            self._stream,
+            self._req,
+            self._core.stats_table,
+        )
         engine = req.service.engine
         if engine is None or not engine.backups or req.route.kind.may_repeat:
             return leg
-        if not backup.is_worthwhile(engine, pages, stream.reservation):
+        if not backup.is_worthwhile(engine, stats_table, stream.reservation):
             return leg
         leg.backup = backup.destination(
             self._core.upstreams.of(upstream.service, req.regions),
-            pages,
+            stats_table,
             upstream,
             engine,
             req.request_id,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/departure.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/departure.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.fleet import upstream as upstream_lib
     from quetzalsill_gateway.stream import live
 
@@ -32,20 +32,20 @@
       source: The engine.
       engine: What engines of its service have.
       begun_s: Loop time at which its leaving was learned.
-      page: What is known of the engine.
+      stats: What is known of the engine.
       tokens: Tokens in memory of its runs, by request, as it reported.
     """
 
     source: upstream_lib.Upstream
     engine: routing_table.Engine
     begun_s: float
-    page: book.Page
+    stats: upstream_stats.UpstreamStats
     tokens: dict[str, int]
 
     @property
     def leaves_at_s(self) -> float:
         """Loop time at which it goes."""
-        return self.page.leaves_at_s or self.begun_s + LEAST_NOTICE_S
+        return self.stats.leaves_at_s or self.begun_s + LEAST_NOTICE_S
 
     def held(self, stream: live.Stream) -> int:
         """Returns a run's tokens in memory, of late."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import dialect as dialect_lib
@@ -74,7 +74,7 @@
 
     exchange: exchange_lib.Exchange
     prompt: dialect_lib.Prompt
-    reservation: book.Reservation
+    reservation: upstream_stats.Reservation
     upstream: upstream_lib.Upstream | None = None
     backup: upstream_lib.Upstream | None = None
     last_id: int | None = None
@@ -88,8 +88,8 @@
 class Live:
     """Streams by upstream, with what they hold there."""
 
-    def __init__(self, pages: book.Book) -> None:
-        self._pages = pages
+    def __init__(self, stats_table: upstream_stats.StatsTable) -> None:
+        self._stats_table = stats_table
         self._streams: dict[str, set[Stream]] = {}
         self._on_leaving: Callable[[upstream_lib.Upstream], None] | None = None
         self._on_changed: Callable[[bool], None] | None = None
@@ -114,28 +114,30 @@
 
     def hold(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
         """Notes that a stream will need its memory at an upstream too."""
-        page = self._pages.page(upstream)
-        page.makes_streams = True
-        page.reservations.add(stream.reservation)
+        stats = self._stats_table.of(upstream)
+        stats.serves_streams = True
+        stats.reservations.add(stream.reservation)
         self.changed()
 
     def release(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
         """Takes `hold` back, unless the stream has gone there."""
         if stream.upstream is not upstream:
-            page = self._pages.page(upstream)
-            page.reservations.discard(stream.reservation)
+            stats = self._stats_table.of(upstream)
+            stats.reservations.discard(stream.reservation)
 
     def back_up(
         self, stream: Stream, upstream: upstream_lib.Upstream | None
     ) -> None:
         """Notes where a copy of a stream's memory is kept from now on."""
         if stream.backup is not None:
-            page = self._pages.page(stream.backup)
-            page.copies.discard(stream.reservation)
+            stats = self._stats_table.of(stream.backup)
+            stats.backup_reservations.discard(stream.reservation)
             self._forget_gone(stream.backup)
         stream.backup = upstream
         if upstream is not None:
-            self._pages.page(upstream).copies.add(stream.reservation)
+            self._stats_table.of(upstream).backup_reservations.add(
+                stream.reservation
+            )
 
     def changed(self, *, is_urgent: bool = False) -> None:
         """Lets the other gateways be told: soon, or at once."""
@@ -149,8 +151,8 @@
         now = asyncio.get_running_loop().time()
         if stream.placed_at_s is None:
             stream.placed_at_s = now
-        if stream.reservation.is_reading:
-            ahead = self._pages.page(upstream).reading_tokens
+        if stream.reservation.is_prefilling:
+            ahead = self._stats_table.of(upstream).prefill_tokens
             stream.reading_since = (ahead, now)
         self._streams.setdefault(upstream.key, set()).add(stream)
         self.hold(stream, upstream)
@@ -159,11 +161,11 @@
 
     def note_read(self, stream: Stream) -> None:
         """Notes that an upstream has read a stream's prompt."""
-        stream.reservation.is_reading = False
+        stream.reservation.is_prefilling = False
         ahead, since_s = stream.reading_since
         took_s = asyncio.get_running_loop().time() - since_s
         tokens = ahead + stream.reservation.prompt_tokens
-        self._pages.note_read(tokens, took_s)
+        self._stats_table.record_prefill(tokens, took_s)
 
     def end(self, stream: Stream) -> None:
         """Notes that a stream has ended, and for how long it held memory."""
@@ -172,7 +174,7 @@
         self.remove(stream)
         if stream.placed_at_s is not None:
             held_s = asyncio.get_running_loop().time() - stream.placed_at_s
-            self._pages.note_run(stream.reservation, held_s)
+            self._stats_table.record_generation(stream.reservation, held_s)
 
     def remove(self, stream: Stream) -> None:
         """Notes that a stream runs nowhere."""
@@ -182,22 +184,22 @@
         streams.discard(stream)
         if not streams:
             self._streams.pop(stream.upstream.key, None)
-        page = self._pages.page(stream.upstream)
-        page.reservations.discard(stream.reservation)
+        stats = self._stats_table.of(stream.upstream)
+        stats.reservations.discard(stream.reservation)
         self._forget_gone(stream.upstream)
         stream.upstream = None
 
     def _forget_gone(self, upstream: upstream_lib.Upstream) -> None:
         if upstream.gone and not self._streams.get(upstream.key):
-            self._pages.forget(upstream)
+            self._stats_table.remove(upstream)
 
 
-def reserve(prompt: dialect_lib.Prompt) -> book.Reservation:
+def reserve(prompt: dialect_lib.Prompt) -> upstream_stats.Reservation:
     """Returns what a generation is expected to hold at its end."""
     guess = prompt.output_hint * HINT_MARGIN
     output = guess or prompt.output_limit * UNHINTED_SHARE
     output = min(output, prompt.output_limit) if prompt.output_limit else output
-    return book.Reservation(
+    return upstream_stats.Reservation(
         prompt.input_tokens,
         prompt.input_tokens + int(output),
     )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
@@ -51,6 +51,6 @@
         return
     if not core.upstreams.confirm_incarnation(engine, report.incarnation):
         return
-    core.pages.page(engine).note_leaving(report.leaves_s)
+    core.stats_table.of(engine).record_time_left(report.leaves_s)
     if report.leaving:
         core.upstreams.leave(engine, 'report')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill_gateway import attempt, event, meter
-from quetzalsill_gateway.balance import book, choose
+from quetzalsill_gateway.balance import choose, upstream_stats
 from quetzalsill_gateway.http import error
 from quetzalsill_gateway.stream import departure as departure_lib
 from quetzalsill_gateway.stream import live
@@ -36,7 +36,7 @@
 SEARCH_EVERY_S = 0.05
 REPORT_S = 0.3
 # A notice is in an engine's report this long after it was given.
-NOTICE_S = book.REPORT_AGE_S + 0.05
+NOTICE_S = upstream_stats.MAX_REPORT_AGE_S + 0.05
 # A move that takes this much longer than reckoned holds nobody up any longer.
 PATIENCE_S = 0.15
 # Gateways learn of a leaving engine, and of each other's runs there, within a
@@ -88,9 +88,9 @@
             report = await self._report(source)
             runs = report.runs if report else ()
             tokens = {run.request_id: run.tokens for run in runs}
-            page = self._core.pages.page(source)
+            stats = self._core.stats_table.of(source)
             departure = departure_lib.Departure(
-                source, engine, begun_s, page, tokens
+                source, engine, begun_s, stats, tokens
             )
             self._note_start(departure)
             self._spawn(self._ask_again(source))
@@ -150,7 +150,7 @@
         upstreams = self._core.upstreams
         if not upstreams.confirm_incarnation(source, report.incarnation):
             return None
-        self._core.pages.page(source).note_leaving(report.leaves_s)
+        self._core.stats_table.of(source).record_time_left(report.leaves_s)
         return report
 
     async def _move(
@@ -207,7 +207,7 @@
         )
         found = choose.destinations(
             filter(self._core.quota.allows, upstreams),
-            self._core.pages,
+            self._core.stats_table,
             source,
             departure.engine,
             stream.exchange.request_id,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
-    from quetzalsill_gateway.balance import book
+    from quetzalsill_gateway.balance import upstream_stats
     from quetzalsill_gateway.http import call
 
 __all__ = ['forward']
@@ -60,7 +60,7 @@
 
 
 def _outlasts_process(
-    core: core_lib.Core, reservation: book.Reservation
+    core: core_lib.Core, reservation: upstream_stats.Reservation
 ) -> bool:
     """Whether a generation would be cut off by the stop of this gateway.
 
@@ -70,7 +70,7 @@
     if core.ends_at_s is None:
         return False
     now = asyncio.get_running_loop().time()
-    return now + core.pages.run_s(reservation) > core.ends_at_s
+    return now + core.stats_table.generation_s(reservation) > core.ends_at_s
 
 
 class _Relay:
@@ -123,7 +123,7 @@
 
     async def _run_leg(self, leg: leg_lib.Leg) -> leg_lib.End:
         core, stream, req = self._core, self._stream, self._req
-        page = core.pages.page(leg.upstream)
+        stats = core.stats_table.of(leg.upstream)
         core.live.place(stream, leg.upstream)
         core.live.back_up(stream, leg.backup)
         try:
@@ -138,19 +138,19 @@
                     # Another start at the address is always empty, and would
                     # get request after request that it turns away.
                     if sent.verdict is not attempt.Verdict.NOT_RUN:
-                        page.note_failure()
+                        stats.record_failure()
                     body, _ = await attempt.read_body(sent.conn, HELD_BYTES)
                     return leg_lib.Refusal(sent.head, body, sent.verdict)
                 leg.is_framed = sent.conn.is_framed
                 self._start(sent.head)
                 await self._pump(leg, sent.conn)
-                page.faults.succeed()
+                stats.faults.succeed()
                 return leg_lib.WHOLE
         except error.NotSentError as exc:
             return exc
         except error.CallError as exc:
             if stream.switch is None and not leg.upstream.leaving:
-                page.note_failure()
+                stats.record_failure()
             return exc
 
     def _start(self, head: message.ResponseHead) -> None:
@@ -163,7 +163,7 @@
         splitter = events.Splitter()
         stream, responder = self._stream, self._req.responder
         while data := await conn.read():
-            if stream.reservation.is_reading:
+            if stream.reservation.is_prefilling:
                 self._core.live.note_read(stream)
             ready = b''.join(self._fresh(leg, splitter.feed(data)))
             if ready:
--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -7,7 +7,12 @@
 import unittest
 
 from quetzalsill_gateway import routing_table
-from quetzalsill_gateway.balance import admission, book, forecast, waiting
+from quetzalsill_gateway.balance import (
+    admission,
+    forecast,
+    upstream_stats,
+    waiting,
+)
 from quetzalsill_gateway.fleet import revision, upstream
 from quetzalsill_gateway.http import message
 from tests.quetzalsill_gateway import quotas
@@ -24,16 +29,16 @@
         self.upstreams = upstream.Upstreams()
         self.engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
         self.upstreams.put(self.engine, revision.Revision(0, 1))
-        self.pages = book.Book()
+        self.stats_table = upstream_stats.StatsTable()
         # Memory comes back soon, so that none is refused for a long wait.
-        self.pages.mean_held_s = 0.2
-        self.page = self.pages.page(self.engine)
+        self.stats_table.mean_held_s = 0.2
+        self.stats = self.stats_table.of(self.engine)
         self.admission = admission.Admission(
-            self.upstreams, self.pages, 'z', quotas.unbounded()
+            self.upstreams, self.stats_table, 'z', quotas.unbounded()
         )
         self.served = []
-        self.full = book.Reservation(0, 10_000, False)
-        self.page.reservations.add(self.full)
+        self.full = upstream_stats.Reservation(0, 10_000, False)
+        self.stats.reservations.add(self.full)
 
     def ask(
         self,
@@ -74,11 +79,11 @@
         return task
 
     async def serve(self, name, req, tokens, engine):
-        held = book.Reservation(1000, tokens, is_reading=False)
+        held = upstream_stats.Reservation(1000, tokens, is_prefilling=False)
         found = await self.admission.engine(req, engine, held, frozenset())
         if found is not None:
             self.served.append(name)
-            self.page.reservations.add(held)
+            self.stats.reservations.add(held)
         return found
 
     async def until_served(self, count):
@@ -94,7 +99,7 @@
         waiting = self.ask('a')
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         self.assertIs(await waiting, self.engine)
 
     async def test_the_first_in_time_comes_first(self):
@@ -104,7 +109,7 @@
         await asyncio.sleep(0)
         self.ask('b')
         await asyncio.sleep(0.1)
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await self.until_served(2)
         await asyncio.sleep(0.1)
         self.assertEqual(self.served, ['a', 'b'])
@@ -120,7 +125,7 @@
         urgent = self.ask('urgent', priority=0)
         await asyncio.sleep(0.1)
         self.assertFalse(urgent.done())
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await self.until_served(2)
         self.assertEqual(self.served, ['urgent', 'long'])
 
@@ -130,13 +135,13 @@
         It reads them one after another, and the last begin too late. A
         request goes there once what is ahead of it is read in time.
         """
-        self.page.reservations.discard(self.full)
-        ahead = book.Reservation(4000, 4000)
-        self.page.reservations.add(ahead)
+        self.stats.reservations.discard(self.full)
+        ahead = upstream_stats.Reservation(4000, 4000)
+        self.stats.reservations.add(ahead)
         waiting = self.ask('a', objective_s=0.8)
         await asyncio.sleep(0.05)
         self.assertFalse(waiting.done())
-        ahead.is_reading = False
+        ahead.is_prefilling = False
         self.assertIs(await waiting, self.engine)
 
     async def test_room_is_shared_with_other_gateways(self):
@@ -145,18 +150,18 @@
         With much more waiting elsewhere than there is room, a request seldom
         takes it in one turn; with nothing elsewhere it does at once.
         """
-        self.page.reservations.discard(self.full)
-        self.pages.hear_waiting('entry-2', {'s': {1: 10**9}})
+        self.stats.reservations.discard(self.full)
+        self.stats_table.set_peer_waiting('entry-2', {'s': {1: 10**9}})
         rival = self.ask('a')
         await asyncio.sleep(0.1)
         self.assertFalse(rival.done())
-        self.pages.hear_waiting('entry-2', {})
+        self.stats_table.set_peer_waiting('entry-2', {})
         self.assertIs(await rival, self.engine)
 
     async def test_what_is_late_elsewhere_is_no_rival(self):
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         late = waiting.LATE_RANK
-        self.pages.hear_waiting('entry-2', {'s': {late: 10**9}})
+        self.stats_table.set_peer_waiting('entry-2', {'s': {late: 10**9}})
         self.assertIs(await self.ask('a'), self.engine)
 
     async def test_a_long_wait_is_told_at_once(self):
@@ -165,7 +170,7 @@
         It waits in vain, gives up, and asks anew without knowing when. Told
         at once, it comes back when there may be room.
         """
-        self.pages.mean_held_s = 300.0
+        self.stats_table.mean_held_s = 300.0
         refused = self.ask('a', objective_s=10.0)
         self.assertIsNone(await asyncio.wait_for(refused, 1.0))
         self.assertGreater(refused.req.come_back_s, 10.0)
@@ -180,9 +185,9 @@
         Memory is given back, but never to it: it was held for five seconds,
         refused, and came back late. A short one still gets its turn.
         """
-        self.pages.mean_held_s = 1.0
+        self.stats_table.mean_held_s = 1.0
         admission = self.admission
-        admission._size('r', book.Reservation(1000, 3000))
+        admission._size('r', upstream_stats.Reservation(1000, 3000))
         now = asyncio.get_running_loop().time()
         demand = admission._demand.setdefault('s', forecast.Demand())
         for _ in range(40):
@@ -205,7 +210,7 @@
         What they would have given back was promised, and 84 generations
         waited for it to no end. With the store there, others come.
         """
-        self.pages.mean_held_s = 1.0
+        self.stats_table.mean_held_s = 1.0
         for number in range(8):
             gone = upstream.Upstream(f'g-{number}', 's', ('10.0.0.9', 1), 'z')
             self.upstreams.put(gone, revision.Revision(0, 2))
@@ -221,13 +226,13 @@
 
     async def test_a_promise_that_fails_is_looked_at_again(self):
         """Room was expected soon; then the store is away and none comes."""
-        self.pages.mean_held_s = 0.3
+        self.stats_table.mean_held_s = 0.3
         self.upstreams.confirm()
         waiting = self.ask('a', objective_s=10.0)
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
         self.cut_off_from_the_source()
-        self.pages.mean_held_s = 300.0
+        self.stats_table.mean_held_s = 300.0
         self.assertIsNone(await asyncio.wait_for(waiting, 2.0))
 
     async def test_one_that_comes_back_is_behind_the_timely(self):
@@ -235,14 +240,14 @@
 
         Taken for new, it would make one late that still can be in time.
         """
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await self.ask('first')
-        self.page.reservations = {self.full}
+        self.stats.reservations = {self.full}
         back = self.ask('back', objective_s=1.0, left_s=40.0)
         await asyncio.sleep(0.05)
         timely = self.ask('timely', objective_s=20.0)
         await asyncio.sleep(0.05)
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await asyncio.gather(back, timely)
         self.assertEqual(self.served, ['first', 'timely', 'back'])
 
@@ -252,12 +257,12 @@
         It holds the memory of three of them for as long as all three last.
         """
         for tokens in (1500, 6000):
-            self.admission._size('r', book.Reservation(1000, tokens))
+            self.admission._size('r', upstream_stats.Reservation(1000, tokens))
         self.ask('long', tokens=6000)
         await asyncio.sleep(0.05)
         self.ask('short', tokens=1500)
         await asyncio.sleep(0.05)
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await self.until_served(2)
         self.assertEqual(self.served, ['short', 'long'])
 
@@ -268,10 +273,10 @@
         """
         leaving = upstream.Upstream('u-2', 's', ('10.0.0.2', 1), 'z')
         self.upstreams.put(leaving, revision.Revision(0, 2))
-        runs = self.pages.page(leaving).reservations
-        runs.add(book.Reservation(0, 10_000, is_reading=False))
+        runs = self.stats_table.of(leaving).reservations
+        runs.add(upstream_stats.Reservation(0, 10_000, is_prefilling=False))
         leaving.leaving = True
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         waiting = self.ask('a', tokens=8000)
         await asyncio.sleep(0.3)
         self.assertFalse(waiting.done())
@@ -291,7 +296,7 @@
 
         Held for more room than there is, it would always be refused.
         """
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         self.assertIs(await self.ask('a', tokens=50_000), self.engine)
 
     async def test_none_without_an_engine(self):
@@ -304,7 +309,7 @@
         gone.cancel()
         self.ask('a')
         await asyncio.sleep(0.05)
-        self.page.reservations.discard(self.full)
+        self.stats.reservations.discard(self.full)
         await self.until_served(1)
         self.assertEqual(self.served, ['a'])
 
--- a/tests/quetzalsill_gateway/balance/test_backup.py
+++ b/tests/quetzalsill_gateway/balance/test_backup.py
@@ -6,7 +6,7 @@
 import unittest
 
 from quetzalsill_gateway import routing_table
-from quetzalsill_gateway.balance import backup, book
+from quetzalsill_gateway.balance import backup, upstream_stats
 from quetzalsill_gateway.fleet import upstream
 
 ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, backups=True)
@@ -27,7 +27,12 @@
         )
         entered_again = dataclasses.replace(source)
         found = backup.destination(
-            [entered_again], book.Book(), source, ENGINE, b'r', 1000
+            [entered_again],
+            upstream_stats.StatsTable(),
+            source,
+            ENGINE,
+            b'r',
+            1000,
         )
         self.assertIsNone(found)
 
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -7,7 +7,7 @@
 import unittest
 
 from quetzalsill_gateway import routing_table
-from quetzalsill_gateway.balance import book, choose
+from quetzalsill_gateway.balance import choose, upstream_stats
 from quetzalsill_gateway.fleet import held as held_lib
 from quetzalsill_gateway.fleet import upstream
 
@@ -22,16 +22,16 @@
             upstream.Upstream(f'u-{n}', 's', ('10.0.0.1', n), zone, 6)
             for n, zone in enumerate('aaabbb')
         ]
-        self.pages = book.Book()
+        self.stats_table = upstream_stats.StatsTable()
 
     def hold(self, number, tokens, count=1):
-        page = self.pages.page(self.found[number])
+        stats = self.stats_table.of(self.found[number])
         for _ in range(count):
-            page.reservations.add(book.Reservation(0, tokens, False))
+            stats.reservations.add(upstream_stats.Reservation(0, tokens, False))
 
     def engine(self, **more):
         return choose.choose_engine(
-            self.found, self.pages, 'a', ENGINE, 4000, **more
+            self.found, self.stats_table, 'a', ENGINE, 4000, **more
         )
 
     async def test_a_full_engine_is_left_out(self):
@@ -46,7 +46,7 @@
         With word of the others' work the engine is known to be full.
         """
         for number in range(5):
-            self.pages.hear(
+            self.stats_table.replace_peer_loads(
                 'entry-2',
                 {
                     f'u-{n}': held_lib.Held(28_000, 0, 7)
@@ -72,8 +72,8 @@
         for number in range(1, 6):
             self.hold(number, 5000, 4)
         self.hold(0, 4000, 3)
-        page = self.pages.page(self.found[0])
-        page.reservations.add(book.Reservation(1500, 1500, True))
+        stats = self.stats_table.of(self.found[0])
+        stats.reservations.add(upstream_stats.Reservation(1500, 1500, True))
         for _ in range(20):
             self.assertIs(self.engine(), self.found[0])
 
@@ -82,8 +82,8 @@
         for _ in range(60):
             chosen = self.engine()
             counts[chosen.id] += 1
-            page = self.pages.page(chosen)
-            page.reservations.add(book.Reservation(3000, 4000, True))
+            stats = self.stats_table.of(chosen)
+            stats.reservations.add(upstream_stats.Reservation(3000, 4000, True))
         self.assertLessEqual(max(counts.values()), 13)
 
     async def test_the_reading_rate_is_learned(self):
@@ -92,20 +92,22 @@
         Reckoned by the rate of the first ones, three prompts would be sent to
         an engine that can read one in time.
         """
-        before_s = self.pages.read_s(7000)
+        before_s = self.stats_table.prefill_s(7000)
         for _ in range(200):
-            self.pages.note_read(4600, 2.0)
-        self.assertAlmostEqual(self.pages.read_s(2300), 1.0, delta=0.05)
-        self.assertGreater(self.pages.read_s(7000), 2.5 * before_s)
-        self.pages.note_read(4600, 1e-9)
-        self.assertLess(self.pages.read_tokens_s, 4000)
+            self.stats_table.record_prefill(4600, 2.0)
+        self.assertAlmostEqual(
+            self.stats_table.prefill_s(2300), 1.0, delta=0.05
+        )
+        self.assertGreater(self.stats_table.prefill_s(7000), 2.5 * before_s)
+        self.stats_table.record_prefill(4600, 1e-9)
+        self.assertLess(self.stats_table.prefill_tokens_per_s, 4000)
 
     async def test_a_failing_server_gets_less(self):
-        failing = self.pages.page(self.found[0])
+        failing = self.stats_table.of(self.found[0])
         for _ in range(5):
-            failing.note_failure()
+            failing.record_failure()
         chosen = {
-            choose.choose_plain(self.found, self.pages, 'a').id
+            choose.choose_plain(self.found, self.stats_table, 'a').id
             for _ in range(50)
         }
         self.assertNotIn('u-0', chosen)
@@ -118,23 +120,23 @@
         may be repeated.
         """
         told = {'u-0': held_lib.Held(0, 0, 0, failures=2.0)}
-        self.pages.hear('entry-2', told)
+        self.stats_table.replace_peer_loads('entry-2', told)
         near = [self.found[0], self.found[5]]
 
         def chosen(may_repeat):
             return {
                 choose.choose_plain(
-                    near, self.pages, 'a', may_repeat=may_repeat
+                    near, self.stats_table, 'a', may_repeat=may_repeat
                 ).id
                 for _ in range(50)
             }
 
         self.assertEqual(chosen(False), {'u-5'})
-        busy = self.pages.page(self.found[5])
+        busy = self.stats_table.of(self.found[5])
         busy.outstanding = 6 * 15
         self.assertEqual(chosen(True), {'u-0'})
         self.assertEqual(chosen(False), {'u-5'})
-        self.pages.hear('entry-2', {})
+        self.stats_table.replace_peer_loads('entry-2', {})
         self.assertEqual(chosen(False), {'u-0'})
 
     async def test_one_slow_call_is_no_hang(self):
@@ -143,17 +145,17 @@
         Taken for hanging, its server's work went to the two others, whose
         callers then waited.
         """
-        page = self.pages.page(self.found[0])
+        stats = self.stats_table.of(self.found[0])
         now = asyncio.get_running_loop().time()
         for one in self.found:
-            self.pages.page(one).note_time(0.02)
-        page.note_hang(now - 0.5)
-        self.assertEqual(page.told_hangs(now), 0.0)
-        page.note_hang(now + 0.5)
-        self.assertGreater(page.told_hangs(now), 0.0)
+            self.stats_table.of(one).record_latency(0.02)
+        stats.record_hang(now - 0.5)
+        self.assertEqual(stats.fleet_hangs(now), 0.0)
+        stats.record_hang(now + 0.5)
+        self.assertGreater(stats.fleet_hangs(now), 0.0)
         chosen = {
             choose.choose_plain(
-                self.found[:3], self.pages, 'a', may_repeat=False
+                self.found[:3], self.stats_table, 'a', may_repeat=False
             ).id
             for _ in range(50)
         }
@@ -164,15 +166,15 @@
 
         Told, each of them would be a datagram to every gateway.
         """
-        page = self.pages.page(self.found[0])
+        stats = self.stats_table.of(self.found[0])
         now = asyncio.get_running_loop().time()
         for _ in range(5):
-            page.note_failure()
-        self.assertEqual(page.shown_failures(now), 0.0)
-        page.note_hang(now)
-        self.assertGreater(page.shown_failures(now), 0.0)
-        page.makes_streams = True
-        self.assertGreater(page.shown_failures(now), 3.0)
+            stats.record_failure()
+        self.assertEqual(stats.published_failures(now), 0.0)
+        stats.record_hang(now)
+        self.assertGreater(stats.published_failures(now), 0.0)
+        stats.serves_streams = True
+        self.assertGreater(stats.published_failures(now), 3.0)
 
     async def test_runs_of_one_engine_spread_over_destinations(self):
         """All gateways choose from the same figures at the same moment.
@@ -181,7 +183,12 @@
         """
         chosen = collections.Counter(
             choose.destinations(
-                self.found, self.pages, self.found[0], ENGINE, b'%d' % n, 4000
+                self.found,
+                self.stats_table,
+                self.found[0],
+                ENGINE,
+                b'%d' % n,
+                4000,
             )[0].id
             for n in range(60)
         )
@@ -192,7 +199,7 @@
         self.hold(1, 9000, 3)
         self.hold(2, 9000, 3)
         order = choose.destinations(
-            self.found, self.pages, self.found[0], ENGINE, b'r', 4000
+            self.found, self.stats_table, self.found[0], ENGINE, b'r', 4000
         )
         self.assertEqual(order[0].availability_zone, 'b')
         self.assertNotIn(self.found[0], order)
--- a/tests/quetzalsill_gateway/balance/test_faults.py
+++ b/tests/quetzalsill_gateway/balance/test_faults.py
@@ -10,7 +10,7 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import book, choose, faults
+from quetzalsill_gateway.balance import choose, faults, upstream_stats
 from quetzalsill_gateway.fleet import held, upstream
 
 GATEWAYS = 26
@@ -69,16 +69,18 @@
             upstream.Upstream(f'u-{n}', 's', ('10.0.0.1', n), 'a', 6)
             for n in range(6)
         ]
-        self.pages = book.Book()
+        self.stats_table = upstream_stats.StatsTable()
         random.seed(5)
 
     def told(self, number, failures, *, by=1, runs=0):
         for gateway in range(by):
-            page = self.pages.page(self.found[number])
-            page.hear(f'g-{gateway}', held.Held(0, 0, runs, failures=failures))
+            stats = self.stats_table.of(self.found[number])
+            stats.set_peer_load(
+                f'g-{gateway}', held.Held(0, 0, runs, failures=failures)
+            )
 
     def sound(self):
-        return choose.sound(self.found, self.pages, GATEWAYS)
+        return choose.sound(self.found, self.stats_table, GATEWAYS)
 
     async def test_what_other_gateways_saw_counts(self):
         self.told(2, 1.0, by=2)
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -6,7 +6,7 @@
 import unittest
 
 from quetzalsill_dev.simulation import clock
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import revision, upstream
 
 
@@ -78,13 +78,13 @@
         """
         self.upstreams.put(entry(incarnation=10), at(1))
         old = self.upstreams.get('u-1')
-        pages = book.Book()
-        pages.page(old).note_failure()
+        stats_table = upstream_stats.StatsTable()
+        stats_table.of(old).record_failure()
         self.upstreams.put(entry(incarnation=20), at(2))
         new = self.upstreams.get('u-1')
         self.assertTrue(old.gone)
         self.assertFalse(new.leaving)
-        self.assertEqual(pages.page(new).faults.score, 0.0)
+        self.assertEqual(stats_table.of(new).faults.score, 0.0)
         self.upstreams.hear_leaving((old.key,), 'entry-2')
         self.assertFalse(new.leaving)
         self.upstreams.hear_leaving((new.key,), 'entry-2')
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -13,7 +13,7 @@
 
 from quetzalsill_dev.testing import pause
 from quetzalsill_gateway import error, event, retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import members, pace, revision, upstream
 from quetzalsill_gateway.fleet.held import Held
 from quetzalsill_gateway.peers import (
@@ -168,16 +168,16 @@
 
     async def start(self, node):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.Live(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
         self.epochs = epoch.Epochs()
         found = exchange.Exchange(core, node, self.join, self.epochs)
@@ -204,11 +204,11 @@
                 await asyncio.sleep(0.01)
 
     def hold(self, gateway, tokens):
-        page = gateway.core.pages._page('u-1')
-        page.reservations = {book.Reservation(10, tokens)}
+        stats = gateway.core.stats_table._get_or_create('u-1')
+        stats.reservations = {upstream_stats.Reservation(10, tokens)}
 
     def heard(self, gateway):
-        return gateway.core.pages._page('u-1').reserved_tokens
+        return gateway.core.stats_table._get_or_create('u-1').reserved_tokens
 
     async def test_all_hear_what_each_holds_and_gives_back(self):
         await self.until(lambda: all(g.peers == 2 for g in self.gateways))
@@ -217,7 +217,9 @@
         await self.until(
             lambda: [self.heard(g) for g in self.gateways] == [120] * 3
         )
-        self.gateways[0].core.pages._page('u-1').reservations = set()
+        self.gateways[0].core.stats_table._get_or_create(
+            'u-1'
+        ).reservations = set()
         await self.until(
             lambda: [self.heard(g) for g in self.gateways] == [20] * 3
         )
@@ -257,7 +259,7 @@
         """
         await self.until(lambda: all(g.peers == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
-        stream = live.Stream(None, None, book.Reservation(10, 100))
+        stream = live.Stream(None, None, upstream_stats.Reservation(10, 100))
         with mock.patch.object(exchange, 'CHANGED_S', 1000.0):
             # Loops that wait already would tell it with the next change.
             await asyncio.sleep(0.2)
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -9,7 +9,7 @@
 
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway import retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import members, pace, upstream
 from quetzalsill_gateway.peers import exchange, outbox, state
 from quetzalsill_gateway.stream import link_queue, live
@@ -65,16 +65,16 @@
 
     def __init__(self, others):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.Live(core.stats_table)
         core.members = members.Members('entry-a')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
         self.core = core
         self.link = Link()
@@ -93,8 +93,8 @@
     def hold(self, engines, tokens):
         """Holds so many tokens at each of so many engines."""
         for number in range(engines):
-            page = self.core.pages._page(f'i-{number:010x}')
-            page.reservations = {book.Reservation(10, tokens)}
+            stats = self.core.stats_table._get_or_create(f'i-{number:010x}')
+            stats.reservations = {upstream_stats.Reservation(10, tokens)}
 
 
 class ThinLinkTest(unittest.TestCase):
--- a/tests/quetzalsill_gateway/peers/test_roster.py
+++ b/tests/quetzalsill_gateway/peers/test_roster.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from quetzalsill_gateway import event, retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import members, revision, upstream
 from quetzalsill_gateway.fleet.held import Held
 from quetzalsill_gateway.peers import exchange, frame, roster, state
@@ -81,16 +81,16 @@
 
     async def asyncSetUp(self):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.Live(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
         self.core = core
         self.hearer = exchange.Exchange(core, 'entry-9', None)
@@ -105,7 +105,9 @@
                 held = {f'u-{number}-{n}': Held(2**60, 1, 1) for n in range(4)}
                 flood = state.State(f'g-{number % 7}', 1, number, held)
                 self.hearer.datagram_received(state.encode(flood), THERE)
-        self.assertLessEqual(len(self.core.pages.items()), book.MOST_PAGES)
+        self.assertLessEqual(
+            len(self.core.stats_table.items()), upstream_stats.MAX_UPSTREAMS
+        )
         malformed = [
             call
             for call in note.call_args_list
@@ -167,19 +169,23 @@
 
         async def play():
             await self.asyncSetUp()
-            pages = self.core.pages
+            stats_table = self.core.stats_table
             for node, incarnation, number, tokens, is_whole in states:
                 held = {key: Held(n, n, n) for key, n in tokens.items()}
                 one = state.State(
                     node, incarnation, number, held, is_whole=is_whole
                 )
                 self.hearer.datagram_received(state.encode(one), HERE)
-            for _, page in pages.items():
-                total = sum(told.memory_tokens for told in page._told.values())
-                self.assertEqual(page.reserved_tokens, total)
+            for _, stats in stats_table.items():
+                total = sum(
+                    told.memory_tokens for told in stats._load_by_peer.values()
+                )
+                self.assertEqual(stats.reserved_tokens, total)
             for node in 'abc':
-                pages.hear(node, {})
-            self.assertTrue(all(not page.runs for _, page in pages.items()))
+                stats_table.replace_peer_loads(node, {})
+            self.assertTrue(
+                all(not stats.runs for _, stats in stats_table.items())
+            )
 
         with mock.patch.object(event, 'note'):
             asyncio.run(play())
--- a/tests/quetzalsill_gateway/peers/test_teller.py
+++ b/tests/quetzalsill_gateway/peers/test_teller.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import held as held_lib
 from quetzalsill_gateway.fleet import pace
 from quetzalsill_gateway.peers import state, teller
@@ -72,7 +72,7 @@
         With every whole, at the latest, the hearer knows what the teller holds.
         """
         rng = random.Random(3)
-        heard = book.Book()
+        heard = upstream_stats.StatsTable()
         held = {}
         now = 5.0
         for _ in range(400):
@@ -84,13 +84,14 @@
             if told is None or (not told.is_whole and rng.random() < 0.2):
                 continue
             if told.is_whole:
-                heard.hear('entry-1', told.held)
+                heard.replace_peer_loads('entry-1', told.held)
                 for name in 'abcdef':
                     self.assertEqual(
-                        heard._page(name).reserved_tokens, there.get(name, 0)
+                        heard._get_or_create(name).reserved_tokens,
+                        there.get(name, 0),
                     )
             else:
-                heard.hear_changes('entry-1', told.held)
+                heard.update_peer_loads('entry-1', told.held)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from quetzalsill_gateway import at_most_once, event, routing_table
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import error
 from quetzalsill_gateway.stream import continuation, leg, live
@@ -32,10 +32,12 @@
             upstream.Upstream(f'e-{n}', 'writers', ('10.0.0.1', n), 'z')
             for n in range(3)
         ]
-        self.stream = live.Stream(_exchange(), None, book.Reservation(0, 100))
+        self.stream = live.Stream(
+            _exchange(), None, upstream_stats.Reservation(0, 100)
+        )
         self.stream.last_id = 80
         self.core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             dialect=types.SimpleNamespace(
                 priority=b'priority',
                 memory_from=b'from',
--- a/tests/quetzalsill_platform/test_missing_signs.py
+++ b/tests/quetzalsill_platform/test_missing_signs.py
@@ -265,7 +265,7 @@
         moving = self.process._gateway._migration._moving
         await self.until(lambda: not moving)
         for found in core.upstreams.all():
-            self.assertEqual(core.pages.page(found).reserved_tokens, 0)
+            self.assertEqual(core.stats_table.of(found).reserved_tokens, 0)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_plain_calls.py
+++ b/tests/quetzalsill_platform/test_plain_calls.py
@@ -198,11 +198,11 @@
         await caller.open()
         caller.send('/unsafe/')
         await self.until(lambda: self.runs)
-        pages = self.process.core.pages
+        stats_table = self.process.core.stats_table
         found = self.process.core.upstreams.of('desk')
         caller.leave()
         await self.until(
-            lambda: not any(pages.page(desk).outstanding for desk in found)
+            lambda: not any(stats_table.of(desk).outstanding for desk in found)
         )
 
 
@@ -238,15 +238,15 @@
         await caller.open()
         caller.send('/unsafe/', deadline_ms=3000)
         await self.until(lambda: self.runs)
-        pages = self.process.core.pages
+        stats_table = self.process.core.stats_table
         [hung] = [
             desk
             for desk in self.process.core.upstreams.of('desk')
-            if pages.page(desk).outstanding
+            if stats_table.of(desk).outstanding
         ]
-        page = pages.page(hung)
-        await self.until(lambda: page.hangs.in_a_row)
-        self.assertEqual(page.outstanding, 1)
+        stats = stats_table.of(hung)
+        await self.until(lambda: stats.hangs.in_a_row)
+        self.assertEqual(stats.outstanding, 1)
 
     async def test_a_call_waits_for_a_moment_for_a_connection(self):
         self.script(*['hang'] * 4)
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -130,7 +130,7 @@
         )
         # However long the test's process is paused, `desk-1` is faster.
         desk_2 = upstreams.get('desk-2')
-        self.process.core.pages.page(desk_2).mean_s = SLOW_S
+        self.process.core.stats_table.of(desk_2).mean_latency_s = SLOW_S
         self.assertEqual(await self.served_by(), {'desk-1'})
 
     def drain(self):
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.stream import continuation
 from tests.quetzalsill_platform import fixture
 
@@ -101,8 +101,10 @@
         reborn.id = 'another-start'
         core = self.process.core
         for writer in self.engines[1:]:
-            busy = core.pages.page(core.upstreams.get(writer.id))
-            busy.reservations.add(book.Reservation(0, 15_000, is_reading=False))
+            busy = core.stats_table.of(core.upstreams.get(writer.id))
+            busy.reservations.add(
+                upstream_stats.Reservation(0, 15_000, is_prefilling=False)
+            )
         for number in range(8):
             answer = await self.stream(request_id=f's{number}')
             self.assertEqual(answer.status, 200)
@@ -212,9 +214,9 @@
 
     async def test_what_a_stream_held_is_given_back(self):
         await self.stream(request_id='s9')
-        pages = self.process.core.pages
+        stats_table = self.process.core.stats_table
         for found in self.process.core.upstreams.of('writers'):
-            self.assertEqual(pages.page(found).reserved_tokens, 0)
+            self.assertEqual(stats_table.of(found).reserved_tokens, 0)
 
 
 if __name__ == '__main__':
