--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -88,7 +88,9 @@
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/faults.py', 'FAULTY = 1.5', 'FAULTY = 1e9'
+        'balance/failure_score.py',
+        'FAULTY_SCORE = 1.5',
+        'FAULTY_SCORE = 1e9',
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
@@ -101,7 +103,9 @@
         'if True or not engine.memory_tokens:',
     ),
     'ranks-by-size': _gateway(
-        'balance/waiting.py', 'SIZES = (0.7, 1.4)', 'SIZES = ()'
+        'balance/queue_entry.py',
+        'SIZE_BOUNDS = (0.7, 1.4)',
+        'SIZE_BOUNDS = ()',
     ),
     'lots-for-room': _gateway(
         'balance/search.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/at_most_once.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/at_most_once.py
@@ -14,10 +14,16 @@
 import dataclasses
 import enum
 
-__all__ = ['MEMORY_SENT_S', 'Grounds', 'RunState', 'Sends', 'to_go_on']
+__all__ = [
+    'BACKUP_INTERVAL_S',
+    'Grounds',
+    'RunState',
+    'SendHistory',
+    'grounds_to_resume',
+]
 
 # An engine sends the memory of a run to its backup several times a second.
-MEMORY_SENT_S = 1 / 3
+BACKUP_INTERVAL_S = 1 / 3
 
 
 class Grounds(enum.Enum):
@@ -40,7 +46,7 @@
     BACKUP = 'backup'
 
     @property
-    def goes_on(self) -> bool:
+    def resumes(self) -> bool:
         """Whether a run goes on from its memory rather than begins."""
         return self in (Grounds.COPY, Grounds.BACKUP)
 
@@ -64,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Sends:
+class SendHistory:
     """What is known of the sends of one request.
 
     Attributes:
@@ -75,19 +81,19 @@
     may_repeat: bool
     may_have_run: bool = False
 
-    def note(self, *, may_have_run: bool) -> None:
+    def record(self, *, may_have_run: bool) -> None:
         """Takes how a send ended; what may have run stays so."""
         self.may_have_run |= may_have_run
 
-    def to_begin(self) -> Grounds | None:
+    def grounds_to_start(self) -> Grounds | None:
         """Returns the grounds on which the work may begin; None for none."""
         if not self.may_have_run:
             return Grounds.NOT_RUN
         return Grounds.REPEATABLE if self.may_repeat else None
 
 
-def to_go_on(
-    state: RunState, made_s: float, *, is_copied: bool = False
+def grounds_to_resume(
+    state: RunState, streamed_s: float, *, has_copy: bool = False
 ) -> Grounds | None:
     """Returns the grounds on which a run goes on that broke off.
 
@@ -97,14 +103,14 @@
 
     Args:
       state: What is known of it where it broke off.
-      made_s: For how long events came of it from there, in seconds; 0 if none
-        did, or one.
-      is_copied: Whether an engine has named a copy of it.
+      streamed_s: For how long events came of it from there, in seconds; 0 if
+        none did, or one.
+      has_copy: Whether an engine has named a copy of it.
     """
     if state is RunState.AT_WORK:
         return None
-    if state is RunState.STOPPED or is_copied:
+    if state is RunState.STOPPED or has_copy:
         return Grounds.COPY
-    if made_s < MEMORY_SENT_S:
+    if streamed_s < BACKUP_INTERVAL_S:
         return None
     return Grounds.BACKUP
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
@@ -19,15 +19,15 @@
     from quetzalsill_gateway.fleet import upstream as upstream_lib
     from quetzalsill_gateway.http import call
 
-__all__ = ['Verdict', 'judge', 'opened', 'read_body']
+__all__ = ['ResponseClass', 'classify', 'read_body', 'send_request']
 
-SUCCESS = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 # These statuses promise a caller that the request has not run.
-PROMISES = (408, 421, 429, 503)
-MISDIRECTED = 421
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+MISDIRECTED_STATUS = 421
 
 
-class Verdict(enum.Enum):
+class ResponseClass(enum.Enum):
     """What the head of an answer means."""
 
     SUCCESS = 'success'
@@ -40,54 +40,58 @@
     @property
     def is_not_run(self) -> bool:
         """Whether the answer says that the request has not run there."""
-        return self in (Verdict.NOT_RUN, Verdict.WRONG_UPSTREAM)
+        return self in (ResponseClass.NOT_RUN, ResponseClass.WRONG_UPSTREAM)
 
 
-def judge(
+def classify(
     head: message.ResponseHead,
     dialect: dialect_lib.Dialect,
     request_id: bytes,
-) -> Verdict:
+) -> ResponseClass:
     """Returns what an answer says of its request."""
-    if head.status == MISDIRECTED:
-        return Verdict.WRONG_UPSTREAM
+    if head.status == MISDIRECTED_STATUS:
+        return ResponseClass.WRONG_UPSTREAM
     if message.first(head.headers, dialect.not_run) is not None:
-        return Verdict.NOT_RUN
-    if head.status in SUCCESS:
-        ours = message.first(head.headers, dialect.request_id) == request_id
-        proved = message.first(head.headers, dialect.receipt) is not None
-        return Verdict.SUCCESS if ours and proved else Verdict.UNPROVED
+        return ResponseClass.NOT_RUN
+    if head.status in SUCCESS_STATUSES:
+        is_own = message.first(head.headers, dialect.request_id) == request_id
+        is_proved = message.first(head.headers, dialect.receipt) is not None
+        return (
+            ResponseClass.SUCCESS
+            if is_own and is_proved
+            else ResponseClass.UNPROVED
+        )
     # A server's own 503 without that header may stand behind work that was
     # done; handed on, the caller would send the request again.
-    if head.status in PROMISES:
-        return Verdict.UNTRUE_PROMISE
-    return Verdict.FAILED
+    if head.status in NOT_RUN_STATUSES:
+        return ResponseClass.UNTRUE_PROMISE
+    return ResponseClass.FAILED
 
 
 @dataclasses.dataclass(slots=True)
-class Opened:
+class SentRequest:
     """A request that was sent, with the head of its answer.
 
     Attributes:
       conn: Connection that carries it.
       head: Head of the answer.
-      verdict: What the head means.
+      response_class: What the head means.
     """
 
     conn: call.Conn
     head: message.ResponseHead
-    verdict: Verdict
+    response_class: ResponseClass
 
 
 @contextlib.asynccontextmanager
-async def opened(
+async def send_request(
     core: core_lib.Core,
     exchange: exchange_lib.Exchange,
     upstream: upstream_lib.Upstream,
-    extra: message.Headers,
+    extra_headers: message.Headers,
     *,
     continues: bool = False,
-) -> AsyncIterator[Opened]:
+) -> AsyncIterator[SentRequest]:
     """Sends a request and gives the head of the answer.
 
     On leaving, a connection whose answer was read whole is kept, any other is
@@ -97,7 +101,7 @@
       core: Names of headers, kept connections, and where work may go.
       exchange: The request.
       upstream: Where to.
-      extra: Headers that the gateway sets besides the usual ones.
+      extra_headers: Headers that the gateway sets besides the usual ones.
       continues: The run goes on from memory, so this is no further send.
 
     Raises:
@@ -111,9 +115,9 @@
         most=None if continues else core.quota.most_connections(upstream),
     )
     try:
-        if not _takes(core.upstreams, upstream, continues=continues):
+        if not _accepts_work(core.upstreams, upstream, continues=continues):
             raise error.ClosedError(upstream.address_text)
-        head = exchange.head(dialect, upstream.id, extra)
+        head = exchange.head(dialect, upstream.id, extra_headers)
         conn.send(
             head,
             exchange.request.body,
@@ -122,13 +126,13 @@
         )
         exchange.sends += 0 if continues else 1
         answer = await conn.head()
-        verdict = judge(answer, dialect, exchange.request_id)
-        yield Opened(conn, answer, verdict)
+        response_class = classify(answer, dialect, exchange.request_id)
+        yield SentRequest(conn, answer, response_class)
     finally:
         core.conns.give_back(conn, core.quota.most_idle(upstream))
 
 
-def _takes(
+def _accepts_work(
     upstreams: upstream_lib.Upstreams,
     upstream: upstream_lib.Upstream,
     *,
@@ -150,13 +154,13 @@
     Raises:
       error.CallError: The answer was cut off.
     """
-    pieces = bytearray()
-    while len(pieces) <= limit:
-        piece = await conn.read()
-        if not piece:
-            return bytes(pieces), True
-        pieces += piece
-    return bytes(pieces), False
+    body = bytearray()
+    while len(body) <= limit:
+        chunk = await conn.read()
+        if not chunk:
+            return bytes(body), True
+        body += chunk
+    return bytes(body), False
 
 
 def may_have_run(exc: error.CallError) -> bool:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
@@ -30,10 +30,10 @@
 # Share of an engine's memory up to which runs and copies together are expected
 # to need it. The rest is for runs that arrive, and for those that outgrow
 # their callers' guesses.
-ROOM_SHARE = 0.7
+MAX_MEMORY_SHARE = 0.7
 # And up to which all engines of the service together are expected to need it:
 # an engine that has just come is empty, and will not be for long.
-FLEET_SHARE = 0.6
+MAX_FLEET_SHARE = 0.6
 # A copy is made as the run goes on. One that needs a quarter of the run's time
 # to arrive protects little of it.
 MIN_COPIES_PER_RUN = 4.0
@@ -50,7 +50,7 @@
 
 
 def destination(
-    found: Iterable[upstream.Upstream],
+    candidates: Iterable[upstream.Upstream],
     stats_table: upstream_stats.StatsTable,
     source: upstream.Upstream,
     engine: routing_table.Engine,
@@ -63,7 +63,7 @@
     an engine there comes first. Of those with room the emptiest is taken, and
     the request's own id decides between equals.
     """
-    bound = ROOM_SHARE * engine.memory_tokens
+    bound = MAX_MEMORY_SHARE * engine.memory_tokens
 
     def rank(candidate: upstream.Upstream) -> tuple[bool, int, int]:
         crossing = candidate.availability_zone != source.availability_zone
@@ -74,14 +74,16 @@
             drawn,
         )
 
-    engines = list(choose.open_to_work(found, frozenset()))
+    engines = list(choose.accepting_work(candidates, frozenset()))
     held = sum(stats_table.of(candidate).held_tokens for candidate in engines)
-    if held + needs_tokens > FLEET_SHARE * engine.memory_tokens * len(engines):
+    if held + needs_tokens > MAX_FLEET_SHARE * engine.memory_tokens * len(
+        engines
+    ):
         return None
-    able = [
+    with_room = [
         candidate
         for candidate in engines
         if candidate.id != source.id
         and stats_table.of(candidate).held_tokens + needs_tokens <= bound
     ]
-    return min(able, key=rank, default=None)
+    return min(with_room, key=rank, default=None)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/note.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choice_log.py
@@ -12,12 +12,12 @@
     from quetzalsill_gateway import exchange
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
-__all__ = ['chosen']
+__all__ = ['log_choice']
 
 MS_PER_S = 1000
 
 
-def chosen(
+def log_choice(
     core: core_lib.Core,
     req: exchange.Exchange,
     upstream: upstream_lib.Upstream,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from quetzalsill_gateway.balance import faults
+from quetzalsill_gateway.balance import failure_score
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import routing_table
@@ -18,44 +18,44 @@
 
 __all__ = [
     'choose_engine',
-    'choose_plain',
-    'destinations',
+    'choose_for_call',
+    'rank_destinations',
     'has_room',
-    'open_to_work',
-    'sound',
+    'accepting_work',
+    'without_faulty',
 ]
 
 # What a running generation adds to the time of everybody's next event.
-RUNNING_S = 0.02
+RUN_COST_S = 0.02
 # Crossing into another availability zone costs bytes and a little time; worth
 # as much as this much waiting.
-OTHER_ZONE_S = 0.04
-OTHER_ZONE_PLAIN_S = 0.002
+CROSS_ZONE_COST_S = 0.04
+CROSS_ZONE_CALL_COST_S = 0.002
 # An engine whose memory is all given out is worth this much waiting less than
 # an empty one. Runs outgrow their callers' guesses, and where they meet one is
 # pushed off: its caller sees a pause, and its prompt is read twice. Spread by
 # memory rather than by what waits to be read, fewer meet. A third of it gives
 # 0.000 to 0.010 less of what callers' work is worth by deployment, twice 0.012.
-MEMORY_S = 3.0
+MEMORY_COST_S = 3.0
 # Above this share of the memory the engine is about to push work off.
-FULL_SHARE = 0.9
-FULL_S = 30.0
-FAILURE_S = 0.5
-PLAIN_FAILURE_SHARE = 2.0
+NEARLY_FULL_SHARE = 0.9
+NEARLY_FULL_COST_S = 30.0
+FAILURE_COST_S = 0.5
+CALL_FAILURE_WEIGHT = 2.0
 # A call that hangs takes some ten times as long as one that is answered. An
 # order goes there only if nothing else is left.
 HANG_FACTOR = 10.0
-ORDER_HANG_FACTOR = 100.0
+NON_REPEATABLE_HANG_FACTOR = 100.0
 JITTER = 0.05
 # Share of the engines of a service that are left out at once for failures.
-MOST_OUT = 0.34
+MAX_EXCLUDED_SHARE = 0.34
 # A run goes where it is not expected to push others off. A full engine of the
 # same availability zone is left out for one of another: slow, but no loss.
-ROOM_SHARE = 0.95
+MAX_MEMORY_SHARE = 0.95
 
 
-def choose_plain(
-    found: Iterable[upstream.Upstream],
+def choose_for_call(
+    candidates: Iterable[upstream.Upstream],
     stats_table: upstream_stats.StatsTable,
     zone: str,
     avoid: frozenset[str] = frozenset(),
@@ -67,25 +67,28 @@
     One that has let calls hang is tried again by calls that may be repeated:
     an order that hangs there is lost for its caller.
     """
-    hang_factor = HANG_FACTOR if may_repeat else ORDER_HANG_FACTOR
+    hang_factor = HANG_FACTOR if may_repeat else NON_REPEATABLE_HANG_FACTOR
     now = asyncio.get_running_loop().time()
 
     def cost(candidate: upstream.Upstream) -> float:
         stats = stats_table.of(candidate)
-        waves = 1.0 + stats.outstanding / max(1, candidate.slots)
-        time_s = stats.mean_latency_s * waves
-        time_s *= 1.0 + PLAIN_FAILURE_SHARE * stats.recent_failures(now)
-        if faults.standing(stats.fleet_hangs(now)) is faults.Standing.FAULTY:
+        rounds = 1.0 + stats.outstanding / max(1, candidate.slots)
+        time_s = stats.mean_latency_s * rounds
+        time_s *= 1.0 + CALL_FAILURE_WEIGHT * stats.recent_failures(now)
+        if (
+            failure_score.health_state(stats.fleet_hangs(now))
+            is failure_score.HealthState.FAULTY
+        ):
             time_s *= hang_factor
         if candidate.availability_zone != zone:
-            time_s += OTHER_ZONE_PLAIN_S
+            time_s += CROSS_ZONE_CALL_COST_S
         return time_s * (1.0 + JITTER * random.random())
 
-    return min(open_to_work(found, avoid), key=cost, default=None)
+    return min(accepting_work(candidates, avoid), key=cost, default=None)
 
 
 def choose_engine(
-    found: Iterable[upstream.Upstream],
+    candidates: Iterable[upstream.Upstream],
     stats_table: upstream_stats.StatsTable,
     zone: str,
     engine: routing_table.Engine,
@@ -98,23 +101,23 @@
     def cost(candidate: upstream.Upstream) -> float:
         stats = stats_table.of(candidate)
         wait_s = stats_table.prefill_s(stats.prefill_tokens)
-        wait_s += stats.runs * RUNNING_S
-        wait_s += FAILURE_S * stats.fleet_failures(now)
+        wait_s += stats.runs * RUN_COST_S
+        wait_s += FAILURE_COST_S * stats.fleet_failures(now)
         share = (stats.held_tokens + needs_tokens) / max(
             1, engine.memory_tokens
         )
-        wait_s += MEMORY_S * share
-        if share > FULL_SHARE:
-            wait_s += FULL_S * (share - FULL_SHARE)
+        wait_s += MEMORY_COST_S * share
+        if share > NEARLY_FULL_SHARE:
+            wait_s += NEARLY_FULL_COST_S * (share - NEARLY_FULL_SHARE)
         if candidate.availability_zone != zone:
-            wait_s += OTHER_ZONE_S
+            wait_s += CROSS_ZONE_COST_S
         return wait_s * (1.0 + JITTER * random.random())
 
-    return min(open_to_work(found, avoid), key=cost, default=None)
+    return min(accepting_work(candidates, avoid), key=cost, default=None)
 
 
-def sound(
-    found: Iterable[upstream.Upstream],
+def without_faulty(
+    candidates: Iterable[upstream.Upstream],
     stats_table: upstream_stats.StatsTable,
     sharers: int,
 ) -> list[upstream.Upstream]:
@@ -125,21 +128,21 @@
     the requests' own or the network's, and none is left out.
     """
     now = asyncio.get_running_loop().time()
-    every = list(found)
-    able = []
-    out = 0
-    for candidate in every:
+    engines = list(candidates)
+    healthy = []
+    excluded = 0
+    for candidate in engines:
         stats = stats_table.of(candidate)
-        state = faults.standing(stats.fleet_failures(now))
-        if state is faults.Standing.ON_TRIAL:
+        state = failure_score.health_state(stats.fleet_failures(now))
+        if state is failure_score.HealthState.ON_TRIAL:
             if stats.runs or random.random() * sharers >= 1.0:
-                out += 1
+                excluded += 1
                 continue
-        elif state is faults.Standing.FAULTY:
-            out += 1
+        elif state is failure_score.HealthState.FAULTY:
+            excluded += 1
             continue
-        able.append(candidate)
-    return able if out <= MOST_OUT * len(every) else every
+        healthy.append(candidate)
+    return healthy if excluded <= MAX_EXCLUDED_SHARE * len(engines) else engines
 
 
 def has_room(
@@ -149,11 +152,11 @@
 ) -> bool:
     """Whether a run may go on at an engine without pushing others off."""
     tokens = stats.held_tokens + needs_tokens
-    return tokens <= ROOM_SHARE * engine.memory_tokens
+    return tokens <= MAX_MEMORY_SHARE * engine.memory_tokens
 
 
-def destinations(
-    found: Iterable[upstream.Upstream],
+def rank_destinations(
+    candidates: Iterable[upstream.Upstream],
     stats_table: upstream_stats.StatsTable,
     source: upstream.Upstream,
     engine: routing_table.Engine,
@@ -174,15 +177,15 @@
         drawn = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
         return is_full, crossing, drawn
 
-    return sorted(open_to_work(found, frozenset((source.id,))), key=rank)
+    return sorted(accepting_work(candidates, frozenset((source.id,))), key=rank)
 
 
-def open_to_work(
-    found: Iterable[upstream.Upstream], avoid: frozenset[str]
+def accepting_work(
+    candidates: Iterable[upstream.Upstream], avoid: frozenset[str]
 ) -> Iterator[upstream.Upstream]:
     """Yields the upstreams that take new work, but for those to avoid."""
     return (
         candidate
-        for candidate in found
+        for candidate in candidates
         if not candidate.leaving and candidate.id not in avoid
     )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/faults.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/failure_score.py
@@ -14,60 +14,62 @@
 import dataclasses
 import enum
 
-__all__ = ['Faults', 'Standing', 'standing']
+__all__ = ['FailureScore', 'HealthState', 'health_state']
 
 # A failure is half forgotten after this time, so that a server that recovers
 # is tried again by the traffic itself,
 HALF_LIFE_S = 3.0
 # and one that failed many times in a row after up to eight times that.
-MOST_DOUBLINGS = 3
+MAX_DOUBLINGS = 3
 # A single failure may be the request's own; two within a half-life are not.
-FAULTY = 1.5
+FAULTY_SCORE = 1.5
 # Below this an upstream is like any other.
-SOUND = 0.5
+HEALTHY_SCORE = 0.5
 
 
-class Standing(enum.Enum):
+class HealthState(enum.Enum):
     """What may be sent to an upstream."""
 
-    SOUND = 'sound'
+    HEALTHY = 'sound'
     ON_TRIAL = 'on_trial'
     FAULTY = 'faulty'
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Faults:
+class FailureScore:
     """Failures that one gateway has seen of one upstream.
 
     Attributes:
       score: Failures, faded to `at_s`.
       at_s: Loop time of the newest.
-      in_a_row: Failures since the last success.
+      consecutive: Failures since the last success.
     """
 
     score: float = 0.0
     at_s: float = 0.0
-    in_a_row: int = 0
+    consecutive: int = 0
 
-    def recent(self, now: float) -> float:
+    def decayed(self, now: float) -> float:
         """Returns the failures, faded to now."""
-        doublings = min(max(0, self.in_a_row - 1), MOST_DOUBLINGS)
+        doublings = min(max(0, self.consecutive - 1), MAX_DOUBLINGS)
         half_life_s = HALF_LIFE_S * 2**doublings
         return self.score * 0.5 ** ((now - self.at_s) / half_life_s)
 
-    def fail(self, now: float, weight: float = 1.0) -> None:
+    def record_failure(self, now: float, weight: float = 1.0) -> None:
         """Counts a failure; one of less than full weight starts no row."""
-        self.score = self.recent(now) + weight
+        self.score = self.decayed(now) + weight
         self.at_s = now
-        self.in_a_row += weight >= 1.0
+        self.consecutive += weight >= 1.0
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Takes a success: what failed before is no row any more."""
-        self.in_a_row = 0
+        self.consecutive = 0
 
 
-def standing(score: float) -> Standing:
+def health_state(score: float) -> HealthState:
     """Returns what the failures of late, of all gateways, mean."""
-    if score >= FAULTY:
-        return Standing.FAULTY
-    return Standing.ON_TRIAL if score >= SOUND else Standing.SOUND
+    if score >= FAULTY_SCORE:
+        return HealthState.FAULTY
+    return (
+        HealthState.ON_TRIAL if score >= HEALTHY_SCORE else HealthState.HEALTHY
+    )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/forecast.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/forecast.py
@@ -12,12 +12,12 @@
 import collections
 import dataclasses
 
-__all__ = ['Demand', 'free_per_s']
+__all__ = ['Demand', 'freed_tokens_per_s']
 
 # Requests come in waves of some ten seconds.
 WINDOW_S = 10.0
 # Arrivals kept: several times what one gateway takes in the window.
-MOST_ARRIVALS = 4096
+MAX_ARRIVALS = 4096
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -33,25 +33,27 @@
 
     def __init__(self) -> None:
         self._arrivals: collections.deque[_Arrival] = collections.deque(
-            maxlen=MOST_ARRIVALS
+            maxlen=MAX_ARRIVALS
         )
 
-    def note(self, now: float, priority: int, size: int, tokens: int) -> None:
+    def record_arrival(
+        self, now: float, priority: int, size: int, tokens: int
+    ) -> None:
         """Takes one that has come."""
         self._arrivals.append(_Arrival(now, priority, size, tokens))
 
-    def per_s(self, now: float) -> float:
+    def arrivals_per_s(self, now: float) -> float:
         """Returns how many come in a second."""
-        self._forget(now)
+        self._drop_old(now)
         return len(self._arrivals) / WINDOW_S
 
-    def ahead_per_s(self, now: float, priority: int, size: int) -> float:
+    def tokens_ahead_per_s(self, now: float, priority: int, size: int) -> float:
         """Returns the tokens a second that go ahead of a request.
 
         Only of its own urgency, and shorter: what is more urgent is over soon,
         and takes again what its like has just given back.
         """
-        self._forget(now)
+        self._drop_old(now)
         ahead = sum(
             one.tokens
             for one in self._arrivals
@@ -59,12 +61,12 @@
         )
         return ahead / WINDOW_S
 
-    def _forget(self, now: float) -> None:
+    def _drop_old(self, now: float) -> None:
         while self._arrivals and now - self._arrivals[0].at_s > WINDOW_S:
             self._arrivals.popleft()
 
 
-def free_per_s(
+def freed_tokens_per_s(
     held_tokens: int,
     mean_held_s: float,
     ahead_per_s: float,
@@ -79,5 +81,5 @@
       leaving_tokens_per_s: Memory that goes with its engines, and is not
         replaced.
     """
-    given_back = held_tokens / mean_held_s
-    return max(0.0, given_back - ahead_per_s - leaving_tokens_per_s)
+    freed = held_tokens / mean_held_s
+    return max(0.0, freed - ahead_per_s - leaving_tokens_per_s)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
@@ -6,7 +6,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from quetzalsill_gateway.balance import faults as faults_lib
+from quetzalsill_gateway.balance import failure_score
 from quetzalsill_gateway.fleet import held as held_lib
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
     Attributes:
       outstanding: Own calls that have not ended.
       mean_latency_s: Running mean of the time of a call.
-      faults: Failures of own calls, fading.
+      failures: Failures of own calls, fading.
       hangs: Own calls that went unanswered for long, fading.
       last_answered_sent_s: Loop time at which the newest call was sent that was
         answered.
@@ -88,11 +88,11 @@
 
     outstanding: int = 0
     mean_latency_s: float = INITIAL_LATENCY_S
-    faults: faults_lib.Faults = dataclasses.field(
-        default_factory=faults_lib.Faults
+    failures: failure_score.FailureScore = dataclasses.field(
+        default_factory=failure_score.FailureScore
     )
-    hangs: faults_lib.Faults = dataclasses.field(
-        default_factory=faults_lib.Faults
+    hangs: failure_score.FailureScore = dataclasses.field(
+        default_factory=failure_score.FailureScore
     )
     last_answered_sent_s: float = 0.0
     serves_streams: bool = False
@@ -152,18 +152,18 @@
 
     def recent_failures(self, now: float) -> float:
         """Returns the failures of own calls, faded to now."""
-        return self.faults.recent(now)
+        return self.failures.decayed(now)
 
     def fleet_failures(self, now: float) -> float:
         """Returns the failures that all gateways have seen of late."""
-        return self.faults.recent(now) + self.peer_load.failures
+        return self.failures.decayed(now) + self.peer_load.failures
 
     def fleet_hangs(self, now: float) -> float:
         """Returns the calls of all gateways that went unanswered of late.
 
         Only meant for plain upstreams: of them gateways tell nothing else.
         """
-        return self.hangs.recent(now) + self.peer_load.failures
+        return self.hangs.decayed(now) + self.peer_load.failures
 
     def published_failures(self, now: float) -> float:
         """Returns what to tell other gateways of failures here, in steps.
@@ -171,8 +171,8 @@
         Fading alone is then no news. A plain server's own failures go with the
         request; told, they would change with every other call.
         """
-        faults = self.faults if self.serves_streams else self.hangs
-        return round(faults.recent(now) * 2) / 2
+        score = self.failures if self.serves_streams else self.hangs
+        return round(score.decayed(now) * 2) / 2
 
     def set_peer_load(self, node: str, held: held_lib.Held) -> None:
         """Takes what another gateway holds here, in place of what it held.
@@ -197,7 +197,7 @@
 
     def record_failure(self, weight: float = 1.0) -> None:
         """Counts a failure of the upstream."""
-        self.faults.fail(asyncio.get_running_loop().time(), weight)
+        self.failures.record_failure(asyncio.get_running_loop().time(), weight)
 
     def record_hang(self, begun_s: float) -> None:
         """Counts a call that has gone unanswered for long.
@@ -209,7 +209,7 @@
           begun_s: Loop time at which it was sent.
         """
         if self.last_answered_sent_s < begun_s:
-            self.hangs.fail(asyncio.get_running_loop().time())
+            self.hangs.record_failure(asyncio.get_running_loop().time())
 
     def record_time_left(self, leaves_s: float | None) -> None:
         """Takes the time that an engine says it has left, if it does."""
@@ -220,7 +220,7 @@
 
     def record_latency(self, took_s: float) -> None:
         """Takes the time of a call that was answered."""
-        self.hangs.succeed()
+        self.hangs.record_success()
         begun_s = asyncio.get_running_loop().time() - took_s
         self.last_answered_sent_s = max(self.last_answered_sent_s, begun_s)
         self.mean_latency_s += LATENCY_WEIGHT * (took_s - self.mean_latency_s)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill.net import deadline
-from quetzalsill_gateway import event, meter, plain
+from quetzalsill_gateway import event, meter, unary
 from quetzalsill_gateway import exchange as exchange_lib
 from quetzalsill_gateway import routing_table as routing_lib
 from quetzalsill_gateway.http import message
@@ -66,7 +66,7 @@
     async def _forward(self, exchange: exchange_lib.Exchange) -> str:
         if exchange.route.kind.is_stream:
             return await relay.forward(self._core, exchange)
-        return await plain.forward(self._core, exchange)
+        return await unary.forward(self._core, exchange)
 
     def _admit(
         self, req: message.Request, responder: responder_lib.Responder
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -238,7 +238,7 @@
             0,
             self._held(),
             core.upstreams.leaving_keys(),
-            core.admission.waiting(),
+            core.admission.waiting_tokens(),
             core.link_queue.own(),
             core.health.is_down,
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -159,8 +159,8 @@
         request = self._req.id_text
         calls = self._core.calls
         stopped = await stop.stop(calls, leg.upstream, request, target)
-        grounds = at_most_once.to_go_on(
-            stopped.state, leg.made_s, is_copied=copied is not None
+        grounds = at_most_once.grounds_to_resume(
+            stopped.state, leg.made_s, has_copy=copied is not None
         )
         may_switch = grounds is not None and self._take_switch('recovery')
         event.note(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leg.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leg.py
@@ -54,7 +54,7 @@
     @property
     def continues(self) -> bool:
         """Whether the run goes on from memory."""
-        return self.grounds.goes_on
+        return self.grounds.resumes
 
     @property
     def made_s(self) -> float:
@@ -81,7 +81,7 @@
 
     head: message.ResponseHead
     body: bytes
-    verdict: attempt.Verdict
+    verdict: attempt.ResponseClass
 
 
 End = Refusal | error.CallError | str
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -205,7 +205,7 @@
         upstreams = self._core.upstreams.of(
             source.service, stream.exchange.regions
         )
-        found = choose.destinations(
+        found = choose.rank_destinations(
             filter(self._core.quota.allows, upstreams),
             self._core.stats_table,
             source,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -19,7 +19,7 @@
     meter,
     routing_table,
 )
-from quetzalsill_gateway.balance import note
+from quetzalsill_gateway.balance import choice_log
 from quetzalsill_gateway.http import error, message
 from quetzalsill_gateway.stream import continuation, events, live
 from quetzalsill_gateway.stream import leg as leg_lib
@@ -83,7 +83,7 @@
         self._avoid: frozenset[str] = frozenset()
         self._unreachable = 0
         kind = stream.exchange.route.kind
-        self._sends = at_most_once.Sends(kind.may_repeat)
+        self._sends = at_most_once.SendHistory(kind.may_repeat)
         self._continuation = continuation.Continuation(core, stream)
 
     async def run(self) -> str:
@@ -92,7 +92,7 @@
         end: leg_lib.End | None = None
         while leg is not None:
             end = await self._run_leg(leg)
-            self._sends.note(may_have_run=not leg_lib.is_not_run(end))
+            self._sends.record(may_have_run=not leg_lib.is_not_run(end))
             next_leg = await self._next_leg(leg, end)
             self._log_leg(leg, end, next_leg)
             if end is leg_lib.WHOLE and next_leg is None:
@@ -104,13 +104,13 @@
         return self._answer(end)
 
     async def _first_leg(self) -> leg_lib.Leg | None:
-        grounds = self._sends.to_begin()
+        grounds = self._sends.grounds_to_start()
         if grounds is None:
             return None
         req = self._req
         engine = req.service.engine or routing_table.Engine()
         reservation = self._stream.reservation
-        upstream = await self._core.admission.engine(
+        upstream = await self._core.admission.acquire_engine(
             req, engine, reservation, self._avoid
         )
         if upstream is None:
@@ -118,7 +118,7 @@
         self._avoid |= {upstream.id}
         self._core.quota.spend(upstream)
         needs = reservation.memory_tokens
-        note.chosen(self._core, req, upstream, needs)
+        choice_log.log_choice(self._core, req, upstream, needs)
         return self._continuation.begin(upstream, grounds)
 
     async def _run_leg(self, leg: leg_lib.Leg) -> leg_lib.End:
@@ -127,24 +127,24 @@
         core.live.place(stream, leg.upstream)
         core.live.back_up(stream, leg.backup)
         try:
-            async with attempt.opened(
+            async with attempt.send_request(
                 core,
                 req,
                 leg.upstream,
                 leg.extra,
                 continues=leg.continues,
             ) as sent:
-                if sent.verdict is not attempt.Verdict.SUCCESS:
+                if sent.response_class is not attempt.ResponseClass.SUCCESS:
                     # Another start at the address is always empty, and would
                     # get request after request that it turns away.
-                    if sent.verdict is not attempt.Verdict.NOT_RUN:
+                    if sent.response_class is not attempt.ResponseClass.NOT_RUN:
                         stats.record_failure()
                     body, _ = await attempt.read_body(sent.conn, HELD_BYTES)
-                    return leg_lib.Refusal(sent.head, body, sent.verdict)
+                    return leg_lib.Refusal(sent.head, body, sent.response_class)
                 leg.is_framed = sent.conn.is_framed
                 self._start(sent.head)
                 await self._pump(leg, sent.conn)
-                stats.faults.succeed()
+                stats.failures.record_success()
                 return leg_lib.WHOLE
         except error.NotSentError as exc:
             return exc
@@ -208,7 +208,7 @@
 
     def _may_send_again(self, end: leg_lib.End) -> bool:
         req, sends = self._req, self._sends
-        if sends.to_begin() is None:
+        if sends.grounds_to_start() is None:
             return False
         if isinstance(end, error.CallError) and not attempt.may_have_run(end):
             self._unreachable += 1
@@ -243,7 +243,7 @@
             return 'refused'
         if (
             isinstance(end, leg_lib.Refusal)
-            and end.verdict is attempt.Verdict.FAILED
+            and end.verdict is attempt.ResponseClass.FAILED
             and self._req.sends <= 1
         ):
             headers = message.relayed(end.head)
@@ -277,5 +277,5 @@
 
 def _is_misdirected(end: leg_lib.End) -> bool:
     """Whether another upstream answered than the one that was meant."""
-    wrong = attempt.Verdict.WRONG_UPSTREAM
+    wrong = attempt.ResponseClass.WRONG_UPSTREAM
     return isinstance(end, leg_lib.Refusal) and end.verdict is wrong
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plain.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
@@ -14,7 +14,7 @@
     exchange,
     meter,
 )
-from quetzalsill_gateway.balance import choose, note
+from quetzalsill_gateway.balance import choice_log, choose
 from quetzalsill_gateway.http import error, message
 
 if TYPE_CHECKING:
@@ -25,144 +25,156 @@
 
 # Larger bodies are passed on as they come, since a few of them would fill the
 # memory of an entry host; an answer so begun cannot be replaced by another.
-HELD_BYTES = 1_048_576
-MISDIRECTED_TRIES = 3
+MAX_BUFFERED_BYTES = 1_048_576
+MAX_MISDIRECTED_SENDS = 3
 # A call that may be repeated is given up at one upstream after this many times
 # the mean time there, when it is more likely to hang than to be slow.
-HANG_MEANS = 6.0
+HANG_LATENCY_FACTOR = 6.0
 # One that may not is told to hang after so many times that: taken for hanging
 # by mistake, a server that is only slow would leave its work to the others.
-TOLD_PATIENCES = 1.5
+HANG_REPORT_FACTOR = 1.5
 # A call waits for a connection for this share of its objective: told after it,
 # its caller still has time to ask another gateway.
-PLACE_SHARE = 0.5
-PLACE_POLL_S = 0.005
+CONNECTION_WAIT_SHARE = 0.5
+CONNECTION_POLL_S = 0.005
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 SERVER_ERROR = 500
-ANSWERS = (attempt.Verdict.SUCCESS, attempt.Verdict.FAILED)
+RELAYED_CLASSES = (attempt.ResponseClass.SUCCESS, attempt.ResponseClass.FAILED)
 
 
 @dataclasses.dataclass(slots=True)
-class _Answer:
+class _Response:
     head: message.ResponseHead
     body: bytes
-    verdict: attempt.Verdict
+    response_class: attempt.ResponseClass
 
 
 @dataclasses.dataclass(slots=True)
-class _Story:
+class _CallProgress:
     """What came of the sends of one call so far.
 
     Attributes:
-      sends: Whether any of them may have run the request.
+      history: Whether any of them may have run the request.
       tried: Ids of the upstreams that were tried.
-      newest: Result of the newest one.
-      best: The answer of a server to hand on: the newest, as a server's own
-        failure tells the caller more than one of ours.
+      latest: Result of the newest one.
+      last_response: The answer of a server to hand on: the newest, as a
+        server's own failure tells the caller more than one of ours.
       misdirected: Sends that reached nobody, or another than was meant.
     """
 
-    sends: at_most_once.Sends
+    history: at_most_once.SendHistory
     tried: frozenset[str] = frozenset()
-    newest: _Answer | error.CallError | None = None
-    best: _Answer | None = None
+    latest: _Response | error.CallError | None = None
+    last_response: _Response | None = None
     misdirected: int = 0
 
-    def note(self, result: _Answer | error.CallError) -> None:
+    def record(self, result: _Response | error.CallError) -> None:
         """Takes the result of a send."""
-        self.newest = result
+        self.latest = result
         if isinstance(result, error.CallError):
-            self.sends.note(may_have_run=attempt.may_have_run(result))
+            self.history.record(may_have_run=attempt.may_have_run(result))
         else:
-            self.sends.note(may_have_run=not result.verdict.is_not_run)
-            if result.verdict in ANSWERS:
-                self.best = result
+            self.history.record(
+                may_have_run=not result.response_class.is_not_run
+            )
+            if result.response_class in RELAYED_CLASSES:
+                self.last_response = result
         self.misdirected += self.is_misdirected
 
     @property
     def is_misdirected(self) -> bool:
         """Whether the newest send reached nobody, or another than meant."""
-        if isinstance(self.newest, error.CallError):
-            return not attempt.may_have_run(self.newest)
-        return self.newest.verdict is attempt.Verdict.WRONG_UPSTREAM
+        if isinstance(self.latest, error.CallError):
+            return not attempt.may_have_run(self.latest)
+        return (
+            self.latest.response_class is attempt.ResponseClass.WRONG_UPSTREAM
+        )
 
 
-class _PassedOnError(Exception):
+class _AlreadyRelayedError(Exception):
     """Ends the sends: an answer too large to hold has been written already."""
 
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
     """Brings a call to an upstream; returns its outcome for the log."""
     core.budget.note_request(req.service.name)
-    story = _Story(at_most_once.Sends(req.route.kind.may_repeat))
+    progress = _CallProgress(
+        at_most_once.SendHistory(req.route.kind.may_repeat)
+    )
     while True:
-        upstream = await _choose(core, req, story)
+        upstream = await _choose(core, req, progress)
         if upstream is None:
-            return _answer(req, story)
-        story.tried |= {upstream.id}
+            return _respond(req, progress)
+        progress.tried |= {upstream.id}
         core.quota.spend(upstream)
-        note.chosen(core, req, upstream)
+        choice_log.log_choice(core, req, upstream)
         try:
-            story.note(await _call(core, req, upstream))
-        except _PassedOnError:
+            progress.record(await _call(core, req, upstream))
+        except _AlreadyRelayedError:
             return 'served'
         except error.CallError as exc:
-            story.note(exc)
-        again = _may_send_again(core, req, story)
-        meter.attempts.inc({'result': _describe(story.newest)})
+            progress.record(exc)
+        again = _may_send_again(core, req, progress)
+        meter.attempts.inc({'result': _result_text(progress.latest)})
         event.note(
             event.AttemptEnded(
                 request=req.id_text,
                 upstream=upstream.id,
-                result=_describe(story.newest),
+                result=_result_text(progress.latest),
                 again=again,
             )
         )
         if not again:
-            return _answer(req, story)
+            return _respond(req, progress)
 
 
 async def _choose(
-    core: core_lib.Core, req: exchange.Exchange, story: _Story
+    core: core_lib.Core, req: exchange.Exchange, progress: _CallProgress
 ) -> upstream_lib.Upstream | None:
     """Returns where to send a call, None if nothing takes it in time.
 
     An upstream that hangs holds the connections that this gateway may have to
     it, and gets nothing more; where all are taken a call waits for a moment.
     """
-    end_s = req.request.received_s + PLACE_SHARE * req.route.objective_s
+    end_s = (
+        req.request.received_s + CONNECTION_WAIT_SHARE * req.route.objective_s
+    )
     while True:
-        found = core.upstreams.of(req.service.name, req.regions)
-        allowed = [one for one in found if core.quota.allows(one)]
-        upstream = choose.choose_plain(
+        candidates = core.upstreams.of(req.service.name, req.regions)
+        allowed = [one for one in candidates if core.quota.allows(one)]
+        upstream = choose.choose_for_call(
             allowed,
             core.stats_table,
             core.zone,
-            story.tried,
+            progress.tried,
             may_repeat=req.route.kind.may_repeat,
         )
         if upstream is not None or attempt.now() >= end_s:
             return upstream
-        if not any(choose.open_to_work(found, story.tried)):
+        if not any(choose.accepting_work(candidates, progress.tried)):
             return None
-        await asyncio.sleep(PLACE_POLL_S)
+        await asyncio.sleep(CONNECTION_POLL_S)
 
 
 async def _call(
     core: core_lib.Core, req: exchange.Exchange, upstream: upstream_lib.Upstream
-) -> _Answer:
+) -> _Response:
     stats = core.stats_table.of(upstream)
     stats.outstanding += 1
     begun_s = attempt.now()
-    patience_s = max(req.route.objective_s, HANG_MEANS * stats.mean_latency_s)
+    hang_after_s = max(
+        req.route.objective_s, HANG_LATENCY_FACTOR * stats.mean_latency_s
+    )
     # Told while it hangs: its deadline is far, and all gateways send there.
-    hanging = asyncio.get_running_loop().call_later(
-        TOLD_PATIENCES * patience_s, stats.record_hang, begun_s
+    hang_timer = asyncio.get_running_loop().call_later(
+        HANG_REPORT_FACTOR * hang_after_s, stats.record_hang, begun_s
     )
     try:
-        async with deadline.timeout(patience_s if _may_leave(req) else None):
-            answer = await _exchange(core, req, upstream)
+        async with deadline.timeout(
+            hang_after_s if _may_give_up(req) else None
+        ):
+            response = await _send(core, req, upstream)
     except error.NotSentError:
         raise
     except error.CallError:
@@ -174,35 +186,37 @@
         core.conns.drop(upstream.address)
         raise error.SilentError(upstream.address_text) from exc
     finally:
-        hanging.cancel()
+        hang_timer.cancel()
         stats.outstanding -= 1
     stats.record_latency(attempt.now() - begun_s)
-    if answer.verdict is not attempt.Verdict.SUCCESS:
+    if response.response_class is not attempt.ResponseClass.SUCCESS:
         stats.record_failure(0.3)
-    return answer
+    return response
 
 
-def _may_leave(req: exchange.Exchange) -> bool:
+def _may_give_up(req: exchange.Exchange) -> bool:
     """Whether a call may be given up where it hangs, and sent elsewhere."""
     is_last = req.sends + 1 >= req.route.attempts
     return req.route.kind.may_repeat and not is_last
 
 
-async def _exchange(
+async def _send(
     core: core_lib.Core, req: exchange.Exchange, upstream: upstream_lib.Upstream
-) -> _Answer:
-    async with attempt.opened(core, req, upstream, []) as sent:
-        body, whole = await attempt.read_body(sent.conn, HELD_BYTES)
-        if whole:
-            return _Answer(sent.head, body, sent.verdict)
-        if sent.verdict is not attempt.Verdict.SUCCESS:
+) -> _Response:
+    async with attempt.send_request(core, req, upstream, []) as sent:
+        body, is_complete = await attempt.read_body(
+            sent.conn, MAX_BUFFERED_BYTES
+        )
+        if is_complete:
+            return _Response(sent.head, body, sent.response_class)
+        if sent.response_class is not attempt.ResponseClass.SUCCESS:
             raise error.MalformedAnswerError('a failure with a large body')
-        await _pass_on(req, sent, body)
-    raise _PassedOnError
+        await _relay(req, sent, body)
+    raise _AlreadyRelayedError
 
 
-async def _pass_on(
-    req: exchange.Exchange, sent: attempt.Opened, body: bytes
+async def _relay(
+    req: exchange.Exchange, sent: attempt.SentRequest, body: bytes
 ) -> None:
     headers = message.relayed(sent.head)
     req.responder.start(sent.head.status, headers, sent.head.length)
@@ -214,58 +228,61 @@
 
 
 def _may_send_again(
-    core: core_lib.Core, req: exchange.Exchange, story: _Story
+    core: core_lib.Core, req: exchange.Exchange, progress: _CallProgress
 ) -> bool:
-    newest = story.newest
-    if req.responder.started or story.sends.to_begin() is None:
+    latest = progress.latest
+    if req.responder.started or progress.history.grounds_to_start() is None:
         return False
-    if story.is_misdirected:
-        if story.misdirected >= MISDIRECTED_TRIES:
+    if progress.is_misdirected:
+        if progress.misdirected >= MAX_MISDIRECTED_SENDS:
             return False
-        if not isinstance(newest, error.CallError):
+        if not isinstance(latest, error.CallError):
             core.budget.note_retry(req.service.name)
         return True
-    if not _is_worthwhile(newest) or req.sends >= req.route.attempts:
+    if not _may_succeed_elsewhere(latest) or req.sends >= req.route.attempts:
         return False
     return core.budget.spend(req.service.name)
 
 
-def _is_worthwhile(newest: _Answer | error.CallError) -> bool:
+def _may_succeed_elsewhere(latest: _Response | error.CallError) -> bool:
     """Whether another upstream may do better than the newest one."""
-    if isinstance(newest, error.CallError):
+    if isinstance(latest, error.CallError):
         return True
-    return newest.verdict is attempt.Verdict.NOT_RUN or _is_fault(newest)
+    return (
+        latest.response_class is attempt.ResponseClass.NOT_RUN
+        or _is_server_failure(latest)
+    )
 
 
-def _is_fault(result: _Answer) -> bool:
+def _is_server_failure(result: _Response) -> bool:
     return (
         result.head.status >= SERVER_ERROR
-        or result.verdict is attempt.Verdict.UNPROVED
+        or result.response_class is attempt.ResponseClass.UNPROVED
     )
 
 
-def _answer(req: exchange.Exchange, story: _Story) -> str:
+def _respond(req: exchange.Exchange, progress: _CallProgress) -> str:
     responder = req.responder
     if responder.started:
         responder.abort()
         return 'cut'
-    best = story.best
-    if best is not None:
+    last_response = progress.last_response
+    if last_response is not None:
         responder.reply(
-            best.head.status,
-            message.relayed(best.head),
-            best.body,
+            last_response.head.status,
+            message.relayed(last_response.head),
+            last_response.body,
         )
-        served = best.verdict is attempt.Verdict.SUCCESS
+        served = last_response.response_class is attempt.ResponseClass.SUCCESS
         return 'served' if served else 'upstream_failed'
-    if not story.sends.may_have_run:
+    if not progress.history.may_have_run:
         exchange.refuse(responder, UNAVAILABLE, 'not_run', again=True)
         return 'refused'
     exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
     return 'failed'
 
 
-def _describe(result: _Answer | error.CallError) -> str:
+def _result_text(result: _Response | error.CallError) -> str:
     if isinstance(result, error.CallError):
         return result.code
-    return f'{result.verdict.value}_{result.head.status}'
+    return f'{result.response_class.value}_{result.head.status}'
--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -10,8 +10,8 @@
 from quetzalsill_gateway.balance import (
     admission,
     forecast,
+    queue_entry,
     upstream_stats,
-    waiting,
 )
 from quetzalsill_gateway.fleet import revision, upstream
 from quetzalsill_gateway.http import message
@@ -80,7 +80,9 @@
 
     async def serve(self, name, req, tokens, engine):
         held = upstream_stats.Reservation(1000, tokens, is_prefilling=False)
-        found = await self.admission.engine(req, engine, held, frozenset())
+        found = await self.admission.acquire_engine(
+            req, engine, held, frozenset()
+        )
         if found is not None:
             self.served.append(name)
             self.stats.reservations.add(held)
@@ -160,7 +162,7 @@
 
     async def test_what_is_late_elsewhere_is_no_rival(self):
         self.stats.reservations.discard(self.full)
-        late = waiting.LATE_RANK
+        late = queue_entry.LATE_RANK
         self.stats_table.set_peer_waiting('entry-2', {'s': {late: 10**9}})
         self.assertIs(await self.ask('a'), self.engine)
 
@@ -187,11 +189,11 @@
         """
         self.stats_table.mean_held_s = 1.0
         admission = self.admission
-        admission._size('r', upstream_stats.Reservation(1000, 3000))
+        admission._size_class('r', upstream_stats.Reservation(1000, 3000))
         now = asyncio.get_running_loop().time()
         demand = admission._demand.setdefault('s', forecast.Demand())
         for _ in range(40):
-            demand.note(now, 1, 0, 10_000)
+            demand.record_arrival(now, 1, 0, 10_000)
         self.upstreams.confirm()
         patient = self.ask('patient', tokens=6000, objective_s=10.0)
         await asyncio.sleep(0.1)
@@ -257,7 +259,9 @@
         It holds the memory of three of them for as long as all three last.
         """
         for tokens in (1500, 6000):
-            self.admission._size('r', upstream_stats.Reservation(1000, tokens))
+            self.admission._size_class(
+                'r', upstream_stats.Reservation(1000, tokens)
+            )
         self.ask('long', tokens=6000)
         await asyncio.sleep(0.05)
         self.ask('short', tokens=1500)
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -107,7 +107,7 @@
         for _ in range(5):
             failing.record_failure()
         chosen = {
-            choose.choose_plain(self.found, self.stats_table, 'a').id
+            choose.choose_for_call(self.found, self.stats_table, 'a').id
             for _ in range(50)
         }
         self.assertNotIn('u-0', chosen)
@@ -125,7 +125,7 @@
 
         def chosen(may_repeat):
             return {
-                choose.choose_plain(
+                choose.choose_for_call(
                     near, self.stats_table, 'a', may_repeat=may_repeat
                 ).id
                 for _ in range(50)
@@ -154,7 +154,7 @@
         stats.record_hang(now + 0.5)
         self.assertGreater(stats.fleet_hangs(now), 0.0)
         chosen = {
-            choose.choose_plain(
+            choose.choose_for_call(
                 self.found[:3], self.stats_table, 'a', may_repeat=False
             ).id
             for _ in range(50)
@@ -182,7 +182,7 @@
         Each taking the emptiest engine, every run would go through one link.
         """
         chosen = collections.Counter(
-            choose.destinations(
+            choose.rank_destinations(
                 self.found,
                 self.stats_table,
                 self.found[0],
@@ -198,7 +198,7 @@
     async def test_a_run_leaves_its_zone_only_if_there_is_no_room(self):
         self.hold(1, 9000, 3)
         self.hold(2, 9000, 3)
-        order = choose.destinations(
+        order = choose.rank_destinations(
             self.found, self.stats_table, self.found[0], ENGINE, b'r', 4000
         )
         self.assertEqual(order[0].availability_zone, 'b')
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -84,7 +84,7 @@
         new = self.upstreams.get('u-1')
         self.assertTrue(old.gone)
         self.assertFalse(new.leaving)
-        self.assertEqual(stats_table.of(new).faults.score, 0.0)
+        self.assertEqual(stats_table.of(new).failures.score, 0.0)
         self.upstreams.hear_leaving((old.key,), 'entry-2')
         self.assertFalse(new.leaving)
         self.upstreams.hear_leaving((new.key,), 'entry-2')
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -132,7 +132,7 @@
             route=types.SimpleNamespace(kind=routing_table.Kind.IDEMPOTENT)
         )
         with self.assertRaises(error.ClosedError) as caught:
-            async with attempt.opened(core, req, found, []):
+            async with attempt.send_request(core, req, found, []):
                 self.fail('it was sent')
         self.assertFalse(attempt.may_have_run(caught.exception))
 
--- a/tests/quetzalsill_platform/test_plain_calls.py
+++ b/tests/quetzalsill_platform/test_plain_calls.py
@@ -245,7 +245,7 @@
             if stats_table.of(desk).outstanding
         ]
         stats = stats_table.of(hung)
-        await self.until(lambda: stats.hangs.in_a_row)
+        await self.until(lambda: stats.hangs.consecutive)
         self.assertEqual(stats.outstanding, 1)
 
     async def test_a_call_waits_for_a_moment_for_a_connection(self):
