--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -54,8 +54,8 @@
     ),
     'backups': _gateway(
         'balance/backup.py',
-        'return pages.run_s(reservation) >= LEAST',
-        'return False and LEAST',
+        'return stats_table.generation_s(reservation) >= MIN',
+        'return False and MIN',
     ),
     'moves': _gateway(
         'stream/migration.py',
@@ -83,12 +83,14 @@
         'return is_full, False, drawn',
     ),
     'failures-of-all': _gateway(
-        'balance/book.py',
-        'sum(one.failures for one in told)',
+        'balance/upstream_stats.py',
+        'sum(one.failures for one in loads)',
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/faults.py', 'FAULTY = 1.5', 'FAULTY = 1e9'
+        'balance/failure_score.py',
+        'FAULTY_SCORE = 1.5',
+        'FAULTY_SCORE = 1e9',
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
@@ -101,7 +103,9 @@
         'if True or not engine.memory_tokens:',
     ),
     'ranks-by-size': _gateway(
-        'balance/waiting.py', 'SIZES = (0.7, 1.4)', 'SIZES = ()'
+        'balance/queue_entry.py',
+        'SIZE_BOUNDS = (0.7, 1.4)',
+        'SIZE_BOUNDS = ()',
     ),
     'lots-for-room': _gateway(
         'balance/search.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -240,7 +240,7 @@
             0,
             self._usage(),
             core.upstreams.leaving_keys(),
-            core.admission.waiting(),
+            core.admission.waiting_tokens(),
             core.link_queue.own(),
             core.health.is_down,
         )
@@ -313,10 +313,10 @@
         core = self._core
         core.members.mark_seen((node,), now)
         if told.is_full:
-            core.pages.hear(node, told.usage)
+            core.stats_table.replace_peer_loads(node, told.usage)
         else:
-            core.pages.hear_changes(node, told.usage)
-        core.pages.hear_waiting(node, told.waiting)
+            core.stats_table.update_peer_loads(node, told.usage)
+        core.stats_table.set_peer_waiting(node, told.waiting)
         core.link_queue.hear(node, told.moving)
         core.health.hear(node, is_down=told.is_store_unavailable)
         core.upstreams.receive_leaving(told.leaving, node)
@@ -337,14 +337,14 @@
     def _usage(self) -> dict[str, usage_lib.Usage]:
         held = {}
         now = asyncio.get_running_loop().time()
-        for key, page in self._core.pages.items():
-            failures = page.shown_failures(now)
-            if page.reservations or page.copies or failures:
+        for key, stats in self._core.stats_table.items():
+            failures = stats.published_failures(now)
+            if stats.reservations or stats.backup_reservations or failures:
                 held[key] = usage_lib.Usage(
-                    page.own_tokens,
-                    page.own_reading,
-                    len(page.reservations),
-                    page.own_copied,
+                    stats.own_tokens,
+                    stats.own_prefill_tokens,
+                    len(stats.reservations),
+                    stats.own_backup_tokens,
                     failures,
                 )
         return held
@@ -352,8 +352,8 @@
     def _forget_silent(self, now: float) -> None:
         core = self._core
         for node in self._peers.remove_expired(now):
-            core.pages.hear(node, {})
-            core.pages.hear_waiting(node, {})
+            core.stats_table.replace_peer_loads(node, {})
+            core.stats_table.set_peer_waiting(node, {})
             core.link_queue.hear(node, {})
             core.health.hear(node, is_down=False)
             event.note(event.PeerLost(node, len(self._peers)))
--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import delta, state
@@ -78,7 +78,7 @@
         With every whole, at the latest, the hearer knows what the teller holds.
         """
         rng = random.Random(3)
-        heard = book.Book()
+        heard = upstream_stats.StatsTable()
         held = {}
         now = 5.0
         for _ in range(400):
@@ -90,13 +90,14 @@
             if told is None or (not told.is_full and rng.random() < 0.2):
                 continue
             if told.is_full:
-                heard.hear('entry-1', told.usage)
+                heard.replace_peer_loads('entry-1', told.usage)
                 for name in 'abcdef':
                     self.assertEqual(
-                        heard._page(name).reserved_tokens, there.get(name, 0)
+                        heard._get_or_create(name).reserved_tokens,
+                        there.get(name, 0),
                     )
             else:
-                heard.hear_changes('entry-1', told.usage)
+                heard.update_peer_loads('entry-1', told.usage)
 
 
 if __name__ == '__main__':
