--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -120,7 +120,7 @@
         'stream/continuation.py', 'RANK_STEP = 2', 'RANK_STEP = 0'
     ),
     'asking-in-an-outage': _gateway(
-        'stream/lookout.py',
+        'stream/engine_poll.py',
         'await core.health.until_down()',
         'await asyncio.Event().wait()',
     ),
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
@@ -120,7 +120,7 @@
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.pages)
         core.members = members.Members(node)
         core.quota = None
         core.admission = admission.Admission(
@@ -147,21 +147,25 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _begin(
-        self, found: live.Live, per_s: float, lasts_s: float, backed_up: bool
+        self,
+        found: live.LiveStreams,
+        per_s: float,
+        lasts_s: float,
+        backed_up: bool,
     ) -> None:
         while True:
             await asyncio.sleep(self.rng.expovariate(per_s))
             self._spawn(self._generation(found, lasts_s, backed_up))
 
     async def _generation(
-        self, found: live.Live, lasts_s: float, backed_up: bool
+        self, found: live.LiveStreams, lasts_s: float, backed_up: bool
     ) -> None:
         stream = live.Stream(None, None, book.Reservation(2000, 3000))
         engine, other = self.rng.choices(self._engines, k=2)
         found.place(stream, engine)
-        found.back_up(stream, other if backed_up else None)
+        found.set_backup(stream, other if backed_up else None)
         await asyncio.sleep(READ_S)
-        found.note_read(stream)
+        found.note_prefilled(stream)
         await asyncio.sleep(lasts_s * self.rng.uniform(0.5, 1.5))
         found.end(stream)
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
@@ -51,7 +51,7 @@
     pages: book.Book
     conns: pool.Pool
     budget: retry_budget.RetryBudget
-    live: live.Live
+    live: live.LiveStreams
     members: members.Members
     quota: quota.Quota
     ends_at_s: float | None = None
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -239,7 +239,7 @@
             self._held(),
             core.upstreams.leaving_keys(),
             core.admission.waiting(),
-            core.link_queue.own(),
+            core.link_queue.own_moves(),
             core.health.is_down,
         )
 
@@ -315,7 +315,7 @@
         else:
             core.pages.hear_changes(node, told.held)
         core.pages.hear_waiting(node, told.waiting)
-        core.link_queue.hear(node, told.moving)
+        core.link_queue.receive(node, told.moving)
         core.health.hear(node, is_down=told.is_store_away)
         core.upstreams.hear_leaving(told.leaving, node)
 
@@ -352,6 +352,6 @@
         for node in self._roster.forget_silent(now):
             core.pages.hear(node, {})
             core.pages.hear_waiting(node, {})
-            core.link_queue.hear(node, {})
+            core.link_queue.receive(node, {})
             core.health.hear(node, is_down=False)
             event.note(event.PeerLost(node, len(self._roster)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
@@ -45,7 +45,7 @@
     held: dict[str, held_lib.Held]
     leaving: tuple[str, ...] = ()
     waiting: held_lib.Waiting = dataclasses.field(default_factory=dict)
-    moving: link_queue.Moving = dataclasses.field(default_factory=dict)
+    moving: link_queue.PendingMoves = dataclasses.field(default_factory=dict)
     is_store_away: bool = False
     is_whole: bool = True
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -24,7 +24,7 @@
 from quetzalsill_gateway.fleet import members, quota, revision, upstream
 from quetzalsill_gateway.http import listener, pool
 from quetzalsill_gateway.peers import exchange as peer_exchange
-from quetzalsill_gateway.stream import live, lookout
+from quetzalsill_gateway.stream import engine_poll, live
 from quetzalsill_gateway.watch import configuration, membership, news
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
             pages=pages,
             conns=conns,
             budget=_budget(settings.retry),
-            live=live.Live(pages),
+            live=live.LiveStreams(pages),
             members=gateways,
             quota=quota.Quota(
                 holder,
@@ -145,7 +145,7 @@
             'membership': self.membership.run,
             'callers': self.callers.watch,
             'readiness': self.asked.watch,
-            'lookout': lambda: lookout.watch(self.core),
+            'lookout': lambda: engine_poll.run(self.core),
         }
         if self._settings.peers:
             await self.peers.open(settings_lib.address(self._settings.peers))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -15,8 +15,8 @@
 from quetzalsill_gateway import at_most_once, event
 from quetzalsill_gateway.balance import backup
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import leg as leg_lib
 from quetzalsill_gateway.stream import live, stop
+from quetzalsill_gateway.stream import segment as segment_lib
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -45,7 +45,7 @@
 
 
 class Continuation:
-    """Decides where one stream's run goes on, and prepares its legs."""
+    """Decides where one stream's run goes on, and prepares its segments."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
@@ -54,37 +54,40 @@
         self._switches = 0
         self._source: upstream_lib.Upstream | None = None
         self._handle = ''
-        self._late_switch: asyncio.Future[live.Ordered] | None = None
+        self._late_switch: asyncio.Future[live.StopOutcome] | None = None
 
     def begin(
         self, upstream: upstream_lib.Upstream, grounds: at_most_once.Grounds
-    ) -> leg_lib.Leg:
-        """Returns the leg of a run that begins."""
-        return self._leg(upstream, [self._priority()], grounds)
+    ) -> segment_lib.Segment:
+        """Returns the segment of a run that begins."""
+        return self._segment(upstream, [self._priority()], grounds)
 
     async def after(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> leg_lib.Leg | None:
-        """Returns the leg in which the run goes on; None if it does not.
+        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+    ) -> segment_lib.Segment | None:
+        """Returns the segment in which the run goes on; None if it does not.
 
         A run may end while an order to stop it is still under way. Taken for
         stopped, it would be sent to a destination that has dropped the copy
         by then, and a caller who has the whole answer would be cut off.
         """
-        if end is leg_lib.WHOLE and leg.is_framed:
+        if end is segment_lib.COMPLETE and segment.is_framed:
             return None
-        copied = self._stream.copied
-        ordered = await self._ordered(leg, end)
+        copied = self._stream.precopy
+        ordered = await self._ordered(segment, end)
         # Its stream may end with its connection, and then tells nothing.
-        leg.may_be_stopped = ordered not in (None, live.NoSwitch.NOT_STOPPED)
-        if isinstance(ordered, live.Switch) and self._take_switch('move'):
+        segment.may_have_stopped = ordered not in (
+            None,
+            live.StopFailure.NOT_STOPPED,
+        )
+        if isinstance(ordered, live.ResumePoint) and self._take_switch('move'):
             return self._from_copy(ordered)
-        if end is leg_lib.WHOLE:
+        if end is segment_lib.COMPLETE:
             return None
-        if leg_lib.is_not_run(end):
-            return await self._after_refused() if leg.continues else None
+        if segment_lib.is_not_run(end):
+            return await self._after_refused() if segment.continues else None
         if isinstance(end, error.CallError):
-            return await self._recovered(leg, copied)
+            return await self._recovered(segment, copied)
         return None
 
     def resume_after(self) -> message.Headers:
@@ -102,8 +105,8 @@
         return True
 
     async def _ordered(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> live.Ordered | None:
+        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+    ) -> live.StopOutcome | None:
         """Returns what an order to stop the run there came to, if there is one.
 
         An order to an engine from which the run has gone since, to its backup
@@ -115,10 +118,10 @@
         or never get it, so that only its answer counts.
         """
         stream = self._stream
-        pending, copied = stream.switch, stream.copied
+        pending, copied = stream.pending_stop, stream.precopy
         if pending is None:
             return None
-        stream.switch = stream.copied = None
+        stream.pending_stop = stream.precopy = None
         if isinstance(end, error.TruncatedError) and end.was_reset:
             copied = None
         patience_s = LAST_COPY_S if copied else SWITCH_S
@@ -128,8 +131,8 @@
             # The last copy waits for a link that is busy with others.
             ordered, late = copied, pending
         is_other = (
-            isinstance(ordered, live.Switch)
-            and ordered.source is not leg.upstream
+            isinstance(ordered, live.ResumePoint)
+            and ordered.source is not segment.upstream
         )
         if is_other:
             return None
@@ -137,8 +140,8 @@
         return ordered
 
     async def _recovered(
-        self, leg: leg_lib.Leg, copied: live.Switch | None
-    ) -> leg_lib.Leg | None:
+        self, segment: segment_lib.Segment, copied: live.ResumePoint | None
+    ) -> segment_lib.Segment | None:
         """Goes on with a run whose stream broke off, where it surely may.
 
         The connection may have broken although the engine lives and works on:
@@ -146,31 +149,31 @@
         ordered to stop it first.
 
         Args:
-          leg: The part that broke off.
+          segment: The part that broke off.
           copied: The first copy of a move that has not come to its last one.
         """
         # Left to the move, the copy would be freed once the run has gone.
-        self._stream.copied = None
-        if copied is not None and copied.source is not leg.upstream:
+        self._stream.precopy = None
+        if copied is not None and copied.source is not segment.upstream:
             copied = None
         target = copied.target if copied else self._stream.backup
         if target is None or target.gone:
             return None
         request = self._req.id_text
         calls = self._core.calls
-        stopped = await stop.stop(calls, leg.upstream, request, target)
+        stopped = await stop.stop(calls, segment.upstream, request, target)
         grounds = at_most_once.to_go_on(
-            stopped.state, leg.made_s, is_copied=copied is not None
+            stopped.state, segment.active_s, is_copied=copied is not None
         )
         may_switch = grounds is not None and self._take_switch('recovery')
         event.note(
             event.RunBrokeOff(
                 request=request,
-                source=leg.upstream.id,
+                source=segment.upstream.id,
                 target=target.id,
                 stop=stopped.state.value,
-                events=leg.events,
-                made_ms=round(leg.made_s * MS_PER_S, 1),
+                events=segment.event_count,
+                made_ms=round(segment.active_s * MS_PER_S, 1),
                 grounds=grounds.value if may_switch else '',
                 answer=stopped.move.code,
             )
@@ -181,28 +184,28 @@
             return self._continued(target, target, request, grounds)
         if stopped.state is not at_most_once.RunState.STOPPED:
             return self._from_copy(copied)
-        where = target if stopped.move.copied else leg.upstream
+        where = target if stopped.move.copied else segment.upstream
         return self._from_copy(
-            live.Switch(leg.upstream, where, stopped.move.handle)
+            live.ResumePoint(segment.upstream, where, stopped.move.handle)
         )
 
-    async def _after_refused(self) -> leg_lib.Leg | None:
+    async def _after_refused(self) -> segment_lib.Segment | None:
         """Goes on elsewhere when the destination did not take the run."""
         pending, self._late_switch = self._late_switch, None
         if pending is not None:
             switch = await _settled(pending, SWITCH_S)
-            if isinstance(switch, live.Switch):
+            if isinstance(switch, live.ResumePoint):
                 return self._from_copy(switch)
         return self._back_to_source()
 
-    def _back_to_source(self) -> leg_lib.Leg | None:
+    def _back_to_source(self) -> segment_lib.Segment | None:
         """The destination did not take the run: it goes on where it was."""
         source = self._source
         if self._stream.upstream is source or not self._take_switch('move'):
             return None
-        return self._from_copy(live.Switch(source, source, self._handle))
+        return self._from_copy(live.ResumePoint(source, source, self._handle))
 
-    def _from_copy(self, switch: live.Switch) -> leg_lib.Leg:
+    def _from_copy(self, switch: live.ResumePoint) -> segment_lib.Segment:
         """Goes on from a copy that an engine has named."""
         return self._continued(
             switch.target,
@@ -217,7 +220,7 @@
         holder: upstream_lib.Upstream,
         handle: str,
         grounds: at_most_once.Grounds,
-    ) -> leg_lib.Leg:
+    ) -> segment_lib.Segment:
         dialect = self._core.dialect
         extra = [
             self._priority(),
@@ -227,24 +230,24 @@
         self._source = holder
         self._handle = handle
         # An order that was given meanwhile is for where the run was.
-        self._stream.switch = None
-        return self._leg(target, extra, grounds)
+        self._stream.pending_stop = None
+        return self._segment(target, extra, grounds)
 
-    def _leg(
+    def _segment(
         self,
         upstream: upstream_lib.Upstream,
         extra: message.Headers,
         grounds: at_most_once.Grounds,
-    ) -> leg_lib.Leg:
-        """Returns a leg, with a backup if one is worth it."""
-        leg = leg_lib.Leg(upstream, extra, grounds)
+    ) -> segment_lib.Segment:
+        """Returns a segment, with a backup if one is worth it."""
+        segment = segment_lib.Segment(upstream, extra, grounds)
         stream, req, pages = self._stream, self._req, self._core.pages
         engine = req.service.engine
         if engine is None or not engine.backups or req.route.kind.may_repeat:
-            return leg
+            return segment
         if not backup.is_worthwhile(engine, pages, stream.reservation):
-            return leg
-        leg.backup = backup.destination(
+            return segment
+        segment.backup = backup.destination(
             self._core.upstreams.of(upstream.service, req.regions),
             pages,
             upstream,
@@ -252,10 +255,10 @@
             req.request_id,
             stream.reservation.memory_tokens,
         )
-        if leg.backup is not None:
-            address = leg.backup.address_text.encode()
+        if segment.backup is not None:
+            address = segment.backup.address_text.encode()
             extra.append((self._core.dialect.backup, address))
-        return leg
+        return segment
 
     def _priority(self) -> tuple[bytes, bytes]:
         rank = FIRST_RANK + RANK_STEP * self._req.priority
@@ -263,8 +266,8 @@
 
 
 async def _settled(
-    pending: asyncio.Future[live.Ordered], patience_s: float
-) -> live.Ordered:
+    pending: asyncio.Future[live.StopOutcome], patience_s: float
+) -> live.StopOutcome:
     """Returns what an order came to, if there is word of it in time.
 
     A process that is paused wakes to the answer and to the end of its patience
@@ -274,4 +277,4 @@
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(patience_s):
             await asyncio.shield(pending)
-    return pending.result() if pending.done() else live.NoSwitch.NO_WORD
+    return pending.result() if pending.done() else live.StopFailure.NO_RESPONSE
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -19,7 +19,7 @@
     from quetzalsill_gateway import core as core_lib
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
-__all__ = ['watch']
+__all__ = ['run']
 
 # An engine goes 1.5 s after its notice at the soonest, and its report is half
 # a second old; asked this often, a second is left to move its runs.
@@ -29,7 +29,7 @@
 UNTOLD_S = 0.6
 
 
-async def watch(core: core_lib.Core) -> None:
+async def run(core: core_lib.Core) -> None:
     """Asks while the membership source is away; runs until cancelled."""
     while True:
         await core.health.until_down()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/departure.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leaving_engine.py
@@ -11,7 +11,7 @@
     from quetzalsill_gateway.fleet import upstream as upstream_lib
     from quetzalsill_gateway.stream import live
 
-__all__ = ['Departure']
+__all__ = ['LeavingEngine']
 
 # Shortest notice given; an engine that does not say when it goes is taken to
 # go then.
@@ -25,34 +25,34 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Departure:
+class LeavingEngine:
     """An engine that leaves.
 
     Attributes:
-      source: The engine.
-      engine: What engines of its service have.
-      begun_s: Loop time at which its leaving was learned.
+      upstream: The engine.
+      spec: What engines of its service have.
+      noticed_at_s: Loop time at which its leaving was learned.
       page: What is known of the engine.
       tokens: Tokens in memory of its runs, by request, as it reported.
     """
 
-    source: upstream_lib.Upstream
-    engine: routing_table.Engine
-    begun_s: float
+    upstream: upstream_lib.Upstream
+    spec: routing_table.Engine
+    noticed_at_s: float
     page: book.Page
     tokens: dict[str, int]
 
     @property
     def leaves_at_s(self) -> float:
         """Loop time at which it goes."""
-        return self.page.leaves_at_s or self.begun_s + LEAST_NOTICE_S
+        return self.page.leaves_at_s or self.noticed_at_s + LEAST_NOTICE_S
 
-    def held(self, stream: live.Stream) -> int:
+    def memory_tokens(self, stream: live.Stream) -> int:
         """Returns a run's tokens in memory, of late."""
         reported = self.tokens.get(stream.exchange.id_text, 0)
         return max(reported, stream.prompt.input_tokens)
 
-    def move_s(self, stream: live.Stream, *, crossing: bool = True) -> float:
+    def move_s(self, stream: live.Stream, *, cross_zone: bool = True) -> float:
         """Returns how long a move takes on a free link, in seconds."""
-        copy_s = GROWTH * self.engine.copy_s(self.held(stream))
-        return copy_s * (CROSSING if crossing else 1.0) + LAST_S
+        copy_s = GROWTH * self.spec.copy_s(self.memory_tokens(stream))
+        return copy_s * (CROSSING if cross_zone else 1.0) + LAST_S
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
@@ -15,25 +15,25 @@
 
 import dataclasses
 
-__all__ = ['LinkQueue', 'Moving', 'Place']
+__all__ = ['LinkQueue', 'PendingMoves', 'Position']
 
 # Runs that a gateway has still to move, with their tokens in memory: by
 # upstream key and request id.
-Moving = dict[str, dict[str, int]]
+PendingMoves = dict[str, dict[str, int]]
 
 # Told in place of its tokens for a run that is on the link.
-BEGUN = 0
+IN_PROGRESS = 0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
-class Place:
+class Position:
     """A run's place in the order.
 
     The smallest comes first, since most are saved in that order where the time
     does not suffice for all.
 
     Attributes:
-      tokens: Its tokens in memory; `BEGUN` if it is on the link.
+      tokens: Its tokens in memory; `IN_PROGRESS` if it is on the link.
       request: Its request id, which decides between equals.
     """
 
@@ -45,21 +45,21 @@
     """Runs that are still to be moved, of this gateway and of the others."""
 
     def __init__(self) -> None:
-        self._own: Moving = {}
-        self._others: dict[str, Moving] = {}
-        self._heads: dict[str, tuple[Place, float]] = {}
+        self._own: PendingMoves = {}
+        self._others: dict[str, PendingMoves] = {}
+        self._heads: dict[str, tuple[Position, float]] = {}
         self._skipped: dict[str, set[str]] = {}
 
     def add(self, key: str, request: str, tokens: int) -> None:
         """Enters a run of this gateway."""
         self._own.setdefault(key, {})[request] = tokens
 
-    def begin(self, key: str, request: str) -> None:
+    def start(self, key: str, request: str) -> None:
         """Notes that a run of this gateway is on the link now.
 
         It stays ahead of smaller ones that are entered meanwhile.
         """
-        self._own.setdefault(key, {})[request] = BEGUN
+        self._own.setdefault(key, {})[request] = IN_PROGRESS
 
     def remove(self, key: str, request: str) -> None:
         """Takes a run of this gateway out: it was moved, or given up."""
@@ -68,11 +68,11 @@
         if not own:
             self._own.pop(key, None)
 
-    def own(self) -> Moving:
+    def own_moves(self) -> PendingMoves:
         """Returns what the other gateways are told."""
         return {upstream: dict(runs) for upstream, runs in self._own.items()}
 
-    def hear(self, node: str, moving: Moving) -> None:
+    def receive(self, node: str, moving: PendingMoves) -> None:
         """Takes all that another gateway has to move."""
         if moving:
             self._others[node] = moving
@@ -116,10 +116,10 @@
             skipped.add(head.request)
         return False
 
-    def _places(self, key: str) -> list[Place]:
+    def _places(self, key: str) -> list[Position]:
         every = [self._own, *self._others.values()]
         return [
-            Place(tokens, request)
+            Position(tokens, request)
             for moving in every
             for request, tokens in moving.get(key, {}).items()
         ]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -15,27 +15,27 @@
     from quetzalsill_gateway import exchange as exchange_lib
     from quetzalsill_gateway.fleet import upstream as upstream_lib
 
-__all__ = ['Live', 'NoSwitch', 'Ordered', 'Stream', 'Switch']
+__all__ = ['LiveStreams', 'ResumePoint', 'StopFailure', 'StopOutcome', 'Stream']
 
 # The caller's guess is right at the median; one run in a few is longer.
 HINT_MARGIN = 1.3
 UNHINTED_SHARE = 0.5
 
 
-class NoSwitch(enum.Enum):
+class StopFailure(enum.Enum):
     """What an order to stop a run came to that gives it no place to go on.
 
     Attributes:
       NOT_STOPPED: Whoever answers at the source has not stopped it.
-      NO_WORD: Nobody knows: there was no answer.
+      NO_RESPONSE: Nobody knows: there was no answer.
     """
 
     NOT_STOPPED = 'not_stopped'
-    NO_WORD = 'no_word'
+    NO_RESPONSE = 'no_word'
 
 
 @dataclasses.dataclass(slots=True)
-class Switch:
+class ResumePoint:
     """Where a run goes on after it was stopped at its source.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 
 # What an order to stop a run comes to.
-Ordered = Switch | NoSwitch
+StopOutcome = ResumePoint | StopFailure
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -64,10 +64,11 @@
       upstream: Where it runs; None before the first send.
       backup: Upstream that gets a copy of its memory as it grows.
       last_id: Number of the last event written to the caller; None at first.
-      switch: Set while its run is being stopped in order to go on elsewhere.
-      copied: Where it can go on, less a few tokens, once it has stopped.
+      pending_stop: Set while its run is being stopped in order to go on
+        elsewhere.
+      precopy: Where it can go on, less a few tokens, once it has stopped.
       placed_at_s: Loop time at which it was first sent; None before.
-      reading_since: Prompt tokens that were ahead of its own at its upstream,
+      prefill_since: Prompt tokens that were ahead of its own at its upstream,
         and the loop time of that.
       ended: Nothing of it is relayed any more.
     """
@@ -78,14 +79,14 @@
     upstream: upstream_lib.Upstream | None = None
     backup: upstream_lib.Upstream | None = None
     last_id: int | None = None
-    switch: asyncio.Future[Ordered] | None = None
-    copied: Switch | None = None
+    pending_stop: asyncio.Future[StopOutcome] | None = None
+    precopy: ResumePoint | None = None
     placed_at_s: float | None = None
-    reading_since: tuple[int, float] = (0, 0.0)
+    prefill_since: tuple[int, float] = (0, 0.0)
     ended: bool = False
 
 
-class Live:
+class LiveStreams:
     """Streams by upstream, with what they hold there."""
 
     def __init__(self, pages: book.Book) -> None:
@@ -117,7 +118,7 @@
         page = self._pages.page(upstream)
         page.makes_streams = True
         page.reservations.add(stream.reservation)
-        self.changed()
+        self.notify_changed()
 
     def release(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
         """Takes `hold` back, unless the stream has gone there."""
@@ -125,7 +126,7 @@
             page = self._pages.page(upstream)
             page.reservations.discard(stream.reservation)
 
-    def back_up(
+    def set_backup(
         self, stream: Stream, upstream: upstream_lib.Upstream | None
     ) -> None:
         """Notes where a copy of a stream's memory is kept from now on."""
@@ -137,7 +138,7 @@
         if upstream is not None:
             self._pages.page(upstream).copies.add(stream.reservation)
 
-    def changed(self, *, is_urgent: bool = False) -> None:
+    def notify_changed(self, *, is_urgent: bool = False) -> None:
         """Lets the other gateways be told: soon, or at once."""
         if self._on_changed is not None:
             self._on_changed(is_urgent)
@@ -151,16 +152,16 @@
             stream.placed_at_s = now
         if stream.reservation.is_reading:
             ahead = self._pages.page(upstream).reading_tokens
-            stream.reading_since = (ahead, now)
+            stream.prefill_since = (ahead, now)
         self._streams.setdefault(upstream.key, set()).add(stream)
         self.hold(stream, upstream)
         if upstream.leaving and self._on_leaving is not None:
             self._on_leaving(upstream)
 
-    def note_read(self, stream: Stream) -> None:
+    def note_prefilled(self, stream: Stream) -> None:
         """Notes that an upstream has read a stream's prompt."""
         stream.reservation.is_reading = False
-        ahead, since_s = stream.reading_since
+        ahead, since_s = stream.prefill_since
         took_s = asyncio.get_running_loop().time() - since_s
         tokens = ahead + stream.reservation.prompt_tokens
         self._pages.note_read(tokens, took_s)
@@ -168,7 +169,7 @@
     def end(self, stream: Stream) -> None:
         """Notes that a stream has ended, and for how long it held memory."""
         stream.ended = True
-        self.back_up(stream, None)
+        self.set_backup(stream, None)
         self.remove(stream)
         if stream.placed_at_s is not None:
             held_s = asyncio.get_running_loop().time() - stream.placed_at_s
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -20,8 +20,7 @@
 from quetzalsill_gateway import attempt, event, meter
 from quetzalsill_gateway.balance import book, choose
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import departure as departure_lib
-from quetzalsill_gateway.stream import live
+from quetzalsill_gateway.stream import leaving_engine, live
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -89,15 +88,15 @@
             runs = report.runs if report else ()
             tokens = {run.request_id: run.tokens for run in runs}
             page = self._core.pages.page(source)
-            departure = departure_lib.Departure(
+            leaving = leaving_engine.LeavingEngine(
                 source, engine, begun_s, page, tokens
             )
-            self._note_start(departure)
+            self._note_start(leaving)
             self._spawn(self._ask_again(source))
             while attempt.now() < begun_s + SEARCH_S:
                 for stream in self._unprotected(source):
                     self._moving.add(stream)
-                    self._spawn(self._move(stream, departure))
+                    self._spawn(self._move(stream, leaving))
                 await asyncio.sleep(SEARCH_EVERY_S)
                 if not self._core.live.of(source):
                     return
@@ -105,13 +104,13 @@
             self._running.discard(source.key)
             self._core.link_queue.forget(source.key)
 
-    def _note_start(self, departure: departure_lib.Departure) -> None:
-        left_s = departure.leaves_at_s - departure.begun_s
-        source = departure.source
+    def _note_start(self, leaving: leaving_engine.LeavingEngine) -> None:
+        left_s = leaving.leaves_at_s - leaving.noticed_at_s
+        source = leaving.upstream
         event.note(
             event.MigrationStarted(
                 upstream=source.id,
-                runs=len(departure.tokens),
+                runs=len(leaving.tokens),
                 own=len(self._core.live.of(source)),
                 unprotected=len(self._unprotected(source)),
                 left_ms=round(left_s * 1000, 1),
@@ -154,40 +153,40 @@
         return report
 
     async def _move(
-        self, stream: live.Stream, departure: departure_lib.Departure
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> None:
         """Moves a run when its turn comes, if there is time for it."""
-        source, request = departure.source, stream.exchange.id_text
+        source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
-        queue.add(source.key, request, departure.held(stream))
-        self._core.live.changed(is_urgent=True)
+        queue.add(source.key, request, leaving.memory_tokens(stream))
+        self._core.live.notify_changed(is_urgent=True)
         try:
-            if not await self._turn(stream, departure):
+            if not await self._turn(stream, leaving):
                 return
-            queue.begin(source.key, request)
-            self._core.live.changed(is_urgent=True)
-            target = await self._copy(stream, departure)
+            queue.start(source.key, request)
+            self._core.live.notify_changed(is_urgent=True)
+            target = await self._copy(stream, leaving)
             if target is not None:
                 await self._stop(stream, source, target)
         finally:
             queue.remove(source.key, request)
-            self._core.live.changed(is_urgent=True)
+            self._core.live.notify_changed(is_urgent=True)
             # Full destinations may have room a little later.
             await asyncio.sleep(RETRY_S)
             self._moving.discard(stream)
 
     async def _turn(
-        self, stream: live.Stream, departure: departure_lib.Departure
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> bool:
         """Waits for a run's turn; returns whether to move it."""
-        source, request = departure.source, stream.exchange.id_text
+        source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
-        patience_s = departure.move_s(stream) + PATIENCE_S
+        patience_s = leaving.move_s(stream) + PATIENCE_S
         await asyncio.sleep(SETTLE_S)
         while not queue.is_next(source.key, request, attempt.now(), patience_s):
             if self._is_elsewhere(stream, source):
                 return False
-            if attempt.now() > departure.leaves_at_s:
+            if attempt.now() > leaving.leaves_at_s:
                 return False
             await asyncio.sleep(TURN_EVERY_S)
         return not self._is_elsewhere(stream, source)
@@ -198,10 +197,10 @@
         return stream.ended or stream.upstream is not source
 
     def _targets(
-        self, stream: live.Stream, departure: departure_lib.Departure
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> list[upstream_lib.Upstream]:
         """Returns destinations to which a run can be moved in time."""
-        source = departure.source
+        source = leaving.upstream
         upstreams = self._core.upstreams.of(
             source.service, stream.exchange.regions
         )
@@ -209,34 +208,34 @@
             filter(self._core.quota.allows, upstreams),
             self._core.pages,
             source,
-            departure.engine,
+            leaving.spec,
             stream.exchange.request_id,
             stream.reservation.memory_tokens,
         )
-        left_s = departure.leaves_at_s - attempt.now()
+        left_s = leaving.leaves_at_s - attempt.now()
         zone = source.availability_zone
         return [
             target
             for target in found[:DESTINATIONS]
             if left_s
-            >= departure.move_s(
-                stream, crossing=target.availability_zone != zone
+            >= leaving.move_s(
+                stream, cross_zone=target.availability_zone != zone
             )
         ]
 
     async def _copy(
-        self, stream: live.Stream, departure: departure_lib.Departure
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> upstream_lib.Upstream | None:
         """Copies a run while it goes on; returns where it is now."""
-        source = departure.source
-        for target in self._targets(stream, departure):
+        source = leaving.upstream
+        for target in self._targets(stream, leaving):
             if self._is_elsewhere(stream, source):
                 return None
             self._core.quota.spend(target)
             self._core.live.hold(stream, target)
             move = await self._order(stream, source, target, last=False)
             if move is not None and move.copied:
-                stream.copied = live.Switch(source, target, move.handle)
+                stream.precopy = live.ResumePoint(source, target, move.handle)
                 return target
             self._core.live.release(stream, target)
             if move is None or move.unknown_run:
@@ -252,22 +251,27 @@
         """Stops a run at its source so that it goes on at the target."""
         if self._is_elsewhere(stream, source):
             self._core.live.release(stream, target)
-            copied, stream.copied = stream.copied, None
+            copied, stream.precopy = stream.precopy, None
             if copied is not None:
                 await self._free(source, copied.handle)
             return
         switched = asyncio.get_running_loop().create_future()
-        stream.switch = switched
+        stream.pending_stop = switched
         move = await self._order(stream, source, target, last=True)
         result = _outcome(source, target, move)
         if not switched.done():
             switched.set_result(result)
-        if result is live.NoSwitch.NOT_STOPPED and stream.switch is switched:
-            stream.switch = None
-        goes_there = isinstance(result, live.Switch) and result.target is target
+        if (
+            result is live.StopFailure.NOT_STOPPED
+            and stream.pending_stop is switched
+        ):
+            stream.pending_stop = None
+        goes_there = (
+            isinstance(result, live.ResumePoint) and result.target is target
+        )
         if not goes_there or stream.ended:
             self._core.live.release(stream, target)
-        if stream.ended and isinstance(result, live.Switch):
+        if stream.ended and isinstance(result, live.ResumePoint):
             # Its caller has left meanwhile, and nobody goes on from the copy.
             await self._free(source, result.handle)
 
@@ -322,11 +326,11 @@
     source: upstream_lib.Upstream,
     target: upstream_lib.Upstream,
     move: dialect_lib.Move | None,
-) -> live.Ordered:
+) -> live.StopOutcome:
     """Returns what an order to stop a run at its source came to."""
     if move is None:
-        return live.NoSwitch.NO_WORD
+        return live.StopFailure.NO_RESPONSE
     if not move.handle:
-        return live.NoSwitch.NOT_STOPPED
+        return live.StopFailure.NOT_STOPPED
     where = target if move.copied else source
-    return live.Switch(source, where, move.handle)
+    return live.ResumePoint(source, where, move.handle)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -22,7 +22,7 @@
 from quetzalsill_gateway.balance import note
 from quetzalsill_gateway.http import error, message
 from quetzalsill_gateway.stream import continuation, events, live
-from quetzalsill_gateway.stream import leg as leg_lib
+from quetzalsill_gateway.stream import segment as segment_lib
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -74,7 +74,7 @@
 
 
 class _Relay:
-    """One stream, leg by leg."""
+    """One stream, segment by segment."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
@@ -88,22 +88,22 @@
 
     async def run(self) -> str:
         """Relays to the end of the stream."""
-        leg = await self._first_leg()
-        end: leg_lib.End | None = None
-        while leg is not None:
-            end = await self._run_leg(leg)
-            self._sends.note(may_have_run=not leg_lib.is_not_run(end))
-            next_leg = await self._next_leg(leg, end)
-            self._log_leg(leg, end, next_leg)
-            if end is leg_lib.WHOLE and next_leg is None:
-                if leg.may_be_stopped:
+        segment = await self._first_segment()
+        end: segment_lib.Outcome | None = None
+        while segment is not None:
+            end = await self._run_segment(segment)
+            self._sends.note(may_have_run=not segment_lib.is_not_run(end))
+            next_segment = await self._next_segment(segment, end)
+            self._log_segment(segment, end, next_segment)
+            if end is segment_lib.COMPLETE and next_segment is None:
+                if segment.may_have_stopped:
                     break
                 self._req.responder.end()
                 return 'served'
-            leg = next_leg
+            segment = next_segment
         return self._answer(end)
 
-    async def _first_leg(self) -> leg_lib.Leg | None:
+    async def _first_segment(self) -> segment_lib.Segment | None:
         grounds = self._sends.to_begin()
         if grounds is None:
             return None
@@ -121,18 +121,20 @@
         note.chosen(self._core, req, upstream, needs)
         return self._continuation.begin(upstream, grounds)
 
-    async def _run_leg(self, leg: leg_lib.Leg) -> leg_lib.End:
+    async def _run_segment(
+        self, segment: segment_lib.Segment
+    ) -> segment_lib.Outcome:
         core, stream, req = self._core, self._stream, self._req
-        page = core.pages.page(leg.upstream)
-        core.live.place(stream, leg.upstream)
-        core.live.back_up(stream, leg.backup)
+        page = core.pages.page(segment.upstream)
+        core.live.place(stream, segment.upstream)
+        core.live.set_backup(stream, segment.backup)
         try:
             async with attempt.opened(
                 core,
                 req,
-                leg.upstream,
-                leg.extra,
-                continues=leg.continues,
+                segment.upstream,
+                segment.extra_headers,
+                continues=segment.continues,
             ) as sent:
                 if sent.verdict is not attempt.Verdict.SUCCESS:
                     # Another start at the address is always empty, and would
@@ -140,16 +142,16 @@
                     if sent.verdict is not attempt.Verdict.NOT_RUN:
                         page.note_failure()
                     body, _ = await attempt.read_body(sent.conn, HELD_BYTES)
-                    return leg_lib.Refusal(sent.head, body, sent.verdict)
-                leg.is_framed = sent.conn.is_framed
+                    return segment_lib.Refusal(sent.head, body, sent.verdict)
+                segment.is_framed = sent.conn.is_framed
                 self._start(sent.head)
-                await self._pump(leg, sent.conn)
+                await self._pump(segment, sent.conn)
                 page.faults.succeed()
-                return leg_lib.WHOLE
+                return segment_lib.COMPLETE
         except error.NotSentError as exc:
             return exc
         except error.CallError as exc:
-            if stream.switch is None and not leg.upstream.leaving:
+            if stream.pending_stop is None and not segment.upstream.leaving:
                 page.note_failure()
             return exc
 
@@ -159,26 +161,28 @@
         headers = message.relayed(head)
         self._req.responder.start(head.status, headers, None)
 
-    async def _pump(self, leg: leg_lib.Leg, conn: call.Conn) -> None:
+    async def _pump(
+        self, segment: segment_lib.Segment, conn: call.Conn
+    ) -> None:
         splitter = events.Splitter()
         stream, responder = self._stream, self._req.responder
         while data := await conn.read():
             if stream.reservation.is_reading:
-                self._core.live.note_read(stream)
-            ready = b''.join(self._fresh(leg, splitter.feed(data)))
+                self._core.live.note_prefilled(stream)
+            ready = b''.join(self._fresh(segment, splitter.feed(data)))
             if ready:
                 self._req.note_event()
                 responder.write(ready)
                 await responder.drain()
-        if splitter.rest and stream.switch is None:
+        if splitter.rest and stream.pending_stop is None:
             raise error.TruncatedError('the stream ended within an event')
 
     def _fresh(
-        self, leg: leg_lib.Leg, found: Iterator[events.Event]
+        self, segment: segment_lib.Segment, found: Iterator[events.Event]
     ) -> Iterator[bytes]:
         stream = self._stream
         for piece in found:
-            leg.note_event(attempt.now())
+            segment.note_event(attempt.now())
             if piece.id is not None:
                 if stream.last_id is not None:
                     if piece.id <= stream.last_id:
@@ -190,23 +194,23 @@
                 stream.last_id = piece.id
             yield piece.raw
 
-    async def _next_leg(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> leg_lib.Leg | None:
-        next_leg = await self._continuation.after(leg, end)
-        if next_leg is not None or end is leg_lib.WHOLE:
-            return next_leg
-        if leg.continues and leg_lib.is_not_run(end):
+    async def _next_segment(
+        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+    ) -> segment_lib.Segment | None:
+        next_segment = await self._continuation.after(segment, end)
+        if next_segment is not None or end is segment_lib.COMPLETE:
+            return next_segment
+        if segment.continues and segment_lib.is_not_run(end):
             return None
         return await self._again() if self._may_send_again(end) else None
 
-    async def _again(self) -> leg_lib.Leg | None:
-        leg = await self._first_leg()
-        if leg is not None and self._stream.last_id is not None:
-            leg.extra.extend(self._continuation.resume_after())
-        return leg
+    async def _again(self) -> segment_lib.Segment | None:
+        segment = await self._first_segment()
+        if segment is not None and self._stream.last_id is not None:
+            segment.extra_headers.extend(self._continuation.resume_after())
+        return segment
 
-    def _may_send_again(self, end: leg_lib.End) -> bool:
+    def _may_send_again(self, end: segment_lib.Outcome) -> bool:
         req, sends = self._req, self._sends
         if sends.to_begin() is None:
             return False
@@ -227,7 +231,7 @@
             return False
         return self._core.budget.spend(self._req.service.name)
 
-    def _answer(self, end: leg_lib.End | None) -> str:
+    def _answer(self, end: segment_lib.Outcome | None) -> str:
         responder = self._req.responder
         if responder.started:
             responder.abort()
@@ -242,7 +246,7 @@
             )
             return 'refused'
         if (
-            isinstance(end, leg_lib.Refusal)
+            isinstance(end, segment_lib.Refusal)
             and end.verdict is attempt.Verdict.FAILED
             and self._req.sends <= 1
         ):
@@ -252,30 +256,30 @@
         exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
         return 'failed'
 
-    def _log_leg(
+    def _log_segment(
         self,
-        leg: leg_lib.Leg,
-        end: leg_lib.End,
-        next_leg: leg_lib.Leg | None,
+        segment: segment_lib.Segment,
+        end: segment_lib.Outcome,
+        next_segment: segment_lib.Segment | None,
     ) -> None:
-        meter.attempts.inc({'result': leg_lib.describe(end)})
+        meter.attempts.inc({'result': segment_lib.describe(end)})
         event.note(
             event.LegEnded(
                 request=self._req.id_text,
-                upstream=leg.upstream.id,
-                leaving=leg.upstream.leaving,
-                continued=leg.continues,
-                result=leg_lib.describe(end),
+                upstream=segment.upstream.id,
+                leaving=segment.upstream.leaving,
+                continued=segment.continues,
+                result=segment_lib.describe(end),
                 last_event=self._stream.last_id,
-                next=next_leg.upstream.id if next_leg else '',
-                backup=leg.backup.id if leg.backup else '',
-                grounds=leg.grounds.value,
-                events=leg.events,
+                next=next_segment.upstream.id if next_segment else '',
+                backup=segment.backup.id if segment.backup else '',
+                grounds=segment.grounds.value,
+                events=segment.event_count,
             )
         )
 
 
-def _is_misdirected(end: leg_lib.End) -> bool:
+def _is_misdirected(end: segment_lib.Outcome) -> bool:
     """Whether another upstream answered than the one that was meant."""
     wrong = attempt.Verdict.WRONG_UPSTREAM
-    return isinstance(end, leg_lib.Refusal) and end.verdict is wrong
+    return isinstance(end, segment_lib.Refusal) and end.verdict is wrong
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leg.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
@@ -13,43 +13,43 @@
     from quetzalsill_gateway.http import message
 
 __all__ = [
-    'WHOLE',
-    'End',
-    'Leg',
+    'COMPLETE',
+    'Outcome',
     'Refusal',
+    'Segment',
     'describe',
     'is_not_run',
 ]
 
-WHOLE = 'whole'
+COMPLETE = 'whole'
 
 
 @dataclasses.dataclass(slots=True)
-class Leg:
+class Segment:
     """One upstream's part of a stream.
 
     Attributes:
       upstream: Who makes the events.
-      extra: Headers that the gateway sets.
+      extra_headers: Headers that the gateway sets.
       grounds: Why the request may be sent there.
       backup: Upstream that gets a copy of the run's memory as it grows.
-      events: Events that have come of it.
-      first_s: Loop time of the first of them; 0 before it.
-      newest_s: Loop time of the newest.
+      event_count: Events that have come of it.
+      first_event_s: Loop time of the first of them; 0 before it.
+      last_event_s: Loop time of the newest.
       is_framed: Whether its stream tells where it ends. One that ends with
         its connection ends alike whether the run is whole or was stopped.
-      may_be_stopped: Whether an order may have stopped the run there.
+      may_have_stopped: Whether an order may have stopped the run there.
     """
 
     upstream: upstream_lib.Upstream
-    extra: message.Headers
+    extra_headers: message.Headers
     grounds: at_most_once.Grounds
     backup: upstream_lib.Upstream | None = None
-    events: int = 0
-    first_s: float = 0.0
-    newest_s: float = 0.0
+    event_count: int = 0
+    first_event_s: float = 0.0
+    last_event_s: float = 0.0
     is_framed: bool = False
-    may_be_stopped: bool = False
+    may_have_stopped: bool = False
 
     @property
     def continues(self) -> bool:
@@ -57,16 +57,16 @@
         return self.grounds.goes_on
 
     @property
-    def made_s(self) -> float:
+    def active_s(self) -> float:
         """For how long events have come of it, in seconds."""
-        return self.newest_s - self.first_s
+        return self.last_event_s - self.first_event_s
 
     def note_event(self, now: float) -> None:
         """Takes an event that came at a loop time."""
-        if not self.events:
-            self.first_s = now
-        self.newest_s = now
-        self.events += 1
+        if not self.event_count:
+            self.first_event_s = now
+        self.last_event_s = now
+        self.event_count += 1
 
 
 @dataclasses.dataclass(slots=True)
@@ -84,18 +84,18 @@
     verdict: attempt.Verdict
 
 
-End = Refusal | error.CallError | str
+Outcome = Refusal | error.CallError | str
 
 
-def is_not_run(end: End | None) -> bool:
-    """Whether a leg ended without its request having run there."""
+def is_not_run(end: Outcome | None) -> bool:
+    """Whether a segment ended without its request having run there."""
     if isinstance(end, error.CallError):
         return not attempt.may_have_run(end)
     return isinstance(end, Refusal) and end.verdict.is_not_run
 
 
-def describe(end: End) -> str:
-    """Returns how a leg ended, for logs and metrics."""
+def describe(end: Outcome) -> str:
+    """Returns how a segment ended, for logs and metrics."""
     if isinstance(end, error.CallError):
         return end.code
     if isinstance(end, Refusal):
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -174,7 +174,7 @@
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.pages)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
             core.upstreams, core.pages, 'z', quotas.unbounded()
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -71,7 +71,7 @@
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.pages)
         core.members = members.Members('entry-a')
         core.admission = admission.Admission(
             core.upstreams, core.pages, 'z', quotas.unbounded()
@@ -137,7 +137,7 @@
             gateway.hold(5, 1000)
             gateway.link.sent.clear()
             begun_s = asyncio.get_running_loop().time()
-            gateway.core.live.changed(is_urgent=True)
+            gateway.core.live.notify_changed(is_urgent=True)
             await asyncio.sleep(1.0)
             return begun_s, gateway.link.sent
 
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -11,7 +11,7 @@
 from quetzalsill_gateway.balance import book
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import continuation, leg, live
+from quetzalsill_gateway.stream import continuation, live, segment
 
 
 def _exchange():
@@ -48,12 +48,12 @@
     def stopped(self, source, target):
         """Has the run stopped at its source by an order to move."""
         switched = asyncio.get_running_loop().create_future()
-        switched.set_result(live.Switch(source, target, 'handle'))
-        self.stream.switch = switched
+        switched.set_result(live.ResumePoint(source, target, 'handle'))
+        self.stream.pending_stop = switched
 
     def part(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
         """Returns a part of the stream that has made events."""
-        return leg.Leg(engine, [], grounds, events=80)
+        return segment.Segment(engine, [], grounds, event_count=80)
 
     async def test_a_stopped_run_goes_on_at_its_destination(self):
         source, target, _ = self.engines
@@ -73,7 +73,7 @@
         source, backup, target = self.engines
         self.stopped(source, target)
         part = self.part(backup, at_most_once.Grounds.BACKUP)
-        found = await self.continuation.after(part, leg.WHOLE)
+        found = await self.continuation.after(part, segment.COMPLETE)
         self.assertIsNone(found)
 
     async def test_nor_does_its_copy_when_a_later_part_breaks_off(self):
@@ -94,21 +94,21 @@
         """
         first, second, third = self.engines
         slow = asyncio.get_running_loop().create_future()
-        self.stream.switch = slow
-        self.stream.copied = live.Switch(first, second, 'early')
+        self.stream.pending_stop = slow
+        self.stream.precopy = live.ResumePoint(first, second, 'early')
         broken = error.TruncatedError('the connection ended')
         part = await self.continuation.after(self.part(first), broken)
         self.assertIs(part.upstream, second)
-        slow.set_result(live.Switch(first, second, 'late'))
+        slow.set_result(live.ResumePoint(first, second, 'late'))
 
-        part.events = 20
+        part.event_count = 20
         self.stopped(second, third)
         part = await self.continuation.after(part, broken)
         self.assertIs(part.upstream, third)
         self.stream.upstream = third
         back = await self.continuation.after(part, error.ConnectError())
         self.assertIs(back.upstream, second)
-        self.assertIn((b'from', b'handle'), back.extra)
+        self.assertIn((b'from', b'handle'), back.extra_headers)
 
     async def test_a_copy_that_is_gone_on_from_is_nobody_elses(self):
         """A plan is cut off as it goes on from the first copy of its move.
@@ -118,10 +118,12 @@
         finds that the run has gone, and frees the copy that it goes on from.
         """
         source, target, _ = self.engines
-        self.stream.copied = live.Switch(source, target, 'early')
+        self.stream.precopy = live.ResumePoint(source, target, 'early')
 
         async def move(*_):
-            self.stream.switch = asyncio.get_running_loop().create_future()
+            self.stream.pending_stop = (
+                asyncio.get_running_loop().create_future()
+            )
             raise error.ConnectError('refused')
 
         self.core.calls = types.SimpleNamespace(move=move)
@@ -130,9 +132,9 @@
         with quiet:
             found = await self.continuation.after(self.part(source), broken)
         self.assertIs(found.upstream, target)
-        self.assertIn((b'from', b'early'), found.extra)
-        self.assertIsNone(self.stream.copied)
-        self.assertIsNone(self.stream.switch)
+        self.assertIn((b'from', b'early'), found.extra_headers)
+        self.assertIsNone(self.stream.precopy)
+        self.assertIsNone(self.stream.pending_stop)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/stream/test_link_queue.py
+++ b/tests/quetzalsill_gateway/stream/test_link_queue.py
@@ -34,7 +34,7 @@
     for number, queue in enumerate(queues):
         for other in queues:
             if other is not queue:
-                other.hear(f'gateway-{number}', queue.own())
+                other.receive(f'gateway-{number}', queue.own_moves())
 
 
 def next_ones(queues, now=0.0):
@@ -42,7 +42,7 @@
     return [
         (queue, request)
         for queue in queues
-        for request in queue.own().get(ENGINE, {})
+        for request in queue.own_moves().get(ENGINE, {})
         if queue.is_next(ENGINE, request, now, PATIENCE_S)
     ]
 
@@ -56,7 +56,7 @@
         """Whoever has the runs, one at a time moves, in the order of sizes."""
         queues = gateways(runs)
         moved = []
-        while any(queue.own() for queue in queues):
+        while any(queue.own_moves() for queue in queues):
             ((queue, request),) = next_ones(queues)
             moved.append(request)
             queue.remove(ENGINE, request)
@@ -73,7 +73,7 @@
         """
         queues = gateways(runs)
         ((queue, request),) = next_ones(queues)
-        queue.begin(ENGINE, request)
+        queue.start(ENGINE, request)
         queues[0].add(ENGINE, 'late', 1)
         tell(queues)
         self.assertEqual(next_ones(queues), [(queue, request)])
