--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -59,22 +59,22 @@
     ),
     'moves': _gateway(
         'stream/migration.py',
-        'if engine is None or not engine.moves',
-        'if True or not engine.moves',
+        'if spec is None or not spec.moves',
+        'if True or not spec.moves',
     ),
     'one-move-at-a-time': _gateway(
         'stream/link_queue.py',
-        '        if not places:\n            return True',
-        '        if places or not places:\n            return True',
+        '        if not positions:\n            return True',
+        '        if positions or not positions:\n            return True',
     ),
     'first-copy-in-need': _gateway(
         'stream/continuation.py',
-        'patience_s = LAST_COPY_S if copied else SWITCH_S',
-        'patience_s = SWITCH_S',
+        'timeout_s = FINAL_COPY_TIMEOUT_S if precopy else STOP_TIMEOUT_S',
+        'timeout_s = STOP_TIMEOUT_S',
     ),
     'only-what-is-in-time': _gateway(
         'stream/migration.py',
-        'if left_s\n            >=',
+        'if remaining_s\n            >=',
         'if 60.0\n            >=',
     ),
     'destinations-in-the-zone': _gateway(
@@ -117,7 +117,7 @@
         'balance/search.py', 'return beside or fitting', 'return fitting'
     ),
     'engine-priorities': _gateway(
-        'stream/continuation.py', 'RANK_STEP = 2', 'RANK_STEP = 0'
+        'stream/continuation.py', 'PRIORITY_STEP = 2', 'PRIORITY_STEP = 0'
     ),
     'asking-in-an-outage': _gateway(
         'stream/engine_poll.py',
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/telling.py
@@ -165,7 +165,7 @@
         found.place(stream, engine)
         found.set_backup(stream, other if backed_up else None)
         await asyncio.sleep(READ_S)
-        found.note_prefilled(stream)
+        found.record_prefill(stream)
         await asyncio.sleep(lasts_s * self.rng.uniform(0.5, 1.5))
         found.end(stream)
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -28,20 +28,20 @@
 MS_PER_S = 1000
 # A run that was stopped is resumed within a pause that callers hardly notice,
 # or not at all.
-SWITCH_S = 1.5
+STOP_TIMEOUT_S = 1.5
 # A last copy on a free link takes a few round trips. Once the run has stopped,
 # its first copy lacks the tokens of one copy's time, which are read again in a
 # few steps; waiting for a busy link takes longer.
-LAST_COPY_S = 0.04
+FINAL_COPY_TIMEOUT_S = 0.04
 # An engine leaves every few seconds; a run that meets more of them than this
 # goes round in circles.
-MOST_SWITCHES = 8
+MAX_SWITCHES = 8
 # Ranks at the engine, where 0 is the first: the most urgent route gets the
 # first of these, and each further rank a step of two, so that 5, which applies
 # to who sends none, stands between.
-FIRST_RANK = 2
-RANK_STEP = 2
-LAST_RANK = 9
+FIRST_PRIORITY = 2
+PRIORITY_STEP = 2
+LAST_PRIORITY = 9
 
 
 class Continuation:
@@ -54,16 +54,16 @@
         self._switches = 0
         self._source: upstream_lib.Upstream | None = None
         self._handle = ''
-        self._late_switch: asyncio.Future[live.StopOutcome] | None = None
+        self._late_stop: asyncio.Future[live.StopOutcome] | None = None
 
-    def begin(
+    def first_segment(
         self, upstream: upstream_lib.Upstream, grounds: at_most_once.Grounds
     ) -> segment_lib.Segment:
         """Returns the segment of a run that begins."""
         return self._segment(upstream, [self._priority()], grounds)
 
-    async def after(
-        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+    async def next_segment(
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
     ) -> segment_lib.Segment | None:
         """Returns the segment in which the run goes on; None if it does not.
 
@@ -71,41 +71,41 @@
         stopped, it would be sent to a destination that has dropped the copy
         by then, and a caller who has the whole answer would be cut off.
         """
-        if end is segment_lib.COMPLETE and segment.is_framed:
+        if outcome is segment_lib.COMPLETE and segment.is_framed:
             return None
-        copied = self._stream.precopy
-        ordered = await self._ordered(segment, end)
+        precopy = self._stream.precopy
+        stopped = await self._stop_outcome(segment, outcome)
         # Its stream may end with its connection, and then tells nothing.
-        segment.may_have_stopped = ordered not in (
+        segment.may_have_stopped = stopped not in (
             None,
             live.StopFailure.NOT_STOPPED,
         )
-        if isinstance(ordered, live.ResumePoint) and self._take_switch('move'):
-            return self._from_copy(ordered)
-        if end is segment_lib.COMPLETE:
+        if isinstance(stopped, live.ResumePoint) and self._count_switch('move'):
+            return self._resume_from(stopped)
+        if outcome is segment_lib.COMPLETE:
             return None
-        if segment_lib.is_not_run(end):
-            return await self._after_refused() if segment.continues else None
-        if isinstance(end, error.CallError):
-            return await self._recovered(segment, copied)
+        if segment_lib.has_not_run(outcome):
+            return await self._after_refusal() if segment.continues else None
+        if isinstance(outcome, error.CallError):
+            return await self._recover(segment, precopy)
         return None
 
-    def resume_after(self) -> message.Headers:
+    def resume_headers(self) -> message.Headers:
         """Returns the headers that name the last event the caller has."""
         last = self._stream.last_id
         if last is None:
             return []
         return [(self._core.dialect.resume_after, b'%d' % last)]
 
-    def _take_switch(self, cause: str) -> bool:
-        if self._switches >= MOST_SWITCHES:
+    def _count_switch(self, cause: str) -> bool:
+        if self._switches >= MAX_SWITCHES:
             return False
         self._switches += 1
         self._req.switch_cause = cause
         return True
 
-    async def _ordered(
-        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+    async def _stop_outcome(
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
     ) -> live.StopOutcome | None:
         """Returns what an order to stop the run there came to, if there is one.
 
@@ -118,29 +118,29 @@
         or never get it, so that only its answer counts.
         """
         stream = self._stream
-        pending, copied = stream.pending_stop, stream.precopy
+        pending, precopy = stream.pending_stop, stream.precopy
         if pending is None:
             return None
         stream.pending_stop = stream.precopy = None
-        if isinstance(end, error.TruncatedError) and end.was_reset:
-            copied = None
-        patience_s = LAST_COPY_S if copied else SWITCH_S
-        ordered = await _settled(pending, patience_s)
+        if isinstance(outcome, error.TruncatedError) and outcome.was_reset:
+            precopy = None
+        timeout_s = FINAL_COPY_TIMEOUT_S if precopy else STOP_TIMEOUT_S
+        stop_outcome = await _wait_for_outcome(pending, timeout_s)
         late = None
-        if copied is not None and not pending.done():
+        if precopy is not None and not pending.done():
             # The last copy waits for a link that is busy with others.
-            ordered, late = copied, pending
-        is_other = (
-            isinstance(ordered, live.ResumePoint)
-            and ordered.source is not segment.upstream
+            stop_outcome, late = precopy, pending
+        is_stale = (
+            isinstance(stop_outcome, live.ResumePoint)
+            and stop_outcome.source is not segment.upstream
         )
-        if is_other:
+        if is_stale:
             return None
-        self._late_switch = late
-        return ordered
+        self._late_stop = late
+        return stop_outcome
 
-    async def _recovered(
-        self, segment: segment_lib.Segment, copied: live.ResumePoint | None
+    async def _recover(
+        self, segment: segment_lib.Segment, precopy: live.ResumePoint | None
     ) -> segment_lib.Segment | None:
         """Goes on with a run whose stream broke off, where it surely may.
 
@@ -150,22 +150,22 @@
 
         Args:
           segment: The part that broke off.
-          copied: The first copy of a move that has not come to its last one.
+          precopy: The first copy of a move that has not come to its last one.
         """
         # Left to the move, the copy would be freed once the run has gone.
         self._stream.precopy = None
-        if copied is not None and copied.source is not segment.upstream:
-            copied = None
-        target = copied.target if copied else self._stream.backup
+        if precopy is not None and precopy.source is not segment.upstream:
+            precopy = None
+        target = precopy.target if precopy else self._stream.backup
         if target is None or target.gone:
             return None
         request = self._req.id_text
         calls = self._core.calls
         stopped = await stop.stop(calls, segment.upstream, request, target)
         grounds = at_most_once.to_go_on(
-            stopped.state, segment.active_s, is_copied=copied is not None
+            stopped.state, segment.active_s, is_copied=precopy is not None
         )
-        may_switch = grounds is not None and self._take_switch('recovery')
+        may_switch = grounds is not None and self._count_switch('recovery')
         event.note(
             event.RunBrokeOff(
                 request=request,
@@ -181,40 +181,42 @@
         if not may_switch:
             return None
         if grounds is at_most_once.Grounds.BACKUP:
-            return self._continued(target, target, request, grounds)
+            return self._resume(target, target, request, grounds)
         if stopped.state is not at_most_once.RunState.STOPPED:
-            return self._from_copy(copied)
-        where = target if stopped.move.copied else segment.upstream
-        return self._from_copy(
-            live.ResumePoint(segment.upstream, where, stopped.move.handle)
+            return self._resume_from(precopy)
+        resume_at = target if stopped.move.copied else segment.upstream
+        return self._resume_from(
+            live.ResumePoint(segment.upstream, resume_at, stopped.move.handle)
         )
 
-    async def _after_refused(self) -> segment_lib.Segment | None:
+    async def _after_refusal(self) -> segment_lib.Segment | None:
         """Goes on elsewhere when the destination did not take the run."""
-        pending, self._late_switch = self._late_switch, None
+        pending, self._late_stop = self._late_stop, None
         if pending is not None:
-            switch = await _settled(pending, SWITCH_S)
-            if isinstance(switch, live.ResumePoint):
-                return self._from_copy(switch)
+            late_outcome = await _wait_for_outcome(pending, STOP_TIMEOUT_S)
+            if isinstance(late_outcome, live.ResumePoint):
+                return self._resume_from(late_outcome)
         return self._back_to_source()
 
     def _back_to_source(self) -> segment_lib.Segment | None:
         """The destination did not take the run: it goes on where it was."""
         source = self._source
-        if self._stream.upstream is source or not self._take_switch('move'):
+        if self._stream.upstream is source or not self._count_switch('move'):
             return None
-        return self._from_copy(live.ResumePoint(source, source, self._handle))
+        return self._resume_from(live.ResumePoint(source, source, self._handle))
 
-    def _from_copy(self, switch: live.ResumePoint) -> segment_lib.Segment:
+    def _resume_from(
+        self, resume_point: live.ResumePoint
+    ) -> segment_lib.Segment:
         """Goes on from a copy that an engine has named."""
-        return self._continued(
-            switch.target,
-            switch.source,
-            switch.handle,
+        return self._resume(
+            resume_point.target,
+            resume_point.source,
+            resume_point.handle,
             at_most_once.Grounds.COPY,
         )
 
-    def _continued(
+    def _resume(
         self,
         target: upstream_lib.Upstream,
         holder: upstream_lib.Upstream,
@@ -225,7 +227,7 @@
         extra = [
             self._priority(),
             (dialect.memory_from, dialect.memory_source(holder, handle)),
-            *self.resume_after(),
+            *self.resume_headers(),
         ]
         self._source = holder
         self._handle = handle
@@ -261,12 +263,12 @@
         return segment
 
     def _priority(self) -> tuple[bytes, bytes]:
-        rank = FIRST_RANK + RANK_STEP * self._req.priority
-        return self._core.dialect.priority, b'%d' % min(LAST_RANK, rank)
+        priority = FIRST_PRIORITY + PRIORITY_STEP * self._req.priority
+        return self._core.dialect.priority, b'%d' % min(LAST_PRIORITY, priority)
 
 
-async def _settled(
-    pending: asyncio.Future[live.StopOutcome], patience_s: float
+async def _wait_for_outcome(
+    pending: asyncio.Future[live.StopOutcome], timeout_s: float
 ) -> live.StopOutcome:
     """Returns what an order came to, if there is word of it in time.
 
@@ -275,6 +277,6 @@
     is there, by which a run that was stopped is not lost.
     """
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             await asyncio.shield(pending)
     return pending.result() if pending.done() else live.StopFailure.NO_RESPONSE
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -23,25 +23,27 @@
 
 # An engine goes 1.5 s after its notice at the soonest, and its report is half
 # a second old; asked this often, a second is left to move its runs.
-EVERY_S = 0.25
+POLL_INTERVAL_S = 0.25
 # With nothing told for this long the source is away for all: a call that waits
 # for a change is answered sooner (`watch.membership.WAIT_S`).
-UNTOLD_S = 0.6
+MAX_UPDATE_AGE_S = 0.6
 
 
 async def run(core: core_lib.Core) -> None:
     """Asks while the membership source is away; runs until cancelled."""
     while True:
         await core.health.until_down()
-        if core.upstreams.age_s > UNTOLD_S:
+        if core.upstreams.age_s > MAX_UPDATE_AGE_S:
             engines = [
-                found for found in core.upstreams.all() if core.live.of(found)
+                upstream
+                for upstream in core.upstreams.all()
+                if core.live.of(upstream)
             ]
-            await asyncio.gather(*(_ask(core, engine) for engine in engines))
-        await asyncio.sleep(EVERY_S)
+            await asyncio.gather(*(_poll(core, engine) for engine in engines))
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _ask(core: core_lib.Core, engine: upstream_lib.Upstream) -> None:
+async def _poll(core: core_lib.Core, engine: upstream_lib.Upstream) -> None:
     if engine.leaving:
         return
     try:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/events.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/events.py
@@ -33,30 +33,30 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._remainder = b''
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that is not whole."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> Iterator[Event]:
         """Yields the events that are whole now."""
-        self._rest += data
+        self._remainder += data
         while True:
             ends = [
                 found + len(separator)
                 for separator in SEPARATORS
-                if (found := self._rest.find(separator)) >= 0
+                if (found := self._remainder.find(separator)) >= 0
             ]
             if not ends:
                 return
             end = min(ends)
-            raw, self._rest = self._rest[:end], self._rest[end:]
-            yield Event(_id(raw), raw)
+            raw, self._remainder = self._remainder[:end], self._remainder[end:]
+            yield Event(_parse_id(raw), raw)
 
 
-def _id(raw: bytes) -> int | None:
+def _parse_id(raw: bytes) -> int | None:
     for line in raw.splitlines():
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
@@ -72,10 +72,10 @@
         """Returns what the other gateways are told."""
         return {upstream: dict(runs) for upstream, runs in self._own.items()}
 
-    def receive(self, node: str, moving: PendingMoves) -> None:
+    def receive(self, node: str, moves: PendingMoves) -> None:
         """Takes all that another gateway has to move."""
-        if moving:
-            self._others[node] = moving
+        if moves:
+            self._others[node] = moves
         else:
             self._others.pop(node, None)
 
@@ -86,7 +86,7 @@
         self._skipped.pop(key, None)
 
     def is_next(
-        self, key: str, request: str, now: float, patience_s: float
+        self, key: str, request: str, now: float, timeout_s: float
     ) -> bool:
         """Whether it is a run's turn at its engine's link.
 
@@ -98,28 +98,30 @@
           key: The engine that leaves.
           request: A run of this gateway.
           now: Loop time, in seconds.
-          patience_s: Longest time that a move takes.
+          timeout_s: Longest time that a move takes.
         """
         skipped = self._skipped.setdefault(key, set())
-        places = [
-            place for place in self._places(key) if place.request not in skipped
+        positions = [
+            position
+            for position in self._positions(key)
+            if position.request not in skipped
         ]
-        if not places:
+        if not positions:
             return True
-        head = min(places)
+        head = min(positions)
         if head.request == request:
             return True
-        known, since_s = self._heads.get(key, (None, now))
-        if known != head:
+        previous, since_s = self._heads.get(key, (None, now))
+        if previous != head:
             self._heads[key] = (head, now)
-        elif now - since_s > patience_s:
+        elif now - since_s > timeout_s:
             skipped.add(head.request)
         return False
 
-    def _places(self, key: str) -> list[Position]:
-        every = [self._own, *self._others.values()]
+    def _positions(self, key: str) -> list[Position]:
+        all_moves = [self._own, *self._others.values()]
         return [
             Position(tokens, request)
-            for moving in every
-            for request, tokens in moving.get(key, {}).items()
+            for moves in all_moves
+            for request, tokens in moves.get(key, {}).items()
         ]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -19,7 +19,7 @@
 
 # The caller's guess is right at the median; one run in a few is longer.
 HINT_MARGIN = 1.3
-UNHINTED_SHARE = 0.5
+DEFAULT_OUTPUT_SHARE = 0.5
 
 
 class StopFailure(enum.Enum):
@@ -133,7 +133,7 @@
         if stream.backup is not None:
             page = self._pages.page(stream.backup)
             page.copies.discard(stream.reservation)
-            self._forget_gone(stream.backup)
+            self._forget_if_gone(stream.backup)
         stream.backup = upstream
         if upstream is not None:
             self._pages.page(upstream).copies.add(stream.reservation)
@@ -158,13 +158,13 @@
         if upstream.leaving and self._on_leaving is not None:
             self._on_leaving(upstream)
 
-    def note_prefilled(self, stream: Stream) -> None:
+    def record_prefill(self, stream: Stream) -> None:
         """Notes that an upstream has read a stream's prompt."""
         stream.reservation.is_reading = False
         ahead, since_s = stream.prefill_since
-        took_s = asyncio.get_running_loop().time() - since_s
+        duration_s = asyncio.get_running_loop().time() - since_s
         tokens = ahead + stream.reservation.prompt_tokens
-        self._pages.note_read(tokens, took_s)
+        self._pages.note_read(tokens, duration_s)
 
     def end(self, stream: Stream) -> None:
         """Notes that a stream has ended, and for how long it held memory."""
@@ -185,18 +185,18 @@
             self._streams.pop(stream.upstream.key, None)
         page = self._pages.page(stream.upstream)
         page.reservations.discard(stream.reservation)
-        self._forget_gone(stream.upstream)
+        self._forget_if_gone(stream.upstream)
         stream.upstream = None
 
-    def _forget_gone(self, upstream: upstream_lib.Upstream) -> None:
+    def _forget_if_gone(self, upstream: upstream_lib.Upstream) -> None:
         if upstream.gone and not self._streams.get(upstream.key):
             self._pages.forget(upstream)
 
 
 def reserve(prompt: dialect_lib.Prompt) -> book.Reservation:
     """Returns what a generation is expected to hold at its end."""
-    guess = prompt.output_hint * HINT_MARGIN
-    output = guess or prompt.output_limit * UNHINTED_SHARE
+    estimate = prompt.output_hint * HINT_MARGIN
+    output = estimate or prompt.output_limit * DEFAULT_OUTPUT_SHARE
     output = min(output, prompt.output_limit) if prompt.output_limit else output
     return book.Reservation(
         prompt.input_tokens,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -31,20 +31,20 @@
 __all__ = ['Migration']
 
 # How long after its notice an engine is searched for runs to move.
-SEARCH_S = 2.5
-SEARCH_EVERY_S = 0.05
-REPORT_S = 0.3
+SEARCH_DURATION_S = 2.5
+SEARCH_INTERVAL_S = 0.05
+REPORT_TIMEOUT_S = 0.3
 # A notice is in an engine's report this long after it was given.
-NOTICE_S = book.REPORT_AGE_S + 0.05
+NOTICE_DELAY_S = book.REPORT_AGE_S + 0.05
 # A move that takes this much longer than reckoned holds nobody up any longer.
-PATIENCE_S = 0.15
+MOVE_SLACK_S = 0.15
 # Gateways learn of a leaving engine, and of each other's runs there, within a
 # few round trips.
-SETTLE_S = 0.02
+PROPAGATION_S = 0.02
 # How often a run asks whether it is its turn: small against a copy.
-TURN_EVERY_S = 0.005
-RETRY_S = 0.08
-DESTINATIONS = 3
+TURN_POLL_INTERVAL_S = 0.005
+RETRY_DELAY_S = 0.08
+MAX_DESTINATIONS = 3
 
 
 class Migration:
@@ -52,22 +52,22 @@
 
     def __init__(self, core: core_lib.Core) -> None:
         self._core = core
-        self._running: set[str] = set()
+        self._migrating: set[str] = set()
         self._moving: set[live.Stream] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         core.live.on_placed_while_leaving(self.start)
 
     def start(self, source: upstream_lib.Upstream) -> None:
         """Starts to move the runs of an engine, unless that goes on already."""
-        engine = self._engine(source)
-        if engine is None or not engine.moves or source.key in self._running:
+        spec = self._engine_spec(source)
+        if spec is None or not spec.moves or source.key in self._migrating:
             return
         if not self._core.live.of(source):
             return
-        self._running.add(source.key)
-        self._spawn(self._migrate(source, engine))
+        self._migrating.add(source.key)
+        self._spawn(self._migrate(source, spec))
 
-    def _engine(
+    def _engine_spec(
         self, source: upstream_lib.Upstream
     ) -> routing_table.Engine | None:
         table = self._core.holder.current
@@ -80,40 +80,40 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _migrate(
-        self, source: upstream_lib.Upstream, engine: routing_table.Engine
+        self, source: upstream_lib.Upstream, spec: routing_table.Engine
     ) -> None:
-        begun_s = attempt.now()
+        started_s = attempt.now()
         try:
-            report = await self._report(source)
+            report = await self._fetch_report(source)
             runs = report.runs if report else ()
             tokens = {run.request_id: run.tokens for run in runs}
             page = self._core.pages.page(source)
             leaving = leaving_engine.LeavingEngine(
-                source, engine, begun_s, page, tokens
+                source, spec, started_s, page, tokens
             )
-            self._note_start(leaving)
-            self._spawn(self._ask_again(source))
-            while attempt.now() < begun_s + SEARCH_S:
+            self._log_start(leaving)
+            self._spawn(self._refresh_report(source))
+            while attempt.now() < started_s + SEARCH_DURATION_S:
                 for stream in self._unprotected(source):
                     self._moving.add(stream)
                     self._spawn(self._move(stream, leaving))
-                await asyncio.sleep(SEARCH_EVERY_S)
+                await asyncio.sleep(SEARCH_INTERVAL_S)
                 if not self._core.live.of(source):
                     return
         finally:
-            self._running.discard(source.key)
+            self._migrating.discard(source.key)
             self._core.link_queue.forget(source.key)
 
-    def _note_start(self, leaving: leaving_engine.LeavingEngine) -> None:
-        left_s = leaving.leaves_at_s - leaving.noticed_at_s
+    def _log_start(self, leaving: leaving_engine.LeavingEngine) -> None:
+        remaining_s = leaving.leaves_at_s - leaving.noticed_at_s
         source = leaving.upstream
         event.note(
             event.MigrationStarted(
                 upstream=source.id,
-                runs=len(leaving.tokens),
+                runs=len(leaving.reported_tokens),
                 own=len(self._core.live.of(source)),
                 unprotected=len(self._unprotected(source)),
-                left_ms=round(left_s * 1000, 1),
+                left_ms=round(remaining_s * 1000, 1),
             )
         )
 
@@ -132,16 +132,16 @@
             and (stream.backup is None or stream.backup.leaving)
         ]
 
-    async def _ask_again(self, source: upstream_lib.Upstream) -> None:
+    async def _refresh_report(self, source: upstream_lib.Upstream) -> None:
         """Asks when the engine goes, once its report has caught up."""
-        await asyncio.sleep(NOTICE_S)
-        await self._report(source)
+        await asyncio.sleep(NOTICE_DELAY_S)
+        await self._fetch_report(source)
 
-    async def _report(
+    async def _fetch_report(
         self, source: upstream_lib.Upstream
     ) -> dialect_lib.Report | None:
         try:
-            async with asyncio.timeout(REPORT_S):
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = await self._core.calls.report(source)
         except (error.CallError, TimeoutError) as exc:
             event.note(event.ReportFailed(source.id, repr(exc)))
@@ -161,42 +161,42 @@
         queue.add(source.key, request, leaving.memory_tokens(stream))
         self._core.live.notify_changed(is_urgent=True)
         try:
-            if not await self._turn(stream, leaving):
+            if not await self._wait_for_turn(stream, leaving):
                 return
             queue.start(source.key, request)
             self._core.live.notify_changed(is_urgent=True)
-            target = await self._copy(stream, leaving)
+            target = await self._precopy(stream, leaving)
             if target is not None:
-                await self._stop(stream, source, target)
+                await self._stop_at_source(stream, source, target)
         finally:
             queue.remove(source.key, request)
             self._core.live.notify_changed(is_urgent=True)
             # Full destinations may have room a little later.
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             self._moving.discard(stream)
 
-    async def _turn(
+    async def _wait_for_turn(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> bool:
         """Waits for a run's turn; returns whether to move it."""
         source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
-        patience_s = leaving.move_s(stream) + PATIENCE_S
-        await asyncio.sleep(SETTLE_S)
-        while not queue.is_next(source.key, request, attempt.now(), patience_s):
-            if self._is_elsewhere(stream, source):
+        timeout_s = leaving.move_s(stream) + MOVE_SLACK_S
+        await asyncio.sleep(PROPAGATION_S)
+        while not queue.is_next(source.key, request, attempt.now(), timeout_s):
+            if self._has_moved(stream, source):
                 return False
             if attempt.now() > leaving.leaves_at_s:
                 return False
-            await asyncio.sleep(TURN_EVERY_S)
-        return not self._is_elsewhere(stream, source)
+            await asyncio.sleep(TURN_POLL_INTERVAL_S)
+        return not self._has_moved(stream, source)
 
-    def _is_elsewhere(
+    def _has_moved(
         self, stream: live.Stream, source: upstream_lib.Upstream
     ) -> bool:
         return stream.ended or stream.upstream is not source
 
-    def _targets(
+    def _destinations(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> list[upstream_lib.Upstream]:
         """Returns destinations to which a run can be moved in time."""
@@ -204,7 +204,7 @@
         upstreams = self._core.upstreams.of(
             source.service, stream.exchange.regions
         )
-        found = choose.destinations(
+        candidates = choose.destinations(
             filter(self._core.quota.allows, upstreams),
             self._core.pages,
             source,
@@ -212,28 +212,28 @@
             stream.exchange.request_id,
             stream.reservation.memory_tokens,
         )
-        left_s = leaving.leaves_at_s - attempt.now()
+        remaining_s = leaving.leaves_at_s - attempt.now()
         zone = source.availability_zone
         return [
             target
-            for target in found[:DESTINATIONS]
-            if left_s
+            for target in candidates[:MAX_DESTINATIONS]
+            if remaining_s
             >= leaving.move_s(
                 stream, cross_zone=target.availability_zone != zone
             )
         ]
 
-    async def _copy(
+    async def _precopy(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> upstream_lib.Upstream | None:
         """Copies a run while it goes on; returns where it is now."""
         source = leaving.upstream
-        for target in self._targets(stream, leaving):
-            if self._is_elsewhere(stream, source):
+        for target in self._destinations(stream, leaving):
+            if self._has_moved(stream, source):
                 return None
             self._core.quota.spend(target)
             self._core.live.hold(stream, target)
-            move = await self._order(stream, source, target, last=False)
+            move = await self._request_move(stream, source, target, last=False)
             if move is not None and move.copied:
                 stream.precopy = live.ResumePoint(source, target, move.handle)
                 return target
@@ -242,40 +242,42 @@
                 return None
         return None
 
-    async def _stop(
+    async def _stop_at_source(
         self,
         stream: live.Stream,
         source: upstream_lib.Upstream,
         target: upstream_lib.Upstream,
     ) -> None:
         """Stops a run at its source so that it goes on at the target."""
-        if self._is_elsewhere(stream, source):
+        if self._has_moved(stream, source):
             self._core.live.release(stream, target)
-            copied, stream.precopy = stream.precopy, None
-            if copied is not None:
-                await self._free(source, copied.handle)
+            precopy, stream.precopy = stream.precopy, None
+            if precopy is not None:
+                await self._release_copy(source, precopy.handle)
             return
-        switched = asyncio.get_running_loop().create_future()
-        stream.pending_stop = switched
-        move = await self._order(stream, source, target, last=True)
-        result = _outcome(source, target, move)
-        if not switched.done():
-            switched.set_result(result)
+        stop_result = asyncio.get_running_loop().create_future()
+        stream.pending_stop = stop_result
+        move = await self._request_move(stream, source, target, last=True)
+        result = _stop_outcome(source, target, move)
+        if not stop_result.done():
+            stop_result.set_result(result)
         if (
             result is live.StopFailure.NOT_STOPPED
-            and stream.pending_stop is switched
+            and stream.pending_stop is stop_result
         ):
             stream.pending_stop = None
-        goes_there = (
+        resumes_at_target = (
             isinstance(result, live.ResumePoint) and result.target is target
         )
-        if not goes_there or stream.ended:
+        if not resumes_at_target or stream.ended:
             self._core.live.release(stream, target)
         if stream.ended and isinstance(result, live.ResumePoint):
             # Its caller has left meanwhile, and nobody goes on from the copy.
-            await self._free(source, result.handle)
+            await self._release_copy(source, result.handle)
 
-    async def _free(self, engine: upstream_lib.Upstream, handle: str) -> None:
+    async def _release_copy(
+        self, engine: upstream_lib.Upstream, handle: str
+    ) -> None:
         """Frees a copy that nobody will go on from.
 
         Left alone, it holds memory at its destination for some seconds.
@@ -287,7 +289,7 @@
         except error.CallError as exc:
             event.note(event.CopyNotFreed(engine.id, handle, exc.code))
 
-    async def _order(
+    async def _request_move(
         self,
         stream: live.Stream,
         source: upstream_lib.Upstream,
@@ -295,7 +297,7 @@
         *,
         last: bool,
     ) -> dialect_lib.Move | None:
-        begun_s = attempt.now()
+        started_s = attempt.now()
         request = stream.exchange.id_text
         move = None
         failure = ''
@@ -303,8 +305,8 @@
             move = await self._core.calls.move(source, request, target, last)
         except error.CallError as exc:
             failure = exc.code
-        took_s = attempt.now() - begun_s
-        meter.moves.observe({'last': str(last).lower()}, took_s)
+        duration_s = attempt.now() - started_s
+        meter.moves.observe({'last': str(last).lower()}, duration_s)
         event.note(
             event.RunOrdered(
                 request=request,
@@ -316,13 +318,13 @@
                 events=move.events if move else 0,
                 last_event=stream.last_id,
                 answer=failure or (move.code if move else ''),
-                took_ms=round(took_s * 1000, 1),
+                took_ms=round(duration_s * 1000, 1),
             )
         )
         return move
 
 
-def _outcome(
+def _stop_outcome(
     source: upstream_lib.Upstream,
     target: upstream_lib.Upstream,
     move: dialect_lib.Move | None,
@@ -332,5 +334,5 @@
         return live.StopFailure.NO_RESPONSE
     if not move.handle:
         return live.StopFailure.NOT_STOPPED
-    where = target if move.copied else source
-    return live.ResumePoint(source, where, move.handle)
+    resume_at = target if move.copied else source
+    return live.ResumePoint(source, resume_at, move.handle)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -34,8 +34,8 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 # An answer that is no stream is a short refusal.
-HELD_BYTES = 65_536
-UNREACHABLE_TRIES = 3
+MAX_REFUSAL_BYTES = 65_536
+MAX_UNREACHABLE = 3
 
 
 class OutOfOrderError(error.CallError):
@@ -50,7 +50,7 @@
     prompt = core.dialect.prompt(req.request.headers)
     stream = live.Stream(req, prompt, live.reserve(prompt))
     req.tokens = stream.reservation.memory_tokens
-    if _outlasts_process(core, stream.reservation):
+    if _outlives_process(core, stream.reservation):
         exchange.refuse(req.responder, UNAVAILABLE, 'stopping', again=True)
         return 'refused'
     try:
@@ -59,7 +59,7 @@
         core.live.end(stream)
 
 
-def _outlasts_process(
+def _outlives_process(
     core: core_lib.Core, reservation: book.Reservation
 ) -> bool:
     """Whether a generation would be cut off by the stop of this gateway.
@@ -80,7 +80,7 @@
         self._core = core
         self._stream = stream
         self._req = stream.exchange
-        self._avoid: frozenset[str] = frozenset()
+        self._excluded: frozenset[str] = frozenset()
         self._unreachable = 0
         kind = stream.exchange.route.kind
         self._sends = at_most_once.Sends(kind.may_repeat)
@@ -89,19 +89,19 @@
     async def run(self) -> str:
         """Relays to the end of the stream."""
         segment = await self._first_segment()
-        end: segment_lib.Outcome | None = None
+        outcome: segment_lib.Outcome | None = None
         while segment is not None:
-            end = await self._run_segment(segment)
-            self._sends.note(may_have_run=not segment_lib.is_not_run(end))
-            next_segment = await self._next_segment(segment, end)
-            self._log_segment(segment, end, next_segment)
-            if end is segment_lib.COMPLETE and next_segment is None:
+            outcome = await self._run_segment(segment)
+            self._sends.note(may_have_run=not segment_lib.has_not_run(outcome))
+            next_segment = await self._next_segment(segment, outcome)
+            self._log_segment(segment, outcome, next_segment)
+            if outcome is segment_lib.COMPLETE and next_segment is None:
                 if segment.may_have_stopped:
                     break
                 self._req.responder.end()
                 return 'served'
             segment = next_segment
-        return self._answer(end)
+        return self._respond_to_failure(outcome)
 
     async def _first_segment(self) -> segment_lib.Segment | None:
         grounds = self._sends.to_begin()
@@ -111,15 +111,15 @@
         engine = req.service.engine or routing_table.Engine()
         reservation = self._stream.reservation
         upstream = await self._core.admission.engine(
-            req, engine, reservation, self._avoid
+            req, engine, reservation, self._excluded
         )
         if upstream is None:
             return None
-        self._avoid |= {upstream.id}
+        self._excluded |= {upstream.id}
         self._core.quota.spend(upstream)
-        needs = reservation.memory_tokens
-        note.chosen(self._core, req, upstream, needs)
-        return self._continuation.begin(upstream, grounds)
+        memory_tokens = reservation.memory_tokens
+        note.chosen(self._core, req, upstream, memory_tokens)
+        return self._continuation.first_segment(upstream, grounds)
 
     async def _run_segment(
         self, segment: segment_lib.Segment
@@ -141,11 +141,13 @@
                     # get request after request that it turns away.
                     if sent.verdict is not attempt.Verdict.NOT_RUN:
                         page.note_failure()
-                    body, _ = await attempt.read_body(sent.conn, HELD_BYTES)
+                    body, _ = await attempt.read_body(
+                        sent.conn, MAX_REFUSAL_BYTES
+                    )
                     return segment_lib.Refusal(sent.head, body, sent.verdict)
                 segment.is_framed = sent.conn.is_framed
-                self._start(sent.head)
-                await self._pump(segment, sent.conn)
+                self._start_response(sent.head)
+                await self._relay_events(segment, sent.conn)
                 page.faults.succeed()
                 return segment_lib.COMPLETE
         except error.NotSentError as exc:
@@ -155,83 +157,85 @@
                 page.note_failure()
             return exc
 
-    def _start(self, head: message.ResponseHead) -> None:
+    def _start_response(self, head: message.ResponseHead) -> None:
         if self._req.responder.started:
             return
         headers = message.relayed(head)
         self._req.responder.start(head.status, headers, None)
 
-    async def _pump(
+    async def _relay_events(
         self, segment: segment_lib.Segment, conn: call.Conn
     ) -> None:
         splitter = events.Splitter()
         stream, responder = self._stream, self._req.responder
         while data := await conn.read():
             if stream.reservation.is_reading:
-                self._core.live.note_prefilled(stream)
-            ready = b''.join(self._fresh(segment, splitter.feed(data)))
-            if ready:
+                self._core.live.record_prefill(stream)
+            new_data = b''.join(self._new_events(segment, splitter.feed(data)))
+            if new_data:
                 self._req.note_event()
-                responder.write(ready)
+                responder.write(new_data)
                 await responder.drain()
-        if splitter.rest and stream.pending_stop is None:
+        if splitter.remainder and stream.pending_stop is None:
             raise error.TruncatedError('the stream ended within an event')
 
-    def _fresh(
-        self, segment: segment_lib.Segment, found: Iterator[events.Event]
+    def _new_events(
+        self, segment: segment_lib.Segment, parsed: Iterator[events.Event]
     ) -> Iterator[bytes]:
         stream = self._stream
-        for piece in found:
-            segment.note_event(attempt.now())
-            if piece.id is not None:
+        for item in parsed:
+            segment.record_event(attempt.now())
+            if item.id is not None:
                 if stream.last_id is not None:
-                    if piece.id <= stream.last_id:
+                    if item.id <= stream.last_id:
                         continue
-                    if piece.id != stream.last_id + 1:
+                    if item.id != stream.last_id + 1:
                         raise OutOfOrderError(
-                            f'event {piece.id} came after {stream.last_id}'
+                            f'event {item.id} came after {stream.last_id}'
                         )
-                stream.last_id = piece.id
-            yield piece.raw
+                stream.last_id = item.id
+            yield item.raw
 
     async def _next_segment(
-        self, segment: segment_lib.Segment, end: segment_lib.Outcome
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
     ) -> segment_lib.Segment | None:
-        next_segment = await self._continuation.after(segment, end)
-        if next_segment is not None or end is segment_lib.COMPLETE:
+        next_segment = await self._continuation.next_segment(segment, outcome)
+        if next_segment is not None or outcome is segment_lib.COMPLETE:
             return next_segment
-        if segment.continues and segment_lib.is_not_run(end):
+        if segment.continues and segment_lib.has_not_run(outcome):
             return None
-        return await self._again() if self._may_send_again(end) else None
+        return await self._restart() if self._may_resend(outcome) else None
 
-    async def _again(self) -> segment_lib.Segment | None:
+    async def _restart(self) -> segment_lib.Segment | None:
         segment = await self._first_segment()
         if segment is not None and self._stream.last_id is not None:
-            segment.extra_headers.extend(self._continuation.resume_after())
+            segment.extra_headers.extend(self._continuation.resume_headers())
         return segment
 
-    def _may_send_again(self, end: segment_lib.Outcome) -> bool:
+    def _may_resend(self, outcome: segment_lib.Outcome) -> bool:
         req, sends = self._req, self._sends
         if sends.to_begin() is None:
             return False
-        if isinstance(end, error.CallError) and not attempt.may_have_run(end):
+        if isinstance(outcome, error.CallError) and not attempt.may_have_run(
+            outcome
+        ):
             self._unreachable += 1
-            has_tries = self._unreachable <= UNREACHABLE_TRIES
-            return has_tries and not sends.may_have_run
-        if _is_misdirected(end):
+            has_attempts = self._unreachable <= MAX_UNREACHABLE
+            return has_attempts and not sends.may_have_run
+        if _is_misdirected(outcome):
             self._unreachable += 1
-            if self._unreachable > UNREACHABLE_TRIES:
+            if self._unreachable > MAX_UNREACHABLE:
                 return False
             self._core.budget.note_retry(req.service.name)
             return True
-        return self._has_budget()
+        return self._spend_retry()
 
-    def _has_budget(self) -> bool:
+    def _spend_retry(self) -> bool:
         if self._req.sends >= self._req.route.attempts:
             return False
         return self._core.budget.spend(self._req.service.name)
 
-    def _answer(self, end: segment_lib.Outcome | None) -> str:
+    def _respond_to_failure(self, outcome: segment_lib.Outcome | None) -> str:
         responder = self._req.responder
         if responder.started:
             responder.abort()
@@ -246,12 +250,12 @@
             )
             return 'refused'
         if (
-            isinstance(end, segment_lib.Refusal)
-            and end.verdict is attempt.Verdict.FAILED
+            isinstance(outcome, segment_lib.Refusal)
+            and outcome.verdict is attempt.Verdict.FAILED
             and self._req.sends <= 1
         ):
-            headers = message.relayed(end.head)
-            responder.reply(end.head.status, headers, end.body)
+            headers = message.relayed(outcome.head)
+            responder.reply(outcome.head.status, headers, outcome.body)
             return 'upstream_failed'
         exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
         return 'failed'
@@ -259,17 +263,17 @@
     def _log_segment(
         self,
         segment: segment_lib.Segment,
-        end: segment_lib.Outcome,
+        outcome: segment_lib.Outcome,
         next_segment: segment_lib.Segment | None,
     ) -> None:
-        meter.attempts.inc({'result': segment_lib.describe(end)})
+        meter.attempts.inc({'result': segment_lib.describe(outcome)})
         event.note(
             event.LegEnded(
                 request=self._req.id_text,
                 upstream=segment.upstream.id,
                 leaving=segment.upstream.leaving,
                 continued=segment.continues,
-                result=segment_lib.describe(end),
+                result=segment_lib.describe(outcome),
                 last_event=self._stream.last_id,
                 next=next_segment.upstream.id if next_segment else '',
                 backup=segment.backup.id if segment.backup else '',
@@ -279,7 +283,7 @@
         )
 
 
-def _is_misdirected(end: segment_lib.Outcome) -> bool:
+def _is_misdirected(outcome: segment_lib.Outcome) -> bool:
     """Whether another upstream answered than the one that was meant."""
     wrong = attempt.Verdict.WRONG_UPSTREAM
-    return isinstance(end, segment_lib.Refusal) and end.verdict is wrong
+    return isinstance(outcome, segment_lib.Refusal) and outcome.verdict is wrong
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
@@ -18,7 +18,7 @@
     'Refusal',
     'Segment',
     'describe',
-    'is_not_run',
+    'has_not_run',
 ]
 
 COMPLETE = 'whole'
@@ -61,7 +61,7 @@
         """For how long events have come of it, in seconds."""
         return self.last_event_s - self.first_event_s
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Takes an event that came at a loop time."""
         if not self.event_count:
             self.first_event_s = now
@@ -87,17 +87,17 @@
 Outcome = Refusal | error.CallError | str
 
 
-def is_not_run(end: Outcome | None) -> bool:
+def has_not_run(outcome: Outcome | None) -> bool:
     """Whether a segment ended without its request having run there."""
-    if isinstance(end, error.CallError):
-        return not attempt.may_have_run(end)
-    return isinstance(end, Refusal) and end.verdict.is_not_run
+    if isinstance(outcome, error.CallError):
+        return not attempt.may_have_run(outcome)
+    return isinstance(outcome, Refusal) and outcome.verdict.is_not_run
 
 
-def describe(end: Outcome) -> str:
+def describe(outcome: Outcome) -> str:
     """Returns how a segment ended, for logs and metrics."""
-    if isinstance(end, error.CallError):
-        return end.code
-    if isinstance(end, Refusal):
-        return f'{end.verdict.value}_{end.head.status}'
-    return end
+    if isinstance(outcome, error.CallError):
+        return outcome.code
+    if isinstance(outcome, Refusal):
+        return f'{outcome.verdict.value}_{outcome.head.status}'
+    return outcome
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -51,19 +51,21 @@
         switched.set_result(live.ResumePoint(source, target, 'handle'))
         self.stream.pending_stop = switched
 
-    def part(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
+    def segment_of(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
         """Returns a part of the stream that has made events."""
         return segment.Segment(engine, [], grounds, event_count=80)
 
-    async def test_a_stopped_run_goes_on_at_its_destination(self):
+    async def test_a_stopped_run_resumes_at_its_destination(self):
         source, target, _ = self.engines
         self.stopped(source, target)
         broken = error.TruncatedError('the connection ended')
-        found = await self.continuation.after(self.part(source), broken)
+        found = await self.continuation.next_segment(
+            self.segment_of(source), broken
+        )
         self.assertIs(found.upstream, target)
         self.assertIs(found.grounds, at_most_once.Grounds.COPY)
 
-    async def test_an_order_to_an_engine_before_counts_no_more(self):
+    async def test_a_late_answer_to_an_earlier_stop_is_ignored(self):
         """A plan has come to its end, and is sent to a further engine.
 
         Its engine left, and its connection broke while it was being stopped
@@ -72,19 +74,19 @@
         """
         source, backup, target = self.engines
         self.stopped(source, target)
-        part = self.part(backup, at_most_once.Grounds.BACKUP)
-        found = await self.continuation.after(part, segment.COMPLETE)
+        current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
+        found = await self.continuation.next_segment(current, segment.COMPLETE)
         self.assertIsNone(found)
 
-    async def test_nor_does_its_copy_when_a_later_part_breaks_off(self):
+    async def test_a_later_segment_does_not_use_an_earlier_copy(self):
         """The copy is of the run as it was; the backup's part went further."""
         source, backup, target = self.engines
         self.stopped(source, target)
-        part = self.part(backup, at_most_once.Grounds.BACKUP)
+        current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
         broken = error.TruncatedError('the connection ended')
-        self.assertIsNone(await self.continuation.after(part, broken))
+        self.assertIsNone(await self.continuation.next_segment(current, broken))
 
-    async def test_a_last_copy_that_came_late_is_of_its_own_move_only(self):
+    async def test_a_late_final_copy_is_used_by_its_own_move_only(self):
         """A plan moves twice, and goes on from the copy of the first move.
 
         Its first destination took the copy that was there before the last one,
@@ -97,20 +99,24 @@
         self.stream.pending_stop = slow
         self.stream.precopy = live.ResumePoint(first, second, 'early')
         broken = error.TruncatedError('the connection ended')
-        part = await self.continuation.after(self.part(first), broken)
-        self.assertIs(part.upstream, second)
+        current = await self.continuation.next_segment(
+            self.segment_of(first), broken
+        )
+        self.assertIs(current.upstream, second)
         slow.set_result(live.ResumePoint(first, second, 'late'))
 
-        part.event_count = 20
+        current.event_count = 20
         self.stopped(second, third)
-        part = await self.continuation.after(part, broken)
-        self.assertIs(part.upstream, third)
+        current = await self.continuation.next_segment(current, broken)
+        self.assertIs(current.upstream, third)
         self.stream.upstream = third
-        back = await self.continuation.after(part, error.ConnectError())
+        back = await self.continuation.next_segment(
+            current, error.ConnectError()
+        )
         self.assertIs(back.upstream, second)
         self.assertIn((b'from', b'handle'), back.extra_headers)
 
-    async def test_a_copy_that_is_gone_on_from_is_nobody_elses(self):
+    async def test_a_copy_in_use_is_not_released_by_its_move(self):
         """A plan is cut off as it goes on from the first copy of its move.
 
         Its engine breaks off before it was told to stop. While the gateway
@@ -130,7 +136,9 @@
         broken = error.TruncatedError('the connection ended', was_reset=True)
         quiet = mock.patch.object(event, 'note')
         with quiet:
-            found = await self.continuation.after(self.part(source), broken)
+            found = await self.continuation.next_segment(
+                self.segment_of(source), broken
+            )
         self.assertIs(found.upstream, target)
         self.assertIn((b'from', b'early'), found.extra_headers)
         self.assertIsNone(self.stream.precopy)
--- a/tests/quetzalsill_gateway/stream/test_events.py
+++ b/tests/quetzalsill_gateway/stream/test_events.py
@@ -27,7 +27,9 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(EVENT, max_size=8), st.binary(max_size=9), st.data())
-    def test_whole_events_only_whatever_the_pieces(self, made, tail, data):
+    def test_only_complete_events_however_the_bytes_are_split(
+        self, made, tail, data
+    ):
         tail = tail.translate(None, b'\r\n')
         whole = b''.join(raw for _, raw in made)
         stream = whole + tail
@@ -39,7 +41,7 @@
             stream = stream[size:]
         self.assertEqual(b''.join(event.raw for event in found), whole)
         self.assertEqual([event.id for event in found], [n for n, _ in made])
-        self.assertEqual(splitter.rest, tail)
+        self.assertEqual(splitter.remainder, tail)
 
     def test_events_without_a_number(self):
         found = list(events.Splitter().feed(b': hello\n\nid: x\n\nid:\n\n'))
--- a/tests/quetzalsill_gateway/stream/test_link_queue.py
+++ b/tests/quetzalsill_gateway/stream/test_link_queue.py
@@ -15,7 +15,7 @@
 from quetzalsill_gateway.stream import link_queue
 
 ENGINE = 'e-1'
-PATIENCE_S = 0.5
+TIMEOUT_S = 0.5
 RUNS = st.dictionaries(
     st.uuids().map(str), st.integers(1, 9000), min_size=1, max_size=9
 )
@@ -26,11 +26,11 @@
     found = [link_queue.LinkQueue() for _ in range(count)]
     for number, (request, tokens) in enumerate(sorted(runs.items())):
         found[number % count].add(ENGINE, request, tokens)
-    tell(found)
+    exchange_moves(found)
     return found
 
 
-def tell(queues):
+def exchange_moves(queues):
     for number, queue in enumerate(queues):
         for other in queues:
             if other is not queue:
@@ -43,7 +43,7 @@
         (queue, request)
         for queue in queues
         for request in queue.own_moves().get(ENGINE, {})
-        if queue.is_next(ENGINE, request, now, PATIENCE_S)
+        if queue.is_next(ENGINE, request, now, TIMEOUT_S)
     ]
 
 
@@ -52,7 +52,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(RUNS)
-    def test_all_agree_and_the_smallest_comes_first(self, runs):
+    def test_all_gateways_agree_and_the_smallest_run_is_first(self, runs):
         """Whoever has the runs, one at a time moves, in the order of sizes."""
         queues = gateways(runs)
         moved = []
@@ -60,12 +60,12 @@
             ((queue, request),) = next_ones(queues)
             moved.append(request)
             queue.remove(ENGINE, request)
-            tell(queues)
+            exchange_moves(queues)
         self.assertEqual(moved, sorted(runs, key=lambda one: (runs[one], one)))
 
     @settings(derandomize=True, deadline=None)
     @given(RUNS)
-    def test_what_is_on_the_link_stays_first(self, runs):
+    def test_a_move_in_progress_stays_first(self, runs):
         """A smaller run is entered while a larger one is being copied.
 
         Begun in between, it would put its copy before the larger one's last
@@ -75,33 +75,33 @@
         ((queue, request),) = next_ones(queues)
         queue.start(ENGINE, request)
         queues[0].add(ENGINE, 'late', 1)
-        tell(queues)
+        exchange_moves(queues)
         self.assertEqual(next_ones(queues), [(queue, request)])
 
-    def test_a_gateway_that_died_holds_nobody_up_for_long(self):
+    def test_a_failed_gateway_blocks_others_for_a_limited_time(self):
         """The first run's gateway is killed in the middle of its move."""
         alive, dead = gateways({'a': 10, 'b': 20}, count=2)
         self.assertEqual(next_ones([dead]), [])
         dead.remove(ENGINE, 'b')
         alive.remove(ENGINE, 'a')
         alive.add(ENGINE, 'c', 30)
-        self.assertFalse(alive.is_next(ENGINE, 'c', 1.0, PATIENCE_S))
-        self.assertFalse(alive.is_next(ENGINE, 'c', 1.4, PATIENCE_S))
-        alive.is_next(ENGINE, 'c', 1.6, PATIENCE_S)
-        self.assertTrue(alive.is_next(ENGINE, 'c', 1.6, PATIENCE_S))
+        self.assertFalse(alive.is_next(ENGINE, 'c', 1.0, TIMEOUT_S))
+        self.assertFalse(alive.is_next(ENGINE, 'c', 1.4, TIMEOUT_S))
+        alive.is_next(ENGINE, 'c', 1.6, TIMEOUT_S)
+        self.assertTrue(alive.is_next(ENGINE, 'c', 1.6, TIMEOUT_S))
 
-    def test_a_gateway_that_has_nothing_left_is_forgotten(self):
+    def test_a_gateway_without_pending_moves_is_dropped(self):
         first, second = gateways({'a': 10, 'b': 20}, count=2)
-        self.assertFalse(second.is_next(ENGINE, 'b', 0.0, PATIENCE_S))
+        self.assertFalse(second.is_next(ENGINE, 'b', 0.0, TIMEOUT_S))
         first.remove(ENGINE, 'a')
-        tell([first, second])
-        self.assertTrue(second.is_next(ENGINE, 'b', 0.0, PATIENCE_S))
+        exchange_moves([first, second])
+        self.assertTrue(second.is_next(ENGINE, 'b', 0.0, TIMEOUT_S))
 
     def test_engines_do_not_wait_for_each_other(self):
         queue = link_queue.LinkQueue()
         queue.add(ENGINE, 'a', 10)
         queue.add('e-2', 'b', 20)
-        self.assertTrue(queue.is_next('e-2', 'b', 0.0, PATIENCE_S))
+        self.assertTrue(queue.is_next('e-2', 'b', 0.0, TIMEOUT_S))
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/stream/test_stop.py
+++ b/tests/quetzalsill_gateway/stream/test_stop.py
@@ -46,22 +46,22 @@
         clock.run(work)
         return found[0].state
 
-    def test_an_answer_tells(self):
+    def test_an_answer_gives_the_state_of_the_run(self):
         self.assertIs(self.stop(STOPPED), RunState.STOPPED)
         self.assertIs(self.stop(UNKNOWN), RunState.ENDED)
         self.assertIs(self.stop(REFUSED), RunState.AT_WORK)
         self.assertIs(self.stop(REFUSED, STOPPED), RunState.STOPPED)
 
-    def test_an_engine_that_takes_no_connection_is_not_reached(self):
+    def test_an_engine_that_refuses_connections_is_unreached(self):
         found = self.stop(error.ConnectError('refused'))
         self.assertIs(found, RunState.UNREACHED)
 
-    def test_an_engine_that_crashes_meanwhile_is_not_reached(self):
+    def test_an_engine_that_crashes_meanwhile_is_unreached(self):
         lost = error.TruncatedError('the connection ended')
         found = self.stop(lost, error.ConnectError('refused'))
         self.assertIs(found, RunState.UNREACHED)
 
-    def test_an_engine_that_resets_orders_is_there(self):
+    def test_an_engine_that_resets_connections_may_be_working(self):
         """A plan is at work at two engines.
 
         Its engine has too many connections and resets new ones, some as they
@@ -70,7 +70,7 @@
         for lost in (error.TruncatedError(), error.EndedError()):
             self.assertIs(self.stop(lost), RunState.AT_WORK)
 
-    def test_one_connection_that_nobody_answers_says_little(self):
+    def test_one_unanswered_connection_is_not_conclusive(self):
         """A plan is at work at two engines.
 
         The first packet to its engine is lost, or the queue of connections
@@ -81,7 +81,7 @@
         self.assertIs(self.stop(silent, REFUSED), RunState.AT_WORK)
         self.assertIs(self.stop(silent), RunState.UNREACHED)
 
-    def test_a_refusal_outlasts_a_connection_that_fails(self):
+    def test_a_refusal_outweighs_a_later_failed_connection(self):
         """The engine has said that it has the run; a full one says no more."""
         found = self.stop(REFUSED, error.ConnectError('full'))
         self.assertIs(found, RunState.AT_WORK)
--- a/tests/quetzalsill_platform/test_missing_signs.py
+++ b/tests/quetzalsill_platform/test_missing_signs.py
@@ -230,7 +230,7 @@
         Its stream ends with its connection, and nothing goes on; its caller
         got a part of the plan as the whole.
         """
-        bound = mock.patch.object(continuation, 'MOST_SWITCHES', 0)
+        bound = mock.patch.object(continuation, 'MAX_SWITCHES', 0)
         bound.start()
         self.addCleanup(bound.stop)
         for writer in self.engines:
@@ -246,7 +246,7 @@
         was kept for the plan at its destination stays taken for good: the
         engine looks fuller with each such caller.
         """
-        bound = mock.patch.object(continuation, 'LAST_COPY_S', ORDER_S)
+        bound = mock.patch.object(continuation, 'FINAL_COPY_TIMEOUT_S', ORDER_S)
         bound.start()
         self.addCleanup(bound.stop)
         for writer in self.engines:
--- a/tests/quetzalsill_platform/test_moves.py
+++ b/tests/quetzalsill_platform/test_moves.py
@@ -58,7 +58,9 @@
     async def asyncSetUp(self):
         with mock.patch.object(engine, 'Engine', _Engine):
             await super().asyncSetUp()
-        patience = mock.patch.object(continuation, 'LAST_COPY_S', PATIENCE_S)
+        patience = mock.patch.object(
+            continuation, 'FINAL_COPY_TIMEOUT_S', PATIENCE_S
+        )
         patience.start()
         self.addCleanup(patience.stop)
 
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -142,7 +142,7 @@
         for writer in self.engines:
             writer.length, writer.last_copy_s = 80, 60.0
         # Waited for like any other switch, it would come after the deadline.
-        patience = mock.patch.object(continuation, 'SWITCH_S', 60.0)
+        patience = mock.patch.object(continuation, 'STOP_TIMEOUT_S', 60.0)
         patience.start()
         self.addCleanup(patience.stop)
         asked = asyncio.create_task(self.stream(request_id='m1'))
