--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of events: their pieces, their moves and their resumption."""
+"""Event streams: parsing, relaying, live migration and resumption."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -1,9 +1,10 @@
-"""Where a run goes on when its upstream's part of the stream has ended.
+"""Decides where a run resumes after a segment of its stream has ended.
 
-It may have been stopped in order to move, its engine may have crashed or left,
-or a destination may not have taken it. A run goes on elsewhere only once it has
-surely ended where it was: at work in two places, its work would be done twice,
-and its caller might get events of both.
+A segment ends because the run was stopped to be moved, because its engine
+crashed or shut down, or because a destination did not accept the run. A run
+resumes elsewhere only if it has certainly ended at its previous engine.
+Otherwise it could run on two engines at once: the work would be done twice, and
+the caller might receive events of both.
 """
 
 from __future__ import annotations
@@ -26,26 +27,26 @@
 __all__ = ['Continuation']
 
 MS_PER_S = 1000
-# A run that was stopped is resumed within a pause that callers hardly notice,
-# or not at all.
+# A stopped run is resumed within a pause that callers hardly notice, or not at
+# all.
 STOP_TIMEOUT_S = 1.5
-# A last copy on a free link takes a few round trips. Once the run has stopped,
-# its first copy lacks the tokens of one copy's time, which are read again in a
-# few steps; waiting for a busy link takes longer.
+# The final copy takes a few round trips on an idle link. If the link is busy,
+# it is faster to resume from the first copy and to recompute, in a few steps,
+# the tokens that were generated while it was made.
 FINAL_COPY_TIMEOUT_S = 0.04
-# An engine leaves every few seconds; a run that meets more of them than this
-# goes round in circles.
+# An engine leaves every few seconds; a run that switches more often than this
+# is being moved in circles.
 MAX_SWITCHES = 8
-# Ranks at the engine, where 0 is the first: the most urgent route gets the
-# first of these, and each further rank a step of two, so that 5, which applies
-# to who sends none, stands between.
+# Priorities at the engine, where 0 is the most urgent. The most urgent route
+# gets the first of these and each further level is one step lower, so that the
+# engine's default of 5 lies between two levels.
 FIRST_PRIORITY = 2
 PRIORITY_STEP = 2
 LAST_PRIORITY = 9
 
 
 class Continuation:
-    """Decides where one stream's run goes on, and prepares its segments."""
+    """Decides where the run of one stream resumes, and creates its segments."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
@@ -59,23 +60,25 @@
     def first_segment(
         self, upstream: upstream_lib.Upstream, grounds: at_most_once.Grounds
     ) -> segment_lib.Segment:
-        """Returns the segment of a run that begins."""
+        """Returns the segment of a run that has not started yet."""
         return self._segment(upstream, [self._priority()], grounds)
 
     async def next_segment(
         self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
     ) -> segment_lib.Segment | None:
-        """Returns the segment in which the run goes on; None if it does not.
+        """Returns the segment in which the run resumes, None if it does not.
 
-        A run may end while an order to stop it is still under way. Taken for
-        stopped, it would be sent to a destination that has dropped the copy
-        by then, and a caller who has the whole answer would be cut off.
+        A run may complete while a stop command is in progress. If it were
+        treated as stopped, it would be sent to a destination that has already
+        dropped the copy, and a caller that has the complete response would be
+        disconnected.
         """
         if outcome is segment_lib.COMPLETE and segment.is_framed:
             return None
         precopy = self._stream.precopy
         stopped = await self._stop_outcome(segment, outcome)
-        # Its stream may end with its connection, and then tells nothing.
+        # If the response is delimited by its connection, its end does not show
+        # whether the run is complete.
         segment.may_have_stopped = stopped not in (
             None,
             live.StopFailure.NOT_STOPPED,
@@ -91,7 +94,7 @@
         return None
 
     def resume_headers(self) -> message.Headers:
-        """Returns the headers that name the last event the caller has."""
+        """Returns the headers with the id of the last event the caller has."""
         last = self._stream.last_id
         if last is None:
             return []
@@ -107,15 +110,16 @@
     async def _stop_outcome(
         self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
     ) -> live.StopOutcome | None:
-        """Returns what an order to stop the run there came to, if there is one.
+        """Returns the result of the stop command for a segment, if any.
 
-        An order to an engine from which the run has gone since, to its backup
-        as its connection broke, may be answered late. The run went on without
-        that copy: going on from it would do work again that is done.
+        A command may be answered late, after the run has resumed from its
+        backup because the connection broke. The run has continued without the
+        copy that the answer names, and resuming from it would repeat work.
 
-        The engine closes a stream that it stops. One that is reset broke for
-        another reason: its engine may be at work still, and refuse the order
-        or never get it, so that only its answer counts.
+        An engine closes the stream of a run that it stops. A stream that was
+        reset broke for another reason: the engine may still be working on the
+        run, and reject the command or never receive it. Only its answer counts
+        then.
         """
         stream = self._stream
         pending, precopy = stream.pending_stop, stream.precopy
@@ -128,7 +132,7 @@
         stop_outcome = await _wait_for_outcome(pending, timeout_s)
         late = None
         if precopy is not None and not pending.done():
-            # The last copy waits for a link that is busy with others.
+            # The final copy is waiting for a busy link.
             stop_outcome, late = precopy, pending
         is_stale = (
             isinstance(stop_outcome, live.ResumePoint)
@@ -142,17 +146,18 @@
     async def _recover(
         self, segment: segment_lib.Segment, precopy: live.ResumePoint | None
     ) -> segment_lib.Segment | None:
-        """Goes on with a run whose stream broke off, where it surely may.
+        """Resumes a run whose stream was interrupted, if this is safe.
 
-        The connection may have broken although the engine lives and works on:
-        going on elsewhere, the run would be at work twice. So the engine is
-        ordered to stop it first.
+        The connection may have broken while the engine is alive and still
+        working on the run. If the run resumed elsewhere, two engines would
+        work on it. So the engine is told to stop it first.
 
         Args:
-          segment: The part that broke off.
-          precopy: The first copy of a move that has not come to its last one.
+          segment: The segment that was interrupted.
+          precopy: First copy of a move that has not made its final copy.
         """
-        # Left to the move, the copy would be freed once the run has gone.
+        # Otherwise the move would release the copy once it finds that the run
+        # has left its source.
         self._stream.precopy = None
         if precopy is not None and precopy.source is not segment.upstream:
             precopy = None
@@ -190,7 +195,7 @@
         )
 
     async def _after_refusal(self) -> segment_lib.Segment | None:
-        """Goes on elsewhere when the destination did not take the run."""
+        """Resumes elsewhere after the destination rejected the run."""
         pending, self._late_stop = self._late_stop, None
         if pending is not None:
             late_outcome = await _wait_for_outcome(pending, STOP_TIMEOUT_S)
@@ -199,7 +204,7 @@
         return self._back_to_source()
 
     def _back_to_source(self) -> segment_lib.Segment | None:
-        """The destination did not take the run: it goes on where it was."""
+        """Resumes at the source after the destination rejected the run."""
         source = self._source
         if self._stream.upstream is source or not self._count_switch('move'):
             return None
@@ -208,7 +213,7 @@
     def _resume_from(
         self, resume_point: live.ResumePoint
     ) -> segment_lib.Segment:
-        """Goes on from a copy that an engine has named."""
+        """Resumes from a copy that an engine has confirmed."""
         return self._resume(
             resume_point.target,
             resume_point.source,
@@ -231,7 +236,7 @@
         ]
         self._source = holder
         self._handle = handle
-        # An order that was given meanwhile is for where the run was.
+        # A stop command sent in the meantime is for the previous upstream.
         self._stream.pending_stop = None
         return self._segment(target, extra, grounds)
 
@@ -241,7 +246,7 @@
         extra: message.Headers,
         grounds: at_most_once.Grounds,
     ) -> segment_lib.Segment:
-        """Returns a segment, with a backup if one is worth it."""
+        """Returns a segment, with a backup if that is worthwhile."""
         segment = segment_lib.Segment(upstream, extra, grounds)
         stream, req, pages = self._stream, self._req, self._core.pages
         engine = req.service.engine
@@ -270,11 +275,12 @@
 async def _wait_for_outcome(
     pending: asyncio.Future[live.StopOutcome], timeout_s: float
 ) -> live.StopOutcome:
-    """Returns what an order came to, if there is word of it in time.
+    """Returns the result of a stop command, if it arrives in time.
 
-    A process that is paused wakes to the answer and to the end of its patience
-    in the same turn of its loop. The wait is then given up although the answer
-    is there, by which a run that was stopped is not lost.
+    After a pause of this process, the answer and the timeout may both be due in
+    the same iteration of the event loop. The wait is then cancelled although
+    the answer has arrived. The result is used in this case too, as the stopped
+    run would otherwise be lost.
     """
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -1,10 +1,11 @@
-"""Asks engines themselves while nobody else tells which of them leave.
-
-An engine that is taken away says so to the membership source, and to whoever
-asks it. While the source is away its notice reaches nobody, and all runs on it
-would be lost when it goes. Each question has its price, so that they are asked
-only then, and only of engines that work for this gateway. Where the source is
-away for some gateways only, those that it serves tell the rest.
+"""Polls engines for shutdown notices while the membership source is down.
+
+An engine that is about to shut down reports this to the membership source and
+in its own status report. During an outage of the source the notice would not
+reach the gateways, and all runs on the engine would be lost when it shuts down.
+Polling costs a request per engine, so it is limited to outages and to engines
+with streams of this gateway. If the source is unavailable to some gateways
+only, the others forward its updates to them.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 __all__ = ['run']
 
-# An engine goes 1.5 s after its notice at the soonest, and its report is half
-# a second old; asked this often, a second is left to move its runs.
+# An engine shuts down 1.5 s after its notice at the earliest, and its report
+# may be 0.5 s old. This interval leaves about 1 s to move its runs.
 POLL_INTERVAL_S = 0.25
-# With nothing told for this long the source is away for all: a call that waits
-# for a change is answered sooner (`watch.membership.WAIT_S`).
+# Without an update for longer than this, the source is down for all gateways:
+# a long poll is answered sooner (`watch.membership.WAIT_S`).
 MAX_UPDATE_AGE_S = 0.6
 
 
 async def run(core: core_lib.Core) -> None:
-    """Asks while the membership source is away; runs until cancelled."""
+    """Polls during outages of the membership source, until cancelled."""
     while True:
         await core.health.until_down()
         if core.upstreams.age_s > MAX_UPDATE_AGE_S:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/events.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/events.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of a stream."""
+"""Splits the bytes of a stream into events."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Event:
-    """One event as the upstream wrote it.
+    """One event as the upstream sent it.
 
     Attributes:
-      id: Its number; None if it has none.
-      raw: All of its bytes, with the empty line behind it.
+      id: Its numeric id; None if it has none.
+      raw: All of its bytes, including the blank line that ends it.
     """
 
     id: int | None
@@ -25,11 +25,11 @@
 
 
 class Splitter:
-    """Cuts the bytes of one answer into events.
+    """Splits the bytes of one response into events.
 
-    A server may stop in the middle of an event. What has come of it stays
-    here, so that a caller never gets half an event which another server would
-    then send whole.
+    An upstream may fail in the middle of an event. The incomplete event is
+    buffered here, so that the caller never receives part of an event that
+    another upstream then sends again in full.
     """
 
     def __init__(self) -> None:
@@ -37,11 +37,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """Bytes of an event that is not whole."""
+        """Bytes of an incomplete event."""
         return self._remainder
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        """Yields the events that are whole now."""
+        """Yields the events that `data` completes."""
         self._remainder += data
         while True:
             ends = [
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leaving_engine.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/leaving_engine.py
@@ -1,4 +1,4 @@
-"""An engine that leaves, and how long its runs take to move away."""
+"""An engine that is about to shut down, and how long moving its runs takes."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 
 __all__ = ['LeavingEngine']
 
-# Shortest notice given; an engine that does not say when it goes is taken to
-# go then.
+# Shortest notice that is given, and the default for engines that do not report
+# when they shut down.
 MIN_NOTICE_S = 1.45
-# The order to stop, the copy of what is new by then, and their round trips.
+# Stop command, copy of the tokens generated since the first copy, round trips.
 FINAL_COPY_S = 0.06
-# A run grows while it is copied, and the link carries backups besides.
+# The run grows while it is copied, and backups use the same link.
 GROWTH_FACTOR = 1.1
-# Between availability zones memory moves at half the rate.
+# The transfer rate between availability zones is half that within one.
 CROSS_ZONE_FACTOR = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class LeavingEngine:
-    """An engine that leaves.
+    """An engine that is about to shut down.
 
     Attributes:
-      upstream: The engine.
-      spec: What engines of its service have.
-      noticed_at_s: Loop time at which its leaving was learned.
-      page: What is known of the engine.
-      reported_tokens: Tokens in memory of its runs, by request, as it reported.
+      upstream: The engine's membership entry.
+      spec: Capabilities and link rate of the service's engines.
+      noticed_at_s: Loop time at which this gateway learned of the shutdown.
+      page: Statistics that this gateway keeps on the engine.
+      reported_tokens: Tokens in the KV cache of each run, by request id, from
+        the engine's report.
     """
 
     upstream: upstream_lib.Upstream
@@ -44,16 +45,16 @@
 
     @property
     def leaves_at_s(self) -> float:
-        """Loop time at which it goes."""
+        """Loop time at which the engine shuts down."""
         return self.page.leaves_at_s or self.noticed_at_s + MIN_NOTICE_S
 
     def memory_tokens(self, stream: live.Stream) -> int:
-        """Returns a run's tokens in memory, of late."""
+        """Returns the last known number of tokens in a run's KV cache."""
         reported = self.reported_tokens.get(stream.exchange.id_text, 0)
         return max(reported, stream.prompt.input_tokens)
 
     def move_s(self, stream: live.Stream, *, cross_zone: bool = True) -> float:
-        """Returns how long a move takes on a free link, in seconds."""
+        """Returns the time to move a run over an idle link, in seconds."""
         copy_s = GROWTH_FACTOR * self.spec.copy_s(self.memory_tokens(stream))
         return (
             copy_s * (CROSS_ZONE_FACTOR if cross_zone else 1.0) + FINAL_COPY_S
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/link_queue.py
@@ -1,14 +1,14 @@
-"""The order in which the runs of leaving engines are moved.
+"""Defines the order in which runs are moved off leaving engines.
 
-All copies go through the link of the engine that leaves, one after another,
-whichever gateway orders them. A run is copied while it goes on, then stopped
-and its last tokens copied. Ordered all at once, the last copies of the first
-runs wait behind the first copies of the last ones: callers see pauses, and
-when the engine goes before the link is through, even runs that were copied in
-time are lost.
+All copies share the outgoing link of the leaving engine, regardless of which
+gateway requests them. A run is copied while it continues, then it is stopped
+and its last tokens are copied. If all moves were requested at once, the final
+copies of the first runs would queue behind the first copies of the last runs:
+callers would see pauses, and if the engine shut down before the link had
+drained, even runs that were copied in time would be lost.
 
-So one run at a time is moved to its end. Each gateway tells the others which
-of its runs are still to be moved, and all take them in the same order.
+Therefore one run at a time is moved to completion. Each gateway publishes its
+pending moves to the others, and all of them derive the same order.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 __all__ = ['LinkQueue', 'PendingMoves', 'Position']
 
-# Runs that a gateway has still to move, with their tokens in memory: by
-# upstream key and request id.
+# Pending moves of a gateway: tokens in the KV cache, by upstream key and by
+# request id.
 PendingMoves = dict[str, dict[str, int]]
 
-# Told in place of its tokens for a run that is on the link.
+# Published in place of the token count for a run that is being copied.
 IN_PROGRESS = 0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Position:
-    """A run's place in the order.
+    """Sort key of a run.
 
-    The smallest comes first, since most are saved in that order where the time
-    does not suffice for all.
+    The smallest run is moved first, because this saves the most runs if the
+    time does not suffice for all.
 
     Attributes:
-      tokens: Its tokens in memory; `IN_PROGRESS` if it is on the link.
-      request: Its request id, which decides between equals.
+      tokens: Tokens in its KV cache; `IN_PROGRESS` if it is being copied.
+      request: Its request id, which breaks ties.
     """
 
     tokens: int
@@ -42,7 +42,7 @@
 
 
 class LinkQueue:
-    """Runs that are still to be moved, of this gateway and of the others."""
+    """Pending moves of this gateway and of its peers."""
 
     def __init__(self) -> None:
         self._own: PendingMoves = {}
@@ -51,36 +51,36 @@
         self._skipped: dict[str, set[str]] = {}
 
     def add(self, key: str, request: str, tokens: int) -> None:
-        """Enters a run of this gateway."""
+        """Adds a run of this gateway."""
         self._own.setdefault(key, {})[request] = tokens
 
     def start(self, key: str, request: str) -> None:
-        """Notes that a run of this gateway is on the link now.
+        """Marks a run of this gateway as being copied.
 
-        It stays ahead of smaller ones that are entered meanwhile.
+        It then stays ahead of smaller runs that are added later.
         """
         self._own.setdefault(key, {})[request] = IN_PROGRESS
 
     def remove(self, key: str, request: str) -> None:
-        """Takes a run of this gateway out: it was moved, or given up."""
+        """Removes a run of this gateway that was moved or given up."""
         own = self._own.get(key, {})
         own.pop(request, None)
         if not own:
             self._own.pop(key, None)
 
     def own_moves(self) -> PendingMoves:
-        """Returns what the other gateways are told."""
+        """Returns the pending moves of this gateway, to be published."""
         return {upstream: dict(runs) for upstream, runs in self._own.items()}
 
     def receive(self, node: str, moves: PendingMoves) -> None:
-        """Takes all that another gateway has to move."""
+        """Replaces the pending moves of another gateway."""
         if moves:
             self._others[node] = moves
         else:
             self._others.pop(node, None)
 
     def forget(self, key: str) -> None:
-        """Drops what was noted of an engine that is gone."""
+        """Drops all state about an engine that has shut down."""
         self._own.pop(key, None)
         self._heads.pop(key, None)
         self._skipped.pop(key, None)
@@ -88,17 +88,17 @@
     def is_next(
         self, key: str, request: str, now: float, timeout_s: float
     ) -> bool:
-        """Whether it is a run's turn at its engine's link.
+        """Whether a run may use the link of its engine now.
 
-        A gateway may die or be cut off while its run is the first, and would
-        hold up the others until it is taken for silent. Its run is passed over
-        once it has been the first for longer than a move takes.
+        A gateway may fail or be partitioned while its run is at the head of the
+        queue, and would block the others until they detect the failure. Its run
+        is skipped once it has been at the head for longer than a move takes.
 
         Args:
-          key: The engine that leaves.
-          request: A run of this gateway.
+          key: Key of the leaving engine.
+          request: Request id of a run of this gateway.
           now: Loop time, in seconds.
-          timeout_s: Longest time that a move takes.
+          timeout_s: Longest duration of a move, in seconds.
         """
         skipped = self._skipped.setdefault(key, set())
         positions = [
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -1,4 +1,4 @@
-"""Streams that this gateway relays, by the upstream that makes them."""
+"""Streams that this gateway is relaying, indexed by upstream."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 __all__ = ['LiveStreams', 'ResumePoint', 'StopFailure', 'StopOutcome', 'Stream']
 
-# The caller's guess is right at the median; one run in a few is longer.
+# The caller's hint is accurate at the median; one run in a few exceeds it.
 HINT_MARGIN = 1.3
 DEFAULT_OUTPUT_SHARE = 0.5
 
 
 class StopFailure(enum.Enum):
-    """What an order to stop a run came to that gives it no place to go on.
+    """Why a stop command did not yield a point to resume from.
 
     Attributes:
-      NOT_STOPPED: Whoever answers at the source has not stopped it.
-      NO_RESPONSE: Nobody knows: there was no answer.
+      NOT_STOPPED: The source answered and did not stop the run.
+      NO_RESPONSE: There was no answer, so the state of the run is unknown.
     """
 
     NOT_STOPPED = 'not_stopped'
@@ -36,12 +36,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ResumePoint:
-    """Where a run goes on after it was stopped at its source.
+    """Where a run resumes after it was stopped at its source.
 
     Attributes:
-      source: Upstream that it ran on.
-      target: Upstream to go on at: the destination, or the source again.
-      handle: Names the copy.
+      source: Upstream that stopped the run.
+      target: Upstream to resume at: the destination, or the source again.
+      handle: Identifies the copy of the KV cache.
     """
 
     source: upstream_lib.Upstream
@@ -49,28 +49,28 @@
     handle: str
 
 
-# What an order to stop a run comes to.
+# Result of a stop command.
 StopOutcome = ResumePoint | StopFailure
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Stream:
-    """One stream on its way to a caller.
+    """One stream to a caller.
 
     Attributes:
-      exchange: The request.
-      prompt: What the caller says of the generation.
-      reservation: What it holds at its upstream.
-      upstream: Where it runs; None before the first send.
-      backup: Upstream that gets a copy of its memory as it grows.
-      last_id: Number of the last event written to the caller; None at first.
-      pending_stop: Set while its run is being stopped in order to go on
-        elsewhere.
-      precopy: Where it can go on, less a few tokens, once it has stopped.
+      exchange: The request and its response.
+      prompt: Prompt length and expected output, as declared by the caller.
+      reservation: Memory that it is expected to need at its upstream.
+      upstream: Upstream that runs it; None before the first send.
+      backup: Upstream that receives a copy of its KV cache as it grows.
+      last_id: Number of the last event written to the caller; None before it.
+      pending_stop: Set while its run is being stopped to resume elsewhere.
+      precopy: First copy of a move, made while the run continued. Once the run
+        has stopped it can resume from it, and recomputes the last few tokens.
       placed_at_s: Loop time at which it was first sent; None before.
-      prefill_since: Prompt tokens that were ahead of its own at its upstream,
-        and the loop time of that.
-      ended: Nothing of it is relayed any more.
+      prefill_since: Prompt tokens queued ahead of its own at its upstream when
+        it was sent, and the loop time then.
+      ended: Whether relaying has ended.
     """
 
     exchange: exchange_lib.Exchange
@@ -87,7 +87,7 @@
 
 
 class LiveStreams:
-    """Streams by upstream, with what they hold there."""
+    """Index of streams by upstream, which maintains their reservations."""
 
     def __init__(self, pages: book.Book) -> None:
         self._pages = pages
@@ -98,30 +98,30 @@
     def on_placed_while_leaving(
         self, callback: Callable[[upstream_lib.Upstream], None]
     ) -> None:
-        """Calls back when a stream begins at an upstream that leaves."""
+        """Sets a callback for streams that are placed at a leaving upstream."""
         self._on_leaving = callback
 
     def on_changed(self, callback: Callable[[bool], None]) -> None:
-        """Calls back when there is something to tell the other gateways.
+        """Sets a callback for changes that other gateways should receive.
 
         Args:
-          callback: Told whether they wait for it.
+          callback: Takes whether the change is urgent.
         """
         self._on_changed = callback
 
     def of(self, upstream: upstream_lib.Upstream) -> list[Stream]:
-        """Returns the streams of an upstream."""
+        """Returns the streams that run at an upstream."""
         return list(self._streams.get(upstream.key, ()))
 
     def hold(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
-        """Notes that a stream will need its memory at an upstream too."""
+        """Reserves memory for a stream at a further upstream."""
         page = self._pages.page(upstream)
         page.makes_streams = True
         page.reservations.add(stream.reservation)
         self.notify_changed()
 
     def release(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
-        """Takes `hold` back, unless the stream has gone there."""
+        """Undoes `hold`, unless the stream has moved to the upstream."""
         if stream.upstream is not upstream:
             page = self._pages.page(upstream)
             page.reservations.discard(stream.reservation)
@@ -129,7 +129,7 @@
     def set_backup(
         self, stream: Stream, upstream: upstream_lib.Upstream | None
     ) -> None:
-        """Notes where a copy of a stream's memory is kept from now on."""
+        """Sets the upstream that keeps a copy of a stream's KV cache."""
         if stream.backup is not None:
             page = self._pages.page(stream.backup)
             page.copies.discard(stream.reservation)
@@ -139,12 +139,12 @@
             self._pages.page(upstream).copies.add(stream.reservation)
 
     def notify_changed(self, *, is_urgent: bool = False) -> None:
-        """Lets the other gateways be told: soon, or at once."""
+        """Schedules an update to the other gateways, immediately if urgent."""
         if self._on_changed is not None:
             self._on_changed(is_urgent)
 
     def place(self, stream: Stream, upstream: upstream_lib.Upstream) -> None:
-        """Notes that a stream runs at an upstream from now on."""
+        """Records that a stream now runs at an upstream."""
         self.remove(stream)
         stream.upstream = upstream
         now = asyncio.get_running_loop().time()
@@ -159,7 +159,7 @@
             self._on_leaving(upstream)
 
     def record_prefill(self, stream: Stream) -> None:
-        """Notes that an upstream has read a stream's prompt."""
+        """Records that an upstream has completed the prefill of a stream."""
         stream.reservation.is_reading = False
         ahead, since_s = stream.prefill_since
         duration_s = asyncio.get_running_loop().time() - since_s
@@ -167,7 +167,7 @@
         self._pages.note_read(tokens, duration_s)
 
     def end(self, stream: Stream) -> None:
-        """Notes that a stream has ended, and for how long it held memory."""
+        """Removes a stream that has ended and records its duration."""
         stream.ended = True
         self.set_backup(stream, None)
         self.remove(stream)
@@ -176,7 +176,7 @@
             self._pages.note_run(stream.reservation, held_s)
 
     def remove(self, stream: Stream) -> None:
-        """Notes that a stream runs nowhere."""
+        """Removes a stream from its upstream, and releases its reservation."""
         if stream.upstream is None:
             return
         streams = self._streams.get(stream.upstream.key, set())
@@ -194,7 +194,7 @@
 
 
 def reserve(prompt: dialect_lib.Prompt) -> book.Reservation:
-    """Returns what a generation is expected to hold at its end."""
+    """Returns the memory that a generation is expected to need at its end."""
     estimate = prompt.output_hint * HINT_MARGIN
     output = estimate or prompt.output_limit * DEFAULT_OUTPUT_SHARE
     output = min(output, prompt.output_limit) if prompt.output_limit else output
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -1,14 +1,15 @@
-"""Moves the runs of an engine that leaves to others, with their memory.
+"""Live migration of runs, with their KV caches, off engines that shut down.
 
-An engine that is taken away serves on for a second or two after its notice,
-and runs last longer. One run after another is copied while it goes on, then
-stopped, the little that is new is copied, and it goes on at its destination;
-`stream.link_queue` gives the order. A run that cannot be through before the
-engine goes is left alone: its copy would only hold up others.
+An engine keeps serving for 1 to 2 s after its shutdown notice, and many runs
+take longer than that. Runs are moved one at a time: the KV cache is copied
+while the run continues, the run is stopped, the tokens generated since are
+copied, and the run resumes at its destination. `stream.link_queue` defines the
+order. A run that cannot be moved before the engine shuts down is skipped,
+because its copy would only delay the others.
 
-Runs whose memory is kept at a second engine anyway go on from there when their
-engine goes (`balance.backup`). Streams that may be resumed are left where they
-are: they are short, and whatever breaks off is sent again.
+Runs with a backup at a second engine resume from it after the shutdown
+(`balance.backup`). Resumable streams are not moved: they are short, and one
+that is interrupted is sent again.
 """
 
 from __future__ import annotations
@@ -30,25 +31,25 @@
 
 __all__ = ['Migration']
 
-# How long after its notice an engine is searched for runs to move.
+# Time after the notice during which new runs on the engine are looked for.
 SEARCH_DURATION_S = 2.5
 SEARCH_INTERVAL_S = 0.05
 REPORT_TIMEOUT_S = 0.3
-# A notice is in an engine's report this long after it was given.
+# Delay until an engine's report includes a notice that was just given.
 NOTICE_DELAY_S = book.REPORT_AGE_S + 0.05
-# A move that takes this much longer than reckoned holds nobody up any longer.
+# A move that exceeds its estimated duration by this no longer blocks others.
 MOVE_SLACK_S = 0.15
-# Gateways learn of a leaving engine, and of each other's runs there, within a
+# Gateways learn of a leaving engine, and of each other's runs on it, within a
 # few round trips.
 PROPAGATION_S = 0.02
-# How often a run asks whether it is its turn: small against a copy.
+# Short compared with the duration of a copy.
 TURN_POLL_INTERVAL_S = 0.005
 RETRY_DELAY_S = 0.08
 MAX_DESTINATIONS = 3
 
 
 class Migration:
-    """Moves runs away from engines that leave."""
+    """Moves runs off engines that are about to shut down."""
 
     def __init__(self, core: core_lib.Core) -> None:
         self._core = core
@@ -58,7 +59,7 @@
         core.live.on_placed_while_leaving(self.start)
 
     def start(self, source: upstream_lib.Upstream) -> None:
-        """Starts to move the runs of an engine, unless that goes on already."""
+        """Starts moving the runs of an engine, unless this is in progress."""
         spec = self._engine_spec(source)
         if spec is None or not spec.moves or source.key in self._migrating:
             return
@@ -118,10 +119,10 @@
         )
 
     def _unprotected(self, source: upstream_lib.Upstream) -> list[live.Stream]:
-        """Returns the runs that are lost unless they are moved.
+        """Returns the runs that would be lost if they were not moved.
 
-        What has made no event yet may still wait to be admitted, and has no
-        memory to move.
+        A run without any event may still be queued for admission, and has no
+        KV cache to move.
         """
         return [
             stream
@@ -133,7 +134,7 @@
         ]
 
     async def _refresh_report(self, source: upstream_lib.Upstream) -> None:
-        """Asks when the engine goes, once its report has caught up."""
+        """Updates the shutdown time once the report includes the notice."""
         await asyncio.sleep(NOTICE_DELAY_S)
         await self._fetch_report(source)
 
@@ -155,7 +156,7 @@
     async def _move(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> None:
-        """Moves a run when its turn comes, if there is time for it."""
+        """Moves a run when its turn comes, if there is enough time left."""
         source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
         queue.add(source.key, request, leaving.memory_tokens(stream))
@@ -171,14 +172,14 @@
         finally:
             queue.remove(source.key, request)
             self._core.live.notify_changed(is_urgent=True)
-            # Full destinations may have room a little later.
+            # Destinations that are full now may have room on the next attempt.
             await asyncio.sleep(RETRY_DELAY_S)
             self._moving.discard(stream)
 
     async def _wait_for_turn(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> bool:
-        """Waits for a run's turn; returns whether to move it."""
+        """Waits for a run's turn; returns whether it still has to be moved."""
         source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
         timeout_s = leaving.move_s(stream) + MOVE_SLACK_S
@@ -199,7 +200,7 @@
     def _destinations(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> list[upstream_lib.Upstream]:
-        """Returns destinations to which a run can be moved in time."""
+        """Returns destinations that a move can reach before the shutdown."""
         source = leaving.upstream
         upstreams = self._core.upstreams.of(
             source.service, stream.exchange.regions
@@ -226,7 +227,7 @@
     async def _precopy(
         self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> upstream_lib.Upstream | None:
-        """Copies a run while it goes on; returns where it is now."""
+        """Copies a run while it continues; returns the engine with the copy."""
         source = leaving.upstream
         for target in self._destinations(stream, leaving):
             if self._has_moved(stream, source):
@@ -248,7 +249,7 @@
         source: upstream_lib.Upstream,
         target: upstream_lib.Upstream,
     ) -> None:
-        """Stops a run at its source so that it goes on at the target."""
+        """Stops a run at its source so that it can resume at the target."""
         if self._has_moved(stream, source):
             self._core.live.release(stream, target)
             precopy, stream.precopy = stream.precopy, None
@@ -272,15 +273,16 @@
         if not resumes_at_target or stream.ended:
             self._core.live.release(stream, target)
         if stream.ended and isinstance(result, live.ResumePoint):
-            # Its caller has left meanwhile, and nobody goes on from the copy.
+            # The caller disconnected meanwhile, so the copy will not be used.
             await self._release_copy(source, result.handle)
 
     async def _release_copy(
         self, engine: upstream_lib.Upstream, handle: str
     ) -> None:
-        """Frees a copy that nobody will go on from.
+        """Releases a copy that will not be used.
 
-        Left alone, it holds memory at its destination for some seconds.
+        Otherwise it occupies memory at its destination until it expires
+        several seconds later.
         """
         if not handle:
             return
@@ -329,7 +331,7 @@
     target: upstream_lib.Upstream,
     move: dialect_lib.Move | None,
 ) -> live.StopOutcome:
-    """Returns what an order to stop a run at its source came to."""
+    """Converts the response to a stop command, None if there was none."""
     if move is None:
         return live.StopFailure.NO_RESPONSE
     if not move.handle:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -1,8 +1,8 @@
-"""Streams of events from upstreams to callers.
+"""Relays event streams from upstreams to callers.
 
-A run may go on at another upstream in the middle of its stream. The caller
-sees one answer all the same: each event once, in order, and an end only behind
-the last.
+A run may move to another upstream in the middle of its stream. The caller still
+receives a single response: each event once, in order, and the end of the
+response only after the last event.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
-# An answer that is no stream is a short refusal.
+# A response other than a stream is a short refusal.
 MAX_REFUSAL_BYTES = 65_536
 MAX_UNREACHABLE = 3
 
 
 class OutOfOrderError(error.CallError):
-    """An upstream left out events of a stream."""
+    """An upstream skipped events of a stream."""
 
     code = 'events_missing'
 
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
-    """Relays a stream; returns its outcome for the log."""
+    """Relays a stream and returns its outcome for the log."""
     core.budget.note_request(req.service.name)
     prompt = core.dialect.prompt(req.request.headers)
     stream = live.Stream(req, prompt, live.reserve(prompt))
@@ -62,10 +62,11 @@
 def _outlives_process(
     core: core_lib.Core, reservation: book.Reservation
 ) -> bool:
-    """Whether a generation would be cut off by the stop of this gateway.
+    """Whether a generation is expected to outlast this process.
 
-    Connections come until the balancer has asked twice, and open ones are in
-    use until the end. What is refused now begins at another gateway at once.
+    During shutdown, requests still arrive: on new connections until the load
+    balancer has made two health checks, and on open ones until the process
+    ends. A request that is refused now starts at another gateway at once.
     """
     if core.ends_at_s is None:
         return False
@@ -74,7 +75,7 @@
 
 
 class _Relay:
-    """One stream, segment by segment."""
+    """Relays one stream, segment by segment."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
@@ -87,7 +88,7 @@
         self._continuation = continuation.Continuation(core, stream)
 
     async def run(self) -> str:
-        """Relays to the end of the stream."""
+        """Relays until the stream ends; returns its outcome for the log."""
         segment = await self._first_segment()
         outcome: segment_lib.Outcome | None = None
         while segment is not None:
@@ -137,8 +138,9 @@
                 continues=segment.continues,
             ) as sent:
                 if sent.verdict is not attempt.Verdict.SUCCESS:
-                    # Another start at the address is always empty, and would
-                    # get request after request that it turns away.
+                    # After a restart, the new process at the address holds no
+                    # streams, and would attract requests that it rejects. So
+                    # `WRONG_UPSTREAM` counts as a failure.
                     if sent.verdict is not attempt.Verdict.NOT_RUN:
                         page.note_failure()
                     body, _ = await attempt.read_body(
@@ -177,7 +179,7 @@
                 responder.write(new_data)
                 await responder.drain()
         if splitter.remainder and stream.pending_stop is None:
-            raise error.TruncatedError('the stream ended within an event')
+            raise error.TruncatedError('stream ended in the middle of an event')
 
     def _new_events(
         self, segment: segment_lib.Segment, parsed: Iterator[events.Event]
@@ -191,7 +193,7 @@
                         continue
                     if item.id != stream.last_id + 1:
                         raise OutOfOrderError(
-                            f'event {item.id} came after {stream.last_id}'
+                            f'received event {item.id} after {stream.last_id}'
                         )
                 stream.last_id = item.id
             yield item.raw
@@ -284,6 +286,6 @@
 
 
 def _is_misdirected(outcome: segment_lib.Outcome) -> bool:
-    """Whether another upstream answered than the one that was meant."""
+    """Whether the request reached another upstream than the intended one."""
     wrong = attempt.Verdict.WRONG_UPSTREAM
     return isinstance(outcome, segment_lib.Refusal) and outcome.verdict is wrong
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
@@ -1,4 +1,4 @@
-"""One upstream's part of a stream, and how it ended."""
+"""A segment is the part of a stream that one upstream produces."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
     """One upstream's part of a stream.
 
     Attributes:
-      upstream: Who makes the events.
-      extra_headers: Headers that the gateway sets.
-      grounds: Why the request may be sent there.
-      backup: Upstream that gets a copy of the run's memory as it grows.
-      event_count: Events that have come of it.
-      first_event_s: Loop time of the first of them; 0 before it.
-      last_event_s: Loop time of the newest.
-      is_framed: Whether its stream tells where it ends. One that ends with
-        its connection ends alike whether the run is whole or was stopped.
-      may_have_stopped: Whether an order may have stopped the run there.
+      upstream: Upstream that produces the events.
+      extra_headers: Request headers that the gateway adds.
+      grounds: Why it is safe to send the request to the upstream.
+      backup: Upstream that receives the run's KV cache as it grows.
+      event_count: Number of events received.
+      first_event_s: Loop time of the first event; 0 before it.
+      last_event_s: Loop time of the latest event; 0 before the first.
+      is_framed: Whether the response has explicit framing. The end of a
+        response that is delimited by its connection looks the same whether
+        the run is complete or was stopped.
+      may_have_stopped: Whether a stop command may have ended the run here.
     """
 
     upstream: upstream_lib.Upstream
@@ -53,16 +54,16 @@
 
     @property
     def continues(self) -> bool:
-        """Whether the run goes on from memory."""
+        """Whether the run resumes from a copy of its KV cache."""
         return self.grounds.goes_on
 
     @property
     def active_s(self) -> float:
-        """For how long events have come of it, in seconds."""
+        """Time between the first and the latest event, in seconds."""
         return self.last_event_s - self.first_event_s
 
     def record_event(self, now: float) -> None:
-        """Takes an event that came at a loop time."""
+        """Counts an event that was received at loop time `now`."""
         if not self.event_count:
             self.first_event_s = now
         self.last_event_s = now
@@ -71,12 +72,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Refusal:
-    """An answer that is no stream.
+    """A response other than a stream.
 
     Attributes:
-      head: Its head.
-      body: Its body.
-      verdict: What it means.
+      head: Status and headers.
+      body: Body, possibly truncated.
+      verdict: How the status and headers are classified.
     """
 
     head: message.ResponseHead
@@ -88,14 +89,14 @@
 
 
 def has_not_run(outcome: Outcome | None) -> bool:
-    """Whether a segment ended without its request having run there."""
+    """Whether the upstream is known not to have run the request."""
     if isinstance(outcome, error.CallError):
         return not attempt.may_have_run(outcome)
     return isinstance(outcome, Refusal) and outcome.verdict.is_not_run
 
 
 def describe(outcome: Outcome) -> str:
-    """Returns how a segment ended, for logs and metrics."""
+    """Returns the outcome of a segment as a code for logs and metrics."""
     if isinstance(outcome, error.CallError):
         return outcome.code
     if isinstance(outcome, Refusal):
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
@@ -1,4 +1,4 @@
-"""Stops a run at its engine, and says what is known of it then."""
+"""Stops a run at its engine and determines the resulting state of the run."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 __all__ = ['Result', 'stop']
 
-# For so long the caller of a run waits for word of its engine. It would rather
-# have a pause than half an answer.
+# The caller of a run waits this long for its engine: a pause is better than an
+# incomplete response.
 RESPONSE_TIMEOUT_S = 1.5
-# Between two orders, doubled each time: small at first against the time of a
-# copy, which is what a refused order waits for.
+# Delay between two commands, doubled each time. Short at first compared with a
+# copy in progress, which is the usual reason for a refusal.
 FIRST_RETRY_DELAY_S = 0.01
-# So many connections in a row that nobody answers are no lost packet.
+# This many unanswered connection attempts are not due to a lost packet.
 MAX_UNANSWERED = 2
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Result:
-    """What came of an order to stop a run.
+    """Result of stopping a run.
 
     Attributes:
-      state: What is known of the run at its engine.
-      move: The newest answer; empty if there was none.
+      state: Known state of the run at its engine.
+      move: The latest answer; empty if there was none.
     """
 
     state: at_most_once.RunState
@@ -44,19 +44,20 @@
     request: str,
     target: upstream_lib.Upstream,
 ) -> Result:
-    """Orders an engine to stop a run, until there is word of it.
+    """Sends stop commands to an engine until the state of the run is known.
 
-    An engine with another order for the run under way refuses, and one with
-    too many connections resets this one: both are there, and may have the run.
-    So does one that takes the order and is slow to answer. Only an engine that
-    lets nobody connect is taken for gone, unless it has refused just before:
-    at once if the connection is refused, at the second if nobody answers.
+    An engine that is processing another command for the run refuses, and one
+    with too many connections resets this one. Both are alive and may have the
+    run, and so may one that accepts the command and is slow to answer. Only an
+    engine that accepts no connections is considered down, unless it has refused
+    a command before: immediately if the connection is refused, after the second
+    attempt if it goes unanswered.
 
     Args:
-      calls: Orders to engines.
-      engine: Where the run was.
+      calls: Client for commands to engines.
+      engine: Engine that had the run.
       request: Id of its request.
-      target: Where its memory is to be copied.
+      target: Engine to which its KV cache is to be copied.
     """
     deadline_s = attempt.now() + RESPONSE_TIMEOUT_S
     retry_delay_s = FIRST_RETRY_DELAY_S
@@ -68,8 +69,8 @@
             calls.move(engine, request, target, True)
         )
         try:
-            # Unlike a timeout, this takes an answer that has come by the time
-            # at which a paused process wakes to the end of its patience.
+            # Unlike `asyncio.timeout`, this still accepts an answer that has
+            # arrived when a paused process resumes after the deadline.
             await asyncio.wait({command}, timeout=remaining_s)
             if not command.done():
                 break
