--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -61,7 +61,7 @@
         self, upstream: upstream_lib.Upstream, grounds: at_most_once.Grounds
     ) -> segment_lib.Segment:
         """Returns the segment of a run that has not started yet."""
-        return self._segment(upstream, [self._priority()], grounds)
+        return self._new_segment(upstream, [self._priority()], grounds)
 
     async def next_segment(
         self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
@@ -229,7 +229,7 @@
         grounds: at_most_once.Grounds,
     ) -> segment_lib.Segment:
         dialect = self._core.dialect
-        extra = [
+        extra_headers = [
             self._priority(),
             (dialect.memory_from, dialect.memory_source(holder, handle)),
             *self.resume_headers(),
@@ -238,16 +238,16 @@
         self._handle = handle
         # A stop command sent in the meantime is for the previous upstream.
         self._stream.pending_stop = None
-        return self._segment(target, extra, grounds)
+        return self._new_segment(target, extra_headers, grounds)
 
-    def _segment(
+    def _new_segment(
         self,
         upstream: upstream_lib.Upstream,
-        extra: message.Headers,
+        extra_headers: message.Headers,
         grounds: at_most_once.Grounds,
     ) -> segment_lib.Segment:
         """Returns a segment, with a backup if that is worthwhile."""
-        segment = segment_lib.Segment(upstream, extra, grounds)
+        segment = segment_lib.Segment(upstream, extra_headers, grounds)
         stream, req, pages = self._stream, self._req, self._core.pages
         engine = req.service.engine
         if engine is None or not engine.backups or req.route.kind.may_repeat:
@@ -264,7 +264,7 @@
         )
         if segment.backup is not None:
             address = segment.backup.address_text.encode()
-            extra.append((self._core.dialect.backup, address))
+            extra_headers.append((self._core.dialect.backup, address))
         return segment
 
     def _priority(self) -> tuple[bytes, bytes]:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -256,15 +256,15 @@
             if precopy is not None:
                 await self._release_copy(source, precopy.handle)
             return
-        stop_result = asyncio.get_running_loop().create_future()
-        stream.pending_stop = stop_result
+        pending_stop = asyncio.get_running_loop().create_future()
+        stream.pending_stop = pending_stop
         move = await self._request_move(stream, source, target, last=True)
         result = _stop_outcome(source, target, move)
-        if not stop_result.done():
-            stop_result.set_result(result)
+        if not pending_stop.done():
+            pending_stop.set_result(result)
         if (
             result is live.StopFailure.NOT_STOPPED
-            and stream.pending_stop is stop_result
+            and stream.pending_stop is pending_stop
         ):
             stream.pending_stop = None
         resumes_at_target = (
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -35,7 +35,7 @@
 UNAVAILABLE = 503
 # A response other than a stream is a short refusal.
 MAX_REFUSAL_BYTES = 65_536
-MAX_UNREACHABLE = 3
+MAX_UNREACHABLE_RETRIES = 3
 
 
 class OutOfOrderError(error.CallError):
@@ -222,11 +222,11 @@
             outcome
         ):
             self._unreachable += 1
-            has_attempts = self._unreachable <= MAX_UNREACHABLE
-            return has_attempts and not sends.may_have_run
+            has_retries = self._unreachable <= MAX_UNREACHABLE_RETRIES
+            return has_retries and not sends.may_have_run
         if _is_misdirected(outcome):
             self._unreachable += 1
-            if self._unreachable > MAX_UNREACHABLE:
+            if self._unreachable > MAX_UNREACHABLE_RETRIES:
                 return False
             self._core.budget.note_retry(req.service.name)
             return True
