--- a/tests/quetzalsill_gateway/stream/__init__.py
+++ b/tests/quetzalsill_gateway/stream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package quetzalsill_gateway."""
+"""Tests of quetzalsill_gateway.stream."""
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -1,4 +1,4 @@
-"""Where a run goes on when its upstream's part of the stream has ended."""
+"""Tests where a run resumes after a segment of its stream has ended."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ContinuationTest(unittest.IsolatedAsyncioTestCase):
-    """One run, three engines."""
+    """A run with three engines that it can use."""
 
     async def asyncSetUp(self):
         self.engines = [
@@ -46,13 +46,13 @@
         self.continuation = continuation.Continuation(self.core, self.stream)
 
     def stopped(self, source, target):
-        """Has the run stopped at its source by an order to move."""
+        """Simulates that a stop command at the source has succeeded."""
         switched = asyncio.get_running_loop().create_future()
         switched.set_result(live.ResumePoint(source, target, 'handle'))
         self.stream.pending_stop = switched
 
     def segment_of(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
-        """Returns a part of the stream that has made events."""
+        """Returns a segment of the stream that has produced events."""
         return segment.Segment(engine, [], grounds, event_count=80)
 
     async def test_a_stopped_run_resumes_at_its_destination(self):
@@ -66,11 +66,11 @@
         self.assertIs(found.grounds, at_most_once.Grounds.COPY)
 
     async def test_a_late_answer_to_an_earlier_stop_is_ignored(self):
-        """A plan has come to its end, and is sent to a further engine.
+        """Guards against moving a run that is complete.
 
-        Its engine left, and its connection broke while it was being stopped
-        in order to move. It went on at its backup. The answer to that order
-        came only then, and was taken for one to the backup's part.
+        The engine shuts down, and the connection breaks while the run is being
+        stopped. The run resumes from its backup. The answer to the stop command
+        arrives only then, and must not apply to the backup's segment.
         """
         source, backup, target = self.engines
         self.stopped(source, target)
@@ -79,7 +79,7 @@
         self.assertIsNone(found)
 
     async def test_a_later_segment_does_not_use_an_earlier_copy(self):
-        """The copy is of the run as it was; the backup's part went further."""
+        """The copy is outdated: the run has continued at its backup since."""
         source, backup, target = self.engines
         self.stopped(source, target)
         current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
@@ -87,12 +87,12 @@
         self.assertIsNone(await self.continuation.next_segment(current, broken))
 
     async def test_a_late_final_copy_is_used_by_its_own_move_only(self):
-        """A plan moves twice, and goes on from the copy of the first move.
+        """Guards against resuming from the copy of an earlier move.
 
-        Its first destination took the copy that was there before the last one,
-        which came late and stayed unused. The second destination was full; the
-        plan went on from that unused copy, made before all that it had made
-        since, in place of where it had just been stopped.
+        In the first move the final copy is late, so the run resumes from the
+        first copy and the final copy stays unused. In the second move the
+        destination is full. The run must resume where it was just stopped, and
+        not from the unused copy, which lacks everything generated since.
         """
         first, second, third = self.engines
         slow = asyncio.get_running_loop().create_future()
@@ -117,11 +117,11 @@
         self.assertIn((b'from', b'handle'), back.extra_headers)
 
     async def test_a_copy_in_use_is_not_released_by_its_move(self):
-        """A plan is cut off as it goes on from the first copy of its move.
+        """Guards against releasing the copy from which a run resumes.
 
-        Its engine breaks off before it was told to stop. While the gateway
-        asks whether the run is at work, the move gives the order to stop it,
-        finds that the run has gone, and frees the copy that it goes on from.
+        The engine resets the stream before it was told to stop the run. While
+        the gateway determines the state of the run, the move sends its stop
+        command, finds that the run has ended, and releases the copy.
         """
         source, target, _ = self.engines
         self.stream.precopy = live.ResumePoint(source, target, 'early')
--- a/tests/quetzalsill_gateway/stream/test_events.py
+++ b/tests/quetzalsill_gateway/stream/test_events.py
@@ -1,4 +1,4 @@
-"""Events out of bytes, however they are cut."""
+"""Tests splitting bytes into events, whatever the chunk boundaries."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SplitterTest(unittest.TestCase):
-    """Half an event must never go out."""
+    """An incomplete event must never be forwarded."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(EVENT, max_size=8), st.binary(max_size=9), st.data())
--- a/tests/quetzalsill_gateway/stream/test_link_queue.py
+++ b/tests/quetzalsill_gateway/stream/test_link_queue.py
@@ -1,8 +1,8 @@
-"""The order of the moves away from an engine that leaves.
+"""Tests the order of moves off a leaving engine.
 
-Pattern: an engine with eight runs leaves within two seconds, and its link
-carries one run in a quarter of a second. Gateways that order their copies each
-for itself lose runs that were copied in time behind those that were not.
+Failure: an engine with eight runs shuts down within two seconds, and its link
+transfers one run in a quarter of a second. If gateways request copies without
+coordination, runs that were copied in time are lost behind runs that were not.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def gateways(runs, count=3):
-    """Returns gateways with the runs of an engine dealt out, all told."""
+    """Returns gateways that share an engine's runs and know all moves."""
     found = [link_queue.LinkQueue() for _ in range(count)]
     for number, (request, tokens) in enumerate(sorted(runs.items())):
         found[number % count].add(ENGINE, request, tokens)
@@ -38,7 +38,7 @@
 
 
 def next_ones(queues, now=0.0):
-    """Returns the runs whose turn it is, by the gateways that have them."""
+    """Returns the runs whose turn it is, with the queues of their gateways."""
     return [
         (queue, request)
         for queue in queues
@@ -48,12 +48,12 @@
 
 
 class LinkQueueTest(unittest.TestCase):
-    """Every run is moved whole before the next one begins."""
+    """Each move is completed before the next one starts."""
 
     @settings(derandomize=True, deadline=None)
     @given(RUNS)
     def test_all_gateways_agree_and_the_smallest_run_is_first(self, runs):
-        """Whoever has the runs, one at a time moves, in the order of sizes."""
+        """Runs are moved one at a time by size, whichever gateway has them."""
         queues = gateways(runs)
         moved = []
         while any(queue.own_moves() for queue in queues):
@@ -66,10 +66,10 @@
     @settings(derandomize=True, deadline=None)
     @given(RUNS)
     def test_a_move_in_progress_stays_first(self, runs):
-        """A smaller run is entered while a larger one is being copied.
+        """A smaller run is added while a larger one is being copied.
 
-        Begun in between, it would put its copy before the larger one's last
-        tokens, whose caller would see the pause.
+        If it were started in between, its copy would delay the final copy of
+        the larger run, and the caller of that run would see a pause.
         """
         queues = gateways(runs)
         ((queue, request),) = next_ones(queues)
@@ -79,7 +79,7 @@
         self.assertEqual(next_ones(queues), [(queue, request)])
 
     def test_a_failed_gateway_blocks_others_for_a_limited_time(self):
-        """The first run's gateway is killed in the middle of its move."""
+        """The gateway of the first run fails during the move."""
         alive, dead = gateways({'a': 10, 'b': 20}, count=2)
         self.assertEqual(next_ones([dead]), [])
         dead.remove(ENGINE, 'b')
--- a/tests/quetzalsill_gateway/stream/test_stop.py
+++ b/tests/quetzalsill_gateway/stream/test_stop.py
@@ -1,4 +1,4 @@
-"""Orders to stop a run, and what their answers tell of it."""
+"""Tests which state of a run follows from the answers to stop commands."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class StopTest(unittest.TestCase):
-    """An engine that is ordered to stop a run, again and again.
+    """Stop commands that are repeated until the state is known.
 
-    Played in virtual time, which no pause of the test's process shortens.
+    Runs in virtual time, so that pauses of the test process have no effect.
     """
 
     def stop(self, *answers):
-        """Returns what is known of the run; the last answer is repeated."""
+        """Returns the resulting state of the run; repeats the last answer."""
         given = itertools.chain(answers, itertools.repeat(answers[-1]))
 
         async def move(*_):
@@ -62,19 +62,20 @@
         self.assertIs(found, RunState.UNREACHED)
 
     def test_an_engine_that_resets_connections_may_be_working(self):
-        """A plan is at work at two engines.
+        """Guards against a run at two engines.
 
-        Its engine has too many connections and resets new ones, some as they
-        open. Each was taken for word that nobody is there.
+        The engine has too many connections and resets new ones, some of them
+        while they are being opened. A reset must not count as a sign that the
+        engine is down.
         """
         for lost in (error.TruncatedError(), error.EndedError()):
             self.assertIs(self.stop(lost), RunState.AT_WORK)
 
     def test_one_unanswered_connection_is_not_conclusive(self):
-        """A plan is at work at two engines.
+        """Guards against a run at two engines.
 
-        The first packet to its engine is lost, or the queue of connections
-        there is full for a moment.
+        The first packet to the engine is lost, or its accept queue is full for
+        a moment.
         """
         silent = error.UnansweredError('nobody answers')
         self.assertIs(self.stop(silent, STOPPED), RunState.STOPPED)
@@ -82,7 +83,7 @@
         self.assertIs(self.stop(silent), RunState.UNREACHED)
 
     def test_a_refusal_outweighs_a_later_failed_connection(self):
-        """The engine has said that it has the run; a full one says no more."""
+        """An engine that has refused has the run, even if it then gets full."""
         found = self.stop(REFUSED, error.ConnectError('full'))
         self.assertIs(found, RunState.AT_WORK)
 
