--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -45,11 +45,11 @@
         )
         self.continuation = continuation.Continuation(self.core, self.stream)
 
-    def stopped(self, source, target):
+    def set_stopped(self, source, target):
         """Simulates that a stop command at the source has succeeded."""
-        switched = asyncio.get_running_loop().create_future()
-        switched.set_result(live.ResumePoint(source, target, 'handle'))
-        self.stream.pending_stop = switched
+        pending_stop = asyncio.get_running_loop().create_future()
+        pending_stop.set_result(live.ResumePoint(source, target, 'handle'))
+        self.stream.pending_stop = pending_stop
 
     def segment_of(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
         """Returns a segment of the stream that has produced events."""
@@ -57,13 +57,13 @@
 
     async def test_a_stopped_run_resumes_at_its_destination(self):
         source, target, _ = self.engines
-        self.stopped(source, target)
-        broken = error.TruncatedError('the connection ended')
-        found = await self.continuation.next_segment(
-            self.segment_of(source), broken
+        self.set_stopped(source, target)
+        interrupted = error.TruncatedError('the connection ended')
+        resumed = await self.continuation.next_segment(
+            self.segment_of(source), interrupted
         )
-        self.assertIs(found.upstream, target)
-        self.assertIs(found.grounds, at_most_once.Grounds.COPY)
+        self.assertIs(resumed.upstream, target)
+        self.assertIs(resumed.grounds, at_most_once.Grounds.COPY)
 
     async def test_a_late_answer_to_an_earlier_stop_is_ignored(self):
         """Guards against moving a run that is complete.
@@ -73,18 +73,22 @@
         arrives only then, and must not apply to the backup's segment.
         """
         source, backup, target = self.engines
-        self.stopped(source, target)
+        self.set_stopped(source, target)
         current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
-        found = await self.continuation.next_segment(current, segment.COMPLETE)
-        self.assertIsNone(found)
+        resumed = await self.continuation.next_segment(
+            current, segment.COMPLETE
+        )
+        self.assertIsNone(resumed)
 
     async def test_a_later_segment_does_not_use_an_earlier_copy(self):
         """The copy is outdated: the run has continued at its backup since."""
         source, backup, target = self.engines
-        self.stopped(source, target)
+        self.set_stopped(source, target)
         current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
-        broken = error.TruncatedError('the connection ended')
-        self.assertIsNone(await self.continuation.next_segment(current, broken))
+        interrupted = error.TruncatedError('the connection ended')
+        self.assertIsNone(
+            await self.continuation.next_segment(current, interrupted)
+        )
 
     async def test_a_late_final_copy_is_used_by_its_own_move_only(self):
         """Guards against resuming from the copy of an earlier move.
@@ -95,26 +99,26 @@
         not from the unused copy, which lacks everything generated since.
         """
         first, second, third = self.engines
-        slow = asyncio.get_running_loop().create_future()
-        self.stream.pending_stop = slow
+        late_stop = asyncio.get_running_loop().create_future()
+        self.stream.pending_stop = late_stop
         self.stream.precopy = live.ResumePoint(first, second, 'early')
-        broken = error.TruncatedError('the connection ended')
+        interrupted = error.TruncatedError('the connection ended')
         current = await self.continuation.next_segment(
-            self.segment_of(first), broken
+            self.segment_of(first), interrupted
         )
         self.assertIs(current.upstream, second)
-        slow.set_result(live.ResumePoint(first, second, 'late'))
+        late_stop.set_result(live.ResumePoint(first, second, 'late'))
 
         current.event_count = 20
-        self.stopped(second, third)
-        current = await self.continuation.next_segment(current, broken)
+        self.set_stopped(second, third)
+        current = await self.continuation.next_segment(current, interrupted)
         self.assertIs(current.upstream, third)
         self.stream.upstream = third
-        back = await self.continuation.next_segment(
+        retried = await self.continuation.next_segment(
             current, error.ConnectError()
         )
-        self.assertIs(back.upstream, second)
-        self.assertIn((b'from', b'handle'), back.extra_headers)
+        self.assertIs(retried.upstream, second)
+        self.assertIn((b'from', b'handle'), retried.extra_headers)
 
     async def test_a_copy_in_use_is_not_released_by_its_move(self):
         """Guards against releasing the copy from which a run resumes.
@@ -133,14 +137,16 @@
             raise error.ConnectError('refused')
 
         self.core.calls = types.SimpleNamespace(move=move)
-        broken = error.TruncatedError('the connection ended', was_reset=True)
-        quiet = mock.patch.object(event, 'note')
-        with quiet:
-            found = await self.continuation.next_segment(
-                self.segment_of(source), broken
+        interrupted = error.TruncatedError(
+            'the connection ended', was_reset=True
+        )
+        without_events = mock.patch.object(event, 'note')
+        with without_events:
+            resumed = await self.continuation.next_segment(
+                self.segment_of(source), interrupted
             )
-        self.assertIs(found.upstream, target)
-        self.assertIn((b'from', b'early'), found.extra_headers)
+        self.assertIs(resumed.upstream, target)
+        self.assertIn((b'from', b'early'), resumed.extra_headers)
         self.assertIsNone(self.stream.precopy)
         self.assertIsNone(self.stream.pending_stop)
 
--- a/tests/quetzalsill_gateway/stream/test_events.py
+++ b/tests/quetzalsill_gateway/stream/test_events.py
@@ -28,24 +28,26 @@
     @settings(derandomize=True, deadline=None)
     @given(st.lists(EVENT, max_size=8), st.binary(max_size=9), st.data())
     def test_only_complete_events_however_the_bytes_are_split(
-        self, made, tail, data
+        self, generated, tail, data
     ):
         tail = tail.translate(None, b'\r\n')
-        whole = b''.join(raw for _, raw in made)
-        stream = whole + tail
+        complete = b''.join(raw for _, raw in generated)
+        stream = complete + tail
         splitter = events.Splitter()
-        found = []
+        parsed = []
         while stream:
             size = data.draw(st.integers(1, len(stream)))
-            found += splitter.feed(stream[:size])
+            parsed += splitter.feed(stream[:size])
             stream = stream[size:]
-        self.assertEqual(b''.join(event.raw for event in found), whole)
-        self.assertEqual([event.id for event in found], [n for n, _ in made])
+        self.assertEqual(b''.join(event.raw for event in parsed), complete)
+        self.assertEqual(
+            [event.id for event in parsed], [n for n, _ in generated]
+        )
         self.assertEqual(splitter.remainder, tail)
 
     def test_events_without_a_number(self):
-        found = list(events.Splitter().feed(b': hello\n\nid: x\n\nid:\n\n'))
-        self.assertEqual([event.id for event in found], [None, None, None])
+        parsed = list(events.Splitter().feed(b': hello\n\nid: x\n\nid:\n\n'))
+        self.assertEqual([event.id for event in parsed], [None, None, None])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/stream/test_link_queue.py
+++ b/tests/quetzalsill_gateway/stream/test_link_queue.py
@@ -21,13 +21,13 @@
 )
 
 
-def gateways(runs, count=3):
+def make_queues(runs, count=3):
     """Returns gateways that share an engine's runs and know all moves."""
-    found = [link_queue.LinkQueue() for _ in range(count)]
+    queues = [link_queue.LinkQueue() for _ in range(count)]
     for number, (request, tokens) in enumerate(sorted(runs.items())):
-        found[number % count].add(ENGINE, request, tokens)
-    exchange_moves(found)
-    return found
+        queues[number % count].add(ENGINE, request, tokens)
+    exchange_moves(queues)
+    return queues
 
 
 def exchange_moves(queues):
@@ -37,7 +37,7 @@
                 other.receive(f'gateway-{number}', queue.own_moves())
 
 
-def next_ones(queues, now=0.0):
+def next_runs(queues, now=0.0):
     """Returns the runs whose turn it is, with the queues of their gateways."""
     return [
         (queue, request)
@@ -54,14 +54,16 @@
     @given(RUNS)
     def test_all_gateways_agree_and_the_smallest_run_is_first(self, runs):
         """Runs are moved one at a time by size, whichever gateway has them."""
-        queues = gateways(runs)
+        queues = make_queues(runs)
         moved = []
         while any(queue.own_moves() for queue in queues):
-            ((queue, request),) = next_ones(queues)
+            ((queue, request),) = next_runs(queues)
             moved.append(request)
             queue.remove(ENGINE, request)
             exchange_moves(queues)
-        self.assertEqual(moved, sorted(runs, key=lambda one: (runs[one], one)))
+        self.assertEqual(
+            moved, sorted(runs, key=lambda request: (runs[request], request))
+        )
 
     @settings(derandomize=True, deadline=None)
     @given(RUNS)
@@ -71,17 +73,17 @@
         If it were started in between, its copy would delay the final copy of
         the larger run, and the caller of that run would see a pause.
         """
-        queues = gateways(runs)
-        ((queue, request),) = next_ones(queues)
+        queues = make_queues(runs)
+        ((queue, request),) = next_runs(queues)
         queue.start(ENGINE, request)
         queues[0].add(ENGINE, 'late', 1)
         exchange_moves(queues)
-        self.assertEqual(next_ones(queues), [(queue, request)])
+        self.assertEqual(next_runs(queues), [(queue, request)])
 
     def test_a_failed_gateway_blocks_others_for_a_limited_time(self):
         """The gateway of the first run fails during the move."""
-        alive, dead = gateways({'a': 10, 'b': 20}, count=2)
-        self.assertEqual(next_ones([dead]), [])
+        alive, dead = make_queues({'a': 10, 'b': 20}, count=2)
+        self.assertEqual(next_runs([dead]), [])
         dead.remove(ENGINE, 'b')
         alive.remove(ENGINE, 'a')
         alive.add(ENGINE, 'c', 30)
@@ -91,7 +93,7 @@
         self.assertTrue(alive.is_next(ENGINE, 'c', 1.6, TIMEOUT_S))
 
     def test_a_gateway_without_pending_moves_is_dropped(self):
-        first, second = gateways({'a': 10, 'b': 20}, count=2)
+        first, second = make_queues({'a': 10, 'b': 20}, count=2)
         self.assertFalse(second.is_next(ENGINE, 'b', 0.0, TIMEOUT_S))
         first.remove(ENGINE, 'a')
         exchange_moves([first, second])
--- a/tests/quetzalsill_gateway/stream/test_stop.py
+++ b/tests/quetzalsill_gateway/stream/test_stop.py
@@ -25,10 +25,12 @@
 
     def stop(self, *answers):
         """Returns the resulting state of the run; repeats the last answer."""
-        given = itertools.chain(answers, itertools.repeat(answers[-1]))
+        remaining_answers = itertools.chain(
+            answers, itertools.repeat(answers[-1])
+        )
 
         async def move(*_):
-            answer = next(given)
+            answer = next(remaining_answers)
             if isinstance(answer, Exception):
                 raise answer
             return answer
@@ -38,13 +40,13 @@
             for name in 'et'
         )
         calls = dialect.EngineCalls(None, move, None)
-        found = []
+        results = []
 
         async def work():
-            found.append(await stop.stop(calls, engine, 'r', target))
+            results.append(await stop.stop(calls, engine, 'r', target))
 
         clock.run(work)
-        return found[0].state
+        return results[0].state
 
     def test_an_answer_gives_the_state_of_the_run(self):
         self.assertIs(self.stop(STOPPED), RunState.STOPPED)
@@ -53,13 +55,13 @@
         self.assertIs(self.stop(REFUSED, STOPPED), RunState.STOPPED)
 
     def test_an_engine_that_refuses_connections_is_unreached(self):
-        found = self.stop(error.ConnectError('refused'))
-        self.assertIs(found, RunState.UNREACHED)
+        state = self.stop(error.ConnectError('refused'))
+        self.assertIs(state, RunState.UNREACHED)
 
     def test_an_engine_that_crashes_meanwhile_is_unreached(self):
-        lost = error.TruncatedError('the connection ended')
-        found = self.stop(lost, error.ConnectError('refused'))
-        self.assertIs(found, RunState.UNREACHED)
+        truncated = error.TruncatedError('the connection ended')
+        state = self.stop(truncated, error.ConnectError('refused'))
+        self.assertIs(state, RunState.UNREACHED)
 
     def test_an_engine_that_resets_connections_may_be_working(self):
         """Guards against a run at two engines.
@@ -68,8 +70,8 @@
         while they are being opened. A reset must not count as a sign that the
         engine is down.
         """
-        for lost in (error.TruncatedError(), error.EndedError()):
-            self.assertIs(self.stop(lost), RunState.AT_WORK)
+        for failure in (error.TruncatedError(), error.EndedError()):
+            self.assertIs(self.stop(failure), RunState.AT_WORK)
 
     def test_one_unanswered_connection_is_not_conclusive(self):
         """Guards against a run at two engines.
@@ -77,15 +79,15 @@
         The first packet to the engine is lost, or its accept queue is full for
         a moment.
         """
-        silent = error.UnansweredError('nobody answers')
-        self.assertIs(self.stop(silent, STOPPED), RunState.STOPPED)
-        self.assertIs(self.stop(silent, REFUSED), RunState.AT_WORK)
-        self.assertIs(self.stop(silent), RunState.UNREACHED)
+        unanswered = error.UnansweredError('nobody answers')
+        self.assertIs(self.stop(unanswered, STOPPED), RunState.STOPPED)
+        self.assertIs(self.stop(unanswered, REFUSED), RunState.AT_WORK)
+        self.assertIs(self.stop(unanswered), RunState.UNREACHED)
 
     def test_a_refusal_outweighs_a_later_failed_connection(self):
         """An engine that has refused has the run, even if it then gets full."""
-        found = self.stop(REFUSED, error.ConnectError('full'))
-        self.assertIs(found, RunState.AT_WORK)
+        state = self.stop(REFUSED, error.ConnectError('full'))
+        self.assertIs(state, RunState.AT_WORK)
 
 
 if __name__ == '__main__':
