--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -241,7 +241,7 @@
             self._usage(),
             core.upstreams.leaving_keys(),
             core.admission.waiting_tokens(),
-            core.link_queue.own(),
+            core.link_queue.own_moves(),
             core.health.is_down,
         )
 
@@ -317,7 +317,7 @@
         else:
             core.stats_table.update_peer_loads(node, told.usage)
         core.stats_table.set_peer_waiting(node, told.waiting)
-        core.link_queue.hear(node, told.moving)
+        core.link_queue.receive(node, told.moving)
         core.health.hear(node, is_down=told.is_store_unavailable)
         core.upstreams.receive_leaving(told.leaving, node)
 
@@ -354,6 +354,6 @@
         for node in self._peers.remove_expired(now):
             core.stats_table.replace_peer_loads(node, {})
             core.stats_table.set_peer_waiting(node, {})
-            core.link_queue.hear(node, {})
+            core.link_queue.receive(node, {})
             core.health.hear(node, is_down=False)
             event.note(event.PeerLost(node, len(self._peers)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -1,8 +1,8 @@
-"""Streams of events from upstreams to callers.
+"""Relays event streams from upstreams to callers.
 
-A run may go on at another upstream in the middle of its stream. The caller
-sees one answer all the same: each event once, in order, and an end only behind
-the last.
+A run may move to another upstream in the middle of its stream. The caller still
+receives a single response: each event once, in order, and the end of the
+response only after the last event.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from quetzalsill_gateway.balance import choice_log
 from quetzalsill_gateway.http import error, message
 from quetzalsill_gateway.stream import continuation, events, live
-from quetzalsill_gateway.stream import leg as leg_lib
+from quetzalsill_gateway.stream import segment as segment_lib
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -33,24 +33,24 @@
 
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
-# An answer that is no stream is a short refusal.
-HELD_BYTES = 65_536
-UNREACHABLE_TRIES = 3
+# A response other than a stream is a short refusal.
+MAX_REFUSAL_BYTES = 65_536
+MAX_UNREACHABLE_RETRIES = 3
 
 
 class OutOfOrderError(error.CallError):
-    """An upstream left out events of a stream."""
+    """An upstream skipped events of a stream."""
 
     code = 'events_missing'
 
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
-    """Relays a stream; returns its outcome for the log."""
+    """Relays a stream and returns its outcome for the log."""
     core.budget.note_request(req.service.name)
     prompt = core.dialect.prompt(req.request.headers)
     stream = live.Stream(req, prompt, live.reserve(prompt))
     req.tokens = stream.reservation.memory_tokens
-    if _outlasts_process(core, stream.reservation):
+    if _outlives_process(core, stream.reservation):
         exchange.refuse(req.responder, UNAVAILABLE, 'stopping', again=True)
         return 'refused'
     try:
@@ -59,13 +59,14 @@
         core.live.end(stream)
 
 
-def _outlasts_process(
+def _outlives_process(
     core: core_lib.Core, reservation: upstream_stats.Reservation
 ) -> bool:
-    """Whether a generation would be cut off by the stop of this gateway.
+    """Whether a generation is expected to outlast this process.
 
-    Connections come until the balancer has asked twice, and open ones are in
-    use until the end. What is refused now begins at another gateway at once.
+    During shutdown, requests still arrive: on new connections until the load
+    balancer has made two health checks, and on open ones until the process
+    ends. A request that is refused now starts at another gateway at once.
     """
     if core.ends_at_s is None:
         return False
@@ -74,36 +75,36 @@
 
 
 class _Relay:
-    """One stream, leg by leg."""
+    """Relays one stream, segment by segment."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
         self._stream = stream
         self._req = stream.exchange
-        self._avoid: frozenset[str] = frozenset()
+        self._excluded: frozenset[str] = frozenset()
         self._unreachable = 0
         kind = stream.exchange.route.kind
         self._sends = at_most_once.SendHistory(kind.may_repeat)
         self._continuation = continuation.Continuation(core, stream)
 
     async def run(self) -> str:
-        """Relays to the end of the stream."""
-        leg = await self._first_leg()
-        end: leg_lib.End | None = None
-        while leg is not None:
-            end = await self._run_leg(leg)
-            self._sends.record(may_have_run=not leg_lib.is_not_run(end))
-            next_leg = await self._next_leg(leg, end)
-            self._log_leg(leg, end, next_leg)
-            if end is leg_lib.WHOLE and next_leg is None:
-                if leg.may_be_stopped:
+        """Relays until the stream ends; returns its outcome for the log."""
+        segment = await self._first_segment()
+        outcome: segment_lib.Outcome | None = None
+        while segment is not None:
+            outcome = await self._run_segment(segment)
+            self._sends.record(may_have_run=not segment_lib.has_not_run(outcome))
+            next_segment = await self._next_segment(segment, outcome)
+            self._log_segment(segment, outcome, next_segment)
+            if outcome is segment_lib.COMPLETE and next_segment is None:
+                if segment.may_have_stopped:
                     break
                 self._req.responder.end()
                 return 'served'
-            leg = next_leg
-        return self._answer(end)
+            segment = next_segment
+        return self._respond_to_failure(outcome)
 
-    async def _first_leg(self) -> leg_lib.Leg | None:
+    async def _first_segment(self) -> segment_lib.Segment | None:
         grounds = self._sends.grounds_to_start()
         if grounds is None:
             return None
@@ -111,123 +112,132 @@
         engine = req.service.engine or routing_table.Engine()
         reservation = self._stream.reservation
         upstream = await self._core.admission.acquire_engine(
-            req, engine, reservation, self._avoid
+            req, engine, reservation, self._excluded
         )
         if upstream is None:
             return None
-        self._avoid |= {upstream.id}
+        self._excluded |= {upstream.id}
         self._core.quota.consume(upstream)
-        needs = reservation.memory_tokens
-        choice_log.log_choice(self._core, req, upstream, needs)
-        return self._continuation.begin(upstream, grounds)
+        memory_tokens = reservation.memory_tokens
+        choice_log.log_choice(self._core, req, upstream, memory_tokens)
+        return self._continuation.first_segment(upstream, grounds)
 
-    async def _run_leg(self, leg: leg_lib.Leg) -> leg_lib.End:
+    async def _run_segment(
+        self, segment: segment_lib.Segment
+    ) -> segment_lib.Outcome:
         core, stream, req = self._core, self._stream, self._req
-        stats = core.stats_table.of(leg.upstream)
-        core.live.place(stream, leg.upstream)
-        core.live.back_up(stream, leg.backup)
+        stats = core.stats_table.of(segment.upstream)
+        core.live.place(stream, segment.upstream)
+        core.live.set_backup(stream, segment.backup)
         try:
             async with attempt.send_request(
                 core,
                 req,
-                leg.upstream,
-                leg.extra,
-                continues=leg.continues,
+                segment.upstream,
+                segment.extra_headers,
+                continues=segment.continues,
             ) as sent:
                 if sent.response_class is not attempt.ResponseClass.SUCCESS:
-                    # Another start at the address is always empty, and would
-                    # get request after request that it turns away.
+                    # After a restart, the new process at the address holds no
+                    # streams, and would attract requests that it rejects. So
+                    # `WRONG_UPSTREAM` counts as a failure.
                     if sent.response_class is not attempt.ResponseClass.NOT_RUN:
                         stats.record_failure()
-                    body, _ = await attempt.read_body(sent.conn, HELD_BYTES)
-                    return leg_lib.Refusal(sent.head, body, sent.response_class)
-                leg.is_framed = sent.conn.is_framed
-                self._start(sent.head)
-                await self._pump(leg, sent.conn)
+                    body, _ = await attempt.read_body(
+                        sent.conn, MAX_REFUSAL_BYTES
+                    )
+                    return segment_lib.Refusal(sent.head, body, sent.response_class)
+                segment.is_framed = sent.conn.is_framed
+                self._start_response(sent.head)
+                await self._relay_events(segment, sent.conn)
                 stats.failures.record_success()
-                return leg_lib.WHOLE
+                return segment_lib.COMPLETE
         except error.NotSentError as exc:
             return exc
         except error.CallError as exc:
-            if stream.switch is None and not leg.upstream.leaving:
+            if stream.pending_stop is None and not segment.upstream.leaving:
                 stats.record_failure()
             return exc
 
-    def _start(self, head: message.ResponseHead) -> None:
+    def _start_response(self, head: message.ResponseHead) -> None:
         if self._req.responder.started:
             return
         headers = message.relayed(head)
         self._req.responder.start(head.status, headers, None)
 
-    async def _pump(self, leg: leg_lib.Leg, conn: call.Conn) -> None:
+    async def _relay_events(
+        self, segment: segment_lib.Segment, conn: call.Conn
+    ) -> None:
         splitter = events.Splitter()
         stream, responder = self._stream, self._req.responder
         while data := await conn.read():
             if stream.reservation.is_prefilling:
-                self._core.live.note_read(stream)
-            ready = b''.join(self._fresh(leg, splitter.feed(data)))
-            if ready:
+                self._core.live.record_prefill(stream)
+            new_data = b''.join(self._new_events(segment, splitter.feed(data)))
+            if new_data:
                 self._req.note_event()
-                responder.write(ready)
+                responder.write(new_data)
                 await responder.drain()
-        if splitter.rest and stream.switch is None:
-            raise error.TruncatedError('the stream ended within an event')
+        if splitter.remainder and stream.pending_stop is None:
+            raise error.TruncatedError('stream ended in the middle of an event')
 
-    def _fresh(
-        self, leg: leg_lib.Leg, found: Iterator[events.Event]
+    def _new_events(
+        self, segment: segment_lib.Segment, parsed: Iterator[events.Event]
     ) -> Iterator[bytes]:
         stream = self._stream
-        for piece in found:
-            leg.note_event(attempt.now())
-            if piece.id is not None:
+        for item in parsed:
+            segment.record_event(attempt.now())
+            if item.id is not None:
                 if stream.last_id is not None:
-                    if piece.id <= stream.last_id:
+                    if item.id <= stream.last_id:
                         continue
-                    if piece.id != stream.last_id + 1:
+                    if item.id != stream.last_id + 1:
                         raise OutOfOrderError(
-                            f'event {piece.id} came after {stream.last_id}'
+                            f'received event {item.id} after {stream.last_id}'
                         )
-                stream.last_id = piece.id
-            yield piece.raw
-
-    async def _next_leg(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> leg_lib.Leg | None:
-        next_leg = await self._continuation.after(leg, end)
-        if next_leg is not None or end is leg_lib.WHOLE:
-            return next_leg
-        if leg.continues and leg_lib.is_not_run(end):
+                stream.last_id = item.id
+            yield item.raw
+
+    async def _next_segment(
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
+    ) -> segment_lib.Segment | None:
+        next_segment = await self._continuation.next_segment(segment, outcome)
+        if next_segment is not None or outcome is segment_lib.COMPLETE:
+            return next_segment
+        if segment.continues and segment_lib.has_not_run(outcome):
             return None
-        return await self._again() if self._may_send_again(end) else None
+        return await self._restart() if self._may_resend(outcome) else None
 
-    async def _again(self) -> leg_lib.Leg | None:
-        leg = await self._first_leg()
-        if leg is not None and self._stream.last_id is not None:
-            leg.extra.extend(self._continuation.resume_after())
-        return leg
+    async def _restart(self) -> segment_lib.Segment | None:
+        segment = await self._first_segment()
+        if segment is not None and self._stream.last_id is not None:
+            segment.extra_headers.extend(self._continuation.resume_headers())
+        return segment
 
-    def _may_send_again(self, end: leg_lib.End) -> bool:
+    def _may_resend(self, outcome: segment_lib.Outcome) -> bool:
         req, sends = self._req, self._sends
         if sends.grounds_to_start() is None:
             return False
-        if isinstance(end, error.CallError) and not attempt.may_have_run(end):
+        if isinstance(outcome, error.CallError) and not attempt.may_have_run(
+            outcome
+        ):
             self._unreachable += 1
-            has_tries = self._unreachable <= UNREACHABLE_TRIES
-            return has_tries and not sends.may_have_run
-        if _is_misdirected(end):
+            has_retries = self._unreachable <= MAX_UNREACHABLE_RETRIES
+            return has_retries and not sends.may_have_run
+        if _is_misdirected(outcome):
             self._unreachable += 1
-            if self._unreachable > UNREACHABLE_TRIES:
+            if self._unreachable > MAX_UNREACHABLE_RETRIES:
                 return False
             self._core.budget.note_retry(req.service.name)
             return True
-        return self._has_budget()
+        return self._spend_retry()
 
-    def _has_budget(self) -> bool:
+    def _spend_retry(self) -> bool:
         if self._req.sends >= self._req.route.attempts:
             return False
         return self._core.budget.spend(self._req.service.name)
 
-    def _answer(self, end: leg_lib.End | None) -> str:
+    def _respond_to_failure(self, outcome: segment_lib.Outcome | None) -> str:
         responder = self._req.responder
         if responder.started:
             responder.abort()
@@ -242,40 +252,40 @@
             )
             return 'refused'
         if (
-            isinstance(end, leg_lib.Refusal)
-            and end.verdict is attempt.ResponseClass.FAILED
+            isinstance(outcome, segment_lib.Refusal)
+            and outcome.verdict is attempt.ResponseClass.FAILED
             and self._req.sends <= 1
         ):
-            headers = message.relayed(end.head)
-            responder.reply(end.head.status, headers, end.body)
+            headers = message.relayed(outcome.head)
+            responder.reply(outcome.head.status, headers, outcome.body)
             return 'upstream_failed'
         exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
         return 'failed'
 
-    def _log_leg(
+    def _log_segment(
         self,
-        leg: leg_lib.Leg,
-        end: leg_lib.End,
-        next_leg: leg_lib.Leg | None,
+        segment: segment_lib.Segment,
+        outcome: segment_lib.Outcome,
+        next_segment: segment_lib.Segment | None,
     ) -> None:
-        meter.attempts.inc({'result': leg_lib.describe(end)})
+        meter.attempts.inc({'result': segment_lib.describe(outcome)})
         event.note(
             event.LegEnded(
                 request=self._req.id_text,
-                upstream=leg.upstream.id,
-                leaving=leg.upstream.leaving,
-                continued=leg.continues,
-                result=leg_lib.describe(end),
+                upstream=segment.upstream.id,
+                leaving=segment.upstream.leaving,
+                continued=segment.continues,
+                result=segment_lib.describe(outcome),
                 last_event=self._stream.last_id,
-                next=next_leg.upstream.id if next_leg else '',
-                backup=leg.backup.id if leg.backup else '',
-                grounds=leg.grounds.value,
-                events=leg.events,
+                next=next_segment.upstream.id if next_segment else '',
+                backup=segment.backup.id if segment.backup else '',
+                grounds=segment.grounds.value,
+                events=segment.event_count,
             )
         )
 
 
-def _is_misdirected(end: leg_lib.End) -> bool:
-    """Whether another upstream answered than the one that was meant."""
+def _is_misdirected(outcome: segment_lib.Outcome) -> bool:
+    """Whether the request reached another upstream than the intended one."""
     wrong = attempt.ResponseClass.WRONG_UPSTREAM
-    return isinstance(end, leg_lib.Refusal) and end.verdict is wrong
+    return isinstance(outcome, segment_lib.Refusal) and outcome.verdict is wrong
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -179,7 +179,7 @@
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.stats_table)
+        core.live = live.LiveStreams(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
             core.upstreams, core.stats_table, 'z', quotas.unbounded()
