--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -121,7 +121,7 @@
     ),
     'asking-in-an-outage': _gateway(
         'stream/lookout.py',
-        'await core.health.until_down()',
+        'await core.health.wait_until_down()',
         'await asyncio.Event().wait()',
     ),
     'telling-of-an-outage': _gateway(
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
@@ -7,7 +7,7 @@
 from quetzalsill_gateway.peers import bulletin, frame
 
 if TYPE_CHECKING:
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['KINDS', 'flatten']
 
@@ -17,7 +17,7 @@
 }
 
 
-def flatten(node: str, told: news_lib.News) -> bytes:
+def flatten(node: str, told: update_lib.Update) -> bytes:
     """Returns the datagram in which such a gateway tells news."""
     kind, fields = frame.unpack(bulletin.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -143,13 +143,13 @@
         self._wake()
 
     def ask_membership(
-        self, node: str, epochs: epoch_lib.Epochs
-    ) -> source.Ask[upstream.Change]:
+        self, node: str, epochs: epoch_lib.EpochTracker
+    ) -> source.Poll[upstream.Change]:
         """Returns what a gateway asks for entries with."""
 
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
-        ) -> source.Found[upstream.Change] | None:
+        ) -> source.PollResult[upstream.Change] | None:
             told = await self._told(node, epochs, after, wait_s, self._servers)
             return told and told.found(
                 upstream.Change(row.key, told.at(row), row.value)
@@ -159,13 +159,13 @@
         return ask
 
     def ask_configuration(
-        self, node: str, epochs: epoch_lib.Epochs
-    ) -> source.Ask[source.OperatorItem]:
+        self, node: str, epochs: epoch_lib.EpochTracker
+    ) -> source.Poll[source.OperatorItem]:
         """Returns what a gateway asks for all that operators write with."""
 
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
-        ) -> source.Found[source.OperatorItem] | None:
+        ) -> source.PollResult[source.OperatorItem] | None:
             told = await self._told(
                 node, epochs, after, wait_s, self._operators
             )
@@ -187,7 +187,7 @@
     async def _told(
         self,
         node: str,
-        epochs: epoch_lib.Epochs,
+        epochs: epoch_lib.EpochTracker,
         after: revision_lib.Revision | None,
         wait_s: float,
         rows: Callable[[int | None], list[_Change]],
@@ -202,9 +202,9 @@
                 told = _Told(found, epoch, self._version, after is None)
                 is_gone = after is not None and self._is_gone(node, after)
         except _RefusedError as exc:
-            epochs.answered('refusal', self._epoch_for(node), asked)
+            epochs.observe('refusal', self._epoch_for(node), asked)
             raise error.SourceError('refused') from exc
-        epochs.answered('answer', told.epoch, asked)
+        epochs.observe('answer', told.epoch, asked)
         if is_gone or (after is not None and after.epoch != told.epoch):
             return None
         return told
@@ -268,10 +268,10 @@
         """Returns the revision at which a row changed."""
         return revision_lib.Revision(self.epoch, row.version)
 
-    def found(self, items: Iterable[Item]) -> source.Found[Item]:
+    def found(self, items: Iterable[Item]) -> source.PollResult[Item]:
         """Returns the answer as a gateway takes it."""
         revision = revision_lib.Revision(self.epoch, self.version)
-        return source.Found(list(items), revision, self.is_whole)
+        return source.PollResult(list(items), revision, self.is_whole)
 
 
 def _items(told: _Told) -> Iterator[source.OperatorItem]:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -15,7 +15,7 @@
 from quetzalsill_gateway.http import listener
 from quetzalsill_gateway.peers import bulletin, frame, relay
 from quetzalsill_gateway.watch import configuration, epoch, membership
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Fleet', 'Watcher']
 
@@ -34,11 +34,11 @@
 
     node: str
     upstreams: upstream.Upstreams
-    holder: source.Holder
+    holder: source.RoutingTableHolder
     health: source.Health
     membership: membership.Membership
     configuration: configuration.Configuration
-    epochs: epoch.Epochs
+    epochs: epoch.EpochTracker
     tasks: list[asyncio.Task[None]]
 
     @property
@@ -206,9 +206,9 @@
         self._at[f'10.1.{number // 256}.{number % 256}', 7000] = name
         upstreams = upstream.Upstreams()
         upstreams.sharers = len(self._names)
-        holder, health = source.Holder(), source.Health()
-        health.on_regained(upstreams.regained)
-        epochs = epoch.Epochs()
+        holder, health = source.RoutingTableHolder(), source.Health()
+        health.on_recovery(upstreams.regained)
+        epochs = epoch.EpochTracker()
         follower = membership.Membership(
             self.store.ask_membership(name, epochs),
             upstreams,
@@ -231,8 +231,8 @@
             name,
         )
         hearers = {
-            news_lib.MembershipNews: follower.hear,
-            news_lib.ConfigurationNews: configured.hear,
+            update_lib.MembershipUpdate: follower.handle_update,
+            update_lib.ConfigurationUpdate: configured.handle_update,
         }
 
         def hear(data: bytes, _: str) -> None:
@@ -256,7 +256,7 @@
             self._rng,
         )
 
-        def announce(told: news_lib.News) -> None:
+        def announce(told: update_lib.Update) -> None:
             if not is_plain:
                 broadcast.announce(told)
                 return
@@ -269,8 +269,8 @@
         else:
             self._plain.discard(name)
         for each in (follower, configured):
-            each.on_look(announce)
-            each.on_lack(lambda: self._ask_whole(name))
+            each.set_announcer(announce)
+            each.on_missing(lambda: self._ask_whole(name))
         self.net.join(name, hear)
         loop = asyncio.get_running_loop()
         tasks = [
@@ -300,7 +300,7 @@
         others = [one for one in self.all if one.node != name]
         for other in self._rng.sample(others, min(2, len(others))):
             for follower in (other.membership, other.configuration):
-                told = follower.whole()
+                told = follower.snapshot()
                 if told is not None:
                     encode = bulletin.encode
                     if other.node in self._plain:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
@@ -45,7 +45,7 @@
     zone: str
     dialect: dialect_lib.Dialect
     calls: dialect_lib.EngineCalls
-    holder: source.Holder
+    holder: source.RoutingTableHolder
     health: source.Health
     upstreams: upstream.Upstreams
     pages: book.Book
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
@@ -103,7 +103,7 @@
 
     def __init__(
         self,
-        holder: source.Holder,
+        holder: source.RoutingTableHolder,
         members: members_lib.Members,
         warmup: Warmup,
         connections: Callable[[tuple[str, int]], Connections],
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -61,7 +61,7 @@
     'News of the sources that other gateways told, by source and use.',
 )
 # Counted below what this module looks at.
-epochs = epoch.count
+epochs = epoch.epochs_total
 answers = metric.histogram(
     'quetzalsill_gateway_answer_seconds',
     'Time from a request to its whole answer, by kind of route.',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/bulletin.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/bulletin.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway.fleet import revision as revision_lib
 from quetzalsill_gateway.fleet import upstream, zones
 from quetzalsill_gateway.peers import frame
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['decode', 'encode']
 
@@ -23,20 +23,20 @@
 MOST_DIGEST = 16
 
 
-def encode(node: str, told: news_lib.News) -> bytes:
+def encode(node: str, told: update_lib.Update) -> bytes:
     """Returns the datagram in which a gateway tells news."""
-    if isinstance(told, news_lib.ConfigurationNews):
+    if isinstance(told, update_lib.ConfigurationUpdate):
         drains = [
             (one.zone, _pair(one.revision), one.is_on) for one in told.drains
         ]
         fields = (
             node,
             _pair(told.revision),
-            told.configuration,
+            told.number,
             told.patch,
             drains,
-            told.is_echo,
-            _pair(told.written),
+            told.is_repeat,
+            _pair(told.mod_revision),
             told.digest,
         )
         return frame.pack(frame.Kind.CONFIGURATION, fields)
@@ -45,14 +45,16 @@
         node,
         _pair(told.since),
         _pair(told.revision),
-        told.lapses_s,
+        told.grace_s,
         changes,
-        told.is_echo,
+        told.is_repeat,
     )
     return frame.pack(frame.Kind.MEMBERSHIP, fields)
 
 
-def decode(kind: frame.Kind, fields: list[Any]) -> tuple[str, news_lib.News]:
+def decode(
+    kind: frame.Kind, fields: list[Any]
+) -> tuple[str, update_lib.Update]:
     """Returns the gateway that tells, and its news.
 
     Raises:
@@ -69,7 +71,7 @@
             found = _membership(*fields)
     except frame.MALFORMED as exc:
         raise error.PeerError(f'no news: {exc!r}') from exc
-    return found.teller, found
+    return found.sender, found
 
 
 def _configuration(
@@ -81,13 +83,13 @@
     is_echo: Any,
     written: Any = (0, 0),
     digest: Any = b'',
-) -> news_lib.ConfigurationNews:
+) -> update_lib.ConfigurationUpdate:
     newest = frame.revision(revision)
     if not isinstance(patch, bytes):
         raise TypeError(f'patch {type(patch)}')
     if not isinstance(digest, bytes) or len(digest) > MOST_DIGEST:
         raise TypeError(f'digest {type(digest)}')
-    return news_lib.ConfigurationNews(
+    return update_lib.ConfigurationUpdate(
         newest,
         frame.count(number),
         patch,
@@ -106,8 +108,8 @@
     lapses_s: Any,
     changes: Any,
     is_echo: Any,
-) -> news_lib.MembershipNews:
-    return news_lib.MembershipNews(
+) -> update_lib.MembershipUpdate:
+    return update_lib.MembershipUpdate(
         frame.revision(since),
         frame.revision(revision),
         tuple(_change(*change) for change in changes),
@@ -124,7 +126,7 @@
     patch: Any,
     drains: Any,
     is_echo: Any,
-) -> news_lib.ConfigurationNews:
+) -> update_lib.ConfigurationUpdate:
     orders = [(zone, (0, told), is_on) for zone, told, is_on in drains]
     return _configuration(node, (0, version), number, patch, orders, is_echo)
 
@@ -136,7 +138,7 @@
     lapses_s: Any,
     changes: Any,
     is_echo: Any,
-) -> news_lib.MembershipNews:
+) -> update_lib.MembershipUpdate:
     entries = [(name, (0, told), *rest) for name, told, *rest in changes]
     return _membership(
         node, (0, since), (0, version), lapses_s, entries, is_echo
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
     from quetzalsill_gateway.watch import epoch
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Exchange', 'Join']
 
@@ -70,12 +70,12 @@
         core: core_lib.Core,
         node: str,
         join: Join,
-        epochs: epoch.Epochs | None = None,
+        epochs: epoch.EpochTracker | None = None,
     ) -> None:
         self._core = core
         self._is_lost = asyncio.Event()
         if epochs is not None:
-            epochs.on_new(self._is_lost.set)
+            epochs.on_change(self._is_lost.set)
         self._node = node
         self._join = join
         self._roster = roster.Roster()
@@ -85,9 +85,9 @@
         self.taken = 0
         self.left_out = 0
         self._hearers: dict[
-            type[news_lib.News], Callable[[news_lib.News], None]
+            type[update_lib.Update], Callable[[update_lib.Update], None]
         ] = {}
-        self._wholes: list[Callable[[], news_lib.News | None]] = []
+        self._wholes: list[Callable[[], update_lib.Update | None]] = []
         self._told_s = 0.0
         self._broadcast = relay.Broadcast(
             node, lambda: self._roster.addresses, self._send
@@ -97,13 +97,13 @@
 
     def on_news(
         self,
-        kind: type[news_lib.News],
-        hear: Callable[[news_lib.News], None],
+        kind: type[update_lib.Update],
+        hear: Callable[[update_lib.Update], None],
     ) -> None:
         """Sets what takes the other gateways' news of a source."""
         self._hearers[kind] = hear
 
-    def on_ask(self, whole: Callable[[], news_lib.News | None]) -> None:
+    def on_ask(self, whole: Callable[[], update_lib.Update | None]) -> None:
         """Adds what answers a gateway that knows nothing of a source."""
         self._wholes.append(whole)
 
@@ -119,7 +119,7 @@
         for address in random.sample(found, min(ASKED, len(found))):
             self._transport.sendto(data, address)
 
-    def announce(self, told: news_lib.News) -> None:
+    def announce(self, told: update_lib.Update) -> None:
         """Tells the others news of a source."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -290,7 +290,7 @@
                 data = bulletin.encode(self._node, told)
                 self._transport.sendto(data, addr)
 
-    def _hear_news(self, node: str, told: news_lib.News) -> None:
+    def _hear_news(self, node: str, told: update_lib.Update) -> None:
         hear = self._hearers.get(type(told))
         if hear is not None and node != self._node:
             hear(told)
@@ -316,7 +316,7 @@
             core.pages.hear_changes(node, told.held)
         core.pages.hear_waiting(node, told.waiting)
         core.link_queue.hear(node, told.moving)
-        core.health.hear(node, is_down=told.is_store_away)
+        core.health.update_peer(node, is_down=told.is_store_away)
         core.upstreams.hear_leaving(told.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
@@ -353,5 +353,5 @@
             core.pages.hear(node, {})
             core.pages.hear_waiting(node, {})
             core.link_queue.hear(node, {})
-            core.health.hear(node, is_down=False)
+            core.health.update_peer(node, is_down=False)
             event.note(event.PeerLost(node, len(self._roster)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
@@ -20,7 +20,7 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import pace
 from quetzalsill_gateway.peers import bulletin, frame
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Broadcast', 'decode', 'spread']
 
@@ -60,7 +60,7 @@
         self._newest: dict[type, object] = {}
         self._repeats: dict[type, list[asyncio.TimerHandle]] = {}
 
-    def announce(self, told: news_lib.News) -> None:
+    def announce(self, told: update_lib.Update) -> None:
         """Tells news; in a large fleet a few times, if it is new."""
         self._spread(bulletin.encode(self._node, told))
         substance = _substance(told)
@@ -71,7 +71,7 @@
         for repeat in self._repeats.pop(type(told), ()):
             repeat.cancel()
         if len(self._addresses()) >= pace.NEAR:
-            echo = dataclasses.replace(told, is_echo=True)
+            echo = dataclasses.replace(told, is_repeat=True)
             data = bulletin.encode(self._node, echo)
             loop = asyncio.get_running_loop()
             self._repeats[type(told)] = [
@@ -84,11 +84,11 @@
             self._send(datagram, address)
 
 
-def _substance(told: news_lib.News) -> object:
+def _substance(told: update_lib.Update) -> object:
     """Returns what counts of news, without how far the source has come."""
-    if isinstance(told, news_lib.MembershipNews):
-        return told.changes, told.lapses_s > 0
-    return told.configuration, told.drains
+    if isinstance(told, update_lib.MembershipUpdate):
+        return told.changes, told.grace_s > 0
+    return told.number, told.drains
 
 
 def spread(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -25,7 +25,7 @@
 from quetzalsill_gateway.http import listener, pool
 from quetzalsill_gateway.peers import exchange as peer_exchange
 from quetzalsill_gateway.stream import live, lookout
-from quetzalsill_gateway.watch import configuration, membership, news
+from quetzalsill_gateway.watch import configuration, membership, update
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import deployment as deployment_lib
@@ -53,7 +53,7 @@
         self._settings = settings
         conns = pool.Pool()
         pages = book.Book()
-        holder = source.Holder()
+        holder = source.RoutingTableHolder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
             gateways.list((), 0.0)
@@ -79,11 +79,11 @@
                 settings.retry.gateways,
             ),
         )
-        self.core.health.on_regained(self.core.upstreams.regained)
+        self.core.health.on_recovery(self.core.upstreams.regained)
         sources = deployment.sources(settings, conns)
         self.epochs = sources.epochs
         self.membership = membership.Membership(
-            sources.ask_membership,
+            sources.poll_membership,
             self.core.upstreams,
             self.core.health,
             settings.watch.leaving_ms / MS_PER_S,
@@ -91,8 +91,8 @@
             node=settings.node.name,
         )
         self.configuration = configuration.Configuration(
-            sources.ask_configuration,
-            sources.read_configuration,
+            sources.poll_configuration,
+            sources.parse_configuration,
             self.core.holder,
             self.core.upstreams.zones,
             self.core.health,
@@ -112,14 +112,14 @@
             self.core, settings.node.name, sources.join, self.epochs
         )
         kinds = {
-            news.MembershipNews: self.membership,
-            news.ConfigurationNews: self.configuration,
+            update.MembershipUpdate: self.membership,
+            update.ConfigurationUpdate: self.configuration,
         }
         for kind, follower in kinds.items():
-            follower.on_look(self.peers.announce)
-            follower.on_lack(self.peers.ask_whole)
-            self.peers.on_news(kind, follower.hear)
-            self.peers.on_ask(follower.whole)
+            follower.set_announcer(self.peers.announce)
+            follower.on_missing(self.peers.ask_whole)
+            self.peers.on_news(kind, follower.handle_update)
+            self.peers.on_ask(follower.snapshot)
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
@@ -17,13 +17,13 @@
     from quetzalsill_gateway.watch import epoch
 
 __all__ = [
-    'Ask',
     'Document',
-    'Found',
     'Health',
-    'Holder',
     'OperatorItem',
-    'ReadDocument',
+    'ParseDocument',
+    'Poll',
+    'PollResult',
+    'RoutingTableHolder',
     'Sources',
 ]
 
@@ -33,7 +33,7 @@
 NEVER_S = 0.0
 
 
-class Holder:
+class RoutingTableHolder:
     """The routing table in force in this process.
 
     Attributes:
@@ -97,11 +97,11 @@
         """Whether any source does not answer this process."""
         return bool(self._lost)
 
-    async def until_down(self) -> None:
+    async def wait_until_down(self) -> None:
         """Returns while any source does not answer, here or elsewhere."""
         await self._down.wait()
 
-    def on_regained(self, callback: Callable[[float], None]) -> None:
+    def on_recovery(self, callback: Callable[[float], None]) -> None:
         """Calls back whenever a source answers again.
 
         Args:
@@ -109,7 +109,7 @@
         """
         self._on_regained.append(callback)
 
-    def hear(self, node: str, *, is_down: bool) -> None:
+    def update_peer(self, node: str, *, is_down: bool) -> None:
         """Takes what another gateway says of its sources.
 
         Each notices an outage at the end of a watch, which lasts seconds; one
@@ -127,14 +127,14 @@
         else:
             self._down.clear()
 
-    def lose(self, name: str, reason: str) -> None:
+    def mark_down(self, name: str, reason: str) -> None:
         """Notes that a source did not answer."""
         if name not in self._lost:
             self._lost[name] = asyncio.get_running_loop().time()
             event.note(event.StoreLost(name, reason))
         self._update()
 
-    def regain(self, name: str) -> None:
+    def mark_up(self, name: str) -> None:
         """Notes that a source answered.
 
         One whose call was under way during an outage hasn't noticed it, and may
@@ -153,18 +153,18 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Found(Generic[Item]):
+class PollResult(Generic[Item]):
     """What a source answers.
 
     Attributes:
       items: What changed, in order, or all there is.
       revision: Revision of the source up to which they are told.
-      is_whole: Whether they are all there is.
+      is_snapshot: Whether they are all there is.
     """
 
     items: list[Item]
     revision: revision_lib.Revision
-    is_whole: bool
+    is_snapshot: bool
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -173,24 +173,24 @@
 
     Attributes:
       data: Its bytes, the same for what says the same.
-      written: Revision of the source at which it was written.
+      mod_revision: Revision of the source at which it was written.
     """
 
     data: bytes
-    written: revision_lib.Revision
+    mod_revision: revision_lib.Revision
 
 
 # Asks for what changed behind a revision, or for all if there is none, and
 # waits for a change for so many seconds at most. None is answered if the source
 # cannot tell on from there: it has forgotten that far back, or is in another
 # epoch. Raises `error.SourceError`.
-Ask = Callable[
-    [revision_lib.Revision | None, float], Awaitable[Found[Item] | None]
+Poll = Callable[
+    [revision_lib.Revision | None, float], Awaitable[PollResult[Item] | None]
 ]
 # What operators write: a document of the configuration, or an order for a zone.
 OperatorItem = Document | zones.Drain
 # Makes a routing table of a document. Raises `error.ConfigurationError`.
-ReadDocument = Callable[[bytes], 'routing_table.RoutingTable']
+ParseDocument = Callable[[bytes], 'routing_table.RoutingTable']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -198,17 +198,17 @@
     """How a gateway is kept up to date.
 
     Attributes:
-      ask_configuration: Asks for documents of the configuration, and for
+      poll_configuration: Asks for documents of the configuration, and for
         orders to drain availability zones.
-      read_configuration: Reads one.
-      ask_membership: Asks for entries of upstreams.
+      parse_configuration: Reads one.
+      poll_membership: Asks for entries of upstreams.
       join: Enters a gateway, by name and address, in the directory of
         gateways, and returns the addresses of all others in it by name.
       epochs: The epoch that the source has told.
     """
 
-    ask_configuration: Ask[OperatorItem]
-    read_configuration: ReadDocument
-    ask_membership: Ask[upstream.Change]
+    poll_configuration: Poll[OperatorItem]
+    parse_configuration: ParseDocument
+    poll_membership: Poll[upstream.Change]
     join: Callable[[str, str], Awaitable[dict[str, str]]]
-    epochs: epoch.Epochs
+    epochs: epoch.EpochTracker
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/lookout.py
@@ -32,7 +32,7 @@
 async def watch(core: core_lib.Core) -> None:
     """Asks while the membership source is away; runs until cancelled."""
     while True:
-        await core.health.until_down()
+        await core.health.wait_until_down()
         if core.upstreams.age_s > UNTOLD_S:
             engines = [
                 found for found in core.upstreams.all() if core.live.of(found)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/in_force.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/active_document.py
@@ -18,9 +18,9 @@
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import routing_table
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
-__all__ = ['InForce']
+__all__ = ['ActiveDocument']
 
 # A patch is told as often as it takes to reach those that missed a datagram.
 PATCH_S = 3.0
@@ -29,17 +29,17 @@
 MOST_WHOLE_BYTES = 49_152
 
 
-class InForce:
+class ActiveDocument:
     """The document in force.
 
     Attributes:
       data: Its bytes; empty before the first.
       digest: Tells it from another.
-      written: Revision of the source at which it was written.
+      mod_revision: Revision of the source at which it was written.
     """
 
     def __init__(
-        self, read: source.ReadDocument, holder: source.Holder
+        self, read: source.ParseDocument, holder: source.RoutingTableHolder
     ) -> None:
         """Holds none yet.
 
@@ -53,7 +53,7 @@
         self._patched_s = 0.0
         self.data = b''
         self.digest = b''
-        self.written = revision_lib.NONE
+        self.mod_revision = revision_lib.NONE
 
     @property
     def number(self) -> int:
@@ -67,34 +67,34 @@
         now = asyncio.get_running_loop().time()
         return self._patch if now - self._patched_s < PATCH_S else b''
 
-    def whole(self) -> bytes | None:
+    def snapshot(self) -> bytes | None:
         """Returns what makes the document of nothing; None if too large."""
         if not self.data:
             return None
         return patch_lib.make(b'', self.data, MOST_WHOLE_BYTES)
 
-    def is_less_than(self, told: news_lib.ConfigurationNews) -> bool:
+    def is_superseded_by(self, told: update_lib.ConfigurationUpdate) -> bool:
         """Whether a configuration that counts more is told.
 
         A greater number does; of two with the same, the one written last.
         """
-        if told.configuration != self.number:
-            return told.configuration > self.number
+        if told.number != self.number:
+            return told.number > self.number
         if told.digest in (b'', self.digest):
-            self.written = max(self.written, told.written)
+            self.mod_revision = max(self.mod_revision, told.mod_revision)
             return False
-        return told.written > self.written
+        return told.mod_revision > self.mod_revision
 
-    def apply(self, told: news_lib.ConfigurationNews) -> bool:
+    def apply(self, told: update_lib.ConfigurationUpdate) -> bool:
         """Whether the patch that is told has made what is told of."""
         if not told.patch:
             return False
         document = self._patched(told.patch)
         if document is None:
             return False
-        self.install(source.Document(document, told.written))
+        self.install(source.Document(document, told.mod_revision))
         is_same = told.digest in (b'', self.digest)
-        return is_same and self.number == told.configuration
+        return is_same and self.number == told.number
 
     def _patched(self, patch: bytes) -> bytes | None:
         # A document that is told whole is a patch of nothing.
@@ -105,13 +105,13 @@
                 continue
         return None
 
-    def bound(self, revision: revision_lib.Revision) -> None:
+    def cap_revision(self, revision: revision_lib.Revision) -> None:
         """Notes how far the source has come: nothing is written behind it.
 
         Taken as told, a faulty revision would count above all that is written
         later with the same number.
         """
-        self.written = min(self.written, revision)
+        self.mod_revision = min(self.mod_revision, revision)
 
     def install(self, found: source.Document) -> int:
         """Takes a document if it counts more; returns its number or 0."""
@@ -130,16 +130,16 @@
         self, found: source.Document, table: routing_table.RoutingTable
     ) -> None:
         """Settles which of two documents that bear one number is in force."""
-        if found.written <= self.written:
+        if found.mod_revision <= self.mod_revision:
             return
         if found.data == self.data:
-            self.written = found.written
+            self.mod_revision = found.mod_revision
             return
         event.note(
             event.ConfigurationReplaced(
                 table.version,
-                str(self.written),
-                str(found.written),
+                str(self.mod_revision),
+                str(found.mod_revision),
                 'Write the configuration that is meant with a new number.',
             )
         )
@@ -152,4 +152,4 @@
             self._patched_s = asyncio.get_running_loop().time()
         self.data = found.data
         self.digest = patch_lib.digest(found.data)
-        self.written = found.written
+        self.mod_revision = found.mod_revision
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/recent.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
@@ -11,7 +11,7 @@
 from quetzalsill_gateway.fleet import revision as revision_lib
 from quetzalsill_gateway.fleet import upstream
 
-__all__ = ['Recent']
+__all__ = ['ChangeLog']
 
 # How far back a datagram reaches, in seconds: a few calls at the source.
 KEPT_S = 1.0
@@ -20,7 +20,7 @@
 MOST_CHANGES = 80
 
 
-class Recent:
+class ChangeLog:
     """Changes behind a revision, in the order of their revisions.
 
     What means nothing is left out: an upstream may write its entry anew with
@@ -46,7 +46,7 @@
         """Changes behind `since`, the oldest first."""
         return tuple(self._changes)
 
-    def all(
+    def entries(
         self, revision: revision_lib.Revision
     ) -> tuple[upstream.Change, ...]:
         """Returns every entry, as of a revision."""
@@ -55,7 +55,7 @@
             for name, found in self._entries.items()
         )
 
-    def restart(
+    def reset(
         self, found: list[upstream.Change], revision: revision_lib.Revision
     ) -> None:
         """Begins anew with all entries as of a revision."""
@@ -66,7 +66,7 @@
         for change in found:
             self._enter(change)
 
-    def step(
+    def record(
         self,
         now: float,
         before: revision_lib.Revision,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -14,9 +14,9 @@
 from quetzalsill_gateway import error, event, meter, source
 from quetzalsill_gateway.fleet import revision as revision_lib
 from quetzalsill_gateway.fleet import zones
-from quetzalsill_gateway.watch import epoch, in_force, overlap
-from quetzalsill_gateway.watch import news as news_lib
-from quetzalsill_gateway.watch import turn as turn_lib
+from quetzalsill_gateway.watch import active_document, deferred, epoch
+from quetzalsill_gateway.watch import schedule as schedule_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 if TYPE_CHECKING:
     import random
@@ -58,15 +58,15 @@
 
     def __init__(
         self,
-        ask: source.Ask[source.OperatorItem],
-        read: source.ReadDocument,
-        holder: source.Holder,
+        ask: source.Poll[source.OperatorItem],
+        read: source.ParseDocument,
+        holder: source.RoutingTableHolder,
         drained: zones.Zones,
         health: source.Health,
         sharers: Callable[[], int],
         bound_s: float,
         rng: random.Random | None = None,
-        epochs: epoch.Epochs | None = None,
+        epochs: epoch.EpochTracker | None = None,
         node: str = '',
     ) -> None:
         """Prepares to follow.
@@ -86,75 +86,79 @@
         self._ask = ask
         self._node = node
         self._holder = holder
-        self.in_force = in_force.InForce(read, holder)
+        self.active = active_document.ActiveDocument(read, holder)
         self._drained = drained
         self._ahead_s: float | None = None
         # Whether the next list counts whatever is known of zones.
         self._is_overruled = False
         self._health = health
         self._wait_s = WAIT * bound_s
-        self._epochs = epochs or epoch.Epochs()
-        self._epochs.on_new(lambda: self._turn.within(ANEW_S))
+        self._epochs = epochs or epoch.EpochTracker()
+        self._epochs.on_change(lambda: self._schedule.poll_within(ANEW_S))
         self._revision: revision_lib.Revision | None = None
         self._listed: revision_lib.Revision | None = None
         self._wanted = self._lacking = 0
-        self._overlap = overlap.Overlap(sharers, rng)
+        self._deferred = deferred.DeferredAnnouncement(sharers, rng)
         self._ask_others_s = 0.0
-        pace = turn_lib.Pace(LEAST * bound_s, SPREAD * bound_s, ASK_ON_S)
-        self._turn = turn_lib.Turn(pace, sharers, rng)
-        self._announce: Callable[[news_lib.News], None] | None = None
-        self._on_lack: Callable[[], None] | None = None
+        pace = schedule_lib.PollIntervals(
+            LEAST * bound_s, SPREAD * bound_s, ASK_ON_S
+        )
+        self._schedule = schedule_lib.PollSchedule(pace, sharers, rng)
+        self._announce: Callable[[update_lib.Update], None] | None = None
+        self._on_missing: Callable[[], None] | None = None
 
-    def on_look(self, announce: Callable[[news_lib.News], None]) -> None:
+    def set_announcer(
+        self, announce: Callable[[update_lib.Update], None]
+    ) -> None:
         """Sets what tells the other gateways."""
         self._announce = announce
 
-    def on_lack(self, callback: Callable[[], None]) -> None:
+    def on_missing(self, callback: Callable[[], None]) -> None:
         """Calls back when nothing is known and the source does not answer."""
-        self._on_lack = callback
+        self._on_missing = callback
 
-    def whole(self) -> news_lib.ConfigurationNews | None:
+    def snapshot(self) -> update_lib.ConfigurationUpdate | None:
         """Returns all that is known, for a gateway that knows nothing."""
-        document = self.in_force.whole()
+        document = self.active.snapshot()
         if self._revision is None or document is None:
             return None
         return self._news(document)
 
-    def _news(self, patch: bytes) -> news_lib.ConfigurationNews:
+    def _news(self, patch: bytes) -> update_lib.ConfigurationUpdate:
         drains = self._drained.drains
-        return news_lib.ConfigurationNews(
+        return update_lib.ConfigurationUpdate(
             self._revision,
-            self.in_force.number,
+            self.active.number,
             patch,
             # One that is newer than the rest would make all of it malformed.
             tuple(one for one in drains if one.revision <= self._revision),
-            written=min(self.in_force.written, self._revision),
-            digest=self.in_force.digest,
+            mod_revision=min(self.active.mod_revision, self._revision),
+            digest=self.active.digest,
         )
 
     async def run(self) -> None:
         """Asks whenever it is this gateway's turn; runs until cancelled."""
         while True:
-            await self._turn.wait()
+            await self._schedule.wait()
             await self._look()
 
-    def hear(self, told: news_lib.ConfigurationNews) -> None:
+    def handle_update(self, told: update_lib.ConfigurationUpdate) -> None:
         """Takes what another gateway was told."""
         if self._epochs.is_refuted(told.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        self._overlap.note(told.revision)
+        self._deferred.note_announced(told.revision)
         # Each order by its own revision, whatever else is told.
         self._drained.hear(told.drains)
         self._hear_drains(told.revision)
         known = self._revision
-        if known is None and self.in_force.apply(told):
+        if known is None and self.active.apply(told):
             self._begin(told)
             return
-        if known is None or told.configuration < self.in_force.number:
+        if known is None or told.number < self.active.number:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self.in_force.is_less_than(told) and not self.in_force.apply(told):
+        if self.active.is_superseded_by(told) and not self.active.apply(told):
             # The revision known here stays, so that no edit is passed over.
             meter.news.inc({'of': NAME, 'result': 'newer'})
             self._fetch(told)
@@ -165,7 +169,7 @@
         if self._drained.is_missing(told.drains, told.revision):
             # Followed, it would hide for good that an order was taken back.
             meter.news.inc({'of': NAME, 'result': 'gap'})
-            self._turn.within(ANEW_S, is_behind=True)
+            self._schedule.poll_within(ANEW_S, is_behind=True)
             return
         meter.news.inc({'of': NAME, 'result': 'taken'})
         self._follow(told)
@@ -175,53 +179,55 @@
         newest = self._drained.newest
         if told.epoch < newest.epoch:
             # Told late, or the order is faulty: the source has to say.
-            self._turn.within(ANEW_S)
+            self._schedule.poll_within(ANEW_S)
         else:
             self._correct_drains(newest, told)
 
-    def _begin(self, told: news_lib.ConfigurationNews) -> None:
+    def _begin(self, told: update_lib.ConfigurationUpdate) -> None:
         """Begins with what another gateway has told whole."""
         self._holder.confirm()
         if self._drained.is_missing(told.drains, told.revision):
             # Followed, it would hide for good that an order was taken back.
-            self._turn.within(ANEW_S, is_behind=True)
+            self._schedule.poll_within(ANEW_S, is_behind=True)
             return
-        self._enter(told.revision, told.teller)
+        self._enter(told.revision, told.sender)
 
-    def _fetch(self, told: news_lib.ConfigurationNews) -> None:
+    def _fetch(self, told: update_lib.ConfigurationUpdate) -> None:
         """Asks for a configuration that another gateway has.
 
         Of the source, or of the other gateways if the source has lost it and
         lists an older one, however often it is asked.
         """
-        if told.configuration == self._lacking and self._on_lack is not None:
+        if told.number == self._lacking and self._on_missing is not None:
             now = asyncio.get_running_loop().time()
             if now >= self._ask_others_s:
                 self._ask_others_s = now + ASK_OTHERS_S
-                self._on_lack()
+                self._on_missing()
             return
-        self._wanted = told.configuration
-        self._turn.hurry()
+        self._wanted = told.number
+        self._schedule.poll_now()
 
-    def _follow(self, told: news_lib.ConfigurationNews) -> None:
+    def _follow(self, told: update_lib.ConfigurationUpdate) -> None:
         """Takes how far the source has come, from another gateway."""
         known = self._revision
-        self._enter(told.revision, told.teller)
+        self._enter(told.revision, told.sender)
         self._holder.confirm()
         newest = self._epochs.newest
         if told.revision.epoch > newest:
             # Its word counts; but whether the source is there, only the source
             # can say.
             if known is not None:
-                self._epochs.hear(NAME, told.teller, known, told.revision)
-            self._turn.within(ANEW_S)
+                self._epochs.note_peer_epoch(
+                    NAME, told.sender, known, told.revision
+                )
+            self._schedule.poll_within(ANEW_S)
         elif told.revision.epoch < self._drained.newest.epoch:
             # The source has to say of the newer order; the call is due already.
             return
-        elif told.revision.epoch == newest and not told.is_echo:
-            self._turn.heard(
+        elif told.revision.epoch == newest and not told.is_repeat:
+            self._schedule.note_peer_answer(
                 asyncio.get_running_loop().time(),
-                is_first=self._node < told.teller,
+                is_first=self._node < told.sender,
             )
 
     async def _look(self) -> None:
@@ -230,20 +236,20 @@
         is_ended = known is not None and known.epoch < self._epochs.newest
         # Behind it may lie many edits, each told with its whole document, and
         # only the newest counts.
-        after = None if is_ended or self._turn.is_behind else known
+        after = None if is_ended or self._schedule.is_behind else known
         newest_drain = self._drained.newest
         try:
             found = await self._ask(after, self._wait_s)
         except error.StaleAnswerError:
-            self._turn.failed(loop.time())
+            self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
-            self._health.lose(NAME, str(exc))
-            self._turn.failed(loop.time())
-            if self._revision is None and self._on_lack is not None:
-                self._on_lack()
+            self._health.mark_down(NAME, str(exc))
+            self._schedule.note_failure(loop.time())
+            if self._revision is None and self._on_missing is not None:
+                self._on_missing()
             return
-        self._health.regain(NAME)
+        self._health.mark_up(NAME)
         if found is None:
             self._end_feed(known)
             return
@@ -252,8 +258,8 @@
             return
         if known is not None and found.revision < known:
             self._note_ahead(known, found.revision)
-            self._overlap.forget()
-            self._turn.ended(loop.time(), at_once=False)
+            self._deferred.reset()
+            self._schedule.note_resync(loop.time(), at_once=False)
             self._revision = None
             return
         self._holder.confirm()
@@ -262,10 +268,10 @@
             return
         if self._revision is None or found.revision > self._revision:
             self._enter(found.revision, 'store')
-        if self._turn.answered(loop.time()):
+        if self._schedule.note_answer(loop.time()):
             self._tell()
-        elif found.items and not found.is_whole:
-            self._overlap.offer(found.revision, self._tell_late)
+        elif found.items and not found.is_snapshot:
+            self._deferred.schedule(found.revision, self._tell_late)
 
     def _end_feed(self, known: revision_lib.Revision | None) -> None:
         """Meets a source that doesn't tell on from what was known."""
@@ -277,7 +283,7 @@
             event.note(event.StoreHistoryLost(NAME, str(known)))
         elif known is not None and known.epoch > newest:
             self._note_ahead(known, revision_lib.Revision(newest, 0))
-        self._turn.ended(asyncio.get_running_loop().time())
+        self._schedule.note_resync(asyncio.get_running_loop().time())
         self._revision = None
 
     def _note_ahead(
@@ -302,26 +308,26 @@
             )
         )
 
-    def _take(self, found: source.Found[source.OperatorItem]) -> None:
+    def _take(self, found: source.PollResult[source.OperatorItem]) -> None:
         drains, held = [], 0
-        self.in_force.bound(found.revision)
+        self.active.cap_revision(found.revision)
         for item in found.items:
             if isinstance(item, zones.Drain):
                 drains.append(item)
             else:
-                held = max(held, self.in_force.install(item))
+                held = max(held, self.active.install(item))
         self._drained.enter(found.revision)
-        if found.is_whole and self._is_overruled:
+        if found.is_snapshot and self._is_overruled:
             self._drained.overrule(drains, found.revision)
             self._is_overruled = False
-        if found.is_whole:
+        if found.is_snapshot:
             self._drained.replace(drains, found.revision)
             self._lacking = self._wanted if held < self._wanted else 0
         else:
-            self._turn.told_on()
+            self._schedule.note_resumed()
             self._drained.hear(drains)
-        if 0 < held < self.in_force.number:
-            event.note(event.ConfigurationKept(self.in_force.number, held))
+        if 0 < held < self.active.number:
+            event.note(event.ConfigurationKept(self.active.number, held))
 
     def _correct_drains(
         self, known: revision_lib.Revision, told: revision_lib.Revision
@@ -343,7 +349,7 @@
             event.note(event.VersionAhead('zones', str(known), str(told)))
             self._is_overruled = True
             self._ahead_s = self._revision = None
-            self._turn.hurry()
+            self._schedule.poll_now()
             return True
         return False
 
@@ -353,4 +359,4 @@
 
     def _tell(self) -> None:
         if self._announce is not None:
-            self._announce(self._news(self.in_force.patch))
+            self._announce(self._news(self.active.patch))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/overlap.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
@@ -1,7 +1,7 @@
 """Announces what is new in an answer whose call overlapped another's.
 
 Of gateways whose calls overlap only the first to be answered announces its
-answer (`watch.turn`). A change that follows that answer is in those of the
+answer (`watch.schedule`). A change that follows that answer is in those of the
 others alone. Each of them waits for a draw and announces it, unless another
 has by then. In a large fleet an announcement takes longer to arrive, and costs
 more.
@@ -16,13 +16,13 @@
 from quetzalsill_gateway.fleet import pace
 from quetzalsill_gateway.fleet import revision as revision_lib
 
-__all__ = ['Overlap']
+__all__ = ['DeferredAnnouncement']
 
 # Longer than an announcement is under way, so that one or two of many are made.
-SPREAD_S = 0.05
+JITTER_S = 0.05
 
 
-class Overlap:
+class DeferredAnnouncement:
     """One gateway's announcements of answers that came second."""
 
     def __init__(
@@ -39,15 +39,15 @@
         self._announced = revision_lib.NONE
         self._timer: asyncio.TimerHandle | None = None
 
-    def note(self, revision: revision_lib.Revision) -> None:
+    def note_announced(self, revision: revision_lib.Revision) -> None:
         """Notes up to where another gateway has announced the source."""
         self._announced = max(self._announced, revision)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drops what was noted: an announcement was of no true revision."""
         self._announced = revision_lib.NONE
 
-    def offer(
+    def schedule(
         self, revision: revision_lib.Revision, announce: Callable[[], None]
     ) -> None:
         """Announces an answer later, unless another gateway does before.
@@ -65,6 +65,6 @@
                 announce()
 
         least_s = pace.spread_s(self._sharers(), is_urgent=True) / 2
-        delay_s = self._rng.uniform(least_s, 2 * least_s + SPREAD_S)
+        delay_s = self._rng.uniform(least_s, 2 * least_s + JITTER_S)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay_s, due)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway.fleet import revision
 
-__all__ = ['BEHIND_S', 'Epochs', 'count']
+__all__ = ['DOWNGRADE_AFTER_S', 'EpochTracker', 'epochs_total']
 
 # A source that tells an older epoch for so long, and the newer not once in
 # between, is in the older: the other was a fault of one answer's.
-BEHIND_S = 1.0
+DOWNGRADE_AFTER_S = 1.0
 # What another gateway tells of an epoch that the source has denied is left out
 # for so long: its word would send all others to the source, again and again.
 REFUTED_S = 60.0
@@ -29,13 +29,13 @@
 LOG_EVERY_S = 60.0
 
 # `meter.epochs` to all others; that looks at what holds a source.
-count = metric.counter(
+epochs_total = metric.counter(
     'quetzalsill_gateway_store_epochs_total',
     'Epochs of the store: entered, tables listed for it, answers left out.',
 )
 
 
-class Epochs:
+class EpochTracker:
     """The newest epoch that the source has told.
 
     Attributes:
@@ -53,11 +53,11 @@
         self._quiet_until_s = 0.0
         self._on_new: list[Callable[[], None]] = []
 
-    def on_new(self, callback: Callable[[], None]) -> None:
+    def on_change(self, callback: Callable[[], None]) -> None:
         """Calls back when the source has entered another epoch."""
         self._on_new.append(callback)
 
-    def answered(self, call: str, told: int, asked: int) -> None:
+    def observe(self, call: str, told: int, asked: int) -> None:
         """Takes the epoch of an answer, whatever else is in it.
 
         Args:
@@ -70,7 +70,7 @@
             changes nothing.
         """
         if told < self.newest and not self._has_fallen(told, asked):
-            count.inc({'what': 'stale'})
+            epochs_total.inc({'what': 'stale'})
             self._note_stale(call, told)
             raise error.StaleAnswerError(
                 f'{call}: epoch {told}, after {self.newest}'
@@ -81,7 +81,7 @@
         self._is_known = True
         self._refute()
 
-    def hear(
+    def note_peer_epoch(
         self,
         table: str,
         peer: str,
@@ -112,7 +112,7 @@
         if self._told <= self.newest:
             return
         now = asyncio.get_running_loop().time()
-        if now - self._told_s > BEHIND_S:
+        if now - self._told_s > DOWNGRADE_AFTER_S:
             self._refuted = self._told
             self._refuted_until_s = now + REFUTED_S
             self._told = 0
@@ -129,14 +129,14 @@
         now = asyncio.get_running_loop().time()
         if self._behind_s is None:
             self._behind_s = now
-        return now - self._behind_s > BEHIND_S
+        return now - self._behind_s > DOWNGRADE_AFTER_S
 
     def _enter(self, call: str, told: int) -> None:
         before, self.newest = self.newest, told
         self._told = 0
         if not self._is_known:
             return
-        count.inc({'what': 'new' if told > before else 'fallen'})
+        epochs_total.inc({'what': 'new' if told > before else 'fallen'})
         event.note(event.EpochEntered(call, before, told))
         for callback in self._on_new:
             callback()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -2,7 +2,7 @@
 
 The price of a notice that comes late is runs lost with their engine. So one
 gateway at any time has a call at the source that waits for a change, and tells
-the others at once (`watch.turn`).
+the others at once (`watch.schedule`).
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from quetzalsill_gateway import error, event, meter
 from quetzalsill_gateway.fleet import revision as revision_lib
-from quetzalsill_gateway.watch import epoch, overlap
-from quetzalsill_gateway.watch import news as news_lib
-from quetzalsill_gateway.watch import recent as recent_lib
-from quetzalsill_gateway.watch import turn as turn_lib
+from quetzalsill_gateway.watch import change_log as change_log_lib
+from quetzalsill_gateway.watch import deferred, epoch
+from quetzalsill_gateway.watch import schedule as schedule_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 if TYPE_CHECKING:
     import random
@@ -55,12 +55,12 @@
 
     def __init__(
         self,
-        ask: source.Ask[upstream.Change],
+        ask: source.Poll[upstream.Change],
         upstreams: upstream.Upstreams,
         health: source.Health,
         bound_s: float,
         rng: random.Random | None = None,
-        epochs: epoch.Epochs | None = None,
+        epochs: epoch.EpochTracker | None = None,
         node: str = '',
     ) -> None:
         """Prepares to follow.
@@ -78,65 +78,73 @@
         self._node = node
         self._upstreams = upstreams
         self._health = health
-        self._epochs = epochs or epoch.Epochs()
-        self._epochs.on_new(lambda: self._turn.within(ANEW_S))
+        self._epochs = epochs or epoch.EpochTracker()
+        self._epochs.on_change(lambda: self._schedule.poll_within(ANEW_S))
         self._revision: revision_lib.Revision | None = None
         self._listed: revision_lib.Revision | None = None
         # What was known up to when the source told no further.
         self._floor = revision_lib.NONE
-        self._recent = recent_lib.Recent()
-        self._overlap = overlap.Overlap(lambda: upstreams.sharers, rng)
+        self._change_log = change_log_lib.ChangeLog()
+        self._deferred = deferred.DeferredAnnouncement(
+            lambda: upstreams.sharers, rng
+        )
         scale = min(1.0, BOUND_SHARE * bound_s / (LEAST_S + SPREAD_S))
         self._wait_s = scale * WAIT_S
-        pace = turn_lib.Pace(scale * LEAST_S, scale * SPREAD_S, ASK_ON_S)
-        self._turn = turn_lib.Turn(pace, lambda: upstreams.sharers, rng)
-        self._announce: Callable[[news_lib.News], None] | None = None
-        self._on_lack: Callable[[], None] | None = None
+        pace = schedule_lib.PollIntervals(
+            scale * LEAST_S, scale * SPREAD_S, ASK_ON_S
+        )
+        self._schedule = schedule_lib.PollSchedule(
+            pace, lambda: upstreams.sharers, rng
+        )
+        self._announce: Callable[[update_lib.Update], None] | None = None
+        self._on_missing: Callable[[], None] | None = None
 
-    def on_look(self, announce: Callable[[news_lib.News], None]) -> None:
+    def set_announcer(
+        self, announce: Callable[[update_lib.Update], None]
+    ) -> None:
         """Sets what tells the other gateways."""
         self._announce = announce
 
-    def on_lack(self, callback: Callable[[], None]) -> None:
+    def on_missing(self, callback: Callable[[], None]) -> None:
         """Calls back when nothing is known and the source does not answer."""
-        self._on_lack = callback
+        self._on_missing = callback
 
-    def whole(self) -> news_lib.MembershipNews | None:
+    def snapshot(self) -> update_lib.MembershipUpdate | None:
         """Returns all that is known, for a gateway that knows nothing."""
         if self._revision is None:
             return None
-        return news_lib.MembershipNews(
-            news_lib.EVERYTHING,
+        return update_lib.MembershipUpdate(
+            update_lib.BEGINNING,
             self._revision,
-            self._recent.all(self._revision),
+            self._change_log.entries(self._revision),
             self._upstreams.lapses_left_s,
         )
 
     async def run(self) -> None:
         """Looks whenever it is this gateway's turn; runs until cancelled."""
         while True:
-            await self._turn.wait()
+            await self._schedule.wait()
             await self._look()
 
-    def hear(self, told: news_lib.MembershipNews) -> None:
+    def handle_update(self, told: update_lib.MembershipUpdate) -> None:
         """Takes what another gateway was told."""
         if self._epochs.is_refuted(told.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        self._overlap.note(told.revision)
+        self._deferred.note_announced(told.revision)
         if not self._take_told(told):
             return
         if told.revision.epoch > self._epochs.newest:
             # Its word counts; but whether the source is there, only the source
             # can say.
-            self._turn.within(ANEW_S)
-        elif told.revision.epoch == self._epochs.newest and not told.is_echo:
-            self._turn.heard(
+            self._schedule.poll_within(ANEW_S)
+        elif told.revision.epoch == self._epochs.newest and not told.is_repeat:
+            self._schedule.note_peer_answer(
                 asyncio.get_running_loop().time(),
-                is_first=self._node < told.teller,
+                is_first=self._node < told.sender,
             )
 
-    def _take_told(self, told: news_lib.MembershipNews) -> bool:
+    def _take_told(self, told: update_lib.MembershipUpdate) -> bool:
         """Returns whether news was of use."""
         known = self._revision
         if self._is_first_list(told) or self._is_newer_list(told):
@@ -149,51 +157,55 @@
             # Datagrams were lost: what came between is not known here.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             if told.revision.epoch > known.epoch:
-                self._epochs.hear(NAME, told.teller, known, told.revision)
-                self._turn.within(ANEW_S, is_behind=True)
+                self._epochs.note_peer_epoch(
+                    NAME, told.sender, known, told.revision
+                )
+                self._schedule.poll_within(ANEW_S, is_behind=True)
             else:
-                self._turn.hurry()
+                self._schedule.poll_now()
             return False
         meter.news.inc({'of': NAME, 'result': 'taken'})
-        if told.lapses_s > 0:
-            self._upstreams.expect_lapsed(told.lapses_s)
+        if told.grace_s > 0:
+            self._upstreams.expect_lapsed(told.grace_s)
         fresh = [one for one in told.changes if one.revision > known]
         self._take(fresh, known, told.revision)
         return True
 
-    def _is_first_list(self, told: news_lib.MembershipNews) -> bool:
+    def _is_first_list(self, told: update_lib.MembershipUpdate) -> bool:
         """Whether a list is all that there is to go by.
 
         One of a gateway that was cut off may be from before what was known as
         the source fell silent, and name upstreams that have ended since.
         """
         is_silent = self._revision is None
-        return is_silent and told.is_whole and told.revision >= self._floor
+        return is_silent and told.is_snapshot and told.revision >= self._floor
 
-    def _is_newer_list(self, told: news_lib.MembershipNews) -> bool:
+    def _is_newer_list(self, told: update_lib.MembershipUpdate) -> bool:
         """Whether a list is newer than what is known.
 
         One without any entry is left for the source to tell: a faulty sender's
         would leave nobody to serve.
         """
         return (
-            told.is_whole
+            told.is_snapshot
             and bool(told.changes)
             and told.revision > (self._revision or self._floor)
         )
 
     def _begin(
         self,
-        told: news_lib.MembershipNews,
+        told: update_lib.MembershipUpdate,
         known: revision_lib.Revision | None,
     ) -> None:
         """Begins anew with all that another gateway has listed."""
         meter.news.inc({'of': NAME, 'result': 'whole'})
         if known is not None:
-            self._epochs.hear(NAME, told.teller, known, told.revision)
-        if told.lapses_s > 0:
-            self._upstreams.expect_lapsed(told.lapses_s)
-        self._restart(list(told.changes), told.revision, told.teller)
+            self._epochs.note_peer_epoch(
+                NAME, told.sender, known, told.revision
+            )
+        if told.grace_s > 0:
+            self._upstreams.expect_lapsed(told.grace_s)
+        self._restart(list(told.changes), told.revision, told.sender)
 
     async def _look(self) -> None:
         loop = asyncio.get_running_loop()
@@ -202,15 +214,15 @@
         try:
             found = await self._ask(None if is_ended else known, self._wait_s)
         except error.StaleAnswerError:
-            self._turn.failed(loop.time())
+            self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
-            self._health.lose(NAME, str(exc))
-            self._turn.failed(loop.time())
-            if self._revision is None and self._on_lack is not None:
-                self._on_lack()
+            self._health.mark_down(NAME, str(exc))
+            self._schedule.note_failure(loop.time())
+            if self._revision is None and self._on_missing is not None:
+                self._on_missing()
             return
-        self._health.regain(NAME)
+        self._health.mark_up(NAME)
         if found is None:
             self._end_feed(known)
             return
@@ -221,19 +233,19 @@
         if newest is not None and found.revision < newest:
             self._correct(known, found.revision)
             return
-        is_new = found.is_whole and self._is_new_epoch(found.revision)
+        is_new = found.is_snapshot and self._is_new_epoch(found.revision)
         fresh: list[upstream.Change] = []
-        if found.is_whole:
+        if found.is_snapshot:
             self._restart(found.items, found.revision, 'store')
         else:
-            self._turn.told_on()
+            self._schedule.note_resumed()
             # Told by others meanwhile, if it is not behind `newest`.
             fresh = [one for one in found.items if one.revision > newest]
             self._take(fresh, newest, found.revision)
-        if self._turn.answered(loop.time()):
+        if self._schedule.note_answer(loop.time()):
             self._tell(is_new=is_new)
         elif fresh:
-            self._overlap.offer(found.revision, self._tell_late)
+            self._deferred.schedule(found.revision, self._tell_late)
 
     def _end_feed(self, known: revision_lib.Revision | None) -> None:
         """Meets a source that doesn't tell on from what was known."""
@@ -246,7 +258,7 @@
         elif known is not None and known.epoch > newest:
             told = revision_lib.Revision(newest, 0)
             event.note(event.VersionAhead(NAME, str(known), str(told)))
-        self._turn.ended(asyncio.get_running_loop().time())
+        self._schedule.note_resync(asyncio.get_running_loop().time())
         if known is not None and known.epoch <= newest:
             self._floor = known
         self._revision = None
@@ -264,8 +276,8 @@
         if known is not None and told < known:
             event.note(event.VersionAhead(NAME, str(known), str(told)))
             now = asyncio.get_running_loop().time()
-            self._turn.ended(now, at_once=False)
-            self._overlap.forget()
+            self._schedule.note_resync(now, at_once=False)
+            self._deferred.reset()
             self._floor = revision_lib.NONE
             self._revision = None
 
@@ -285,7 +297,7 @@
             self._note_listed(found, revision, source)
         self._upstreams.confirm()
         self._upstreams.replace(found, revision)
-        self._recent.restart(found, revision)
+        self._change_log.reset(found, revision)
         self._revision = self._listed = revision
         self._floor = revision_lib.NONE
 
@@ -311,7 +323,7 @@
         self._upstreams.confirm()
         self._revision = revision
         now = asyncio.get_running_loop().time()
-        for change in self._recent.step(now, before, changes):
+        for change in self._change_log.record(now, before, changes):
             self._upstreams.apply(change)
 
     def _tell_late(self) -> None:
@@ -321,29 +333,29 @@
     def _tell(self, *, is_new: bool) -> None:
         if self._announce is None:
             return
-        whole = self.whole()
+        whole = self.snapshot()
         if is_new and len(whole.changes) <= MOST_TOLD:
             # Nobody can go on from the epoch before.
             self._announce(whole)
             return
         self._announce(
-            news_lib.MembershipNews(
-                self._recent.since,
+            update_lib.MembershipUpdate(
+                self._change_log.since,
                 self._revision,
-                self._recent.changes,
+                self._change_log.changes,
                 self._upstreams.lapses_left_s,
             )
         )
 
 
 def _is_gap(
-    told: news_lib.MembershipNews, known: revision_lib.Revision
+    told: update_lib.MembershipUpdate, known: revision_lib.Revision
 ) -> bool:
     """Whether changes behind what is known are not told.
 
     No changes lead from one epoch to the next, and none from what is known to a
     list that is not taken.
     """
-    is_list = told.is_whole and told.revision > known
+    is_list = told.is_snapshot and told.revision > known
     is_later = told.revision.epoch > known.epoch
     return is_list or is_later or told.since > known
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/turn.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
@@ -18,7 +18,7 @@
 
 from quetzalsill_gateway.fleet import pace
 
-__all__ = ['Pace', 'Turn']
+__all__ = ['PollIntervals', 'PollSchedule']
 
 # After a failed call; doubled up to the longest.
 FIRST_RETRY_S = 0.1
@@ -35,28 +35,28 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Pace:
+class PollIntervals:
     """How long a gateway leaves a source alone, in seconds.
 
     Attributes:
-      least_s: At least, after another gateway was answered; longer than a call
-        waits at the source for a change.
-      spread_s: Width of the draw that is added.
-      ask_on_s: For whoever was answered last. It asks on, so that one call is
-        at the source at any time, which every change ends at once.
+      min_delay_s: At least, after another gateway was answered; longer than a
+        call waits at the source for a change.
+      jitter_s: Width of the draw that is added.
+      repoll_delay_s: For whoever was answered last. It asks on, so that one
+        call is at the source at any time, which every change ends at once.
     """
 
-    least_s: float
-    spread_s: float
-    ask_on_s: float = 0.0
+    min_delay_s: float
+    jitter_s: float
+    repoll_delay_s: float = 0.0
 
 
-class Turn:
+class PollSchedule:
     """One gateway's next call to one source."""
 
     def __init__(
         self,
-        pace: Pace,
+        pace: PollIntervals,
         sharers: Callable[[], int],
         rng: random.Random | None = None,
     ) -> None:
@@ -97,13 +97,13 @@
         self._asked_s = loop.time()
         self._is_drawn = self._watches = False
 
-    def hurry(self) -> None:
+    def poll_now(self) -> None:
         """Makes the call due now: others know what is not known here."""
         self._due_s = 0.0
         self._is_hurried = True
         self._hurried.set()
 
-    def within(self, spread_s: float, *, is_behind: bool = False) -> None:
+    def poll_within(self, spread_s: float, *, is_behind: bool = False) -> None:
         """Makes the call due at a draw of the time that follows.
 
         Also if another is told meanwhile; but not sooner than after a failed
@@ -124,7 +124,7 @@
             self._due_s = due_s
             self._hurried.set()
 
-    def ended(self, now: float, *, at_once: bool = True) -> None:
+    def note_resync(self, now: float, *, at_once: bool = True) -> None:
         """Notes that the source doesn't tell on from what is known.
 
         All is asked for anew, at once. A source that lists all and then doesn't
@@ -143,11 +143,11 @@
             self._due_s = now + retry_s * self._rng.uniform(*JITTER)
         self._dead_ends = min(self._dead_ends + 1, 10)
 
-    def told_on(self) -> None:
+    def note_resumed(self) -> None:
         """Notes that the source has told on from what was known."""
         self._dead_ends = 0
 
-    def answered(self, now: float) -> bool:
+    def note_answer(self, now: float) -> bool:
         """Notes that the source has answered this gateway.
 
         Returns:
@@ -163,7 +163,7 @@
         self._due_s = now + after_s
         return is_alone
 
-    def failed(self, now: float) -> None:
+    def note_failure(self, now: float) -> None:
         """Notes that the source has not answered."""
         longest_s = RETRY_PER_GATEWAY_S * self._sharers()
         longest_s = max(LONGEST_RETRY_S, longest_s)
@@ -174,7 +174,7 @@
         told_s = RETRY_WHILE_TOLD_S * self._rng.uniform(*JITTER)
         self._told_due_s = now + told_s
 
-    def heard(self, now: float, *, is_first: bool = False) -> None:
+    def note_peer_answer(self, now: float, *, is_first: bool = False) -> None:
         """Notes that another gateway was answered, and what it was told.
 
         Of two that were answered at once each hears the other as it pauses
@@ -198,8 +198,8 @@
 
     def _ask_on_s(self) -> float:
         """Each answer goes to all, so that a large fleet takes in fewer."""
-        return self._pace.ask_on_s * max(1.0, self._sharers() / pace.NEAR)
+        return self._pace.repoll_delay_s * max(1.0, self._sharers() / pace.NEAR)
 
     def _draw_s(self) -> float:
-        drawn_s = self._rng.uniform(0.0, self._pace.spread_s)
-        return self._pace.least_s + drawn_s
+        drawn_s = self._rng.uniform(0.0, self._pace.jitter_s)
+        return self._pace.min_delay_s + drawn_s
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -41,7 +41,7 @@
 
 
 def holder(**figures):
-    found = source.Holder()
+    found = source.RoutingTableHolder()
     found.current = table(**figures)
     return found
 
--- a/tests/quetzalsill_gateway/peers/test_bulletin.py
+++ b/tests/quetzalsill_gateway/peers/test_bulletin.py
@@ -8,11 +8,11 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.peers import bulletin, frame
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 
 AT = revision.Revision(3, 7)
 ENGINE = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-MEMBERSHIP = news.MembershipNews(
+MEMBERSHIP = update.MembershipUpdate(
     revision.Revision(3, 5),
     AT,
     (
@@ -21,12 +21,12 @@
     ),
     1.5,
 )
-CONFIGURATION = news.ConfigurationNews(
+CONFIGURATION = update.ConfigurationUpdate(
     AT,
     9,
     b'patch',
     (zones.Drain('z', revision.Revision(2, 90), True),),
-    written=revision.Revision(3, 2),
+    mod_revision=revision.Revision(3, 2),
     digest=b'12345678',
 )
 
@@ -42,7 +42,7 @@
     def test_epochs_are_told(self):
         told = heard(bulletin.encode('entry-1', CONFIGURATION))
         self.assertEqual(told, CONFIGURATION)
-        self.assertEqual(told.teller, 'entry-1')
+        self.assertEqual(told.sender, 'entry-1')
         told = heard(bulletin.encode('entry-1', MEMBERSHIP))
         self.assertEqual((told.since, told.revision), (MEMBERSHIP.since, AT))
         revisions = [one.revision for one in told.changes]
@@ -58,10 +58,10 @@
         self.assertEqual(told.revision, revision.Revision(0, 7))
         self.assertEqual(told.changes[1].revision, revision.Revision(0, 6))
         self.assertEqual(told.changes[0].upstream.address, ENGINE.address)
-        self.assertEqual(told.lapses_s, 1.5)
+        self.assertEqual(told.grace_s, 1.5)
 
     def test_its_configuration_is_told_all_the_same(self):
-        plain_news = news.ConfigurationNews(
+        plain_news = update.ConfigurationUpdate(
             revision.Revision(0, 8),
             9,
             b'patch',
@@ -91,7 +91,7 @@
         told = heard(configuration((2**60, -4)))
         self.assertEqual(told.revision, revision.Revision(revision.MOST, 0))
         told = heard(configuration((1, 5), written=(9, 9)))
-        self.assertEqual(told.written, revision.Revision(1, 5))
+        self.assertEqual(told.mod_revision, revision.Revision(1, 5))
         wrong = (
             configuration(7),
             configuration((1,)),
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -24,7 +24,7 @@
     teller,
 )
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import epoch, membership, news
+from quetzalsill_gateway.watch import epoch, membership, update
 from tests.quetzalsill_gateway import quotas
 
 BOUND_S = 10.0
@@ -61,9 +61,11 @@
 )
 REVISIONS = st.builds(revision.Revision, COUNT, COUNT)
 NEWS = st.one_of(
-    st.builds(news.ConfigurationNews, REVISIONS, COUNT, st.binary(max_size=20)),
     st.builds(
-        news.MembershipNews,
+        update.ConfigurationUpdate, REVISIONS, COUNT, st.binary(max_size=20)
+    ),
+    st.builds(
+        update.MembershipUpdate,
         REVISIONS,
         REVISIONS,
         st.lists(
@@ -96,12 +98,12 @@
 
 def plain(told):
     """Returns news with its upstreams as comparable values."""
-    if isinstance(told, news.ConfigurationNews):
+    if isinstance(told, update.ConfigurationUpdate):
         return told
     return (
         told.since,
         told.revision,
-        told.lapses_s,
+        told.grace_s,
         [
             (
                 one.id,
@@ -179,7 +181,7 @@
         core.admission = admission.Admission(
             core.upstreams, core.pages, 'z', quotas.unbounded()
         )
-        self.epochs = epoch.Epochs()
+        self.epochs = epoch.EpochTracker()
         found = exchange.Exchange(core, node, self.join, self.epochs)
         await found.open(('127.0.0.1', 0))
         tasks = [
@@ -329,11 +331,11 @@
         later; the notice is over by then. Whoever sees it first tells all.
         """
         first, second, _ = self.gateways
-        first._core.health.lose('servers', 'silent')
+        first._core.health.mark_down('servers', 'silent')
         async with asyncio.timeout(BOUND_S):
-            await second._core.health.until_down()
+            await second._core.health.wait_until_down()
         self.assertFalse(second._core.health.is_down, 'its own store answers')
-        first._core.health.regain('servers')
+        first._core.health.mark_up('servers')
         down = second._core.health._down
         await self.until(lambda: not down.is_set())
 
@@ -348,11 +350,11 @@
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_news(news.MembershipNews, found.hear)
+        second.on_news(update.MembershipUpdate, found.handle_update)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         told = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
-            news.MembershipNews(found._revision, told.revision, (told,))
+            update.MembershipUpdate(found._revision, told.revision, (told,))
         )
         await self.until(lambda: second._core.upstreams.of('s'))
 
@@ -373,8 +375,8 @@
         one, two = await self.start('entry-1'), await self.start('entry-2')
         await self.until(lambda: one.peers == two.peers == 1)
         heard = []
-        two.on_news(news.ConfigurationNews, heard.append)
-        told = news.ConfigurationNews(revision.Revision(0, 5), 7)
+        two.on_news(update.ConfigurationUpdate, heard.append)
+        told = update.ConfigurationUpdate(revision.Revision(0, 5), 7)
         data = bulletin.encode('entry-3', told)
         here = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(here[0]), here[1])]
@@ -406,12 +408,12 @@
         ):
             late = await self.start('entry-4')
             epochs = self.epochs
-            epochs.answered('write', 1, 0)
+            epochs.observe('write', 1, 0)
             for number in (2, 3):
                 await self.until(lambda: 'entry-4' in self.directory)
                 await asyncio.sleep(0.1)
                 del self.directory['entry-4']
-                epochs.answered('write', number, epochs.newest)
+                epochs.observe('write', number, epochs.newest)
             await self.until(lambda: 'entry-4' in self.directory)
         self.assertEqual(self.directory['entry-4'], f'127.0.0.1:{late.port}')
 
--- a/tests/quetzalsill_gateway/peers/test_roster.py
+++ b/tests/quetzalsill_gateway/peers/test_roster.py
@@ -17,7 +17,7 @@
 from quetzalsill_gateway.fleet.held import Held
 from quetzalsill_gateway.peers import exchange, frame, roster, state
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 from tests.quetzalsill_gateway import quotas
 
 HERE = ('10.0.0.1', 7000)
@@ -116,7 +116,9 @@
     async def test_only_a_gateway_that_is_heard_is_told_all(self):
         """Whoever asks for the configuration would get the callers' keys."""
         self.hearer.on_ask(
-            lambda: news.ConfigurationNews(revision.Revision(0, 7), 3, b'keys')
+            lambda: update.ConfigurationUpdate(
+                revision.Revision(0, 7), 3, b'keys'
+            )
         )
         asked = frame.pack(frame.Kind.ASK_WHOLE, ('stranger',))
         with mock.patch.object(event, 'note'):
--- a/tests/quetzalsill_gateway/quotas.py
+++ b/tests/quetzalsill_gateway/quotas.py
@@ -11,7 +11,7 @@
 def unbounded():
     """Returns a quota that allows everything."""
     return quota.Quota(
-        source.Holder(),
+        source.RoutingTableHolder(),
         members.Members('entry-1'),
         quota.Warmup(),
         lambda _: quota.Connections(0, 0),
--- a/tests/quetzalsill_gateway/test_source.py
+++ b/tests/quetzalsill_gateway/test_source.py
@@ -19,7 +19,7 @@
         self.addCleanup(quiet.stop)
         self.health = source.Health()
         self.upstreams = upstream.Upstreams()
-        self.health.on_regained(self.upstreams.regained)
+        self.health.on_recovery(self.upstreams.regained)
 
     async def test_a_call_that_spans_an_outage_tells_of_it_too(self):
         """Every upstream is gone after a short outage, and callers get 503.
@@ -33,16 +33,16 @@
         self.upstreams.confirm()
         self.upstreams.put(found, revision.Revision(0, 1))
         await asyncio.sleep(0.01)
-        self.health.lose('configuration', 'refused')
-        self.health.regain('membership')
+        self.health.mark_down('configuration', 'refused')
+        self.health.mark_up('membership')
         self.upstreams.remove('u-1', revision.Revision(0, 2))
         self.assertEqual(self.upstreams.of('s'), [found])
 
     async def test_a_table_that_answers_does_not_speak_for_another(self):
-        self.health.lose('configuration', 'refused')
-        self.health.regain('membership')
+        self.health.mark_down('configuration', 'refused')
+        self.health.mark_up('membership')
         self.assertTrue(self.health.is_down)
-        self.health.regain('configuration')
+        self.health.mark_up('configuration')
         self.assertFalse(self.health.is_down)
 
 
--- a/tests/quetzalsill_gateway/watch/test_in_force.py
+++ b/tests/quetzalsill_gateway/watch/test_active_document.py
@@ -11,7 +11,7 @@
 from quetzalsill_gateway import error, event, routing_table, source
 from quetzalsill_gateway.fleet import revision
 from quetzalsill_gateway.http import listener
-from quetzalsill_gateway.watch import in_force, news
+from quetzalsill_gateway.watch import active_document, update
 
 
 def read(data):
@@ -31,7 +31,7 @@
     return source.Document(data, revision.Revision(epoch, version))
 
 
-class InForceTest(unittest.TestCase):
+class ActiveDocumentTest(unittest.TestCase):
     """Documents come in any order, and more than once."""
 
     def setUp(self):
@@ -43,7 +43,9 @@
         """Returns what is in force after documents in an order."""
 
         async def work():
-            held = in_force.InForce(read, source.Holder())
+            held = active_document.ActiveDocument(
+                read, source.RoutingTableHolder()
+            )
             for one in found:
                 held.install(one)
             return held
@@ -67,7 +69,7 @@
     def test_what_is_written_again_is_the_same(self):
         first, again = document(5, 'a', 1, 7), document(5, 'a', 2, 3)
         held = self.after(first, again, first)
-        self.assertEqual(held.written, again.written)
+        self.assertEqual(held.mod_revision, again.mod_revision)
         told = [call.args[0] for call in self.note.call_args_list]
         kinds = [type(one) for one in told]
         self.assertEqual(kinds, [event.ConfigurationInstalled])
@@ -84,12 +86,14 @@
         """
 
         async def work():
-            held = in_force.InForce(read, source.Holder())
+            held = active_document.ActiveDocument(
+                read, source.RoutingTableHolder()
+            )
             held.install(document(5, 'first', 1, 7))
             far = revision.Revision(1, 2**50)
-            told = news.ConfigurationNews(far, 5, written=far)
-            self.assertFalse(held.is_less_than(told))
-            held.bound(revision.Revision(1, 20))
+            told = update.ConfigurationUpdate(far, 5, mod_revision=far)
+            self.assertFalse(held.is_superseded_by(told))
+            held.cap_revision(revision.Revision(1, 20))
             held.install(document(5, 'second', 1, 21))
             return held.data
 
--- a/tests/quetzalsill_gateway/watch/test_overlap.py
+++ b/tests/quetzalsill_gateway/watch/test_deferred.py
@@ -8,19 +8,21 @@
 
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway.fleet import pace, revision
-from quetzalsill_gateway.watch import overlap
+from quetzalsill_gateway.watch import deferred
 
 FIRST, SECOND = revision.Revision(0, 1), revision.Revision(0, 2)
 
 
-class OverlapTest(unittest.TestCase):
+class DeferredAnnouncementTest(unittest.TestCase):
     """What is announced once every draw is over."""
 
-    def announced(self, story, gateways=2, wait_s=2 * overlap.SPREAD_S):
+    def announced(self, story, gateways=2, wait_s=2 * deferred.JITTER_S):
         made = []
 
         async def work():
-            one = overlap.Overlap(lambda: gateways, random.Random(1))
+            one = deferred.DeferredAnnouncement(
+                lambda: gateways, random.Random(1)
+            )
             story(one, made)
             await asyncio.sleep(wait_s)
 
@@ -29,16 +31,16 @@
 
     def test_what_nobody_else_announces_is_announced_once(self):
         def story(one, made):
-            one.note(FIRST)
+            one.note_announced(FIRST)
             for _ in range(2):
-                one.offer(SECOND, lambda: made.append(SECOND))
+                one.schedule(SECOND, lambda: made.append(SECOND))
 
         self.assertEqual(self.announced(story), [SECOND])
 
     def test_what_another_announces_meanwhile_is_not(self):
         def story(one, made):
-            one.offer(SECOND, lambda: made.append(SECOND))
-            one.note(SECOND)
+            one.schedule(SECOND, lambda: made.append(SECOND))
+            one.note_announced(SECOND)
 
         self.assertEqual(self.announced(story), [])
 
@@ -46,7 +48,7 @@
         """Each of many announces the same to hundreds, four times over."""
 
         def story(one, made):
-            one.offer(SECOND, lambda: made.append(SECOND))
+            one.schedule(SECOND, lambda: made.append(SECOND))
 
         arrive_s = pace.spread_s(300, is_urgent=True) / 2
         self.assertEqual(self.announced(story, 300, arrive_s), [])
@@ -54,9 +56,9 @@
 
     def test_a_false_revision_silences_nobody_for_good(self):
         def story(one, made):
-            one.note(revision.Revision(0, 1_000_000))
-            one.forget()
-            one.offer(SECOND, lambda: made.append(SECOND))
+            one.note_announced(revision.Revision(0, 1_000_000))
+            one.reset()
+            one.schedule(SECOND, lambda: made.append(SECOND))
 
         self.assertEqual(self.announced(story), [SECOND])
 
--- a/tests/quetzalsill_gateway/watch/test_drill_operators.py
+++ b/tests/quetzalsill_gateway/watch/test_drill_operators.py
@@ -9,7 +9,7 @@
 from quetzalsill_dev.simulation.store import Away
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 from tests.quetzalsill_gateway.watch import drill
 
 ZONE = 'z'
@@ -96,12 +96,14 @@
         async def story():
             asked = []
             one = self.fleet.all[0]
-            one.configuration.on_lack(lambda: asked.append(one.node))
-            told = news.ConfigurationNews(revision.Revision(0, 1), 9, b'patch')
-            one.configuration.hear(told)
+            one.configuration.on_missing(lambda: asked.append(one.node))
+            told = update.ConfigurationUpdate(
+                revision.Revision(0, 1), 9, b'patch'
+            )
+            one.configuration.handle_update(told)
             await asyncio.sleep(1.0)
             for _ in range(300):
-                one.configuration.hear(told)
+                one.configuration.handle_update(told)
                 await asyncio.sleep(0.01)
             self.assertIn(len(asked), (3, 4))
 
@@ -130,9 +132,7 @@
             store.configure(document('second'))
             await self.within(
                 drill.KNOWN_S,
-                lambda one: (
-                    one.configuration.in_force.data == document('second')
-                ),
+                lambda one: one.configuration.active.data == document('second'),
             )
             replaced = self.told(event.ConfigurationReplaced)
             self.assertEqual(len(replaced), drill.GATEWAYS)
@@ -141,7 +141,7 @@
             await asyncio.sleep(3.0)
             for one in self.fleet.all:
                 self.assertEqual(
-                    one.configuration.in_force.data, document('second')
+                    one.configuration.active.data, document('second')
                 )
 
         self.play(story)
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway import error, event
 from quetzalsill_gateway.fleet import revision, zones
 from quetzalsill_gateway.peers import bulletin, frame
-from quetzalsill_gateway.watch import epoch, news
+from quetzalsill_gateway.watch import epoch, update
 from tests.quetzalsill_gateway.watch import drill
 
 LIVE = {f'server-{n}' for n in range(20)}
@@ -128,14 +128,18 @@
             async with self.always(lambda one: one.ids() == LIVE):
                 for one in self.fleet.all:
                     far = revision.Revision(1, 2**52)
-                    one.membership.hear(
-                        news.MembershipNews(news.EVERYTHING, far)
+                    one.membership.handle_update(
+                        update.MembershipUpdate(update.BEGINNING, far)
                     )
-                    one.membership.hear(news.MembershipNews(FAR, FAR))
-                    one.membership.hear(
-                        news.MembershipNews(news.EVERYTHING, FAR)
+                    one.membership.handle_update(
+                        update.MembershipUpdate(FAR, FAR)
+                    )
+                    one.membership.handle_update(
+                        update.MembershipUpdate(update.BEGINNING, FAR)
+                    )
+                    one.configuration.handle_update(
+                        update.ConfigurationUpdate(FAR, 1)
                     )
-                    one.configuration.hear(news.ConfigurationNews(FAR, 1))
                 await asyncio.sleep(3.0)
             self.fleet.configure(7)
             self.fleet.drain('server-1')
@@ -159,7 +163,9 @@
             self.fleet.drop('server-2')
             at = revision.Revision(store.epoch, store.version)
             for one in self.fleet.all:
-                one.membership.hear(news.MembershipNews(news.EVERYTHING, at))
+                one.membership.handle_update(
+                    update.MembershipUpdate(update.BEGINNING, at)
+                )
             left = LIVE - {'server-2'}
             async with self.always(lambda one: left <= one.ids()):
                 await self.within(
@@ -181,8 +187,8 @@
             node = min(calls, key=lambda name: calls[name] - before[name])
             one = self.fleet.gateways[node]
             faulty = zones.Drain('z', FAR, True)
-            one.configuration.hear(
-                news.ConfigurationNews(FAR, 0, b'', (faulty,))
+            one.configuration.handle_update(
+                update.ConfigurationUpdate(FAR, 0, b'', (faulty,))
             )
             self.assertTrue(one.upstreams.zones.is_drained('z'))
             await self.within(
@@ -200,13 +206,13 @@
         async def story():
             one = self.fleet.all[0]
             faulty = zones.Drain('z', FAR, True)
-            one.configuration.hear(
-                news.ConfigurationNews(FAR, 0, b'', (faulty,))
+            one.configuration.handle_update(
+                update.ConfigurationUpdate(FAR, 0, b'', (faulty,))
             )
-            whole = one.configuration.whole()
+            whole = one.configuration.snapshot()
             data = bulletin.encode(one.node, whole)
             _, told = bulletin.decode(*frame.unpack(data))
-            self.assertEqual(told.configuration, one.number)
+            self.assertEqual(told.number, one.number)
 
         self.play(story, 2)
 
@@ -221,8 +227,8 @@
             await self.within(1.0, is_on)
             async with self.always(is_on):
                 for one in self.fleet.all:
-                    one.configuration.hear(
-                        news.ConfigurationNews(FAR, one.number)
+                    one.configuration.handle_update(
+                        update.ConfigurationUpdate(FAR, one.number)
                     )
                 await asyncio.sleep(15.0)
 
@@ -234,7 +240,7 @@
 
     def play(self, story):
         async def work():
-            await story(epoch.Epochs())
+            await story(epoch.EpochTracker())
 
         clock.run(work)
 
@@ -245,24 +251,24 @@
         """
 
         async def story(epochs):
-            epochs.answered('get', 1, 0)
-            epochs.answered('get', 2, 1)
+            epochs.observe('get', 1, 0)
+            epochs.observe('get', 2, 1)
             for _ in range(100):
                 await asyncio.sleep(0.1)
                 with self.assertRaises(error.StaleAnswerError):
-                    epochs.answered('feed', 1, 1)
+                    epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
         self.play(story)
 
     def test_one_answer_of_an_older_epoch_is_not_believed(self):
         async def story(epochs):
-            epochs.answered('get', 2, 0)
+            epochs.observe('get', 2, 0)
             for _ in range(10):
                 with self.assertRaises(error.StaleAnswerError):
-                    epochs.answered('get', 1, 2)
+                    epochs.observe('get', 1, 2)
                 await asyncio.sleep(0.9)
-                epochs.answered('get', 2, 2)
+                epochs.observe('get', 2, 2)
                 await asyncio.sleep(0.9)
             self.assertEqual(epochs.newest, 2)
 
@@ -270,11 +276,11 @@
 
     def test_an_epoch_that_fell_counts_when_it_is_told_on_and_on(self):
         async def story(epochs):
-            epochs.answered('get', 7, 0)
+            epochs.observe('get', 7, 0)
             with self.assertRaises(error.StaleAnswerError):
-                epochs.answered('get', 1, 7)
-            await asyncio.sleep(epoch.BEHIND_S + 0.1)
-            epochs.answered('get', 1, 7)
+                epochs.observe('get', 1, 7)
+            await asyncio.sleep(epoch.DOWNGRADE_AFTER_S + 0.1)
+            epochs.observe('get', 1, 7)
             self.assertEqual(epochs.newest, 1)
 
         self.play(story)
@@ -282,9 +288,9 @@
     def test_whoever_follows_is_called_back_once_an_epoch(self):
         async def story(epochs):
             seen = []
-            epochs.on_new(lambda: seen.append(epochs.newest))
+            epochs.on_change(lambda: seen.append(epochs.newest))
             for told in (3, 3, 4, 4, 9):
-                epochs.answered('get', told, epochs.newest)
+                epochs.observe('get', told, epochs.newest)
             # With the first there was none before it to end.
             self.assertEqual(seen, [4, 9])
 
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -16,7 +16,7 @@
 from quetzalsill_dev.simulation.store import Away
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 
 BOUND_S = 2.0
 STEP_S = 0.005
@@ -301,8 +301,12 @@
         async def story():
             for one in self.fleet.all:
                 far = revision.Revision(0, 2**52)
-                one.membership.hear(news.MembershipNews(news.EVERYTHING, far))
-                one.configuration.hear(news.ConfigurationNews(far, 1))
+                one.membership.handle_update(
+                    update.MembershipUpdate(update.BEGINNING, far)
+                )
+                one.configuration.handle_update(
+                    update.ConfigurationUpdate(far, 1)
+                )
             await asyncio.sleep(1.5 * BOUND_S)
             await self.edit_is_known(2)
             await self.notice_is_known('server-1')
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -51,7 +51,9 @@
         if after is not None:
             self.ended_s.append(loop.time())
         version = 100 if after is None else 50
-        return source.Found([], revision.Revision(1, version), after is None)
+        return source.PollResult(
+            [], revision.Revision(1, version), after is None
+        )
 
     def play(self, follower):
         for seed in SEEDS:
@@ -86,7 +88,7 @@
                 source.Health(),
                 2.0,
                 rng,
-                epochs=epoch.Epochs(),
+                epochs=epoch.EpochTracker(),
             )
         )
 
@@ -95,13 +97,13 @@
             lambda rng: configuration.Configuration(
                 self.ask,
                 watchers._read,
-                source.Holder(),
+                source.RoutingTableHolder(),
                 upstream.Upstreams().zones,
                 source.Health(),
                 lambda: 1,
                 2.0,
                 rng,
-                epochs=epoch.Epochs(),
+                epochs=epoch.EpochTracker(),
             )
         )
 
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -66,13 +66,13 @@
             # As if nothing had been heard for a while.
             await asyncio.sleep(1.0)
             one = follower(ask)
-            one.on_look(self.announced.append)
+            one.set_announcer(self.announced.append)
             task = asyncio.create_task(one.run())
             # The first call; the second begins soon after it.
             await asyncio.sleep(1.75 * CALL_S)
             (told,) = self.announced
             self.announced.clear()
-            one.hear(dataclasses.replace(told, teller='entry-2'))
+            one.handle_update(dataclasses.replace(told, sender='entry-2'))
             await asyncio.sleep(CALL_S + SOON_S)
             task.cancel()
 
@@ -88,7 +88,7 @@
         return configuration.Configuration(
             ask,
             watchers._read,
-            source.Holder(),
+            source.RoutingTableHolder(),
             found.zones,
             source.Health(),
             lambda: 2,
@@ -102,8 +102,8 @@
         )
         entry = upstream.Change('server-1', BEFORE, found)
         return (
-            source.Found([entry], BEFORE, is_whole=True),
-            source.Found([LEAVING], AFTER, is_whole=False),
+            source.PollResult([entry], BEFORE, is_snapshot=True),
+            source.PollResult([LEAVING], AFTER, is_snapshot=False),
         )
 
     def test_a_notice_that_nobody_else_tells(self):
@@ -119,11 +119,15 @@
         self.play(
             self.configuration,
             (
-                source.Found([document(1, BEFORE)], BEFORE, is_whole=True),
-                source.Found([document(2, AFTER)], AFTER, is_whole=False),
+                source.PollResult(
+                    [document(1, BEFORE)], BEFORE, is_snapshot=True
+                ),
+                source.PollResult(
+                    [document(2, AFTER)], AFTER, is_snapshot=False
+                ),
             ),
         )
-        self.assertIn(2, [told.configuration for told in self.announced])
+        self.assertIn(2, [told.number for told in self.announced])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_turn.py
+++ b/tests/quetzalsill_gateway/watch/test_schedule.py
@@ -7,13 +7,13 @@
 import unittest
 
 from quetzalsill_dev.simulation import clock
-from quetzalsill_gateway.watch import configuration, membership, turn
+from quetzalsill_gateway.watch import configuration, membership, schedule
 
 NEAR_S = 0.001
 LEAST_S = 0.75
 
 
-class TurnTest(unittest.TestCase):
+class PollScheduleTest(unittest.TestCase):
     """Two gateways that were answered at the same time."""
 
     def test_two_that_are_answered_at_once_do_not_both_stop(self):
@@ -25,21 +25,22 @@
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = turn.Pace(1.5, 0.75, configuration.ASK_ON_S)
+            pace = schedule.PollIntervals(1.5, 0.75, configuration.ASK_ON_S)
             both = [
-                turn.Turn(pace, lambda: 2, random.Random(n)) for n in (1, 2)
+                schedule.PollSchedule(pace, lambda: 2, random.Random(n))
+                for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
             for one in both:
                 await one.wait()
             for one in both:
-                self.assertTrue(one.answered(loop.time()))
+                self.assertTrue(one.note_answer(loop.time()))
             waits = [asyncio.create_task(one.wait()) for one in both]
             await asyncio.sleep(NEAR_S)
             for one in both:
-                one.heard(loop.time())
+                one.note_peer_answer(loop.time())
             await asyncio.gather(*waits)
-            return [one.answered(loop.time()) for one in both]
+            return [one.note_answer(loop.time()) for one in both]
 
         self.assertTrue(any(clock.run(work)))
 
@@ -52,17 +53,18 @@
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = turn.Pace(LEAST_S, 0.4, membership.ASK_ON_S)
+            pace = schedule.PollIntervals(LEAST_S, 0.4, membership.ASK_ON_S)
             both = [
-                turn.Turn(pace, lambda: 300, random.Random(n)) for n in (1, 2)
+                schedule.PollSchedule(pace, lambda: 300, random.Random(n))
+                for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
             for one in both:
                 await one.wait()
-                self.assertTrue(one.answered(loop.time()))
+                self.assertTrue(one.note_answer(loop.time()))
             await asyncio.sleep(NEAR_S)
             for one, is_first in zip(both, (True, False), strict=True):
-                one.heard(loop.time(), is_first=is_first)
+                one.note_peer_answer(loop.time(), is_first=is_first)
             waits = [asyncio.create_task(one.wait()) for one in both]
             await asyncio.sleep(LEAST_S / 2)
             return [wait.done() for wait in waits]
--- a/tests/quetzalsill_gateway/watch/test_older_word.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -14,7 +14,7 @@
 from quetzalsill_dev.simulation import clock, watchers
 from quetzalsill_gateway import error, event, source
 from quetzalsill_gateway.fleet import revision, upstream, zones
-from quetzalsill_gateway.watch import configuration, epoch, membership, news
+from quetzalsill_gateway.watch import configuration, epoch, membership, update
 from quetzalsill_gateway.watch import patch as patch_lib
 from tests.quetzalsill_gateway.watch import drill
 
@@ -46,7 +46,7 @@
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.epochs = epoch.Epochs()
+        self.epochs = epoch.EpochTracker()
 
     async def ask(self, after, wait_s):
         asked = self.epochs.newest
@@ -56,11 +56,11 @@
         answer = self.answers.pop(0)
         # Every answer tells the epoch, before anything else is taken of it.
         told = asked if answer is None else answer.revision.epoch
-        self.epochs.answered('rows', told, asked)
+        self.epochs.observe('rows', told, asked)
         return answer
 
 
-class OlderWordTest(unittest.TestCase):
+class StaleUpdateTest(unittest.TestCase):
     """A gateway whose source has answered 410 and is away since."""
 
     def setUp(self):
@@ -96,7 +96,7 @@
         return configuration.Configuration(
             script.ask,
             watchers._read,
-            source.Holder(),
+            source.RoutingTableHolder(),
             self.upstreams.zones,
             source.Health(),
             lambda: 2,
@@ -118,16 +118,16 @@
         def follower():
             gone = upstream.Change(ENDED.id, at(60), None)
             return self.membership(
-                source.Found([STAYS, ENDED], at(50), True),
-                source.Found([gone], at(60), False),
+                source.PollResult([STAYS, ENDED], at(50), True),
+                source.PollResult([gone], at(60), False),
                 None,
             )
 
         async def story(one):
             self.assertEqual(self.ids(), {STAYS.id})
-            one.hear(
-                news.MembershipNews(
-                    news.EVERYTHING, at(55), (STAYS, ENDED), teller='cut-off'
+            one.handle_update(
+                update.MembershipUpdate(
+                    update.BEGINNING, at(55), (STAYS, ENDED), sender='cut-off'
                 )
             )
             self.assertEqual(self.ids(), {STAYS.id})
@@ -143,16 +143,16 @@
 
         def follower():
             return self.membership(
-                source.Found([STAYS], at(50), True),
-                source.Found([later], at(60), False),
+                source.PollResult([STAYS], at(50), True),
+                source.PollResult([later], at(60), False),
                 None,
             )
 
         async def story(one):
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
-            one.hear(
-                news.MembershipNews(
-                    news.EVERYTHING, at(55), (STAYS,), teller='cut-off'
+            one.handle_update(
+                update.MembershipUpdate(
+                    update.BEGINNING, at(55), (STAYS,), sender='cut-off'
                 )
             )
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
@@ -167,19 +167,19 @@
 
         def follower():
             return self.membership(
-                source.Found([STAYS, ENDED], at(50), True),
+                source.PollResult([STAYS, ENDED], at(50), True),
                 None,
-                source.Found([STAYS], at(40, 8), True),
+                source.PollResult([STAYS], at(40, 8), True),
                 None,
             )
 
         async def story(one):
-            one._epochs.answered('rows-feed', 8, 0)
+            one._epochs.observe('rows-feed', 8, 0)
             await asyncio.sleep(upstream.LAPSE_S)
             self.assertEqual(self.ids(), {STAYS.id})
-            one.hear(
-                news.MembershipNews(
-                    news.EVERYTHING, at(55), (STAYS, ENDED), teller='cut-off'
+            one.handle_update(
+                update.MembershipUpdate(
+                    update.BEGINNING, at(55), (STAYS, ENDED), sender='cut-off'
                 )
             )
             await asyncio.sleep(upstream.LAPSE_S + 0.1)
@@ -199,19 +199,19 @@
         def follower():
             found = [source.Document(DOCUMENT, at(10)), stands]
             return self.configuration(
-                source.Found(found, at(50), True),
+                source.PollResult(found, at(50), True),
                 None,
             )
 
         async def story(one):
-            one.hear(
-                news.ConfigurationNews(
+            one.handle_update(
+                update.ConfigurationUpdate(
                     at(70),
                     5,
                     patch_lib.make(b'', DOCUMENT),
-                    written=at(10),
+                    mod_revision=at(10),
                     digest=patch_lib.digest(DOCUMENT),
-                    teller='started-since',
+                    sender='started-since',
                 )
             )
             # Either the order is gone, or the gateway is not up to there.
@@ -232,14 +232,16 @@
         def follower():
             document = source.Document(DOCUMENT, at(10))
             return self.configuration(
-                source.Found([document], at(50), True),
-                source.Found([stands], at(60), False),
+                source.PollResult([document], at(50), True),
+                source.PollResult([stands], at(60), False),
             )
 
         async def story(one):
             self.assertTrue(self.upstreams.zones.is_drained('z'))
             for _ in range(2):
-                one.hear(news.ConfigurationNews(at(55), 5, teller='cut-off'))
+                one.handle_update(
+                    update.ConfigurationUpdate(at(55), 5, sender='cut-off')
+                )
                 await asyncio.sleep(configuration.AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
@@ -252,12 +254,14 @@
         def follower():
             document = source.Document(DOCUMENT, at(10, 8))
             return self.configuration(
-                source.Found([document, stands], at(30, 8), True),
+                source.PollResult([document, stands], at(30, 8), True),
             )
 
         async def story(one):
             for _ in range(2):
-                one.hear(news.ConfigurationNews(at(55), 5, teller='cut-off'))
+                one.handle_update(
+                    update.ConfigurationUpdate(at(55), 5, sender='cut-off')
+                )
                 await asyncio.sleep(configuration.AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
@@ -274,20 +278,22 @@
 
         def follower():
             found = source.Document(DOCUMENT, at(40))
-            return self.configuration(source.Found([found], at(50), True), None)
+            return self.configuration(
+                source.PollResult([found], at(50), True), None
+            )
 
         async def story(one):
-            one.hear(
-                news.ConfigurationNews(
+            one.handle_update(
+                update.ConfigurationUpdate(
                     at(35),
                     5,
                     patch_lib.make(b'', first),
-                    written=at(30),
+                    mod_revision=at(30),
                     digest=patch_lib.digest(first),
-                    teller='cut-off',
+                    sender='cut-off',
                 )
             )
-            self.assertEqual(one.in_force.data, DOCUMENT)
+            self.assertEqual(one.active.data, DOCUMENT)
 
         self.play(follower, story)
 
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -16,7 +16,7 @@
 from quetzalsill_dev.simulation.store import Away
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision, zones
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 
 SEED = 5
 # With these an engine's notice was known to 282 and 41 of 285 in time.
@@ -25,7 +25,7 @@
 # All in touch know within this time; what is allowed is five times as much.
 KNOWN_S = 1.0
 # Who is cut off from the store and hears nobody asks again within this time of
-# its return (`watch.turn`).
+# its return (`watch.schedule`).
 BACK_S = 3.5
 ZONE = 'z'
 
@@ -235,8 +235,8 @@
             number = one.number
             far = revision.Revision(0, 2**40)
             faulty = zones.Drain(ZONE, far, True)
-            one.configuration.hear(
-                news.ConfigurationNews(far, number, b'', (faulty,))
+            one.configuration.handle_update(
+                update.ConfigurationUpdate(far, number, b'', (faulty,))
             )
             self.assertTrue(one.upstreams.zones.is_drained(ZONE))
             await self.within(20.0, False)
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -152,7 +152,9 @@
         that of a lost history, and of a write does.
         """
         seen = []
-        self.store.epochs.on_new(lambda: seen.append(self.store.epochs.newest))
+        self.store.epochs.on_change(
+            lambda: seen.append(self.store.epochs.newest)
+        )
         self.in_epoch(1)
         await self.store.read('t')
         for epoch, status in enumerate((503, 429, 412, 410), 2):
@@ -189,7 +191,7 @@
         """
         held = asyncio.Event()
         for module, name, value in (
-            (epoch_lib, 'BEHIND_S', -1.0),
+            (epoch_lib, 'DOWNGRADE_AFTER_S', -1.0),
             (store_lib, 'CALL_S', 60.0),
         ):
             patch = mock.patch.object(module, name, value)
