--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
     from quetzalsill_gateway.watch import epoch
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Exchange', 'Join']
 
@@ -70,12 +70,12 @@
         core: core_lib.Core,
         node: str,
         join: Join,
-        epochs: epoch.Epochs | None = None,
+        epochs: epoch.EpochTracker | None = None,
     ) -> None:
         self._core = core
         self._is_lost = asyncio.Event()
         if epochs is not None:
-            epochs.on_new(self._is_lost.set)
+            epochs.on_change(self._is_lost.set)
         self._node = node
         self._join = join
         self._peers = peer_table.PeerTable()
@@ -85,9 +85,9 @@
         self.accepted = 0
         self.dropped = 0
         self._hearers: dict[
-            type[news_lib.News], Callable[[news_lib.News], None]
+            type[update_lib.Update], Callable[[update_lib.Update], None]
         ] = {}
-        self._wholes: list[Callable[[], news_lib.News | None]] = []
+        self._wholes: list[Callable[[], update_lib.Update | None]] = []
         self._told_s = 0.0
         self._broadcast = relay.Broadcast(
             node, lambda: self._peers.addresses, self._send
@@ -97,14 +97,14 @@
 
     def on_update(
         self,
-        kind: type[news_lib.News],
-        hear: Callable[[news_lib.News], None],
+        kind: type[update_lib.Update],
+        hear: Callable[[update_lib.Update], None],
     ) -> None:
         """Sets what takes the other gateways' news of a source."""
         self._hearers[kind] = hear
 
     def on_snapshot_request(
-        self, whole: Callable[[], news_lib.News | None]
+        self, whole: Callable[[], update_lib.Update | None]
     ) -> None:
         """Adds what answers a gateway that knows nothing of a source."""
         self._wholes.append(whole)
@@ -121,7 +121,7 @@
         for address in random.sample(found, min(SNAPSHOT_REQUESTS, len(found))):
             self._transport.sendto(data, address)
 
-    def announce(self, told: news_lib.News) -> None:
+    def announce(self, told: update_lib.Update) -> None:
         """Tells the others news of a source."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -292,7 +292,7 @@
                 data = update_codec.encode(self._node, told)
                 self._transport.sendto(data, addr)
 
-    def _hear_news(self, node: str, told: news_lib.News) -> None:
+    def _hear_news(self, node: str, told: update_lib.Update) -> None:
         hear = self._hearers.get(type(told))
         if hear is not None and node != self._node:
             hear(told)
@@ -318,7 +318,7 @@
             core.stats_table.update_peer_loads(node, told.usage)
         core.stats_table.set_peer_waiting(node, told.waiting)
         core.link_queue.receive(node, told.moving)
-        core.health.hear(node, is_down=told.is_store_unavailable)
+        core.health.update_peer(node, is_down=told.is_store_unavailable)
         core.upstreams.receive_leaving(told.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
@@ -355,5 +355,5 @@
             core.stats_table.replace_peer_loads(node, {})
             core.stats_table.set_peer_waiting(node, {})
             core.link_queue.receive(node, {})
-            core.health.hear(node, is_down=False)
+            core.health.update_peer(node, is_down=False)
             event.note(event.PeerLost(node, len(self._peers)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -25,7 +25,7 @@
 from quetzalsill_gateway.http import listener, pool
 from quetzalsill_gateway.peers import exchange as peer_exchange
 from quetzalsill_gateway.stream import engine_poll, live
-from quetzalsill_gateway.watch import configuration, membership, news
+from quetzalsill_gateway.watch import configuration, membership, update
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import deployment as deployment_lib
@@ -53,7 +53,7 @@
         self._settings = settings
         conns = pool.Pool()
         stats_table = upstream_stats.StatsTable()
-        holder = source.Holder()
+        holder = source.RoutingTableHolder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
             gateways.add_listed((), 0.0)
@@ -79,11 +79,11 @@
                 settings.retry.gateways,
             ),
         )
-        self.core.health.on_regained(self.core.upstreams.mark_source_recovered)
+        self.core.health.on_recovery(self.core.upstreams.mark_source_recovered)
         sources = deployment.sources(settings, conns)
         self.epochs = sources.epochs
         self.membership = membership.Membership(
-            sources.ask_membership,
+            sources.poll_membership,
             self.core.upstreams,
             self.core.health,
             settings.watch.leaving_ms / MS_PER_S,
@@ -91,8 +91,8 @@
             node=settings.node.name,
         )
         self.configuration = configuration.Configuration(
-            sources.ask_configuration,
-            sources.read_configuration,
+            sources.poll_configuration,
+            sources.parse_configuration,
             self.core.holder,
             self.core.upstreams.zones,
             self.core.health,
@@ -112,14 +112,14 @@
             self.core, settings.node.name, sources.join, self.epochs
         )
         kinds = {
-            news.MembershipNews: self.membership,
-            news.ConfigurationNews: self.configuration,
+            update.MembershipUpdate: self.membership,
+            update.ConfigurationUpdate: self.configuration,
         }
         for kind, follower in kinds.items():
-            follower.on_look(self.peers.announce)
-            follower.on_lack(self.peers.request_snapshot)
-            self.peers.on_update(kind, follower.hear)
-            self.peers.on_snapshot_request(follower.whole)
+            follower.set_announcer(self.peers.announce)
+            follower.on_missing(self.peers.request_snapshot)
+            self.peers.on_update(kind, follower.handle_update)
+            self.peers.on_snapshot_request(follower.snapshot)
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -33,7 +33,7 @@
 async def run(core: core_lib.Core) -> None:
     """Polls during outages of the membership source, until cancelled."""
     while True:
-        await core.health.until_down()
+        await core.health.wait_until_down()
         if core.upstreams.age_s > MAX_UPDATE_AGE_S:
             engines = [
                 upstream
