--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
@@ -9,25 +9,34 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway.watch import news as news_lib
 
-__all__ = ['KINDS', 'flatten']
+__all__ = ['DATAGRAM_KINDS', 'encode']
 
-KINDS = {
+DATAGRAM_KINDS = {
     frame.Kind.MEMBERSHIP: frame.Kind.PLAIN_MEMBERSHIP,
     frame.Kind.CONFIGURATION: frame.Kind.PLAIN_CONFIGURATION,
 }
 
 
-def flatten(node: str, told: news_lib.News) -> bytes:
+def encode(node: str, told: news_lib.News) -> bytes:
     """Returns the datagram in which such a gateway tells news."""
     kind, fields = frame.unpack(bulletin.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
-        orders = [(zone, _version(at), is_on) for zone, at, is_on in drains]
-        flat = (node, _version(revision), number, patch, orders, is_echo)
+        orders = [
+            (zone, _version(written), is_on) for zone, written, is_on in drains
+        ]
+        legacy_fields = (
+            node,
+            _version(revision),
+            number,
+            patch,
+            orders,
+            is_echo,
+        )
     else:
         node, since, revision, lapses_s, changes, is_echo = fields
         entries = [(name, _version(at), *rest) for name, at, *rest in changes]
-        flat = (
+        legacy_fields = (
             node,
             _version(since),
             _version(revision),
@@ -35,7 +44,7 @@
             entries,
             is_echo,
         )
-    return frame.pack(KINDS[kind], flat)
+    return frame.pack(DATAGRAM_KINDS[kind], legacy_fields)
 
 
 def _version(revision: Any) -> int:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/net.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/network.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ['Net']
+__all__ = ['Network']
 
 
-class Net:
+class Network:
     """Carries what gateways tell each other.
 
     Attributes:
@@ -20,7 +20,7 @@
       sent_bytes: Bytes of them, by sender.
       loss: Share that is lost.
       delay_s: Least and longest time on the way, in seconds.
-      is_cut: Whether nothing passes from one gateway to another.
+      is_partitioned: Whether nothing passes from one gateway to another.
     """
 
     def __init__(
@@ -32,34 +32,34 @@
         self.sent_bytes: dict[str, int] = {}
         self.loss = 0.0
         self.delay_s = delay_s
-        self.is_cut: Callable[[str, str], bool] = lambda _, __: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda _, __: False
         self._rng = rng
-        self._hearers: dict[str, Callable[[bytes, str], None]] = {}
+        self._receivers: dict[str, Callable[[bytes, str], None]] = {}
 
-    def join(self, node: str, hear: Callable[[bytes, str], None]) -> None:
+    def join(self, node: str, receive: Callable[[bytes, str], None]) -> None:
         """Enters a gateway with what takes its datagrams."""
-        self._hearers[node] = hear
+        self._receivers[node] = receive
 
     def leave(self, node: str) -> None:
         """Takes a gateway out: what is on its way to it is lost."""
-        self._hearers.pop(node, None)
+        self._receivers.pop(node, None)
 
-    def tell_all(self, node: str, data: bytes) -> None:
+    def broadcast(self, sender: str, data: bytes) -> None:
         """Sends a datagram to every other gateway."""
-        for other in list(self._hearers):
-            if other != node:
-                self.tell(node, other, data)
+        for receiver in list(self._receivers):
+            if receiver != sender:
+                self.send(sender, receiver, data)
 
-    def tell(self, node: str, other: str, data: bytes) -> None:
+    def send(self, sender: str, receiver: str, data: bytes) -> None:
         """Sends a datagram to one gateway."""
-        self.datagrams[node] = self.datagrams.get(node, 0) + 1
-        self.sent_bytes[node] = self.sent_bytes.get(node, 0) + len(data)
+        self.datagrams[sender] = self.datagrams.get(sender, 0) + 1
+        self.sent_bytes[sender] = self.sent_bytes.get(sender, 0) + len(data)
         if self._rng.random() >= self.loss:
             delay_s = self._rng.uniform(*self.delay_s)
             loop = asyncio.get_running_loop()
-            loop.call_later(delay_s, self._deliver, node, other, data)
+            loop.call_later(delay_s, self._deliver, sender, receiver, data)
 
-    def _deliver(self, node: str, other: str, data: bytes) -> None:
-        hear = self._hearers.get(other)
-        if hear is not None and not self.is_cut(node, other):
-            hear(data, node)
+    def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
+        receive = self._receivers.get(receiver)
+        if receive is not None and not self.is_partitioned(sender, receiver):
+            receive(data, sender)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-import copy as copy_lib
+import copy
 import dataclasses
 import enum
 import random
@@ -18,20 +18,20 @@
 
     from quetzalsill_gateway.watch import epoch as epoch_lib
 
-__all__ = ['Away', 'Copy', 'Store']
+__all__ = ['StoreMode', 'Snapshot', 'Store']
 
 Item = TypeVar('Item')
 
-CALL_S = 0.6
+CALL_TIMEOUT_S = 0.6
 
 
-class Away(enum.Enum):
+class StoreMode(enum.Enum):
     """How the store treats a gateway."""
 
     SERVES = 'serves'
     REFUSES = 'refuses'
     SILENT = 'silent'
-    LOSES_ANSWERS = 'loses_answers'
+    LOSES_RESPONSES = 'loses_responses'
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Copy:
+class Snapshot:
     """All that the store held at one moment.
 
     Attributes:
@@ -63,26 +63,29 @@
 
     Attributes:
       calls: How often each gateway has asked.
-      answer_s: Time of an answer.
-      treat: How each gateway is treated.
+      response_time_s: Time of an answer.
+      mode_for: How each gateway is treated.
       epoch: Told in every answer; 0 is not told.
       hides_epoch: Whether a gateway doesn't look at it.
-      is_past: Whether it tells a gateway that its history is lost, each time.
+      reports_compacted: Whether it tells a gateway, each time, that its
+        history is lost.
     """
 
-    def __init__(self, rng: random.Random, answer_s: float = 0.004) -> None:
+    def __init__(
+        self, rng: random.Random, response_time_s: float = 0.004
+    ) -> None:
         self.calls: dict[str, int] = {}
-        self.answer_s = answer_s
-        self.treat: Callable[[str], Away] = lambda _: Away.SERVES
+        self.response_time_s = response_time_s
+        self.mode_for: Callable[[str], StoreMode] = lambda _: StoreMode.SERVES
         self.epoch = 0
         self.hides_epoch: Callable[[str], bool] = lambda _: False
-        self.is_past: Callable[[str], bool] = lambda _: False
+        self.reports_compacted: Callable[[str], bool] = lambda _: False
         self._rng = rng
         self._version = 1
         self._entries: dict[str, _Change] = {}
         self._documents: list[_Change] = []
         self._history: list[_Change] = []
-        self._oldest = 0
+        self._compacted_version = 0
         self._changed = asyncio.Event()
 
     @property
@@ -90,59 +93,61 @@
         """Version of the newest change."""
         return self._version
 
-    def enter(self, found: upstream.Upstream) -> None:
+    def put_entry(self, found: upstream.Upstream) -> None:
         """Writes an entry, also if nothing in it is new."""
-        change = _Change(self._next(), found.id, dataclasses.replace(found))
+        change = _Change(
+            self._next_version(), found.id, dataclasses.replace(found)
+        )
         self._entries[found.id] = change
         self._history.append(change)
-        self._wake()
+        self._notify_watches()
 
-    def drop(self, name: str) -> None:
+    def remove_entry(self, name: str) -> None:
         """Drops an entry."""
         self._entries.pop(name, None)
-        self._history.append(_Change(self._next(), name, None))
-        self._wake()
+        self._history.append(_Change(self._next_version(), name, None))
+        self._notify_watches()
 
     def configure(self, document: bytes) -> None:
         """Writes a configuration."""
-        self._documents.append(_Change(self._next(), '', document))
-        self._wake()
+        self._documents.append(_Change(self._next_version(), '', document))
+        self._notify_watches()
 
     def drain_zone(self, zone: str, *, is_on: bool) -> None:
         """Writes an order to drain a zone, or drops it."""
-        self._documents.append(_Change(self._next(), zone, is_on))
-        self._wake()
+        self._documents.append(_Change(self._next_version(), zone, is_on))
+        self._notify_watches()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drops what watches from before now would ask for."""
         self._history.clear()
-        self._oldest = self._version
+        self._compacted_version = self._version
 
-    def copy(self) -> Copy:
+    def snapshot(self) -> Snapshot:
         """Returns a copy of all that it holds now."""
-        return Copy(
+        return Snapshot(
             self._version,
-            copy_lib.copy(self._entries),
-            copy_lib.copy(self._documents),
-            copy_lib.copy(self._history),
+            copy.copy(self._entries),
+            copy.copy(self._documents),
+            copy.copy(self._history),
         )
 
-    def restore(self, copy: Copy, epochs: int = 1) -> None:
-        """Comes back from a copy: versions go back and are given out again.
+    def restore(self, snapshot: Snapshot, epochs: int = 1) -> None:
+        """Comes back from a snapshot: versions go back and are given out again.
 
         Args:
-          copy: The copy; what was written since is lost.
+          snapshot: The copy; what was written since is lost.
           epochs: By how much its epoch rises.
         """
         self.epoch += epochs
-        self._version = copy.version
-        self._entries = copy_lib.copy(copy.entries)
-        self._documents = copy_lib.copy(copy.documents)
-        self._history = copy_lib.copy(copy.history)
-        self._oldest = min(self._oldest, copy.version)
-        self._wake()
-
-    def ask_membership(
+        self._version = snapshot.version
+        self._entries = copy.copy(snapshot.entries)
+        self._documents = copy.copy(snapshot.documents)
+        self._history = copy.copy(snapshot.history)
+        self._compacted_version = min(self._compacted_version, snapshot.version)
+        self._notify_watches()
+
+    def membership_query(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[upstream.Change]:
         """Returns what a gateway asks for entries with."""
@@ -150,15 +155,17 @@
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
         ) -> source.Found[upstream.Change] | None:
-            told = await self._told(node, epochs, after, wait_s, self._servers)
-            return told and told.found(
-                upstream.Change(row.key, told.at(row), row.value)
-                for row in told.rows
+            response = await self._respond(
+                node, epochs, after, wait_s, self._membership_rows
+            )
+            return response and response.to_found(
+                upstream.Change(row.key, response.revision_of(row), row.value)
+                for row in response.rows
             )
 
         return ask
 
-    def ask_configuration(
+    def configuration_query(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[source.OperatorItem]:
         """Returns what a gateway asks for all that operators write with."""
@@ -166,64 +173,73 @@
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
         ) -> source.Found[source.OperatorItem] | None:
-            told = await self._told(
-                node, epochs, after, wait_s, self._operators
+            response = await self._respond(
+                node, epochs, after, wait_s, self._operator_rows
             )
-            return told and told.found(_items(told))
+            return response and response.to_found(_items(response))
 
         return ask
 
-    def _servers(self, after: int | None) -> list[_Change]:
+    def _membership_rows(self, after: int | None) -> list[_Change]:
         if after is None:
             return list(self._entries.values())
         return [row for row in self._history if row.version > after]
 
-    def _operators(self, after: int | None) -> list[_Change]:
+    def _operator_rows(self, after: int | None) -> list[_Change]:
         rows = self._documents
         if after is not None:
             rows = [row for row in rows if row.version > after]
         return list({row.key: row for row in rows}.values())
 
-    async def _told(
+    async def _respond(
         self,
         node: str,
         epochs: epoch_lib.Epochs,
         after: revision_lib.Revision | None,
         wait_s: float,
         rows: Callable[[int | None], list[_Change]],
-    ) -> _Told | None:
+    ) -> _Response | None:
         """Returns an answer; None if it says that there is none from there."""
         asked = epochs.newest
-        told: _Told | None = None
+        response: _Response | None = None
         try:
             async with self._call(node, wait_s):
-                found = await self._behind(rows, after, wait_s)
+                found = await self._wait_for_rows(rows, after, wait_s)
                 epoch = self._epoch_for(node)
-                told = _Told(found, epoch, self._version, after is None)
-                is_gone = after is not None and self._is_gone(node, after)
+                response = _Response(found, epoch, self._version, after is None)
+                is_compacted = after is not None and self._is_compacted(
+                    node, after
+                )
         except _RefusedError as exc:
             epochs.answered('refusal', self._epoch_for(node), asked)
             raise error.SourceError('refused') from exc
-        epochs.answered('answer', told.epoch, asked)
-        if is_gone or (after is not None and after.epoch != told.epoch):
+        epochs.answered('answer', response.epoch, asked)
+        if is_compacted or (
+            after is not None and after.epoch != response.epoch
+        ):
             return None
-        return told
+        return response
 
     def _epoch_for(self, node: str) -> int:
         return 0 if self.hides_epoch(node) else self.epoch
 
-    def _is_gone(self, node: str, after: revision_lib.Revision) -> bool:
-        if self.is_past(node) or after.version < self._oldest:
+    def _is_compacted(self, node: str, after: revision_lib.Revision) -> bool:
+        if (
+            self.reports_compacted(node)
+            or after.version < self._compacted_version
+        ):
             return True
         # A version that it doesn't have, in the epoch that it is in.
         return self.epoch > 0 and after.version > self._version
 
     def _call(self, node: str, wait_s: float) -> _Call:
         self.calls[node] = self.calls.get(node, 0) + 1
-        answer_s = self.answer_s * self._rng.uniform(0.8, 1.2)
-        return _Call(self.treat(node), answer_s, wait_s + CALL_S)
+        response_time_s = self.response_time_s * self._rng.uniform(0.8, 1.2)
+        return _Call(
+            self.mode_for(node), response_time_s, wait_s + CALL_TIMEOUT_S
+        )
 
-    async def _behind(
+    async def _wait_for_rows(
         self,
         rows: Callable[[int | None], list[_Change]],
         after: revision_lib.Revision | None,
@@ -246,40 +262,42 @@
             except TimeoutError:
                 return []
 
-    def _next(self) -> int:
+    def _next_version(self) -> int:
         self._version += self._rng.randint(1, 3)
         return self._version
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 @dataclasses.dataclass(slots=True)
-class _Told:
+class _Response:
     """An answer of the store."""
 
     rows: list[_Change]
     epoch: int
     version: int
-    is_whole: bool
+    is_full: bool
 
-    def at(self, row: _Change) -> revision_lib.Revision:
+    def revision_of(self, row: _Change) -> revision_lib.Revision:
         """Returns the revision at which a row changed."""
         return revision_lib.Revision(self.epoch, row.version)
 
-    def found(self, items: Iterable[Item]) -> source.Found[Item]:
+    def to_found(self, items: Iterable[Item]) -> source.Found[Item]:
         """Returns the answer as a gateway takes it."""
         revision = revision_lib.Revision(self.epoch, self.version)
-        return source.Found(list(items), revision, self.is_whole)
+        return source.Found(list(items), revision, self.is_full)
 
 
-def _items(told: _Told) -> Iterator[source.OperatorItem]:
-    for row in told.rows:
+def _items(response: _Response) -> Iterator[source.OperatorItem]:
+    for row in response.rows:
         if isinstance(row.value, bytes):
-            yield source.Document(row.value, told.at(row))
-        elif row.value or not told.is_whole:
-            yield zones.Drain(row.key, told.at(row), bool(row.value))
+            yield source.Document(row.value, response.revision_of(row))
+        elif row.value or not response.is_full:
+            yield zones.Drain(
+                row.key, response.revision_of(row), bool(row.value)
+            )
 
 
 class _RefusedError(Exception):
@@ -290,22 +308,22 @@
 class _Call:
     """One call: its way there and back, or what becomes of it instead."""
 
-    away: Away
-    answer_s: float
-    most_s: float
+    mode: StoreMode
+    response_time_s: float
+    timeout_s: float
 
     async def __aenter__(self) -> None:
-        await asyncio.sleep(self.answer_s / 2)
-        if self.away is Away.REFUSES:
+        await asyncio.sleep(self.response_time_s / 2)
+        if self.mode is StoreMode.REFUSES:
             raise _RefusedError
-        if self.away is Away.SILENT:
-            await asyncio.sleep(self.most_s)
+        if self.mode is StoreMode.SILENT:
+            await asyncio.sleep(self.timeout_s)
             raise error.SourceError('silent')
 
     async def __aexit__(self, kind: object, exc: object, _: object) -> None:
         if kind is not None:
             return
-        if self.away is Away.LOSES_ANSWERS:
-            await asyncio.sleep(self.most_s)
+        if self.mode is StoreMode.LOSES_RESPONSES:
+            await asyncio.sleep(self.timeout_s)
             raise error.SourceError('silent')
-        await asyncio.sleep(self.answer_s / 2)
+        await asyncio.sleep(self.response_time_s / 2)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -7,8 +7,8 @@
 import json
 import random
 
-from quetzalsill_dev.simulation import net as net_lib
-from quetzalsill_dev.simulation import plain
+from quetzalsill_dev.simulation import legacy
+from quetzalsill_dev.simulation import network as network_lib
 from quetzalsill_dev.simulation import store as store_lib
 from quetzalsill_gateway import routing_table, source
 from quetzalsill_gateway.fleet import upstream
@@ -22,7 +22,7 @@
 SERVICE = 'engines'
 
 
-def _read(document: bytes) -> routing_table.RoutingTable:
+def _parse_document(document: bytes) -> routing_table.RoutingTable:
     version = json.loads(document)['version']
     limits = listener.Limits()
     return routing_table.RoutingTable.build(version, [], [], None, limits)
@@ -42,7 +42,7 @@
     tasks: list[asyncio.Task[None]]
 
     @property
-    def number(self) -> int:
+    def config_version(self) -> int:
         """Number of the configuration in force; 0 before any."""
         table = self.holder.current
         return table.version if table else 0
@@ -58,9 +58,9 @@
     Attributes:
       gateways: Those that run, by name.
       store: The source of both tables.
-      net: Carries what gateways tell each other.
-      written: What each server has written last; None for one that is removed.
-      orders: What operators have written last of each zone.
+      network: Carries what gateways tell each other.
+      entries: What each server has written last; None for one that is removed.
+      drain_orders: What operators have written last of each zone.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
         gateways: int,
         servers: int,
         seed: int,
-        bound_s: float = 2.0,
-        beat_s: float = 0.0,
+        max_staleness_s: float = 2.0,
+        heartbeat_s: float = 0.0,
     ) -> None:
         """Prepares a fleet; `start` starts it.
 
@@ -77,26 +77,26 @@
           gateways: How many.
           servers: How many servers write entries.
           seed: Of every draw.
-          bound_s: Time in which changes must be known, in seconds.
-          beat_s: How often each server writes its entry anew; 0 if only a
+          max_staleness_s: Time in which changes must be known, in seconds.
+          heartbeat_s: How often each server writes its entry anew; 0 if only a
             change of it is written, or shows at the store.
         """
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self._rng = random.Random(seed)
-        self._bound_s = bound_s
+        self._max_staleness_s = max_staleness_s
         self.store = store_lib.Store(self._rng)
-        self.net = net_lib.Net(self._rng)
+        self.network = network_lib.Network(self._rng)
         self.gateways: dict[str, Watcher] = {}
-        self._names = [f'entry-{n}' for n in range(gateways)]
-        self._servers = [f'server-{n}' for n in range(servers)]
-        self._beats: dict[str, asyncio.Task[None]] = {}
-        self.written: dict[str, upstream.Upstream | None] = {}
+        self._gateway_names = [f'entry-{n}' for n in range(gateways)]
+        self._server_names = [f'server-{n}' for n in range(servers)]
+        self._heartbeats: dict[str, asyncio.Task[None]] = {}
+        self.entries: dict[str, upstream.Upstream | None] = {}
         self._document = b''
-        self.orders: dict[str, bool] = {}
-        self._plain: set[str] = set()
-        self._rewriting: list[asyncio.Task[None]] = []
-        self._at: dict[tuple[str, int], str] = {}
-        self.store.hides_epoch = self._plain.__contains__
+        self.drain_orders: dict[str, bool] = {}
+        self._legacy: set[str] = set()
+        self._rewrites: list[asyncio.Task[None]] = []
+        self._node_by_address: dict[tuple[str, int], str] = {}
+        self.store.hides_epoch = self._legacy.__contains__
 
     @property
     def all(self) -> list[Watcher]:
@@ -106,9 +106,9 @@
     async def start(self) -> None:
         """Starts servers and gateways, and lets them find each other."""
         self.configure(1)
-        for name in self._servers:
+        for name in self._server_names:
             self.add_server(name)
-        for name in self._names:
+        for name in self._gateway_names:
             self.add_gateway(name)
         await asyncio.sleep(3.0)
 
@@ -119,12 +119,12 @@
 
     def drain_zone(self, zone: str, *, is_on: bool) -> None:
         """Writes operators' order to drain a zone, or takes it back."""
-        self.orders[zone] = is_on
+        self.drain_orders[zone] = is_on
         self.store.drain_zone(zone, is_on=is_on)
 
     async def drill(
         self,
-        copy: store_lib.Copy,
+        snapshot: store_lib.Snapshot,
         away_s: float = 0.5,
         rewrite_s: float = 2.0,
         epochs: int = 1,
@@ -132,39 +132,39 @@
         """Has the store be away and come back from a copy; returns by then.
 
         Args:
-          copy: The copy.
+          snapshot: The copy.
           away_s: How long it refuses everyone, in seconds.
           rewrite_s: Within how long servers and operators have written again
             what stands now, in any order.
           epochs: By how much its epoch rises.
         """
-        treat = self.store.treat
-        self.store.treat = lambda _: store_lib.Away.REFUSES
+        mode_for = self.store.mode_for
+        self.store.mode_for = lambda _: store_lib.StoreMode.REFUSES
         await asyncio.sleep(away_s)
-        self.store.restore(copy, epochs)
-        self.store.treat = treat
+        self.store.restore(snapshot, epochs)
+        self.store.mode_for = mode_for
         if rewrite_s:
             loop = asyncio.get_running_loop()
-            task = loop.create_task(self._write_again(rewrite_s))
-            self._rewriting.append(task)
+            task = loop.create_task(self._rewrite(rewrite_s))
+            self._rewrites.append(task)
 
-    async def _write_again(self, within_s: float) -> None:
-        writes = [*self.written, *self.orders, None]
+    async def _rewrite(self, within_s: float) -> None:
+        writes = [*self.entries, *self.drain_orders, None]
         self._rng.shuffle(writes)
         for name in writes:
             await asyncio.sleep(within_s / len(writes))
             if name is None:
                 self.store.configure(self._document)
-            elif name in self.orders:
-                self.store.drain_zone(name, is_on=self.orders[name])
-            elif self.written[name] is None:
-                self.store.drop(name)
+            elif name in self.drain_orders:
+                self.store.drain_zone(name, is_on=self.drain_orders[name])
+            elif self.entries[name] is None:
+                self.store.remove_entry(name)
             else:
-                self.store.enter(self.written[name])
+                self.store.put_entry(self.entries[name])
 
     def add_server(self, name: str, incarnation: int = 1) -> None:
         """Starts a server, which writes its entry."""
-        number = len(self._beats) + 1
+        number = len(self._heartbeats) + 1
         found = upstream.Upstream(
             name,
             SERVICE,
@@ -172,106 +172,114 @@
             'z',
             incarnation=incarnation,
         )
-        self._enter(found)
-        task = asyncio.get_running_loop().create_task(self._beat(found))
-        self._beats[name] = task
+        self._put_entry(found)
+        task = asyncio.get_running_loop().create_task(
+            self._write_heartbeats(found)
+        )
+        self._heartbeats[name] = task
 
-    def drain(self, name: str) -> None:
+    def drain_server(self, name: str) -> None:
         """Has a server say that it leaves."""
         found = upstream.Upstream(
             name, SERVICE, ('10.0.0.1', 1), 'z', leaving=True, incarnation=1
         )
-        self._beats.pop(name).cancel()
-        self._enter(found)
+        self._heartbeats.pop(name).cancel()
+        self._put_entry(found)
 
-    def drop(self, name: str) -> None:
+    def remove_server(self, name: str) -> None:
         """Removes a server and its entry."""
-        self._beats.pop(name).cancel()
-        self.written[name] = None
-        self.store.drop(name)
+        self._heartbeats.pop(name).cancel()
+        self.entries[name] = None
+        self.store.remove_entry(name)
 
-    def _enter(self, found: upstream.Upstream) -> None:
-        self.written[found.id] = found
-        self.store.enter(found)
+    def _put_entry(self, found: upstream.Upstream) -> None:
+        self.entries[found.id] = found
+        self.store.put_entry(found)
 
-    def add_gateway(self, name: str, *, is_plain: bool = False) -> Watcher:
+    def add_gateway(self, name: str, *, is_legacy: bool = False) -> Watcher:
         """Starts a gateway.
 
         Args:
           name: Its name.
-          is_plain: Whether it is of the release before, which knows versions
+          is_legacy: Whether it is of the release before, which knows versions
             only.
         """
-        number = len(self._at) + 1
-        self._at[f'10.1.{number // 256}.{number % 256}', 7000] = name
+        number = len(self._node_by_address) + 1
+        self._node_by_address[f'10.1.{number // 256}.{number % 256}', 7000] = (
+            name
+        )
         upstreams = upstream.Upstreams()
-        upstreams.sharers = len(self._names)
+        upstreams.sharers = len(self._gateway_names)
         holder, health = source.Holder(), source.Health()
         health.on_regained(upstreams.regained)
         epochs = epoch.Epochs()
         follower = membership.Membership(
-            self.store.ask_membership(name, epochs),
+            self.store.membership_query(name, epochs),
             upstreams,
             health,
-            self._bound_s,
+            self._max_staleness_s,
             random.Random(self._rng.random()),
             epochs,
             name,
         )
         configured = configuration.Configuration(
-            self.store.ask_configuration(name, epochs),
-            _read,
+            self.store.configuration_query(name, epochs),
+            _parse_document,
             holder,
             upstreams.zones,
             health,
             lambda: upstreams.sharers,
-            self._bound_s,
+            self._max_staleness_s,
             random.Random(self._rng.random()),
             epochs,
             name,
         )
-        hearers = {
+        receivers = {
             news_lib.MembershipNews: follower.hear,
             news_lib.ConfigurationNews: configured.hear,
         }
 
-        def hear(data: bytes, _: str) -> None:
+        def receive(data: bytes, _: str) -> None:
             kind, fields = frame.unpack(data)
-            if is_plain and kind in plain.KINDS:
+            if is_legacy and kind in legacy.DATAGRAM_KINDS:
                 return
             if kind is frame.Kind.RELAY:
                 data, addresses = relay.decode(fields)
                 for address in addresses:
-                    self.net.tell(name, self._at[address], data)
+                    self.network.send(
+                        name, self._node_by_address[address], data
+                    )
                 kind, fields = frame.unpack(data)
-                if is_plain and kind in plain.KINDS:
+                if is_legacy and kind in legacy.DATAGRAM_KINDS:
                     return
             _, told = bulletin.decode(kind, fields)
-            hearers[type(told)](told)
+            receivers[type(told)](told)
 
         broadcast = relay.Broadcast(
             name,
-            lambda: self._others(name),
-            lambda data, at: self.net.tell(name, self._at[at], data),
+            lambda: self._peer_addresses(name),
+            lambda data, at: self.network.send(
+                name, self._node_by_address[at], data
+            ),
             self._rng,
         )
 
         def announce(told: news_lib.News) -> None:
-            if not is_plain:
+            if not is_legacy:
                 broadcast.announce(told)
                 return
-            for other in self._others(name):
-                data = plain.flatten(name, told)
-                self.net.tell(name, self._at[other], data)
+            for other in self._peer_addresses(name):
+                data = legacy.encode(name, told)
+                self.network.send(name, self._node_by_address[other], data)
 
-        if is_plain:
-            self._plain.add(name)
+        if is_legacy:
+            self._legacy.add(name)
         else:
-            self._plain.discard(name)
+            self._legacy.discard(name)
         for each in (follower, configured):
             each.on_look(announce)
-            each.on_lack(lambda: self._ask_whole(name))
-        self.net.join(name, hear)
+            each.on_lack(lambda: self._request_snapshots(name))
+        self.network.join(name, receive)
         loop = asyncio.get_running_loop()
         tasks = [
             loop.create_task(each.run()) for each in (follower, configured)
@@ -289,41 +297,41 @@
         self.gateways[name] = found
         return found
 
-    def _others(self, name: str) -> list[tuple[str, int]]:
+    def _peer_addresses(self, name: str) -> list[tuple[str, int]]:
         return [
             address
-            for address, other in self._at.items()
+            for address, other in self._node_by_address.items()
             if other != name and other in self.gateways
         ]
 
-    def _ask_whole(self, name: str) -> None:
+    def _request_snapshots(self, name: str) -> None:
         others = [one for one in self.all if one.node != name]
         for other in self._rng.sample(others, min(2, len(others))):
             for follower in (other.membership, other.configuration):
                 told = follower.whole()
                 if told is not None:
                     encode = bulletin.encode
-                    if other.node in self._plain:
-                        encode = plain.flatten
+                    if other.node in self._legacy:
+                        encode = legacy.encode
                     data = encode(other.node, told)
-                    self.net.tell(other.node, name, data)
+                    self.network.send(other.node, name, data)
 
     def kill(self, name: str) -> None:
         """Ends a gateway at once."""
         for task in self.gateways.pop(name).tasks:
             task.cancel()
-        self.net.leave(name)
+        self.network.leave(name)
 
     def stop(self) -> None:
         """Ends all of it."""
         for name in list(self.gateways):
             self.kill(name)
-        for task in (*self._beats.values(), *self._rewriting):
+        for task in (*self._heartbeats.values(), *self._rewrites):
             task.cancel()
 
-    async def _beat(self, found: upstream.Upstream) -> None:
-        if not self._beat_s:
+    async def _write_heartbeats(self, found: upstream.Upstream) -> None:
+        if not self._heartbeat_s:
             return
         while True:
-            await asyncio.sleep(self._beat_s * self._rng.uniform(0.9, 1.1))
-            self.store.enter(found)
+            await asyncio.sleep(self._heartbeat_s * self._rng.uniform(0.9, 1.1))
+            self.store.put_entry(found)
--- a/tests/quetzalsill_gateway/peers/test_bulletin.py
+++ b/tests/quetzalsill_gateway/peers/test_bulletin.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from quetzalsill_dev.simulation import plain
+from quetzalsill_dev.simulation import legacy
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.peers import bulletin, frame
@@ -53,7 +53,7 @@
 
         Misread as of the newest epoch, they would hide what is newer there.
         """
-        told = heard(plain.flatten('entry-1', MEMBERSHIP))
+        told = heard(legacy.encode('entry-1', MEMBERSHIP))
         self.assertEqual(told.since, revision.Revision(0, 5))
         self.assertEqual(told.revision, revision.Revision(0, 7))
         self.assertEqual(told.changes[1].revision, revision.Revision(0, 6))
@@ -68,7 +68,7 @@
             (zones.Drain('z', revision.Revision(0, 6), True),),
         )
         self.assertEqual(
-            heard(plain.flatten('entry-1', plain_news)), plain_news
+            heard(legacy.encode('entry-1', plain_news)), plain_news
         )
 
     def test_it_leaves_out_what_it_would_misread(self):
--- a/tests/quetzalsill_gateway/watch/drill.py
+++ b/tests/quetzalsill_gateway/watch/drill.py
@@ -73,7 +73,7 @@
         """Writes entries that say nothing new, past a version."""
         name = 'server-19'
         while self.fleet.store.version <= until:
-            self.fleet.store.enter(self.fleet.written[name])
+            self.fleet.store.put_entry(self.fleet.entries[name])
 
     def told(self, kind):
         """Returns the events of a kind that were noted."""
--- a/tests/quetzalsill_gateway/watch/test_drill.py
+++ b/tests/quetzalsill_gateway/watch/test_drill.py
@@ -11,7 +11,7 @@
 import asyncio
 import unittest
 
-from quetzalsill_dev.simulation.store import Away
+from quetzalsill_dev.simulation.store import StoreMode
 from tests.quetzalsill_gateway.watch import drill
 
 ZONE = 'z'
@@ -30,15 +30,15 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             known = self.fleet.store.version + 50
             self.fill(known)
             await asyncio.sleep(1.0)
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await self.fleet.drill(copy, rewrite_s=0.0)
-            self.fleet.drain('server-2')
+            self.fleet.drain_server('server-2')
             self.fill(known + 50)
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(
                 drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
             )
@@ -53,16 +53,16 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fill(self.fleet.store.version + 50)
-            self.fleet.drop('server-3')
+            self.fleet.remove_server('server-3')
             await self.within(1.0, lambda one: 'server-3' not in one.ids())
             known = self.fleet.store.version
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await self.fleet.drill(copy, rewrite_s=0.0)
             self.fleet.add_server('server-3', incarnation=2)
             self.fill(known + 50)
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
 
         self.play(story)
@@ -75,7 +75,7 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             new = {f'new-{n}' for n in range(20)}
             for name in new:
                 self.fleet.add_server(name)
@@ -90,7 +90,7 @@
         """A server has come since the copy, and dies in the drill."""
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fleet.add_server('new')
             await self.within(1.0, lambda one: 'new' in one.ids())
             await self.fleet.drill(copy, rewrite_s=0.0)
@@ -108,19 +108,19 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
-            lives = self.fleet.written['server-4']
+            copy = self.fleet.store.snapshot()
+            lives = self.fleet.entries['server-4']
             for name in ('server-3', 'server-4'):
-                self.fleet.drop(name)
+                self.fleet.remove_server(name)
             alive = LIVE - {'server-3'}
             await self.within(
                 1.0, lambda one: one.ids() == alive - {'server-4'}
             )
             async with self.always(lambda one: one.ids() <= alive):
                 await self.fleet.drill(copy, rewrite_s=0.0)
-                self.fleet.store.enter(lives)
+                self.fleet.store.put_entry(lives)
                 await asyncio.sleep(1.0)
-                self.fleet.store.drop('server-3')
+                self.fleet.store.remove_entry('server-3')
                 await self.within(3.0, lambda one: one.ids() == alive)
                 await asyncio.sleep(3.0)
 
@@ -130,7 +130,7 @@
         """The second comes while the servers still enter themselves again."""
 
         async def story():
-            first = self.fleet.store.copy()
+            first = self.fleet.store.snapshot()
             for name in ('new-1', 'new-2'):
                 self.fleet.add_server(name)
             await asyncio.sleep(1.0)
@@ -138,11 +138,11 @@
             async with self.always(lambda one: one.ids() == alive):
                 await self.fleet.drill(first)
                 await asyncio.sleep(1.0)
-                second = self.fleet.store.copy()
+                second = self.fleet.store.snapshot()
                 await asyncio.sleep(0.5)
                 await self.fleet.drill(second)
                 await asyncio.sleep(6.0)
-            self.fleet.drain('server-5')
+            self.fleet.drain_server('server-5')
             await self.within(1.0, lambda one: 'server-5' not in one.ids())
             epochs = {one.epochs.newest for one in self.fleet.all}
             self.assertEqual(epochs, {2})
@@ -153,18 +153,18 @@
         """Those that are served tell the rest, of which nobody asks itself."""
 
         async def story():
-            self.fleet.store.treat = lambda node: (
-                Away.SILENT if int(node[6:]) % 3 == 0 else Away.SERVES
+            self.fleet.store.mode_for = lambda node: (
+                StoreMode.SILENT if int(node[6:]) % 3 == 0 else StoreMode.SERVES
             )
             await asyncio.sleep(3.0)
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             known = self.fleet.store.version + 50
             self.fill(known)
             async with self.always(
                 lambda one: LIVE - {'server-2'} <= one.ids()
             ):
                 await self.fleet.drill(copy, rewrite_s=0.0)
-                self.fleet.drain('server-2')
+                self.fleet.drain_server('server-2')
                 self.fill(known + 50)
                 await self.within(
                     drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
@@ -181,23 +181,25 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fill(self.fleet.store.version + 200)
-            self.fleet.drop('server-3')
+            self.fleet.remove_server('server-3')
             await self.within(1.0, lambda one: 'server-3' not in one.ids())
             treat = lambda node: (  # noqa: E731
-                Away.SILENT if node == 'entry-3' else Away.SERVES
+                StoreMode.SILENT if node == 'entry-3' else StoreMode.SERVES
+            )
+            self.fleet.store.mode_for = treat
+            self.fleet.network.is_partitioned = lambda one, other: (
+                'entry-3' in (one, other)
             )
-            self.fleet.store.treat = treat
-            self.fleet.net.is_cut = lambda one, other: 'entry-3' in (one, other)
             await self.fleet.drill(copy, rewrite_s=0.0)
             self.fleet.add_server('server-3', incarnation=2)
             others = [one for one in self.fleet.all if one.node != 'entry-3']
             await self.within(
                 drill.KNOWN_S, lambda one: one.ids() == LIVE, others
             )
-            self.fleet.net.is_cut = lambda _, __: False
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.network.is_partitioned = lambda _, __: False
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
             await asyncio.sleep(5.0)
             self.assertTrue(all(one.ids() == LIVE for one in self.fleet.all))
@@ -214,9 +216,9 @@
         async def story():
             for name in list(self.fleet.gateways):
                 self.fleet.kill(name)
-                self.fleet.add_gateway(name, is_plain=True)
+                self.fleet.add_gateway(name, is_legacy=True)
             await asyncio.sleep(3.0)
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             known = self.fleet.store.version + 100
             self.fill(known)
             for number, name in enumerate(list(self.fleet.gateways)):
@@ -225,13 +227,13 @@
                 await asyncio.sleep(0.3)
                 if number == 8:
                     await self.fleet.drill(copy, rewrite_s=0.0)
-                    self.fleet.drain('server-2')
+                    self.fleet.drain_server('server-2')
                     self.fleet.configure(2)
                     self.fill(known + 50)
             await self.within(
                 drill.KNOWN_S,
                 lambda one: (
-                    one.ids() == LIVE - {'server-2'} and one.number == 2
+                    one.ids() == LIVE - {'server-2'} and one.config_version == 2
                 ),
             )
 
@@ -255,7 +257,7 @@
 
             async def story(epochs=epochs):
                 store = self.fleet.store
-                copy = store.copy()
+                copy = store.snapshot()
                 before = sum(store.calls.values())
                 most = 0
                 async with self.always(lambda one: one.ids() == LIVE):
@@ -282,9 +284,9 @@
             alive = {f'server-{n}' for n in range(200)}
             before = sum(store.calls.values())
             async with self.always(lambda one: one.ids() == alive):
-                await self.fleet.drill(store.copy())
+                await self.fleet.drill(store.snapshot())
                 await asyncio.sleep(8.0)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await self.within(1.0, lambda one: 'server-1' not in one.ids())
             calls = sum(store.calls.values()) - before
             self.assertLess(calls, 5 * 68 + 8 * 10)
--- a/tests/quetzalsill_gateway/watch/test_drill_operators.py
+++ b/tests/quetzalsill_gateway/watch/test_drill_operators.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from quetzalsill_dev.simulation.store import Away
+from quetzalsill_dev.simulation.store import StoreMode
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision
 from quetzalsill_gateway.watch import news
@@ -29,12 +29,12 @@
             with self.subTest(is_in_copy):
 
                 async def story(is_in_copy=is_in_copy):
-                    copy = self.fleet.store.copy()
+                    copy = self.fleet.store.snapshot()
                     self.fleet.configure(5)
                     if is_in_copy:
-                        copy = self.fleet.store.copy()
-                    await self.within(1.0, lambda one: one.number == 5)
-                    async with self.always(lambda one: one.number == 5):
+                        copy = self.fleet.store.snapshot()
+                    await self.within(1.0, lambda one: one.config_version == 5)
+                    async with self.always(lambda one: one.config_version == 5):
                         await self.fleet.drill(copy)
                         await asyncio.sleep(6.0)
 
@@ -48,7 +48,7 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             known = self.fleet.store.version + 50
             self.fill(known)
             await asyncio.sleep(1.0)
@@ -56,7 +56,9 @@
             await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
             self.fleet.configure(2)
             self.fill(known + 50)
-            await self.within(drill.KNOWN_S, lambda one: one.number == 2)
+            await self.within(
+                drill.KNOWN_S, lambda one: one.config_version == 2
+            )
 
         self.play(story)
 
@@ -69,19 +71,19 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fleet.configure(5)
-            await self.within(1.0, lambda one: one.number == 5)
+            await self.within(1.0, lambda one: one.config_version == 5)
             await self.fleet.drill(copy, rewrite_s=0.0)
             await asyncio.sleep(3.0)
             fresh = self.fleet.add_gateway('entry-99')
-            await self.within(3.0, lambda one: one.number == 5, [fresh])
+            await self.within(3.0, lambda one: one.config_version == 5, [fresh])
             before = sum(self.fleet.store.calls.values())
             await asyncio.sleep(10.0)
             calls = sum(self.fleet.store.calls.values()) - before
             self.assertLess(calls, 10 * 30)
             self.fleet.configure(6)
-            await self.within(2.0, lambda one: one.number == 6)
+            await self.within(2.0, lambda one: one.config_version == 6)
 
         self.play(story)
 
@@ -119,12 +121,12 @@
 
         async def story():
             store = self.fleet.store
-            copy = store.copy()
+            copy = store.snapshot()
             store.configure(document('first'))
-            await self.within(1.0, lambda one: one.number == 5)
+            await self.within(1.0, lambda one: one.config_version == 5)
             for name in ('entry-1', 'entry-2', 'entry-3'):
-                store.treat = lambda node, cut=name: (
-                    Away.SILENT if node == cut else Away.SERVES
+                store.mode_for = lambda node, cut=name: (
+                    StoreMode.SILENT if node == cut else StoreMode.SERVES
                 )
             await self.fleet.drill(copy, rewrite_s=0.0)
             store.configure(document('second'))
@@ -137,7 +139,7 @@
             replaced = self.told(event.ConfigurationReplaced)
             self.assertEqual(len(replaced), drill.GATEWAYS)
             fresh = self.fleet.add_gateway('entry-99')
-            await self.within(1.0, lambda one: one.number == 5, [fresh])
+            await self.within(1.0, lambda one: one.config_version == 5, [fresh])
             await asyncio.sleep(3.0)
             for one in self.fleet.all:
                 self.assertEqual(
@@ -149,8 +151,8 @@
     def test_one_written_again_changes_nothing(self):
         async def story():
             self.fleet.configure(5)
-            await self.within(1.0, lambda one: one.number == 5)
-            await self.fleet.drill(self.fleet.store.copy())
+            await self.within(1.0, lambda one: one.config_version == 5)
+            await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(4.0)
             self.assertEqual(self.told(event.ConfigurationReplaced), [])
             installed = self.told(event.ConfigurationInstalled)
@@ -174,10 +176,10 @@
             with self.subTest(is_in_copy):
 
                 async def story(is_in_copy=is_in_copy):
-                    copy = self.fleet.store.copy()
+                    copy = self.fleet.store.snapshot()
                     self.fleet.drain_zone(ZONE, is_on=True)
                     if is_in_copy:
-                        copy = self.fleet.store.copy()
+                        copy = self.fleet.store.snapshot()
                     await self.within(1.0, self.is_on)
                     async with self.always(self.is_on):
                         await self.fleet.drill(copy, rewrite_s=4.0)
@@ -191,7 +193,7 @@
         """Kept for good, the zone would stand idle until it is drained anew."""
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fleet.drain_zone(ZONE, is_on=True)
             await self.within(1.0, self.is_on)
             await self.fleet.drill(copy, rewrite_s=0.0)
@@ -210,7 +212,7 @@
         """
 
         async def story():
-            copy = self.fleet.store.copy()
+            copy = self.fleet.store.snapshot()
             self.fill(self.fleet.store.version + 200)
             self.fleet.drain_zone(ZONE, is_on=True)
             await self.within(1.0, self.is_on)
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -26,9 +26,10 @@
     async def is_up_to_date(self):
         """Checks that edits and notices are known in their time."""
         self.fleet.configure(7)
-        self.fleet.drain('server-1')
+        self.fleet.drain_server('server-1')
         await self.within(
-            2.0, lambda one: one.number == 7 and 'server-1' not in one.ids()
+            2.0,
+            lambda one: one.config_version == 7 and 'server-1' not in one.ids(),
         )
 
     def test_an_epoch_that_falls_for_good(self):
@@ -39,10 +40,10 @@
         """
 
         async def story():
-            await self.fleet.drill(self.fleet.store.copy(), epochs=5)
+            await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
-                await self.fleet.drill(self.fleet.store.copy(), epochs=-4)
+                await self.fleet.drill(self.fleet.store.snapshot(), epochs=-4)
                 await asyncio.sleep(6.0)
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
@@ -57,7 +58,7 @@
 
         async def story():
             store = self.fleet.store
-            await self.fleet.drill(store.copy())
+            await self.fleet.drill(store.snapshot())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
                 store.epoch += 1000
@@ -75,7 +76,7 @@
         async def story():
             async with self.always(lambda one: one.ids() == LIVE):
                 for _ in range(3):
-                    copy = self.fleet.store.copy()
+                    copy = self.fleet.store.snapshot()
                     await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
                     await asyncio.sleep(1.0)
             self.assertEqual(self.told(event.UpstreamRemoved), [])
@@ -94,21 +95,21 @@
 
         async def story():
             store = self.fleet.store
-            store.is_past = lambda _: True
+            store.reports_compacted = lambda _: True
             await asyncio.sleep(5.0)
             before = sum(store.calls.values())
             self.fleet.configure(7)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await asyncio.sleep(15.0)
             calls = sum(store.calls.values()) - before
             self.assertLess(calls, 2 * 2 * (1 + 15.0 / (0.75 * 2.0)))
             for one in self.fleet.all:
-                self.assertEqual(one.number, 7)
+                self.assertEqual(one.config_version, 7)
                 self.assertNotIn('server-1', one.ids())
-            store.is_past = lambda _: False
+            store.reports_compacted = lambda _: False
             await asyncio.sleep(4.0)
             self.fleet.configure(8)
-            await self.within(2.0, lambda one: one.number == 8)
+            await self.within(2.0, lambda one: one.config_version == 8)
 
         self.play(story, 1)
 
@@ -123,7 +124,7 @@
         """
 
         async def story():
-            await self.fleet.drill(self.fleet.store.copy())
+            await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
                 for one in self.fleet.all:
@@ -138,10 +139,12 @@
                     one.configuration.hear(news.ConfigurationNews(FAR, 1))
                 await asyncio.sleep(3.0)
             self.fleet.configure(7)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await self.within(
                 2.0,
-                lambda one: one.number == 7 and 'server-1' not in one.ids(),
+                lambda one: (
+                    one.config_version == 7 and 'server-1' not in one.ids()
+                ),
             )
 
         self.play(story)
@@ -155,8 +158,8 @@
 
         async def story():
             store = self.fleet.store
-            store.restore(store.copy())
-            self.fleet.drop('server-2')
+            store.restore(store.snapshot())
+            self.fleet.remove_server('server-2')
             at = revision.Revision(store.epoch, store.version)
             for one in self.fleet.all:
                 one.membership.hear(news.MembershipNews(news.EVERYTHING, at))
@@ -206,7 +209,7 @@
             whole = one.configuration.whole()
             data = bulletin.encode(one.node, whole)
             _, told = bulletin.decode(*frame.unpack(data))
-            self.assertEqual(told.configuration, one.number)
+            self.assertEqual(told.configuration, one.config_version)
 
         self.play(story, 2)
 
@@ -222,7 +225,7 @@
             async with self.always(is_on):
                 for one in self.fleet.all:
                     one.configuration.hear(
-                        news.ConfigurationNews(FAR, one.number)
+                        news.ConfigurationNews(FAR, one.config_version)
                     )
                 await asyncio.sleep(15.0)
 
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from quetzalsill_dev.simulation import clock, watchers
-from quetzalsill_dev.simulation.store import Away
+from quetzalsill_dev.simulation.store import StoreMode
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision
 from quetzalsill_gateway.watch import news
@@ -54,10 +54,10 @@
 
     async def edit_is_known(self, number, bound_s=BOUND_S):
         self.fleet.configure(number)
-        await self.within(bound_s, lambda one: one.number == number)
+        await self.within(bound_s, lambda one: one.config_version == number)
 
     async def notice_is_known(self, name, bound_s=BOUND_S):
-        self.fleet.drain(name)
+        self.fleet.drain_server(name)
         await self.within(bound_s, lambda one: name not in one.ids())
 
     async def calls_in(self, seconds):
@@ -95,7 +95,9 @@
                 await asyncio.sleep(1.0)
             calls = sum(self.fleet.store.calls.values()) - before
             self.assertLess(calls - 10.0 * rest, 2 * 10)
-            self.assertTrue(all(one.number == 11 for one in self.fleet.all))
+            self.assertTrue(
+                all(one.config_version == 11 for one in self.fleet.all)
+            )
 
         self.play(story, 68)
 
@@ -108,10 +110,10 @@
 
         def treat(node):
             turned = int(node.removeprefix('entry-')) % 3 == 0
-            return Away.REFUSES if turned else Away.SERVES
+            return StoreMode.REFUSES if turned else StoreMode.SERVES
 
         async def story():
-            self.fleet.store.treat = treat
+            self.fleet.store.mode_for = treat
             await asyncio.sleep(3.0)
             await self.edit_is_known(2)
             await self.notice_is_known('server-1')
@@ -122,17 +124,19 @@
 
     def test_who_is_turned_away_notices_that_it_is_served_again(self):
         async def story():
-            self.fleet.store.treat = lambda node: (
-                Away.REFUSES if node == 'entry-3' else Away.SERVES
+            self.fleet.store.mode_for = lambda node: (
+                StoreMode.REFUSES if node == 'entry-3' else StoreMode.SERVES
             )
             one = self.fleet.gateways['entry-3']
-            self.fleet.store.treat('entry-3')
+            self.fleet.store.mode_for('entry-3')
             # Nobody else asks meanwhile, so that it is its turn.
-            self.fleet.net.is_cut = lambda _, other: other == 'entry-3'
+            self.fleet.network.is_partitioned = lambda _, other: (
+                other == 'entry-3'
+            )
             await asyncio.sleep(3.0)
             self.assertTrue(one.health.is_down)
-            self.fleet.net.is_cut = lambda _, __: False
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.network.is_partitioned = lambda _, __: False
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await asyncio.sleep(3.0)
             self.assertFalse(one.health.is_down)
 
@@ -140,21 +144,26 @@
 
     def test_a_store_that_is_away_for_all_is_found_again_by_all(self):
         """While it is away an edit and a notice come; then it is back."""
-        for away in (Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS):
+        for away in (
+            StoreMode.REFUSES,
+            StoreMode.SILENT,
+            StoreMode.LOSES_RESPONSES,
+        ):
             with self.subTest(away):
 
                 async def story(away=away):
-                    self.fleet.store.treat = lambda _: away
+                    self.fleet.store.mode_for = lambda _: away
                     await asyncio.sleep(5.0)
                     self.fleet.configure(2)
-                    self.fleet.drain('server-1')
+                    self.fleet.drain_server('server-1')
                     calls = await self.calls_in(5.0)
                     self.assertLess(calls, 24 * 2 / 1.2)
-                    self.fleet.store.treat = lambda _: Away.SERVES
+                    self.fleet.store.mode_for = lambda _: StoreMode.SERVES
                     await self.within(
                         2.9,
                         lambda one: (
-                            one.number == 2 and 'server-1' not in one.ids()
+                            one.config_version == 2
+                            and 'server-1' not in one.ids()
                         ),
                     )
 
@@ -162,7 +171,7 @@
 
     def test_bounds_hold_with_a_slow_store(self):
         async def story():
-            self.fleet.store.answer_s = 0.24
+            self.fleet.store.response_time_s = 0.24
             for number in (2, 3, 4):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
@@ -171,7 +180,7 @@
 
     def test_bounds_hold_where_a_third_of_all_datagrams_is_lost(self):
         async def story():
-            self.fleet.net.loss = 0.33
+            self.fleet.network.loss = 0.33
             for number in (2, 3, 4, 5):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
@@ -182,7 +191,7 @@
         """Links between gateways are cut, the store serves."""
 
         async def story():
-            self.fleet.net.is_cut = lambda _, __: True
+            self.fleet.network.is_partitioned = lambda _, __: True
             await asyncio.sleep(3.0)
             for number in (2, 3):
                 await self.edit_is_known(number)
@@ -201,8 +210,8 @@
                 watcher = max(
                     calls, key=lambda node: calls[node] - before.get(node, 0)
                 )
-                self.fleet.store.treat = lambda node, cut=watcher: (
-                    Away.SILENT if node == cut else Away.SERVES
+                self.fleet.store.mode_for = lambda node, cut=watcher: (
+                    StoreMode.SILENT if node == cut else StoreMode.SERVES
                 )
                 await asyncio.sleep(0.3 * number)
                 await self.edit_is_known(number)
@@ -222,9 +231,9 @@
                     tellers.append(node)
                     return node == tellers[0] and other in cut_off
 
-                self.fleet.net.is_cut = cut
+                self.fleet.network.is_partitioned = cut
                 self.fleet.configure(number)
-                self.fleet.drain(f'server-{number}')
+                self.fleet.drain_server(f'server-{number}')
                 while not tellers:  # noqa: ASYNC110
                     await asyncio.sleep(0.001)
                 await asyncio.sleep(0.01)
@@ -232,7 +241,7 @@
                 await self.within(
                     BOUND_S,
                     lambda one, number=number: (
-                        one.number == number
+                        one.config_version == number
                         and f'server-{number}' not in one.ids()
                     ),
                 )
@@ -247,17 +256,19 @@
         """
 
         async def story():
-            self.fleet.store.treat = lambda node: (
-                Away.REFUSES if node == 'entry-3' else Away.SERVES
+            self.fleet.store.mode_for = lambda node: (
+                StoreMode.REFUSES if node == 'entry-3' else StoreMode.SERVES
+            )
+            self.fleet.network.is_partitioned = lambda _, other: (
+                other == 'entry-3'
             )
-            self.fleet.net.is_cut = lambda _, other: other == 'entry-3'
             await asyncio.sleep(1.0)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await asyncio.sleep(3.0)
-            self.fleet.net.is_cut = lambda _, __: False
-            self.fleet.drain('server-2')
+            self.fleet.network.is_partitioned = lambda _, __: False
+            self.fleet.drain_server('server-2')
             await asyncio.sleep(0.5)
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(
                 2.9, lambda one: not {'server-1', 'server-2'} & one.ids()
             )
@@ -268,25 +279,27 @@
         """The store is back after an outage, and no gateway hears another."""
 
         async def story():
-            self.fleet.net.is_cut = lambda _, __: True
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.network.is_partitioned = lambda _, __: True
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(12.0)
             self.fleet.configure(2)
-            self.fleet.drain('server-1')
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.drain_server('server-1')
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(
                 2.9,
-                lambda one: one.number == 2 and 'server-1' not in one.ids(),
+                lambda one: (
+                    one.config_version == 2 and 'server-1' not in one.ids()
+                ),
             )
 
         self.play(story)
 
     def test_forgotten_history_is_met_by_reading_anew(self):
         async def story():
-            self.fleet.store.forget_history()
+            self.fleet.store.compact()
             await self.notice_is_known('server-3')
-            self.fleet.store.forget_history()
-            self.fleet.drop('server-4')
+            self.fleet.store.compact()
+            self.fleet.remove_server('server-4')
             await self.within(BOUND_S, lambda one: 'server-4' not in one.ids())
 
         self.play(story)
@@ -313,17 +326,19 @@
         """Edits in quick succession, datagrams overtaken and lost."""
 
         async def story():
-            self.fleet.net.loss = 0.2
-            self.fleet.net.delay_s = (0.0005, 0.5)
+            self.fleet.network.loss = 0.2
+            self.fleet.network.delay_s = (0.0005, 0.5)
             seen = dict.fromkeys(self.fleet.gateways, 0)
             for number in range(2, 30):
                 self.fleet.configure(number)
                 for _ in range(20):
                     await asyncio.sleep(0.01)
                     for one in self.fleet.all:
-                        self.assertGreaterEqual(one.number, seen[one.node])
-                        seen[one.node] = one.number
-            await self.within(BOUND_S, lambda one: one.number == 29)
+                        self.assertGreaterEqual(
+                            one.config_version, seen[one.node]
+                        )
+                        seen[one.node] = one.config_version
+            await self.within(BOUND_S, lambda one: one.config_version == 29)
 
         self.play(story)
 
@@ -331,10 +346,10 @@
         """The store is away, lets an entry lapse, and it comes back."""
 
         async def story():
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(5.0)
-            self.fleet.drop('server-5')
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.remove_server('server-5')
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             for _ in range(100):
                 await asyncio.sleep(0.01)
                 for one in self.fleet.all:
@@ -356,20 +371,22 @@
 
         async def story():
             await self.edit_is_known(2)
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(3.0)
             self.fleet.kill('entry-7')
             known = self.fleet.all[0].ids()
             again = self.fleet.add_gateway('entry-7')
             await asyncio.sleep(1.0)
-            self.assertEqual(again.number, 2)
+            self.assertEqual(again.config_version, 2)
             self.assertEqual(again.ids(), known)
             self.fleet.configure(3)
-            self.fleet.drain('server-2')
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.drain_server('server-2')
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(
                 2.9,
-                lambda one: one.number == 3 and 'server-2' not in one.ids(),
+                lambda one: (
+                    one.config_version == 3 and 'server-2' not in one.ids()
+                ),
             )
 
         self.play(story)
@@ -381,7 +398,7 @@
             async def story():
                 await asyncio.sleep(5.0)
                 totals.append(
-                    (self.fleet.store.calls, self.fleet.net.sent_bytes)
+                    (self.fleet.store.calls, self.fleet.network.sent_bytes)
                 )
 
             self.play(story)
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -94,7 +94,7 @@
         self.play(
             lambda rng: configuration.Configuration(
                 self.ask,
-                watchers._read,
+                watchers._parse_document,
                 source.Holder(),
                 upstream.Upstreams().zones,
                 source.Health(),
--- a/tests/quetzalsill_gateway/watch/test_older_word.py
+++ b/tests/quetzalsill_gateway/watch/test_older_word.py
@@ -95,7 +95,7 @@
         script = Script(*answers)
         return configuration.Configuration(
             script.ask,
-            watchers._read,
+            watchers._parse_document,
             source.Holder(),
             self.upstreams.zones,
             source.Health(),
@@ -304,12 +304,12 @@
         """
 
         async def story():
-            await self.fleet.drill(self.fleet.store.copy(), epochs=5)
+            await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             self.fleet.drain_zone('z', is_on=True)
             await self.within(1.0, is_drained)
             async with self.always(is_drained):
-                await self.fleet.drill(self.fleet.store.copy(), epochs=-4)
+                await self.fleet.drill(self.fleet.store.snapshot(), epochs=-4)
                 await asyncio.sleep(20.0)
 
         self.play(story)
@@ -332,7 +332,7 @@
 
     async def story(self, epochs, is_on):
         if epochs:
-            await self.fleet.drill(self.fleet.store.copy())
+            await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
         self.fleet.drain_zone('z', is_on=True)
         await self.within(3.0, is_drained)
@@ -357,7 +357,7 @@
 
         async def story():
             store = self.fleet.store
-            await self.fleet.drill(store.copy())
+            await self.fleet.drill(store.snapshot())
             await asyncio.sleep(5.0)
             usual, watcher = await self.calls(20.0)
             right = store._epoch_for
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -87,7 +87,7 @@
         found = upstream.Upstreams()
         return configuration.Configuration(
             ask,
-            watchers._read,
+            watchers._parse_document,
             source.Holder(),
             found.zones,
             source.Health(),
--- a/tests/quetzalsill_gateway/watch/test_random_drills.py
+++ b/tests/quetzalsill_gateway/watch/test_random_drills.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from quetzalsill_dev.simulation import clock, watchers
-from quetzalsill_dev.simulation.store import Away
+from quetzalsill_dev.simulation.store import StoreMode
 from quetzalsill_gateway import event
 
 ZONE = 'other'
@@ -42,8 +42,8 @@
     async def play(self):
         """Returns what was wrong in the end, or at any moment."""
         await self.fleet.start()
-        self.fleet.net.loss = self.rng.choice((0.0, 0.0, 0.1, 0.3))
-        self.copies.append(self.store.copy())
+        self.fleet.network.loss = self.rng.choice((0.0, 0.0, 0.1, 0.3))
+        self.copies.append(self.store.snapshot())
         watch = asyncio.create_task(self.watch())
         for _ in range(self.rng.randint(5, 14)):
             self.rng.choice(STEPS)(self)
@@ -66,25 +66,25 @@
         seen = {}
         while True:
             for one in self.fleet.all:
-                if one.number < seen.get(one, 0):
+                if one.config_version < seen.get(one, 0):
                     self.faults.append((one.node, 'stepped back'))
                 if any(task.done() for task in one.tasks):
                     self.faults.append((one.node, 'ended'))
-                seen[one] = one.number
+                seen[one] = one.config_version
             await asyncio.sleep(0.02)
 
     def compare(self):
         """Notes gateways that know anything else than what was written."""
         alive = {
             name
-            for name, found in self.fleet.written.items()
+            for name, found in self.fleet.entries.items()
             if found is not None and not found.leaving
         }
-        is_on = self.fleet.orders.get(ZONE, False)
+        is_on = self.fleet.drain_orders.get(ZONE, False)
         for one in self.fleet.all:
             known = {
                 'servers': (one.ids(), alive),
-                'number': (one.number, self.number),
+                'number': (one.config_version, self.number),
                 'order': (one.upstreams.zones.is_drained(ZONE), is_on),
                 'epoch': (one.epochs.newest, self.store.epoch),
             }
@@ -110,24 +110,24 @@
     def server(self):
         alive = [
             name
-            for name, found in self.fleet.written.items()
+            for name, found in self.fleet.entries.items()
             if found is not None and not found.leaving
         ]
         return self.rng.choice(alive) if len(alive) > LEAST_SERVERS else None
 
     def drop(self):
         if name := self.server():
-            self.fleet.drop(name)
+            self.fleet.remove_server(name)
 
     def leave(self):
         if name := self.server():
-            self.fleet.drain(name)
+            self.fleet.drain_server(name)
 
     def order(self):
         self.fleet.drain_zone(ZONE, is_on=self.rng.random() < 0.5)
 
     def copy(self):
-        self.copies.append(self.store.copy())
+        self.copies.append(self.store.snapshot())
 
     def drill(self):
         work = self.fleet.drill(
@@ -139,12 +139,18 @@
 
     def cut(self):
         those = self.some()
-        self.fleet.net.is_cut = lambda a, b: (a in those) != (b in those)
+        self.fleet.network.is_partitioned = lambda a, b: (
+            (a in those) != (b in those)
+        )
 
     def turn_away(self):
         those = self.some()
-        how = self.rng.choice((Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS))
-        self.store.treat = lambda node: how if node in those else Away.SERVES
+        how = self.rng.choice(
+            (StoreMode.REFUSES, StoreMode.SILENT, StoreMode.LOSES_RESPONSES)
+        )
+        self.store.mode_for = lambda node: (
+            how if node in those else StoreMode.SERVES
+        )
 
     def restart(self):
         name = self.rng.choice(list(self.fleet.gateways))
@@ -152,15 +158,15 @@
         self.fleet.add_gateway(name)
 
     def slow(self):
-        self.store.answer_s = self.rng.choice((0.004, 0.24))
+        self.store.response_time_s = self.rng.choice((0.004, 0.24))
 
     def forget(self):
-        self.store.forget_history()
+        self.store.compact()
 
     def heal(self):
-        self.store.answer_s = 0.004
-        self.store.treat = lambda _: Away.SERVES
-        self.fleet.net.is_cut = lambda _, __: False
+        self.store.response_time_s = 0.004
+        self.store.mode_for = lambda _: StoreMode.SERVES
+        self.fleet.network.is_partitioned = lambda _, __: False
 
 
 STEPS = (
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from quetzalsill_dev.simulation import clock, watchers
-from quetzalsill_dev.simulation.store import Away
+from quetzalsill_dev.simulation.store import StoreMode
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import revision, zones
 from quetzalsill_gateway.watch import news
@@ -84,9 +84,9 @@
 
         async def story():
             fleet = self.fleet
-            fleet.net.loss = 0.1
+            fleet.network.loss = 0.1
             paused = {f'entry-{n}' for n in range(0, 300, 20)}
-            fleet.net.is_cut = lambda one, other: (
+            fleet.network.is_partitioned = lambda one, other: (
                 one in paused or other in paused
             )
             awake = [one for one in fleet.all if one.node not in paused]
@@ -94,14 +94,14 @@
             for number in range(2, 6):
                 self.drain(number % 2 == 0)
                 fleet.configure(number)
-                fleet.drain(f'server-{number - 2}')
+                fleet.drain_server(f'server-{number - 2}')
                 await asyncio.sleep(0.5)
                 is_on, gone = number % 2 == 0, f'server-{number - 2}'
                 for knows in (
                     lambda one, is_on=is_on: (
                         one.upstreams.zones.is_drained(ZONE) == is_on
                     ),
-                    lambda one, number=number: one.number == number,
+                    lambda one, number=number: one.config_version == number,
                     lambda one, gone=gone: gone not in one.ids(),
                 ):
                     known = sum(knows(one) for one in awake)
@@ -116,7 +116,7 @@
         """A fifth of all datagrams; who missed one hears the next."""
 
         async def story():
-            self.fleet.net.loss = 0.2
+            self.fleet.network.loss = 0.2
             self.drain()
             await self.within(2 * KNOWN_S, True)
 
@@ -126,8 +126,10 @@
         """Those it serves tell the rest."""
 
         async def story():
-            self.fleet.store.treat = lambda node: (
-                Away.REFUSES if int(node[6:]) % 3 == 0 else Away.SERVES
+            self.fleet.store.mode_for = lambda node: (
+                StoreMode.REFUSES
+                if int(node[6:]) % 3 == 0
+                else StoreMode.SERVES
             )
             await asyncio.sleep(3.0)
             self.drain()
@@ -140,7 +142,7 @@
     def test_the_store_forgets_its_history(self):
         async def story():
             self.drain()
-            self.fleet.store.forget_history()
+            self.fleet.store.compact()
             await self.within(KNOWN_S, True)
 
         self.play(story)
@@ -156,9 +158,11 @@
             self.drain()
             await self.within(KNOWN_S, True)
             lost = self.fleet.gateways['entry-3']
-            self.fleet.net.is_cut = lambda one, other: 'entry-3' in (one, other)
-            self.fleet.store.treat = lambda node: (
-                Away.SILENT if node == 'entry-3' else Away.SERVES
+            self.fleet.network.is_partitioned = lambda one, other: (
+                'entry-3' in (one, other)
+            )
+            self.fleet.store.mode_for = lambda node: (
+                StoreMode.SILENT if node == 'entry-3' else StoreMode.SERVES
             )
             await asyncio.sleep(1.0)
             self.drain(False)
@@ -166,8 +170,8 @@
             await self.within(KNOWN_S, False, others)
             await asyncio.sleep(2.0)
             self.assertTrue(lost.upstreams.zones.is_drained(ZONE))
-            self.fleet.net.is_cut = lambda _, __: False
-            self.fleet.store.treat = lambda _: Away.SERVES
+            self.fleet.network.is_partitioned = lambda _, __: False
+            self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(BACK_S, False)
             await asyncio.sleep(3.0)
             await self.within(STEP_S, False)
@@ -185,7 +189,7 @@
             self.drain()
             await self.within(KNOWN_S, True)
             fresh = self.fleet.add_gateway('entry-99')
-            while fresh.number == 0:  # noqa: ASYNC110
+            while fresh.config_version == 0:  # noqa: ASYNC110
                 await asyncio.sleep(STEP_S)
             self.assertTrue(fresh.upstreams.zones.is_drained(ZONE))
 
@@ -218,7 +222,7 @@
         async def story():
             self.drain()
             await self.within(KNOWN_S, True)
-            self.fleet.store.treat = lambda _: Away.REFUSES
+            self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             fresh = self.fleet.add_gateway('entry-99')
             await self.within(2.0, True, [fresh])
 
@@ -232,7 +236,7 @@
 
         async def story():
             one = self.fleet.all[0]
-            number = one.number
+            number = one.config_version
             far = revision.Revision(0, 2**40)
             faulty = zones.Drain(ZONE, far, True)
             one.configuration.hear(
