--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -96,7 +96,7 @@
         self.play(
             lambda rng: configuration.Configuration(
                 self.ask,
-                watchers._read,
+                watchers._parse_document,
                 source.RoutingTableHolder(),
                 upstream.Upstreams().zones,
                 source.Health(),
