--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
@@ -184,7 +184,8 @@
         )
         accepting = choose.accepting_work(found, self._avoid)
         return choose.without_faulty(
-            accepting, self._stats_table, self._upstreams.gateway_count)
+            accepting, self._stats_table, self._upstreams.gateway_count
+        )
 
     def _sendable(self) -> list[upstream_lib.Upstream]:
         """Returns those open ones that this gateway may send to just now."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
@@ -309,7 +309,9 @@
         """Returns how long a generation is expected to take."""
         return reservation.output_tokens * self.mean_token_s
 
-    def set_peer_waiting(self, node: str, waiting: usage_lib.WaitingTokens) -> None:
+    def set_peer_waiting(
+        self, node: str, waiting: usage_lib.WaitingTokens
+    ) -> None:
         """Takes all that waits at another gateway."""
         if waiting:
             self._waiting_by_peer[node] = waiting
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -93,7 +93,9 @@
         outcome: segment_lib.Outcome | None = None
         while segment is not None:
             outcome = await self._run_segment(segment)
-            self._sends.record(may_have_run=not segment_lib.has_not_run(outcome))
+            self._sends.record(
+                may_have_run=not segment_lib.has_not_run(outcome)
+            )
             next_segment = await self._next_segment(segment, outcome)
             self._log_segment(segment, outcome, next_segment)
             if outcome is segment_lib.COMPLETE and next_segment is None:
@@ -146,7 +148,9 @@
                     body, _ = await attempt.read_body(
                         sent.conn, MAX_REFUSAL_BYTES
                     )
-                    return segment_lib.Refusal(sent.head, body, sent.response_class)
+                    return segment_lib.Refusal(
+                        sent.head, body, sent.response_class
+                    )
                 segment.is_framed = sent.conn.is_framed
                 self._start_response(sent.head)
                 await self._relay_events(segment, sent.conn)
