--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream takes a request, and what is known of each."""
+"""Load balancing: statistics of each upstream, and the choice between them."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
@@ -1,14 +1,14 @@
-"""Holds generations back until an engine has room for them.
+"""Admission queue: holds generations until an engine has room for them.
 
-An engine takes what it is sent and, once its memory is full, pushes the newest
-of the least urgent runs off and later reads it in again: that costs its prompt
-a second time and its caller a long pause. It also reads prompts one after
-another, so that the last of many begins late. So a generation waits here until
-some engine is expected to have the memory to its end, and to read its prompt in
-time.
+An engine accepts whatever it is sent. Once its memory is full it preempts the
+newest of the least urgent runs and later prefills it again, which costs its
+prompt a second time and its caller a long pause. It also prefills prompts
+sequentially, so the last of many starts late. A generation is therefore queued
+here until some engine is expected to have enough memory until its end, and to
+prefill its prompt in time.
 
-What can no longer begin in time gives way to what can: served first, it would
-make the next late as well, and so on for as long as the crowd lasts.
+Requests that can no longer start in time go behind those that can. Served
+first, each would make the next one late too, for as long as the burst lasts.
 """
 
 from __future__ import annotations
@@ -32,27 +32,28 @@
 
 __all__ = ['Admission']
 
-# Beyond this share of its objective a request is late whatever comes.
+# A request that has not been sent after this share of its objective is late.
 LATE_SHARE = 0.75
-# Callers of a stream give up a few seconds behind its objective.
+# Callers give up on a stream a few seconds after its objective.
 MAX_WAIT_S = 5.0
 POLL_S = 0.02
-# Weight of the newest generation in the mean output of its route.
+# Weight of the newest generation in the moving average of a route's output.
 OUTPUT_WEIGHT = 0.05
-# One that is late has time: its caller waits for as long as it is told to, but
-# longer than this it is better told to come back.
+# A late request may be queued for this long after its arrival; beyond that its
+# caller is better off with a refusal and a time to retry after.
 MAX_LATE_WAIT_S = 2.0
-# While no engine can enter, one whose promise has failed looks again, but no
-# sooner than this.
+# Minimum interval at which the expected wait is computed again while no engine
+# can join.
 MIN_RECHECK_S = 0.25
-# Callers wait for so much of the time that they have left, if told to.
+# Largest share of the caller's remaining time to ask it to retry after.
 RETRY_AFTER_SHARE = 0.33
-# A caller that has little time left is told while it can still come back.
+# Largest share of the caller's remaining time to queue for, so that a refused
+# caller can still retry.
 MAX_REMAINING_SHARE = 0.5
 
 
 class Admission:
-    """The order in which generations of a gateway get their engines."""
+    """Queues of the generations of one gateway, one per service."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
         zone: str,
         quota: quota_lib.Quota,
     ) -> None:
-        """Gives out engines among `upstreams`, those of `zone` first.
+        """Creates empty queues for engines among `upstreams`.
 
         Args:
-          upstreams: Engines known.
-          stats_table: What is known of each.
-          zone: Availability zone of this gateway.
-          quota: Which of them may be sent to now.
+          upstreams: Known upstreams.
+          stats_table: Statistics of each.
+          zone: Availability zone of this gateway, whose engines are preferred.
+          quota: Which engines this gateway may send to now.
         """
         self._upstreams = upstreams
         self._stats_table = stats_table
@@ -80,7 +81,7 @@
         self._demand: dict[str, forecast.Demand] = {}
 
     def waiting_tokens(self) -> dict[str, dict[int, int]]:
-        """Returns the tokens that wait here, by service and rank."""
+        """Returns the tokens queued here, by service and rank."""
         now = asyncio.get_running_loop().time()
         found: dict[str, dict[int, int]] = {}
         for service, queue in self._queues.items():
@@ -98,11 +99,17 @@
         reservation: upstream_stats.Reservation,
         avoid: frozenset[str],
     ) -> upstream_lib.Upstream | None:
-        """Returns the engine to send to, once it has room.
+        """Waits for an engine with room.
+
+        Args:
+          req: The request.
+          engine: Properties of the service's engines.
+          reservation: Memory that the generation is expected to need.
+          avoid: Ids of engines not to use.
 
         Returns:
-          None if the service has no engine, or none has had room for as long
-          as the caller may be kept waiting.
+          The engine; None if the service has none, or if none has room within
+          the time for which the request may be queued.
         """
         now = asyncio.get_running_loop().time()
         late_s = LATE_SHARE * req.route.objective_s
@@ -132,7 +139,7 @@
         if not search.has_engine:
             return None
         if not engine.memory_tokens:
-            # Streams of a plain service, or an engine that tells nothing.
+            # A service without engines, or engines of unknown memory size.
             return search.lowest_cost()
         if not queue:
             chosen = search.try_choose(now)
@@ -154,7 +161,7 @@
         search: search_lib.EngineSearch,
         queue: list[queue_entry.QueueEntry],
     ) -> bool:
-        """Whether it would wait too long; its caller learns for how long."""
+        """Whether a request would wait too long; if so, sets `come_back_s`."""
         entry, req = search.entry, search.req
         now = asyncio.get_running_loop().time()
         rank = entry.rank(now)
@@ -204,21 +211,22 @@
         return bisect.bisect(queue_entry.SIZE_BOUNDS, output / max(1.0, mean))
 
     def _first_request_s(self, req: exchange_lib.Exchange) -> float:
-        """Returns the loop time at which the caller may have asked first.
+        """Returns the estimated loop time of the caller's first attempt.
 
-        One that was refused and comes back has less time left than others on
-        its route; its objective counts from its first try.
+        The objective counts from there. A caller that was refused and retries
+        has less time left than other callers of its route, by which its earlier
+        attempt is recognised.
         """
         route = req.route
         left_s = req.deadline_s - req.request.received_s
-        # A route whose time limit was changed is another one here.
+        # A changed time limit starts a new maximum.
         key = (route.name, route.timeout_s)
         longest_left_s = max(left_s, self._longest_left_s.get(key, 0.0))
         self._longest_left_s[key] = longest_left_s
         return req.request.received_s - (longest_left_s - left_s)
 
     def _next_recheck_s(self, search: search_lib.EngineSearch) -> float:
-        """Returns when a request that was promised room looks again."""
+        """Returns the loop time at which to check the expected wait again."""
         now = asyncio.get_running_loop().time()
         return now + max(MIN_RECHECK_S, search.entry.expected_s)
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
@@ -1,13 +1,13 @@
 """Which runs are backed up at a second engine, and at which one.
 
-An engine that crashes takes its runs along, and one that leaves at short
-notice has a link that carries only some of them away in time. A run whose
-memory was sent to another engine while it grew goes on there within a pause
-that callers hardly notice.
-
-The copy takes as much memory as the run. Where memory is short, a copy would
-make others wait or push them off, which costs more than it saves; so copies
-take only what stays free with all runs at their expected ends.
+The runs of an engine that crashes are lost, and the link of an engine that
+leaves at short notice carries only some of its runs away in time. A run whose
+memory is replicated to a second engine as it grows resumes there after a short
+pause.
+
+A backup takes as much memory as its run. Where memory is short it would make
+other runs wait or have them preempted, which costs more than it saves. Backups
+therefore only use memory that stays free with all runs at their expected ends.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 __all__ = ['destination', 'is_worthwhile']
 
-# Share of an engine's memory up to which runs and copies together are expected
-# to need it. The rest is for runs that arrive, and for those that outgrow
-# their callers' guesses.
+# Share of an engine's memory that runs and backups together may be expected to
+# need. The rest is for new runs and for those that exceed their callers' length
+# hints.
 MAX_MEMORY_SHARE = 0.7
-# And up to which all engines of the service together are expected to need it:
-# an engine that has just come is empty, and will not be for long.
+# The same for all engines of the service together: a new engine is empty, but
+# fills up soon.
 MAX_FLEET_SHARE = 0.6
-# A copy is made as the run goes on. One that needs a quarter of the run's time
-# to arrive protects little of it.
+# A run must last this many times as long as the copying of its prompt: a backup
+# that takes a quarter of the run to arrive protects little of it.
 MIN_COPIES_PER_RUN = 4.0
 
 
@@ -44,7 +44,7 @@
     stats_table: upstream_stats.StatsTable,
     reservation: upstream_stats.Reservation,
 ) -> bool:
-    """Whether a run outlasts the copying of its prompt by far."""
+    """Whether a run lasts much longer than the copying of its prompt."""
     copy_s = engine.copy_s(reservation.prompt_tokens)
     return stats_table.generation_s(reservation) >= MIN_COPIES_PER_RUN * copy_s
 
@@ -57,11 +57,11 @@
     request_id: bytes,
     needs_tokens: int,
 ) -> upstream.Upstream | None:
-    """Returns the engine for the copy, None if no memory lies free.
+    """Returns the engine for the backup; None if no memory is free.
 
-    Within the availability zone of the source memory moves twice as fast, so
-    an engine there comes first. Of those with room the emptiest is taken, and
-    the request's own id decides between equals.
+    Prefers engines in the availability zone of the source, where a copy is
+    twice as fast, then the one with the least memory in use. A hash of the
+    request id decides between equals.
     """
     bound = MAX_MEMORY_SHARE * engine.memory_tokens
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choice_log.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choice_log.py
@@ -1,4 +1,4 @@
-"""Writes down why an upstream was chosen."""
+"""Log event for the choice of an upstream."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     upstream: upstream_lib.Upstream,
     needs_tokens: int = 0,
 ) -> None:
-    """Logs a choice with what decided it, and how old that was."""
+    """Logs the choice with the statistics it was based on, and their age."""
     stats = core.stats_table.of(upstream)
     now = asyncio.get_running_loop().time()
     event.note(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
@@ -1,4 +1,4 @@
-"""Choice of the upstream for a request."""
+"""Choice of the upstream for a request, by expected cost."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
     'without_faulty',
 ]
 
-# What a running generation adds to the time of everybody's next event.
+# Time by which each running generation delays the next event of the others.
 RUN_COST_S = 0.02
-# Crossing into another availability zone costs bytes and a little time; worth
-# as much as this much waiting.
+# Waiting time worth accepting to keep the traffic in the availability zone.
 CROSS_ZONE_COST_S = 0.04
 CROSS_ZONE_CALL_COST_S = 0.002
-# An engine whose memory is all given out is worth this much waiting less than
-# an empty one. Runs outgrow their callers' guesses, and where they meet one is
-# pushed off: its caller sees a pause, and its prompt is read twice. Spread by
-# memory rather than by what waits to be read, fewer meet. A third of it gives
-# 0.000 to 0.010 less of what callers' work is worth by deployment, twice 0.012.
+# Waiting time worth accepting to use an empty engine instead of one whose
+# memory is fully reserved. Runs exceed their callers' length hints; where
+# memory runs out, one is preempted: its caller sees a pause, and its prompt is
+# prefilled twice. Spreading by memory rather than by queued prefill makes that
+# rarer.
 MEMORY_COST_S = 3.0
-# Above this share of the memory the engine is about to push work off.
+# Above this share of its memory an engine is likely to preempt soon.
 NEARLY_FULL_SHARE = 0.9
 NEARLY_FULL_COST_S = 30.0
 FAILURE_COST_S = 0.5
 CALL_FAILURE_WEIGHT = 2.0
-# A call that hangs takes some ten times as long as one that is answered. An
-# order goes there only if nothing else is left.
+# A call that hangs takes about ten times as long as one that is answered. Calls
+# that must not be repeated go to a hanging upstream only as a last resort.
 HANG_FACTOR = 10.0
 NON_REPEATABLE_HANG_FACTOR = 100.0
 JITTER = 0.05
-# Share of the engines of a service that are left out at once for failures.
+# Largest share of a service's engines that is excluded for failures.
 MAX_EXCLUDED_SHARE = 0.34
-# A run goes where it is not expected to push others off. A full engine of the
-# same availability zone is left out for one of another: slow, but no loss.
+# A run is moved only to where it is not expected to cause preemption. An engine
+# in another availability zone with room is preferred to a full one in the same
+# zone: the copy is slower, but nothing is lost.
 MAX_MEMORY_SHARE = 0.95
 
 
@@ -62,10 +62,17 @@
     *,
     may_repeat: bool = True,
 ) -> upstream.Upstream | None:
-    """Returns the upstream with the least expected time for a short call.
+    """Returns the upstream with the lowest expected latency for a unary call.
 
-    One that has let calls hang is tried again by calls that may be repeated:
-    an order that hangs there is lost for its caller.
+    An upstream that hangs is probed by calls that may be repeated. Others are
+    kept away from it, since a call that hangs there would fail.
+
+    Args:
+      candidates: Upstreams of the service.
+      stats_table: Statistics of each.
+      zone: Availability zone of this gateway.
+      avoid: Ids of upstreams not to use.
+      may_repeat: Whether the call may be repeated.
     """
     hang_factor = HANG_FACTOR if may_repeat else NON_REPEATABLE_HANG_FACTOR
     now = asyncio.get_running_loop().time()
@@ -95,7 +102,16 @@
     needs_tokens: int,
     avoid: frozenset[str] = frozenset(),
 ) -> upstream.Upstream | None:
-    """Returns the engine with the least expected wait that has the memory."""
+    """Returns the engine with the lowest expected cost, memory included.
+
+    Args:
+      candidates: Engines of the service.
+      stats_table: Statistics of each.
+      zone: Availability zone of this gateway.
+      engine: Properties of the engines.
+      needs_tokens: Memory that the generation is expected to need.
+      avoid: Ids of engines not to use.
+    """
     now = asyncio.get_running_loop().time()
 
     def cost(candidate: upstream.Upstream) -> float:
@@ -121,11 +137,18 @@
     stats_table: upstream_stats.StatsTable,
     sharers: int,
 ) -> list[upstream.Upstream]:
-    """Returns the engines without those that failed of late.
-
-    One that is on trial gets one request at a time, whichever gateway draws
-    it. Where more than a share of the engines has failed, the cause is rather
-    the requests' own or the network's, and none is left out.
+    """Returns the engines without those that failed recently.
+
+    An engine on trial gets about one request at a time from all gateways
+    together: each gateway includes it with a probability of 1 / `sharers`, and
+    only while nothing runs there. If more than `MAX_EXCLUDED_SHARE` of the
+    engines would be excluded, the cause is more likely the requests or the
+    network, and none is.
+
+    Args:
+      candidates: Engines of the service.
+      stats_table: Statistics of each.
+      sharers: Number of gateways that send to these engines.
     """
     now = asyncio.get_running_loop().time()
     engines = list(candidates)
@@ -150,7 +173,7 @@
     engine: routing_table.Engine,
     needs_tokens: int,
 ) -> bool:
-    """Whether a run may go on at an engine without pushing others off."""
+    """Whether a run can resume at an engine without causing preemption."""
     tokens = stats.held_tokens + needs_tokens
     return tokens <= MAX_MEMORY_SHARE * engine.memory_tokens
 
@@ -163,12 +186,12 @@
     request_id: bytes,
     needs_tokens: int,
 ) -> list[upstream.Upstream]:
-    """Returns engines that a run may go on at, the best first.
+    """Returns the engines that a run may be moved to, the best first.
 
-    Within the availability zone of the source memory moves twice as fast.
-    Among engines with room the request's own id decides: all gateways know
-    the same figures, and each taking the emptiest engine would send every run
-    of a source through one link.
+    Engines with room go first, then those in the availability zone of the
+    source, where a copy is twice as fast. A hash of the request id decides
+    between equals: all gateways know the same load, and if each took the
+    emptiest engine, all runs of a source would go through one link.
     """
 
     def rank(candidate: upstream.Upstream) -> tuple[bool, bool, int]:
@@ -183,7 +206,7 @@
 def accepting_work(
     candidates: Iterable[upstream.Upstream], avoid: frozenset[str]
 ) -> Iterator[upstream.Upstream]:
-    """Yields the upstreams that take new work, but for those to avoid."""
+    """Yields the upstreams that accept new work, except those in `avoid`."""
     return (
         candidate
         for candidate in candidates
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/failure_score.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/failure_score.py
@@ -1,12 +1,13 @@
-"""Failures of one upstream, as they fade, and what they mean for new work.
+"""Outlier detection: a decaying failure score per upstream.
 
-Pattern: a server fails its requests within milliseconds while its health check
-is good, or goes down and up by turns. It is always empty, so that a balancer
-sends it ever more; with many gateways each learns alone, at the price of a
-request or two. Twenty generations in a row were lost to one such engine.
+A server that fails its requests within milliseconds while its health check
+passes, or that flaps, is always idle, so a balancer sends it ever more work.
+If each gateway detects that alone, each loses a request or two to it: one such
+engine failed twenty generations in a row.
 
-So gateways add up their failures. Two within a few seconds take an engine out;
-the more failures in a row, the longer; then one request at a time tries it.
+Gateways therefore add up their failures. Two within a few seconds exclude an
+engine, for longer the more failures were consecutive; after that, one request
+at a time probes it.
 """
 
 from __future__ import annotations
@@ -16,19 +17,20 @@
 
 __all__ = ['FailureScore', 'HealthState', 'health_state']
 
-# A failure is half forgotten after this time, so that a server that recovers
-# is tried again by the traffic itself,
+# Half-life of a failure: decay alone lets traffic return to a server that has
+# recovered.
 HALF_LIFE_S = 3.0
-# and one that failed many times in a row after up to eight times that.
+# Each further consecutive failure doubles the half-life, up to a factor of
+# eight.
 MAX_DOUBLINGS = 3
-# A single failure may be the request's own; two within a half-life are not.
+# The request may be the cause of a single failure, but not of two within a
+# half-life.
 FAULTY_SCORE = 1.5
-# Below this an upstream is like any other.
 HEALTHY_SCORE = 0.5
 
 
 class HealthState(enum.Enum):
-    """What may be sent to an upstream."""
+    """Whether an upstream takes all requests, single probes or none."""
 
     HEALTHY = 'sound'
     ON_TRIAL = 'on_trial'
@@ -37,11 +39,11 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class FailureScore:
-    """Failures that one gateway has seen of one upstream.
+    """Decaying count of the failures of one upstream, as seen by one gateway.
 
     Attributes:
-      score: Failures, faded to `at_s`.
-      at_s: Loop time of the newest.
+      score: Score at `at_s`.
+      at_s: Loop time of the last failure.
       consecutive: Failures since the last success.
     """
 
@@ -50,24 +52,24 @@
     consecutive: int = 0
 
     def decayed(self, now: float) -> float:
-        """Returns the failures, faded to now."""
+        """Returns the score, decayed to `now`."""
         doublings = min(max(0, self.consecutive - 1), MAX_DOUBLINGS)
         half_life_s = HALF_LIFE_S * 2**doublings
         return self.score * 0.5 ** ((now - self.at_s) / half_life_s)
 
     def record_failure(self, now: float, weight: float = 1.0) -> None:
-        """Counts a failure; one of less than full weight starts no row."""
+        """Adds a failure; one of weight below 1 is not consecutive."""
         self.score = self.decayed(now) + weight
         self.at_s = now
         self.consecutive += weight >= 1.0
 
     def record_success(self) -> None:
-        """Takes a success: what failed before is no row any more."""
+        """Resets the count of consecutive failures."""
         self.consecutive = 0
 
 
 def health_state(score: float) -> HealthState:
-    """Returns what the failures of late, of all gateways, mean."""
+    """Returns the state for the summed score of all gateways."""
     if score >= FAULTY_SCORE:
         return HealthState.FAULTY
     return (
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/forecast.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/forecast.py
@@ -1,10 +1,9 @@
-"""How fast memory becomes free for a request that waits for it.
+"""Estimate of the rate at which memory becomes free for a queued request.
 
-What generations hold is given back as they end. A request of some rank gets
-what is left of that: what comes later and goes first takes its part, and what
-engines that leave would have given back never comes. Where nothing is left, a
-request that is kept waiting is refused in the end all the same, with nothing
-but time lost; so it is told at once.
+Generations release their memory as they end. A queued request gets what remains
+of that after requests that arrive later but rank ahead of it, and after engines
+that leave and take their memory with them. If nothing remains, the request
+would be refused in the end anyway, so it is refused at once.
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 
 __all__ = ['Demand', 'freed_tokens_per_s']
 
-# Requests come in waves of some ten seconds.
+# Bursts of requests last for about ten seconds.
 WINDOW_S = 10.0
-# Arrivals kept: several times what one gateway takes in the window.
+# Several times what one gateway receives within the window.
 MAX_ARRIVALS = 4096
 
 
@@ -29,7 +28,7 @@
 
 
 class Demand:
-    """Generations that have come to this gateway of late, for one service."""
+    """Recent arrivals of generations at this gateway, for one service."""
 
     def __init__(self) -> None:
         self._arrivals: collections.deque[_Arrival] = collections.deque(
@@ -39,19 +38,19 @@
     def record_arrival(
         self, now: float, priority: int, size: int, tokens: int
     ) -> None:
-        """Takes one that has come."""
+        """Records the arrival of a generation."""
         self._arrivals.append(_Arrival(now, priority, size, tokens))
 
     def arrivals_per_s(self, now: float) -> float:
-        """Returns how many come in a second."""
+        """Returns the number of arrivals per second."""
         self._drop_old(now)
         return len(self._arrivals) / WINDOW_S
 
     def tokens_ahead_per_s(self, now: float, priority: int, size: int) -> float:
-        """Returns the tokens a second that go ahead of a request.
+        """Returns the tokens per second that arrive and go ahead of a request.
 
-        Only of its own urgency, and shorter: what is more urgent is over soon,
-        and takes again what its like has just given back.
+        Counts shorter generations of the same priority only: more urgent ones
+        end soon, and reuse the memory that others of their kind have released.
         """
         self._drop_old(now)
         ahead = sum(
@@ -72,14 +71,14 @@
     ahead_per_s: float,
     leaving_tokens_per_s: float,
 ) -> float:
-    """Returns the tokens a second that become free for a request.
+    """Returns the tokens per second that become free for a request.
 
     Args:
-      held_tokens: What all generations hold.
-      mean_held_s: How long a token is held, in the mean.
-      ahead_per_s: Tokens a second that are taken ahead of it.
-      leaving_tokens_per_s: Memory that goes with its engines, and is not
-        replaced.
+      held_tokens: Memory that all generations hold.
+      mean_held_s: Average time for which a token is held.
+      ahead_per_s: Tokens per second that requests ahead of it take.
+      leaving_tokens_per_s: Memory per second that is lost with engines that
+        leave and are not replaced.
     """
     freed = held_tokens / mean_held_s
     return max(0.0, freed - ahead_per_s - leaving_tokens_per_s)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/queue_entry.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/queue_entry.py
@@ -1,4 +1,4 @@
-"""A generation that waits for an engine, and its rank among others."""
+"""A generation queued for an engine, and its rank in the queue."""
 
 from __future__ import annotations
 
@@ -6,29 +6,28 @@
 
 __all__ = ['LAST_RANK', 'SIZE_BOUNDS', 'QueueEntry']
 
-# Of two equally urgent generations the shorter comes first: it earns its worth
-# with less memory and sooner makes room. Bounds between sizes, as multiples of
-# the mean output on the route.
+# Bounds between size classes, as multiples of the route's mean output. Within a
+# priority shorter generations go first: they need less memory for the same
+# value, and release it sooner.
 SIZE_BOUNDS = (0.7, 1.4)
 SIZE_RANKS = len(SIZE_BOUNDS) + 1
-# Rank of a request that is late: behind each one that is not.
+# Added to the rank of a late request, which places it behind all others.
 LATE_RANK = 10 * SIZE_RANKS
 LAST_RANK = 2 * LATE_RANK
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class QueueEntry:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
-      priority: Urgency of the request; 0 is the most urgent.
-      size: Which of the sizes it has; 0 is the shortest.
-      sequence: Grows with each request.
+      priority: Priority of the request; 0 is the most urgent.
+      size: Index of its size class; 0 is the shortest.
+      sequence: Increasing number, which orders entries of the same rank.
       late_at_s: Loop time from which it is late.
-      tokens: Memory that it needs.
-      arrived_s: Loop time at which it came.
-      expected_s: How long it was expected to wait when that was last asked, in
-        seconds.
+      tokens: Memory that it needs, in tokens.
+      arrived_s: Loop time at which it arrived.
+      expected_s: Latest estimate of its waiting time, in seconds.
     """
 
     priority: int
@@ -40,6 +39,6 @@
     expected_s: float = 0.0
 
     def rank(self, now: float) -> int:
-        """Returns its rank among all that wait; the lowest comes first."""
+        """Returns its rank among all queued requests; the lowest goes first."""
         rank = self.priority * SIZE_RANKS + self.size
         return rank + (LATE_RANK if now >= self.late_at_s else 0)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
@@ -1,4 +1,4 @@
-"""Finds an engine with room for one generation."""
+"""Search for an engine with room for one generation."""
 
 from __future__ import annotations
 
@@ -20,25 +20,26 @@
 __all__ = ['EngineSearch']
 
 # Share of an engine's memory that runs may be expected to need at their ends.
-# Not all come to their ends at once: five runs at random stages of plans hold
-# about nine tenths of that at their common peak.
+# They don't all reach their peak at once: at their common peak, five long runs
+# at random stages hold about nine tenths of that sum.
 OVERCOMMIT_SHARE = 1.1
-# Urgent requests are short, and gone before the runs beside them have grown.
+# Urgent requests are short, and end before concurrent runs have grown.
 URGENT_OVERCOMMIT_SHARE = 1.2
 URGENT_PRIORITY = 0
-# Prompts of this reading time may be ahead of one that is late anyway.
+# Prefill time that may be queued ahead of a request that is late anyway.
 LATE_PREFILL_AHEAD_S = 0.3
-# Gateways hear of each other's choices about one turn of the poll later. With
-# half of the room given out in a turn, what all take meanwhile fits.
+# Gateways learn of each other's choices about one polling interval later. If
+# half of the free memory is assigned per interval, what all take in the
+# meantime still fits.
 RACE_SHARE = 0.5
 
 
 class EngineSearch:
-    """One request's search for an engine.
+    """The search of one request for an engine.
 
     Attributes:
       req: The request.
-      entry: Its place among those that wait.
+      entry: Its entry in the queue.
     """
 
     def __init__(
@@ -67,14 +68,15 @@
 
     @property
     def has_engine(self) -> bool:
-        """Whether there is any engine left to send to."""
+        """Whether any engine is available to the request."""
         return any(self._available())
 
     def try_choose(self, now: float) -> upstream_lib.Upstream | None:
-        """Returns an engine with room, unless another's turn comes first.
+        """Returns an engine with room, unless other requests go first.
 
-        Gateways see room at the same time. While others wait for it too, each
-        takes it with the chance that all together take no more than there is.
+        All gateways see free memory at the same time. While requests are also
+        queued at peers, each gateway takes it with a probability such that
+        together they take no more than there is.
         """
         with_room = self._engines_with_room(now)
         rank = self.entry.rank(now)
@@ -94,24 +96,24 @@
         return random.choices(with_room, free_tokens)[0]
 
     def lowest_cost(self) -> upstream_lib.Upstream | None:
-        """Returns the engine with the least expected wait, full or not."""
+        """Returns the engine with the lowest expected cost, full or not."""
         return self._lowest_cost(self._sendable())
 
     def expected_wait_s(
         self, rank: int, ahead_tokens: int, ahead_per_s: float = 0.0
     ) -> float:
-        """Returns how long a request of a rank will wait for memory.
+        """Returns the expected time until a request of a rank gets memory.
 
         Args:
-          rank: Waits behind all that is ranked so or ahead of it.
-          ahead_tokens: What of that waits at this gateway.
-          ahead_per_s: Tokens a second that come later and go ahead of it, at
-            all gateways. They count while no engine can enter: a crowd before
-            a fleet that is made good passes, and a wait that lasts a little
-            longer than expected is better than a refusal.
+          rank: The request waits behind all entries of this rank or lower.
+          ahead_tokens: Tokens of such entries at this gateway.
+          ahead_per_s: Tokens per second that arrive later and go ahead of it,
+            at all gateways. They count only while no engine can join: a burst
+            passes if lost engines are replaced, and a slightly longer wait
+            than expected is better than a refusal.
 
         Returns:
-          The time in seconds, infinite if it will not get any.
+          The time in seconds; infinite if the request will not get memory.
         """
         open_now = self._available()
         service = self.req.service.name
@@ -135,10 +137,11 @@
         return short / per_s if per_s else math.inf
 
     def _engines_with_room(self, now: float) -> list[upstream_lib.Upstream]:
-        """Returns engines with room: beside backups, or else without them.
+        """Returns engines with room, if possible with room beside backups.
 
-        A backup makes way for nobody, so that a run beside one may push others
-        off. But no run waits for the sake of copies.
+        Backups are never preempted, so a run beside one may cause other runs to
+        be. But no run waits because of backups: without such an engine, all
+        engines with room are returned.
         """
         fitting = [one for one in self._sendable() if self._fits(one, now)]
         beside = [
@@ -168,9 +171,9 @@
         )
 
     def _displaced_tokens(self) -> int:
-        """Tokens of runs whose engines leave, and that will need room soon.
+        """Returns the memory of runs on leaving engines, which must be moved.
 
-        They come first: a run that finds no room is lost.
+        They take precedence: a run that finds no room is lost.
         """
         return sum(
             self._stats_table.of(one).reserved_tokens
@@ -186,7 +189,7 @@
         )
 
     def _sendable(self) -> list[upstream_lib.Upstream]:
-        """Returns those open ones that this gateway may send to just now."""
+        """Returns the available engines for which the quota allows a send."""
         return [one for one in self._available() if self._quota.allows(one)]
 
     def _free_tokens(self, candidate: upstream_lib.Upstream) -> float:
@@ -196,7 +199,7 @@
         return share * self._engine.memory_tokens - used
 
     def _usable_tokens(self, candidate: upstream_lib.Upstream) -> float:
-        """Room in pieces that are large enough for a request like this."""
+        """Returns the free memory, in multiples of what the request needs."""
         piece = max(1, self.entry.tokens)
         return max(0.0, self._free_tokens(candidate) // piece * piece)
 
