--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -1,4 +1,4 @@
-"""Generations wait for memory, and in which order."""
+"""Tests of the admission queue: waiting for memory, order and refusals."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    """One engine that is full."""
+    """A gateway with one engine whose memory is full."""
 
     async def asyncSetUp(self):
         self.upstreams = upstream.Upstreams()
         self.engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
         self.upstreams.put(self.engine, revision.Revision(0, 1))
         self.stats_table = upstream_stats.StatsTable()
-        # Memory comes back soon, so that none is refused for a long wait.
+        # Memory is released soon, so that no wait is too long to be queued.
         self.stats_table.mean_held_s = 0.2
         self.stats = self.stats_table.of(self.engine)
         self.admission = admission.Admission(
@@ -50,7 +50,7 @@
         left_s=60.0,
         engine=ENGINE,
     ):
-        """Starts a request that needs half of the engine."""
+        """Starts a request that needs half of the engine's memory."""
         now = asyncio.get_running_loop().time()
         route = routing_table.Route(
             'r',
@@ -94,9 +94,9 @@
                 await asyncio.sleep(0.005)
 
     async def test_it_waits_until_there_is_room(self):
-        """A crowd comes; the engine takes all, and pushes the newest off.
+        """A burst is queued instead of sent to a full engine.
 
-        Held back, each begins when it can stay.
+        The engine would accept all requests, and preempt the newest.
         """
         waiting = self.ask('a')
         await asyncio.sleep(0.1)
@@ -117,10 +117,10 @@
         self.assertEqual(self.served, ['a', 'b'])
 
     async def test_urgent_requests_come_first(self):
-        """A short check is sent to a full engine at once.
+        """An urgent request waits for room, but ahead of others.
 
-        The engine pushes a long run off for it: that run's caller sees a
-        long pause, and its prompt is read twice.
+        Sent to a full engine, it would preempt a long run, whose caller would
+        see a long pause and whose prompt would be prefilled twice.
         """
         self.ask('long')
         await asyncio.sleep(0.05)
@@ -132,10 +132,10 @@
         self.assertEqual(self.served, ['urgent', 'long'])
 
     async def test_prompts_that_wait_to_be_read_hold_it_back(self):
-        """A new engine is given every prompt that fits its memory.
+        """A request waits while too much prefill is queued ahead of it.
 
-        It reads them one after another, and the last begin too late. A
-        request goes there once what is ahead of it is read in time.
+        An engine prefills prompts sequentially: if it were sent every prompt
+        that fits its memory, the last would start too late.
         """
         self.stats.reservations.discard(self.full)
         ahead = upstream_stats.Reservation(4000, 4000)
@@ -147,10 +147,10 @@
         self.assertIs(await waiting, self.engine)
 
     async def test_room_is_shared_with_other_gateways(self):
-        """An engine comes up and every gateway fills it with its own queue.
+        """Gateways do not all fill a new engine with their own queues.
 
-        With much more waiting elsewhere than there is room, a request seldom
-        takes it in one turn; with nothing elsewhere it does at once.
+        While much more is queued at peers than there is room for, a request
+        rarely takes it in one poll; with nothing queued there, it does at once.
         """
         self.stats.reservations.discard(self.full)
         self.stats_table.set_peer_waiting('entry-2', {'s': {1: 10**9}})
@@ -167,10 +167,10 @@
         self.assertIs(await self.ask('a'), self.engine)
 
     async def test_a_long_wait_is_told_at_once(self):
-        """Half a minute of work is ahead of a caller, who is held all the same.
+        """A caller with half a minute of work ahead of it is refused at once.
 
-        It waits in vain, gives up, and asks anew without knowing when. Told
-        at once, it comes back when there may be room.
+        Queued, it would time out and retry at an arbitrary moment. Refused at
+        once, it retries when there may be room.
         """
         self.stats_table.mean_held_s = 300.0
         refused = self.ask('a', objective_s=10.0)
@@ -178,14 +178,15 @@
         self.assertGreater(refused.req.come_back_s, 10.0)
 
     def cut_off_from_the_source(self):
-        """Has the source be away: no engine can enter."""
+        """Makes the source unavailable, so that no engine can join."""
         self.upstreams._confirmed_s -= 10.0
 
     async def test_what_goes_first_takes_what_is_given_back(self):
-        """The store is away, and short generations go ahead of a long one.
+        """A long request is refused if short ones will take all freed memory.
 
-        Memory is given back, but never to it: it was held for five seconds,
-        refused, and came back late. A short one still gets its turn.
+        The store is unavailable, so no engine can join. Queued, the long
+        request would be refused after five seconds and retry late. A short one
+        is still queued.
         """
         self.stats_table.mean_held_s = 1.0
         admission = self.admission
@@ -197,7 +198,7 @@
         self.upstreams.confirm()
         patient = self.ask('patient', tokens=6000, objective_s=10.0)
         await asyncio.sleep(0.1)
-        self.assertFalse(patient.done(), 'a crowd passes')
+        self.assertFalse(patient.done(), 'a burst passes')
         self.cut_off_from_the_source()
         long = self.ask('long', tokens=6000, objective_s=10.0)
         self.assertIsNone(await asyncio.wait_for(long, 1.0))
@@ -207,10 +208,11 @@
         self.assertFalse(short.done())
 
     async def test_engines_that_leave_while_nobody_can_enter(self):
-        """The store is away: engines go on leaving, and none can come.
+        """Memory of engines that leave and are not replaced does not count.
 
-        What they would have given back was promised, and 84 generations
-        waited for it to no end. With the store there, others come.
+        While the store is unavailable, engines leave and none can join. With
+        their memory included in the estimate, 84 generations waited in vain.
+        While the store answers, other engines take their place.
         """
         self.stats_table.mean_held_s = 1.0
         for number in range(8):
@@ -227,7 +229,10 @@
         self.assertGreater(refused.req.come_back_s, 1.0)
 
     async def test_a_promise_that_fails_is_looked_at_again(self):
-        """Room was expected soon; then the store is away and none comes."""
+        """A queued request is refused when its expected wait grows too long.
+
+        Room was expected soon, but then the store becomes unavailable.
+        """
         self.stats_table.mean_held_s = 0.3
         self.upstreams.confirm()
         waiting = self.ask('a', objective_s=10.0)
@@ -238,9 +243,9 @@
         self.assertIsNone(await asyncio.wait_for(waiting, 2.0))
 
     async def test_one_that_comes_back_is_behind_the_timely(self):
-        """A caller was refused and comes back when its objective is past.
+        """A retry that is past its objective is queued behind timely requests.
 
-        Taken for new, it would make one late that still can be in time.
+        Treated as new, it would make a request late that can still be in time.
         """
         self.stats.reservations.discard(self.full)
         await self.ask('first')
@@ -254,9 +259,10 @@
         self.assertEqual(self.served, ['first', 'timely', 'back'])
 
     async def test_the_shorter_of_two_comes_first(self):
-        """A long generation is ahead of short ones in a crowd.
+        """A short generation is served before a long one of the same priority.
 
-        It holds the memory of three of them for as long as all three last.
+        The long one would hold the memory of three short ones for as long as
+        all three take.
         """
         for tokens in (1500, 6000):
             self.admission._size_class(
@@ -271,9 +277,9 @@
         self.assertEqual(self.served, ['short', 'long'])
 
     async def test_room_is_left_for_runs_of_an_engine_that_leaves(self):
-        """An engine leaves, and new work takes the room its runs need.
+        """New work does not take the memory that runs to be moved need.
 
-        The runs find no engine to go on at, and their callers lose them.
+        Otherwise the runs of a leaving engine find no destination and are lost.
         """
         leaving = upstream.Upstream('u-2', 's', ('10.0.0.2', 1), 'z')
         self.upstreams.put(leaving, revision.Revision(0, 2))
@@ -288,17 +294,19 @@
         self.assertIs(await waiting, self.engine)
 
     async def test_streams_without_known_memory_do_not_wait(self):
-        """A stream route leads to a plain service, which tells no memory.
+        """Streams of a service without engines are not queued.
 
-        Its requests are held until they are refused, with servers idle.
+        Such a service reports no memory, so they would all be refused in the
+        end while its servers are idle.
         """
         found = self.ask('a', engine=routing_table.Engine())
         self.assertIs(await found, self.engine)
 
     async def test_one_too_large_by_its_hint_goes_to_an_empty_engine(self):
-        """A guess of the length is beyond the memory of any engine.
+        """A length hint beyond the memory of any engine is capped to it.
 
-        Held for more room than there is, it would always be refused.
+        Otherwise the request would wait for more memory than exists, and always
+        be refused.
         """
         self.stats.reservations.discard(self.full)
         self.assertIs(await self.ask('a', tokens=50_000), self.engine)
--- a/tests/quetzalsill_gateway/balance/test_backup.py
+++ b/tests/quetzalsill_gateway/balance/test_backup.py
@@ -1,4 +1,4 @@
-"""Which engine keeps a copy of a run's memory."""
+"""Tests of the choice of the engine that backs up a run."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class DestinationTest(unittest.TestCase):
-    """One engine with a run, and what the source of membership names."""
+    """One engine with a run, and the engines of the membership."""
 
     def test_an_engine_is_no_backup_of_its_own(self):
-        """A plan is lost with its engine although it was to have a copy.
+        """An engine is never asked to back up its own run.
 
-        The engine's entry lapsed and was written again, so that the run's
-        engine and the one that stands in the table are two objects of the same
-        start. The engine was asked to keep its copy itself.
+        If an engine's entry lapses and is written again, the run's engine and
+        the one in the membership are two objects of the same incarnation.
+        Compared by identity, the engine was chosen as its own backup, and the
+        run was lost with it.
         """
         source = upstream.Upstream(
             'e-1', 'writers', ('10.0.0.1', 1), 'z', incarnation=7
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request."""
+"""Tests of the choice of the upstream for a request."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
             self.assertIs(self.engine(), self.found[5])
 
     async def test_what_other_gateways_hold_counts(self):
-        """Each gateway sees its own work only; an engine looks idle to one.
+        """An engine that is full with the work of peers is not chosen.
 
-        With word of the others' work the engine is known to be full.
+        By its own work alone, each gateway would take it for idle.
         """
         for number in range(5):
             self.stats_table.replace_peer_loads(
@@ -63,11 +63,12 @@
         self.assertIsNone(self.engine(avoid=tried | {'u-5'}))
 
     async def test_memory_counts_for_more_than_a_short_queue(self):
-        """Long generations gather where few prompts wait to be read.
+        """An engine with free memory is preferred to one with a short queue.
 
-        Their memory grows, one is pushed off, and its prompt is read twice:
-        98,000 tokens on a day with a zone drained. A prompt that waits a
-        quarter of a second elsewhere is in time all the same.
+        Chosen by queued prefill alone, engines collect long generations whose
+        memory grows until one is preempted and prefilled again: 98,000 tokens
+        in one scenario with a drained zone. A prompt that waits for a quarter
+        of a second is still in time.
         """
         for number in range(1, 6):
             self.hold(number, 5000, 4)
@@ -87,10 +88,10 @@
         self.assertLessEqual(max(counts.values()), 13)
 
     async def test_the_reading_rate_is_learned(self):
-        """Engines of another kind read prompts at a third of the rate.
+        """The prefill rate follows engines that are slower than assumed.
 
-        Reckoned by the rate of the first ones, three prompts would be sent to
-        an engine that can read one in time.
+        At a third of the assumed rate, an engine would be sent three prompts
+        of which it can prefill one in time.
         """
         before_s = self.stats_table.prefill_s(7000)
         for _ in range(200):
@@ -113,11 +114,11 @@
         self.assertNotIn('u-0', chosen)
 
     async def test_orders_stay_away_from_one_that_hangs(self):
-        """One of three plain servers hangs; 24 gateways send to it.
+        """Calls that must not be repeated avoid an upstream that hangs.
 
-        Each learned of it by orders of its own, which were lost: 45 in six
-        seconds. One gateway's word is enough for all, and what tries it again
-        may be repeated.
+        With one of three servers hanging, 24 gateways that each detected it by
+        their own calls lost 45 of them in six seconds. A report of one peer is
+        sufficient, and only calls that may be repeated probe the server again.
         """
         told = {'u-0': held_lib.Held(0, 0, 0, failures=2.0)}
         self.stats_table.replace_peer_loads('entry-2', told)
@@ -140,10 +141,11 @@
         self.assertEqual(chosen(False), {'u-0'})
 
     async def test_one_slow_call_is_no_hang(self):
-        """One call in a hundred takes five times as long as the others.
+        """A single slow call is not counted as a hang.
 
-        Taken for hanging, its server's work went to the two others, whose
-        callers then waited.
+        One call in a hundred takes five times as long as the others. Counted as
+        a hang, it moved its server's work to the two others, whose callers then
+        had to wait.
         """
         stats = self.stats_table.of(self.found[0])
         now = asyncio.get_running_loop().time()
@@ -159,12 +161,15 @@
             ).id
             for _ in range(50)
         }
-        self.assertIn('u-0', chosen, 'one alone may be its own request')
+        self.assertIn(
+            'u-0', chosen, 'the request may be the cause of a single one'
+        )
 
     async def test_failures_of_a_plain_servers_own_are_not_told(self):
-        """A seventh of all answers of one service are failures of its own.
+        """Failures of unary calls are not announced to peers.
 
-        Told, each of them would be a datagram to every gateway.
+        If a seventh of a service's responses are failures of its own, each
+        would cause a datagram to every gateway.
         """
         stats = self.stats_table.of(self.found[0])
         now = asyncio.get_running_loop().time()
@@ -177,9 +182,10 @@
         self.assertGreater(stats.published_failures(now), 3.0)
 
     async def test_runs_of_one_engine_spread_over_destinations(self):
-        """All gateways choose from the same figures at the same moment.
+        """The runs of a leaving engine are spread over several destinations.
 
-        Each taking the emptiest engine, every run would go through one link.
+        All gateways know the same load: if each chose the emptiest engine, all
+        runs would go through one link.
         """
         chosen = collections.Counter(
             choose.rank_destinations(
--- a/tests/quetzalsill_gateway/balance/test_failure_score.py
+++ b/tests/quetzalsill_gateway/balance/test_failure_score.py
@@ -1,8 +1,8 @@
-"""Engines that fail while their health check is good.
+"""Tests of outlier detection: engines that fail with a good health check.
 
-Pattern: one of 24 engines goes down and up by turns. It is always empty, so it
-draws all work; 26 gateways that learn each for itself lose one or two
-generations each to it. Played so, 20 were lost in five seconds.
+Guards against one flapping engine of 24 that attracts all work because it is
+always idle: 26 gateways that each detected it alone lost 20 generations in five
+seconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class FailureScoreTest(unittest.TestCase):
-    """How failures fade."""
+    """Decay of the score."""
 
     def test_two_failures_take_it_out_for_a_while(self):
         seen = failure_score.FailureScore()
@@ -67,7 +67,7 @@
 
 
 class WithoutFaultyTest(unittest.IsolatedAsyncioTestCase):
-    """Six engines and what 26 gateways have seen of them."""
+    """Six engines, with the failures that 26 gateways have seen."""
 
     async def asyncSetUp(self):
         self.found = [
@@ -92,7 +92,7 @@
         self.assertNotIn(self.found[2], self.healthy())
 
     async def test_one_request_at_a_time_tries_it(self):
-        """Of all gateways about one tries it, and none beside a run there."""
+        """About one gateway at a time probes it, and none beside a run."""
         self.set_failures(2, 1.0)
         tries = sum(
             self.found[2] in self.healthy() for _ in range(GATEWAYS * 40)
@@ -106,7 +106,7 @@
         self.assertEqual(tries, 0)
 
     async def test_never_all_of_a_service_at_once(self):
-        """A cause that all share, such as the network, takes out nobody."""
+        """A common cause such as the network excludes no engine."""
         for number in range(3):
             self.set_failures(number, 5.0)
         self.assertEqual(self.healthy(), self.found)
