--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -131,7 +131,7 @@
         await self.until_served(2)
         self.assertEqual(self.served, ['urgent', 'long'])
 
-    async def test_prompts_that_wait_to_be_read_hold_it_back(self):
+    async def test_queued_prefill_holds_it_back(self):
         """A request waits while too much prefill is queued ahead of it.
 
         An engine prefills prompts sequentially: if it were sent every prompt
@@ -160,13 +160,13 @@
         self.stats_table.set_peer_waiting('entry-2', {})
         self.assertIs(await rival, self.engine)
 
-    async def test_what_is_late_elsewhere_is_no_rival(self):
+    async def test_late_requests_at_peers_do_not_compete(self):
         self.stats.reservations.discard(self.full)
         late = queue_entry.LATE_RANK
         self.stats_table.set_peer_waiting('entry-2', {'s': {late: 10**9}})
         self.assertIs(await self.ask('a'), self.engine)
 
-    async def test_a_long_wait_is_told_at_once(self):
+    async def test_a_long_wait_is_refused_at_once(self):
         """A caller with half a minute of work ahead of it is refused at once.
 
         Queued, it would time out and retry at an arbitrary moment. Refused at
@@ -181,7 +181,7 @@
         """Makes the source unavailable, so that no engine can join."""
         self.upstreams._confirmed_s -= 10.0
 
-    async def test_what_goes_first_takes_what_is_given_back(self):
+    async def test_requests_ahead_take_the_freed_memory(self):
         """A long request is refused if short ones will take all freed memory.
 
         The store is unavailable, so no engine can join. Queued, the long
@@ -228,7 +228,7 @@
         self.assertIsNone(await asyncio.wait_for(refused, 1.0))
         self.assertGreater(refused.req.come_back_s, 1.0)
 
-    async def test_a_promise_that_fails_is_looked_at_again(self):
+    async def test_the_expected_wait_is_checked_again(self):
         """A queued request is refused when its expected wait grows too long.
 
         Room was expected soon, but then the store becomes unavailable.
@@ -242,7 +242,7 @@
         self.stats_table.mean_held_s = 300.0
         self.assertIsNone(await asyncio.wait_for(waiting, 2.0))
 
-    async def test_one_that_comes_back_is_behind_the_timely(self):
+    async def test_a_late_retry_is_behind_timely_requests(self):
         """A retry that is past its objective is queued behind timely requests.
 
         Treated as new, it would make a request late that can still be in time.
@@ -276,7 +276,7 @@
         await self.until_served(2)
         self.assertEqual(self.served, ['short', 'long'])
 
-    async def test_room_is_left_for_runs_of_an_engine_that_leaves(self):
+    async def test_memory_is_left_for_runs_of_a_leaving_engine(self):
         """New work does not take the memory that runs to be moved need.
 
         Otherwise the runs of a leaving engine find no destination and are lost.
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -87,7 +87,7 @@
             stats.reservations.add(upstream_stats.Reservation(3000, 4000, True))
         self.assertLessEqual(max(counts.values()), 13)
 
-    async def test_the_reading_rate_is_learned(self):
+    async def test_the_prefill_rate_is_learned(self):
         """The prefill rate follows engines that are slower than assumed.
 
         At a third of the assumed rate, an engine would be sent three prompts
@@ -113,15 +113,15 @@
         }
         self.assertNotIn('u-0', chosen)
 
-    async def test_orders_stay_away_from_one_that_hangs(self):
+    async def test_non_repeatable_calls_avoid_one_that_hangs(self):
         """Calls that must not be repeated avoid an upstream that hangs.
 
         With one of three servers hanging, 24 gateways that each detected it by
         their own calls lost 45 of them in six seconds. A report of one peer is
         sufficient, and only calls that may be repeated probe the server again.
         """
-        told = {'u-0': held_lib.Held(0, 0, 0, failures=2.0)}
-        self.stats_table.replace_peer_loads('entry-2', told)
+        loads = {'u-0': held_lib.Held(0, 0, 0, failures=2.0)}
+        self.stats_table.replace_peer_loads('entry-2', loads)
         near = [self.found[0], self.found[5]]
 
         def chosen(may_repeat):
@@ -165,7 +165,7 @@
             'u-0', chosen, 'the request may be the cause of a single one'
         )
 
-    async def test_failures_of_a_plain_servers_own_are_not_told(self):
+    async def test_failures_of_unary_calls_are_not_announced(self):
         """Failures of unary calls are not announced to peers.
 
         If a seventh of a service's responses are failures of its own, each
--- a/tests/quetzalsill_gateway/balance/test_failure_score.py
+++ b/tests/quetzalsill_gateway/balance/test_failure_score.py
@@ -20,15 +20,15 @@
     """Decay of the score."""
 
     def test_two_failures_take_it_out_for_a_while(self):
-        seen = failure_score.FailureScore()
-        seen.record_failure(0.0)
+        score = failure_score.FailureScore()
+        score.record_failure(0.0)
         self.assertIs(
-            failure_score.health_state(seen.decayed(0.1)),
+            failure_score.health_state(score.decayed(0.1)),
             failure_score.HealthState.ON_TRIAL,
         )
-        seen.record_failure(0.1)
+        score.record_failure(0.1)
         states = [
-            failure_score.health_state(seen.decayed(t))
+            failure_score.health_state(score.decayed(t))
             for t in (0.2, 4.0, 60.0)
         ]
         self.assertEqual(
@@ -40,30 +40,30 @@
             ],
         )
 
-    def test_the_more_in_a_row_the_longer(self):
-        def out_s(row):
-            seen = failure_score.FailureScore()
-            for n in range(row):
-                seen.record_failure(n * 0.1)
+    def test_consecutive_failures_exclude_it_for_longer(self):
+        def excluded_s(failures):
+            score = failure_score.FailureScore()
+            for n in range(failures):
+                score.record_failure(n * 0.1)
             return next(
                 t
                 for t in range(1000)
-                if failure_score.health_state(seen.decayed(t))
+                if failure_score.health_state(score.decayed(t))
                 is not failure_score.HealthState.FAULTY
-                and t > row
+                and t > failures
             )
 
-        times = [out_s(row) for row in (2, 3, 4, 5)]
+        times = [excluded_s(n) for n in (2, 3, 4, 5)]
         self.assertEqual(times, sorted(times))
         self.assertGreater(times[-1], 2 * times[0])
 
-    def test_a_success_ends_the_row(self):
-        seen = failure_score.FailureScore()
+    def test_a_success_resets_the_count(self):
+        score = failure_score.FailureScore()
         for _ in range(5):
-            seen.record_failure(0.0)
-        slow = seen.decayed(3.0)
-        seen.record_success()
-        self.assertLess(seen.decayed(3.0), slow)
+            score.record_failure(0.0)
+        before = score.decayed(3.0)
+        score.record_success()
+        self.assertLess(score.decayed(3.0), before)
 
 
 class WithoutFaultyTest(unittest.IsolatedAsyncioTestCase):
