--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/at_most_once.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/at_most_once.py
@@ -1,12 +1,13 @@
-"""Keeps work that may be done once only from beginning a second time.
+"""Ensures that a request which may run at most once never starts twice.
 
-Every way in which a request goes on after a send needs grounds from here: a
-further send of a call, a stream that begins anew, a run that goes on elsewhere
-by a move, at its backup, or back at its source.
+Whatever continues a request after a send needs grounds from this module: a
+further send of a call, a restarted stream, or a run that resumes elsewhere
+after a move, at its backup, or at its source again.
 
-Grounds are what somebody has said or what has been seen. That nothing speaks
-against it is none: a copy that was asked for may never have been made, and an
-engine that did not carry out an order to stop may work on.
+Grounds are positive evidence: something that was reported or observed. The
+absence of evidence to the contrary is not sufficient, since a requested copy
+may never have been made, and an engine that did not execute an order to stop
+may still be working.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
     'grounds_to_resume',
 ]
 
-# An engine sends the memory of a run to its backup several times a second.
+# An engine replicates the memory of a run to its backup at least this often.
 BACKUP_INTERVAL_S = 1 / 3
 
 
@@ -30,14 +31,14 @@
     """Why a request may be sent to an upstream.
 
     Attributes:
-      NOT_RUN: None of its sends has begun its work, by the word of whoever got
-        it or because nothing was sent.
-      REPEATABLE: Its work may be done more than once.
-      COPY: An engine has named a copy of its memory. It has stopped the run by
-        order, or closed its stream behind the order to stop it, or the run is
-        at work nowhere.
-      BACKUP: The run is at work nowhere, and made events where it was for so
-        long that memory of it has been sent to its backup.
+      NOT_RUN: No send has started the work: its receiver said so, or nothing
+        was sent.
+      REPEATABLE: The request may run more than once.
+      COPY: An engine has named a copy of the run's memory, and has stopped the
+        run as ordered, or has closed its stream after the order, or the run is
+        no longer in progress anywhere.
+      BACKUP: The run is no longer in progress anywhere, and produced events for
+        long enough that its memory has been replicated to its backup.
     """
 
     NOT_RUN = 'not_run'
@@ -47,20 +48,21 @@
 
     @property
     def resumes(self) -> bool:
-        """Whether a run goes on from its memory rather than begins."""
+        """Whether a run resumes from its memory instead of starting."""
         return self in (Grounds.COPY, Grounds.BACKUP)
 
 
 class RunState(enum.Enum):
-    """What is known of a run at the engine that worked on it last.
+    """State of a run at the engine that worked on it last.
 
     Attributes:
-      STOPPED: It was stopped by order, and its engine names what it kept.
-      ENDED: Whoever answers at the engine's address knows no such run.
-      UNREACHED: Nobody takes a connection there. A run may go on behind a
-        cut until its engine notices that its connection has ended, but nothing
-        that it makes reaches anyone.
-      AT_WORK: The engine is there, and nobody says that the run has ended.
+      STOPPED: It was stopped as ordered, and its engine named the copy that it
+        kept.
+      ENDED: The process at the engine's address knows no such run.
+      UNREACHED: The address accepts no connection. Behind a network partition
+        the run may continue until its engine notices the closed connection, but
+        its output reaches nobody.
+      AT_WORK: The engine is reachable, and the run is not known to have ended.
     """
 
     STOPPED = 'stopped'
@@ -71,22 +73,22 @@
 
 @dataclasses.dataclass(slots=True)
 class SendHistory:
-    """What is known of the sends of one request.
+    """Whether a request has possibly run, over all of its sends.
 
     Attributes:
-      may_repeat: Whether its work may be done more than once.
-      may_have_run: Whether any of them may have begun its work.
+      may_repeat: Whether the request may run more than once.
+      may_have_run: Whether any send may have started the work.
     """
 
     may_repeat: bool
     may_have_run: bool = False
 
     def record(self, *, may_have_run: bool) -> None:
-        """Takes how a send ended; what may have run stays so."""
+        """Records the result of a send; `may_have_run` is never reset."""
         self.may_have_run |= may_have_run
 
     def grounds_to_start(self) -> Grounds | None:
-        """Returns the grounds on which the work may begin; None for none."""
+        """Returns the grounds for starting the work; None if there are none."""
         if not self.may_have_run:
             return Grounds.NOT_RUN
         return Grounds.REPEATABLE if self.may_repeat else None
@@ -95,16 +97,16 @@
 def grounds_to_resume(
     state: RunState, streamed_s: float, *, has_copy: bool = False
 ) -> Grounds | None:
-    """Returns the grounds on which a run goes on that broke off.
+    """Returns the grounds for resuming an interrupted run; None if none.
 
-    An engine may end a run as it begins it, or soon after. No memory has gone
-    to the backup by then, and an engine there that looks for the copy late, or
-    fails before it does, would begin the run a second time.
+    An engine may abort a run as it starts it, or soon after. Nothing has been
+    replicated to the backup by then. A backup engine that looks for the copy
+    late, or fails before it does, would start the run a second time.
 
     Args:
-      state: What is known of it where it broke off.
-      streamed_s: For how long events came of it from there, in seconds; 0 if
-        none did, or one.
+      state: State of the run where it was interrupted.
+      streamed_s: Time between the first and the last event received from there,
+        in seconds; 0 for fewer than two events.
       has_copy: Whether an engine has named a copy of it.
     """
     if state is RunState.AT_WORK:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream."""
+"""One attempt: the send of a request to an upstream, and its response."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 __all__ = ['ResponseClass', 'classify', 'read_body', 'send_request']
 
 SUCCESS_STATUSES = range(200, 300)
-# These statuses promise a caller that the request has not run.
+# Statuses by which callers conclude that the request has not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 MISDIRECTED_STATUS = 421
 
 
 class ResponseClass(enum.Enum):
-    """What the head of an answer means."""
+    """Meaning of a response, by its head."""
 
     SUCCESS = 'success'
     FAILED = 'failed'
@@ -39,7 +39,7 @@
 
     @property
     def is_not_run(self) -> bool:
-        """Whether the answer says that the request has not run there."""
+        """Whether the response states that the request has not run."""
         return self in (ResponseClass.NOT_RUN, ResponseClass.WRONG_UPSTREAM)
 
 
@@ -48,7 +48,7 @@
     dialect: dialect_lib.Dialect,
     request_id: bytes,
 ) -> ResponseClass:
-    """Returns what an answer says of its request."""
+    """Returns the meaning of a response to a request."""
     if head.status == MISDIRECTED_STATUS:
         return ResponseClass.WRONG_UPSTREAM
     if message.first(head.headers, dialect.not_run) is not None:
@@ -61,8 +61,8 @@
             if is_own and is_proved
             else ResponseClass.UNPROVED
         )
-    # A server's own 503 without that header may stand behind work that was
-    # done; handed on, the caller would send the request again.
+    # A server may return 503 without that header after the work was done. If
+    # the status were relayed, the caller would repeat the request.
     if head.status in NOT_RUN_STATUSES:
         return ResponseClass.UNTRUE_PROMISE
     return ResponseClass.FAILED
@@ -70,12 +70,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SentRequest:
-    """A request that was sent, with the head of its answer.
+    """A request that was sent, with the head of its response.
 
     Attributes:
-      conn: Connection that carries it.
-      head: Head of the answer.
-      response_class: What the head means.
+      conn: Connection on which it was sent.
+      head: Head of the response.
+      response_class: Meaning of the head.
     """
 
     conn: call.Conn
@@ -92,26 +92,29 @@
     *,
     continues: bool = False,
 ) -> AsyncIterator[SentRequest]:
-    """Sends a request and gives the head of the answer.
+    """Sends a request and yields the head of the response.
 
-    On leaving, a connection whose answer was read whole is kept, any other is
-    closed, which ends the work at the upstream.
+    On exit, a connection whose response was read to its end is returned to the
+    pool. Any other is closed, which ends the work at the upstream.
 
     Args:
-      core: Names of headers, kept connections, and where work may go.
+      core: State of the gateway.
       exchange: The request.
-      upstream: Where to.
-      extra_headers: Headers that the gateway sets besides the usual ones.
-      continues: The run goes on from memory, so this is no further send.
+      upstream: Destination.
+      extra_headers: Headers in addition to the usual ones.
+      continues: Whether a run resumes from memory; that counts as no further
+        attempt.
 
     Raises:
-      error.CallError: There is no answer; `ran` says whether it may have run.
+      error.CallError: No response was received; `ran` says whether the request
+        may have run.
     """
     dialect = core.dialect
     conn = await core.conns.take(
         upstream.address,
         repeatable=exchange.route.kind.may_repeat,
-        # A run that was stopped to go on there would be lost for want of one.
+        # The limit does not apply to a resumed run: it has been stopped at its
+        # source, and would be lost without a connection.
         most=None if continues else core.quota.most_connections(upstream),
     )
     try:
@@ -138,21 +141,24 @@
     *,
     continues: bool,
 ) -> bool:
-    """Whether work may go to an upstream, once the connection is there."""
+    """Whether an upstream still accepts the work, after connecting."""
     if continues:
         return upstreams.zones.takes_runs(upstream.availability_zone)
     return upstreams.takes_new(upstream)
 
 
 async def read_body(conn: call.Conn, limit: int) -> tuple[bytes, bool]:
-    """Returns the body, and whether that is all of it.
+    """Reads the body of a response up to a limit.
 
     Args:
-      conn: Connection whose answer is being read.
-      limit: Bytes after which reading stops.
+      conn: Connection whose response is being read.
+      limit: Size in bytes beyond which reading stops.
+
+    Returns:
+      The bytes read, and whether they are the complete body.
 
     Raises:
-      error.CallError: The answer was cut off.
+      error.CallError: The response was truncated.
     """
     body = bytearray()
     while len(body) <= limit:
@@ -164,10 +170,10 @@
 
 
 def may_have_run(exc: error.CallError) -> bool:
-    """Whether work may have been done although the call failed."""
+    """Whether the request may have run although the call failed."""
     return exc.ran is not base.Ran.NO
 
 
 def now() -> float:
-    """Loop time, in seconds."""
+    """Returns the time of the event loop in seconds."""
     return asyncio.get_running_loop().time()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
@@ -1,4 +1,4 @@
-"""Calls whose answer is one body."""
+"""Unary calls: requests whose response is a single body."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 __all__ = ['forward']
 
-# Larger bodies are passed on as they come, since a few of them would fill the
-# memory of an entry host; an answer so begun cannot be replaced by another.
+# Larger bodies are relayed as they arrive, since a few of them would fill the
+# memory of an entry host. A response that was started cannot be replaced.
 MAX_BUFFERED_BYTES = 1_048_576
 MAX_MISDIRECTED_SENDS = 3
-# A call that may be repeated is given up at one upstream after this many times
-# the mean time there, when it is more likely to hang than to be slow.
+# A call that may be repeated is abandoned at an upstream after this many times
+# the mean latency there, when it is more likely to hang than to be slow.
 HANG_LATENCY_FACTOR = 6.0
-# One that may not is told to hang after so many times that: taken for hanging
-# by mistake, a server that is only slow would leave its work to the others.
+# A call is recorded as a hang after this many times that limit. If a slow
+# server were taken for a hanging one, its work would go to the others.
 HANG_REPORT_FACTOR = 1.5
-# A call waits for a connection for this share of its objective: told after it,
-# its caller still has time to ask another gateway.
+# A call waits for a connection for at most this share of its objective. If it
+# is refused then, its caller still has time to try another gateway.
 CONNECTION_WAIT_SHARE = 0.5
 CONNECTION_POLL_S = 0.005
 BAD_GATEWAY = 502
@@ -52,15 +52,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _CallProgress:
-    """What came of the sends of one call so far.
+    """Results of the attempts of one call so far.
 
     Attributes:
-      history: Whether any of them may have run the request.
+      history: Whether any attempt may have run the request.
       tried: Ids of the upstreams that were tried.
-      latest: Result of the newest one.
-      last_response: The answer of a server to hand on: the newest, as a
-        server's own failure tells the caller more than one of ours.
-      misdirected: Sends that reached nobody, or another than was meant.
+      latest: Result of the latest attempt.
+      last_response: Latest response that can be relayed: a server's own failure
+        tells the caller more than one of the gateway.
+      misdirected: Number of attempts that reached no upstream or a wrong one.
     """
 
     history: at_most_once.SendHistory
@@ -70,7 +70,7 @@
     misdirected: int = 0
 
     def record(self, result: _Response | error.CallError) -> None:
-        """Takes the result of a send."""
+        """Records the result of an attempt."""
         self.latest = result
         if isinstance(result, error.CallError):
             self.history.record(may_have_run=attempt.may_have_run(result))
@@ -84,7 +84,7 @@
 
     @property
     def is_misdirected(self) -> bool:
-        """Whether the newest send reached nobody, or another than meant."""
+        """Whether the latest attempt reached no upstream or a wrong one."""
         if isinstance(self.latest, error.CallError):
             return not attempt.may_have_run(self.latest)
         return (
@@ -93,11 +93,11 @@
 
 
 class _AlreadyRelayedError(Exception):
-    """Ends the sends: an answer too large to hold has been written already."""
+    """A response too large to buffer has been relayed; ends the attempts."""
 
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
-    """Brings a call to an upstream; returns its outcome for the log."""
+    """Forwards a call to an upstream; returns its outcome for the log."""
     core.budget.note_request(req.service.name)
     progress = _CallProgress(
         at_most_once.SendHistory(req.route.kind.may_repeat)
@@ -132,10 +132,11 @@
 async def _choose(
     core: core_lib.Core, req: exchange.Exchange, progress: _CallProgress
 ) -> upstream_lib.Upstream | None:
-    """Returns where to send a call, None if nothing takes it in time.
+    """Returns the upstream for a call; None if none accepts it in time.
 
-    An upstream that hangs holds the connections that this gateway may have to
-    it, and gets nothing more; where all are taken a call waits for a moment.
+    An upstream that hangs occupies this gateway's quota of connections to it
+    and gets no further calls. If the quota of every upstream is used up, waits
+    for a connection.
     """
     end_s = (
         req.request.received_s + CONNECTION_WAIT_SHARE * req.route.objective_s
@@ -166,7 +167,8 @@
     hang_after_s = max(
         req.route.objective_s, HANG_LATENCY_FACTOR * stats.mean_latency_s
     )
-    # Told while it hangs: its deadline is far, and all gateways send there.
+    # Recorded while the call still hangs: its deadline may be far off, and
+    # other gateways also send to that upstream.
     hang_timer = asyncio.get_running_loop().call_later(
         HANG_REPORT_FACTOR * hang_after_s, stats.record_hang, begun_s
     )
@@ -195,7 +197,7 @@
 
 
 def _may_give_up(req: exchange.Exchange) -> bool:
-    """Whether a call may be given up where it hangs, and sent elsewhere."""
+    """Whether a call that hangs may be abandoned and sent elsewhere."""
     is_last = req.sends + 1 >= req.route.attempts
     return req.route.kind.may_repeat and not is_last
 
@@ -210,7 +212,9 @@
         if is_complete:
             return _Response(sent.head, body, sent.response_class)
         if sent.response_class is not attempt.ResponseClass.SUCCESS:
-            raise error.MalformedAnswerError('a failure with a large body')
+            raise error.MalformedAnswerError(
+                'failure response with a body too large to buffer'
+            )
         await _relay(req, sent, body)
     raise _AlreadyRelayedError
 
@@ -245,7 +249,7 @@
 
 
 def _may_succeed_elsewhere(latest: _Response | error.CallError) -> bool:
-    """Whether another upstream may do better than the newest one."""
+    """Whether the call may succeed at another upstream."""
     if isinstance(latest, error.CallError):
         return True
     return (
