--- a/tests/quetzalsill_gateway/test_at_most_once.py
+++ b/tests/quetzalsill_gateway/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Grounds on which requests are sent, and runs go on."""
+"""Tests of the grounds for starting requests and resuming runs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SendHistoryTest(unittest.TestCase):
-    """Whether work begins at a further upstream."""
+    """Whether work may start at a further upstream."""
 
     def test_what_has_not_run_begins(self):
         history = at_most_once.SendHistory(may_repeat=False)
@@ -21,10 +21,9 @@
         self.assertIs(history.grounds_to_start(), Grounds.NOT_RUN)
 
     def test_what_may_have_run_never_begins_again(self):
-        """An order gets no answer, and a later send of it is turned away.
+        """A later "not run" does not clear an earlier send without a response.
 
-        That the later one has not run says nothing of the first; taken for the
-        whole story, the order would be sent a third time, and done twice.
+        Otherwise the call would be sent a third time, and run twice.
         """
         history = at_most_once.SendHistory(may_repeat=False)
         history.record(may_have_run=True)
@@ -38,7 +37,7 @@
 
 
 class ResumeTest(unittest.TestCase):
-    """Whether a run that broke off goes on elsewhere."""
+    """Whether an interrupted run may resume elsewhere."""
 
     def test_a_run_that_its_engine_stopped_goes_on_from_the_copy(self):
         for streamed_s in (0.0, 0.02, 8.0):
@@ -46,9 +45,10 @@
             self.assertIs(found, Grounds.COPY)
 
     def test_a_run_that_has_hardly_begun_does_not_go_on(self):
-        """An engine resets a plan as it begins it, or soon after.
+        """An engine resets a run as it starts it, or soon after.
 
-        No memory has gone to the backup. Sent there, the plan began again.
+        Nothing has been replicated to the backup yet. Sent there, the run
+        started a second time.
         """
         for state, streamed_s in itertools.product(
             (RunState.ENDED, RunState.UNREACHED, RunState.AT_WORK), (0.0, 0.3)
