--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -79,8 +79,8 @@
     ),
     'destinations-in-the-zone': _gateway(
         'balance/choose.py',
-        'return is_full, crossing, drawn',
-        'return is_full, False, drawn',
+        'return is_full, crossing, tie_break',
+        'return is_full, False, tie_break',
     ),
     'failures-of-all': _gateway(
         'balance/upstream_stats.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/backup.py
@@ -67,11 +67,11 @@
 
     def rank(candidate: upstream.Upstream) -> tuple[bool, int, int]:
         crossing = candidate.availability_zone != source.availability_zone
-        drawn = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
+        tie_break = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
         return (
             crossing,
             stats_table.of(candidate).held_tokens // max(1, needs_tokens),
-            drawn,
+            tie_break,
         )
 
     engines = list(choose.accepting_work(candidates, frozenset()))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
@@ -17,11 +17,11 @@
     from quetzalsill_gateway.fleet import upstream
 
 __all__ = [
+    'accepting_work',
     'choose_engine',
     'choose_for_call',
-    'rank_destinations',
     'has_room',
-    'accepting_work',
+    'rank_destinations',
     'without_faulty',
 ]
 
@@ -197,8 +197,8 @@
     def rank(candidate: upstream.Upstream) -> tuple[bool, bool, int]:
         is_full = not has_room(stats_table.of(candidate), engine, needs_tokens)
         crossing = candidate.availability_zone != source.availability_zone
-        drawn = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
-        return is_full, crossing, drawn
+        tie_break = xxhash.xxh32_intdigest(request_id + candidate.id.encode())
+        return is_full, crossing, tie_break
 
     return sorted(accepting_work(candidates, frozenset((source.id,))), key=rank)
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/search.py
@@ -115,18 +115,18 @@
         Returns:
           The time in seconds; infinite if the request will not get memory.
         """
-        open_now = self._available()
+        available = self._available()
         service = self.req.service.name
         wanted = self.entry.tokens + ahead_tokens + self._displaced_tokens()
         wanted += self._stats_table.waiting_at_peers(service, rank)
-        short = wanted - sum(self._usable_tokens(one) for one in open_now)
+        missing = wanted - sum(self._usable_tokens(one) for one in available)
         held = sum(
-            self._stats_table.of(one).reserved_tokens for one in open_now
+            self._stats_table.of(one).reserved_tokens for one in available
         )
-        if short <= 0 or not held:
+        if missing <= 0 or not held:
             return 0.0
         if self._upstreams.may_grow:
-            return short * self._stats_table.mean_held_s / held
+            return missing * self._stats_table.mean_held_s / held
         leaves_per_s = self._upstreams.leaves_per_s(service)
         per_s = forecast.freed_tokens_per_s(
             held,
@@ -134,7 +134,7 @@
             ahead_per_s,
             leaves_per_s * self._engine.memory_tokens,
         )
-        return short / per_s if per_s else math.inf
+        return missing / per_s if per_s else math.inf
 
     def _engines_with_room(self, now: float) -> list[upstream_lib.Upstream]:
         """Returns engines with room, if possible with room beside backups.
@@ -182,8 +182,8 @@
         )
 
     def _available(self) -> list[upstream_lib.Upstream]:
-        found = self._upstreams.of(self.req.service.name, self.req.regions)
-        accepting = choose.accepting_work(found, self._avoid)
+        candidates = self._upstreams.of(self.req.service.name, self.req.regions)
+        accepting = choose.accepting_work(candidates, self._avoid)
         return choose.without_faulty(
             accepting, self._stats_table, self._upstreams.sharers
         )
