--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -88,7 +88,7 @@
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/failure_score.py',
+        'balance/faults.py',
         'FAULTY_SCORE = 1.5',
         'FAULTY_SCORE = 1e9',
     ),
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/choose.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from quetzalsill_gateway.balance import failure_score
+from quetzalsill_gateway.balance import faults
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import routing_table
@@ -83,8 +83,8 @@
         time_s = stats.mean_latency_s * rounds
         time_s *= 1.0 + CALL_FAILURE_WEIGHT * stats.recent_failures(now)
         if (
-            failure_score.health_state(stats.fleet_hangs(now))
-            is failure_score.HealthState.FAULTY
+            faults.health_state(stats.fleet_hangs(now))
+            is faults.HealthState.FAULTY
         ):
             time_s *= hang_factor
         if candidate.availability_zone != zone:
@@ -156,12 +156,12 @@
     excluded = 0
     for candidate in engines:
         stats = stats_table.of(candidate)
-        state = failure_score.health_state(stats.fleet_failures(now))
-        if state is failure_score.HealthState.ON_TRIAL:
+        state = faults.health_state(stats.fleet_failures(now))
+        if state is faults.HealthState.ON_TRIAL:
             if stats.runs or random.random() * sharers >= 1.0:
                 excluded += 1
                 continue
-        elif state is failure_score.HealthState.FAULTY:
+        elif state is faults.HealthState.FAULTY:
             excluded += 1
             continue
         healthy.append(candidate)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
@@ -6,7 +6,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from quetzalsill_gateway.balance import failure_score
+from quetzalsill_gateway.balance import faults
 from quetzalsill_gateway.fleet import held as held_lib
 
 if TYPE_CHECKING:
@@ -88,11 +88,11 @@
 
     outstanding: int = 0
     mean_latency_s: float = INITIAL_LATENCY_S
-    failures: failure_score.FailureScore = dataclasses.field(
-        default_factory=failure_score.FailureScore
+    failures: faults.FailureScore = dataclasses.field(
+        default_factory=faults.FailureScore
     )
-    hangs: failure_score.FailureScore = dataclasses.field(
-        default_factory=failure_score.FailureScore
+    hangs: faults.FailureScore = dataclasses.field(
+        default_factory=faults.FailureScore
     )
     last_answered_sent_s: float = 0.0
     serves_streams: bool = False
--- a/tests/quetzalsill_gateway/balance/test_failure_score.py
+++ b/tests/quetzalsill_gateway/balance/test_faults.py
@@ -10,7 +10,7 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import choose, failure_score, upstream_stats
+from quetzalsill_gateway.balance import choose, faults, upstream_stats
 from quetzalsill_gateway.fleet import held, upstream
 
 GATEWAYS = 26
@@ -20,36 +20,35 @@
     """Decay of the score."""
 
     def test_two_failures_take_it_out_for_a_while(self):
-        score = failure_score.FailureScore()
+        score = faults.FailureScore()
         score.record_failure(0.0)
         self.assertIs(
-            failure_score.health_state(score.decayed(0.1)),
-            failure_score.HealthState.ON_TRIAL,
+            faults.health_state(score.decayed(0.1)),
+            faults.HealthState.ON_TRIAL,
         )
         score.record_failure(0.1)
         states = [
-            failure_score.health_state(score.decayed(t))
-            for t in (0.2, 4.0, 60.0)
+            faults.health_state(score.decayed(t)) for t in (0.2, 4.0, 60.0)
         ]
         self.assertEqual(
             states,
             [
-                failure_score.HealthState.FAULTY,
-                failure_score.HealthState.ON_TRIAL,
-                failure_score.HealthState.HEALTHY,
+                faults.HealthState.FAULTY,
+                faults.HealthState.ON_TRIAL,
+                faults.HealthState.HEALTHY,
             ],
         )
 
     def test_consecutive_failures_exclude_it_for_longer(self):
         def excluded_s(failures):
-            score = failure_score.FailureScore()
+            score = faults.FailureScore()
             for n in range(failures):
                 score.record_failure(n * 0.1)
             return next(
                 t
                 for t in range(1000)
-                if failure_score.health_state(score.decayed(t))
-                is not failure_score.HealthState.FAULTY
+                if faults.health_state(score.decayed(t))
+                is not faults.HealthState.FAULTY
                 and t > failures
             )
 
@@ -58,7 +57,7 @@
         self.assertGreater(times[-1], 2 * times[0])
 
     def test_a_success_resets_the_count(self):
-        score = failure_score.FailureScore()
+        score = faults.FailureScore()
         for _ in range(5):
             score.record_failure(0.0)
         before = score.decayed(3.0)
