--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/upstream_stats.py
@@ -1,4 +1,4 @@
-"""What a gateway has learned of each upstream by its own calls."""
+"""Load and health of each upstream, from own calls and from peers' reports."""
 
 from __future__ import annotations
 
@@ -21,41 +21,43 @@
     'UpstreamStats',
 ]
 
-# Weight of the newest time in the running mean: follows a server that turns
-# slow within about ten calls.
+# Weight of the newest latency in the moving average, which follows a server
+# that becomes slow within about ten calls.
 LATENCY_WEIGHT = 0.2
 INITIAL_LATENCY_S = 0.02
-# A report may be this old when it arrives; times in it count from then.
+# Maximum age of an engine's report on arrival; the times in it are relative to
+# the moment at which it was made.
 MAX_REPORT_AGE_S = 0.5
-# How long memory is held before any generation has ended: a long
-# one lasts some 8 s, a short one under one.
+# Assumed time for which a generation holds memory, before any has ended: long
+# ones run for about 8 s, short ones for less than one.
 INITIAL_HELD_S = 5.0
-# Weight of the newest generation of usual size in the mean of that.
+# Weight of the newest generation of typical size in the moving averages.
 GENERATION_WEIGHT = 0.05
 TYPICAL_TOKENS = 4000
 TYPICAL_OUTPUT_TOKENS = 800
-# Time of a token before any generation has ended: a step of an engine with a
-# few runs, some of which reads a prompt besides.
+# Assumed time per output token before any generation has ended: one step of an
+# engine with a few runs, in some of which it also prefills a prompt.
 INITIAL_TOKEN_S = 0.01
-# Reading rate before any prompt was read: a chunk of 112 tokens in a step of
-# 16 ms.
+# Assumed prefill rate before any prompt was prefilled: a chunk of 112 tokens in
+# a step of 16 ms.
 INITIAL_PREFILL_TOKENS_PER_S = 7000.0
-# A prompt that the engine has kept in part is not read at a rate.
+# Upper bound of a sample: an engine that has part of a prompt cached appears
+# to be faster than it is.
 MAX_PREFILL_TOKENS_PER_S = 50_000.0
 PREFILL_WEIGHT = 0.03
-# Pages kept, several times the upstreams of the largest fleet planned for:
-# others may tell of names that no upstream has.
+# Bounds the table, since peers may announce keys that no upstream has. Several
+# times the upstreams of the largest planned fleet.
 MAX_UPSTREAMS = 8192
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Reservation:
-    """What one request is expected to hold at an engine.
+    """Memory that one generation is expected to hold at an engine.
 
     Attributes:
-      prompt_tokens: Tokens to read before the first event.
-      memory_tokens: Memory that it is expected to need at its end.
-      is_prefilling: No event has come yet.
+      prompt_tokens: Tokens to prefill before the first event.
+      memory_tokens: Memory that it is expected to need at its end, in tokens.
+      is_prefilling: Whether no event has arrived yet.
     """
 
     prompt_tokens: int = 0
@@ -64,26 +66,26 @@
 
     @property
     def output_tokens(self) -> int:
-        """Tokens that it is expected to make."""
+        """Expected length of the output, in tokens."""
         return self.memory_tokens - self.prompt_tokens
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class UpstreamStats:
-    """One upstream, as seen from here.
+    """Load and health of one upstream, as known to this gateway.
 
     Attributes:
-      outstanding: Own calls that have not ended.
-      mean_latency_s: Running mean of the time of a call.
-      failures: Failures of own calls, fading.
-      hangs: Own calls that went unanswered for long, fading.
-      last_answered_sent_s: Loop time at which the newest call was sent that was
-        answered.
-      serves_streams: Own generations were sent there.
-      reservations: What own generations hold there.
-      backup_reservations: What backups of own generations hold there.
-      peer_load: What generations of all other gateways hold there.
-      leaves_at_s: Loop time at which it goes; None if not known.
+      outstanding: Number of own calls in flight.
+      mean_latency_s: Moving average of the latency of own calls.
+      failures: Decaying score of own calls that failed.
+      hangs: Decaying score of own calls that hung.
+      last_answered_sent_s: Loop time at which the newest answered call was
+        sent.
+      serves_streams: Whether own generations were sent to it.
+      reservations: Reservations of own generations at it.
+      backup_reservations: Reservations of backups of own generations at it.
+      peer_load: Sum of what all other gateways announced for it.
+      leaves_at_s: Loop time at which it stops; None if unknown.
     """
 
     outstanding: int = 0
@@ -108,7 +110,7 @@
 
     @property
     def own_tokens(self) -> int:
-        """Memory that own generations are expected to need."""
+        """Memory that own generations are expected to need, in tokens."""
         return sum(held.memory_tokens for held in self.reservations)
 
     @property
@@ -118,7 +120,7 @@
 
     @property
     def own_prefill_tokens(self) -> int:
-        """Prompt tokens of own generations that wait to be read."""
+        """Prompt tokens of own generations that are not prefilled yet."""
         return sum(
             held.prompt_tokens
             for held in self.reservations
@@ -127,12 +129,12 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """Memory that all generations are expected to need."""
+        """Memory that generations of all gateways are expected to need."""
         return self.own_tokens + self.peer_load.memory_tokens
 
     @property
     def backup_tokens(self) -> int:
-        """Memory that all backups are expected to need."""
+        """Memory that backups of all gateways are expected to need."""
         return self.own_backup_tokens + self.peer_load.copied_tokens
 
     @property
@@ -142,43 +144,46 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Prompt tokens of all gateways that wait to be read."""
+        """Prompt tokens of all gateways that are not prefilled yet."""
         return self.own_prefill_tokens + self.peer_load.reading_tokens
 
     @property
     def runs(self) -> int:
-        """Generations of all gateways."""
+        """Number of generations of all gateways."""
         return len(self.reservations) + self.peer_load.runs
 
     def recent_failures(self, now: float) -> float:
-        """Returns the failures of own calls, faded to now."""
+        """Returns the failure score of own calls, decayed to `now`."""
         return self.failures.decayed(now)
 
     def fleet_failures(self, now: float) -> float:
-        """Returns the failures that all gateways have seen of late."""
+        """Returns the recent failures that all gateways have seen."""
         return self.failures.decayed(now) + self.peer_load.failures
 
     def fleet_hangs(self, now: float) -> float:
-        """Returns the calls of all gateways that went unanswered of late.
+        """Returns the recent hangs that all gateways have seen.
 
-        Only meant for plain upstreams: of them gateways tell nothing else.
+        Valid only for upstreams of unary calls: for those, the failures that
+        peers announce are hangs only.
         """
         return self.hangs.decayed(now) + self.peer_load.failures
 
     def published_failures(self, now: float) -> float:
-        """Returns what to tell other gateways of failures here, in steps.
+        """Returns the failures to announce to peers, rounded to steps of 0.5.
 
-        Fading alone is then no news. A plain server's own failures go with the
-        request; told, they would change with every other call.
+        The steps keep decay alone from causing an announcement. For upstreams
+        of unary calls only hangs are announced: failures there depend on the
+        request, and would change the value with every other call.
         """
         score = self.failures if self.serves_streams else self.hangs
         return round(score.decayed(now) * 2) / 2
 
     def set_peer_load(self, node: str, held: held_lib.Held) -> None:
-        """Takes what another gateway holds here, in place of what it held.
+        """Replaces what one peer holds here, and updates the sum of all peers.
 
-        The sum is kept, since each choice asks for it for each candidate: at
-        70 gateways and 30 engines some 10,000 additions.
+        The sum is cached because each choice needs it for each candidate:
+        computed on demand, that is about 10,000 additions per choice with 70
+        gateways and 30 engines.
         """
         if self._load_by_peer.get(node, held_lib.NOTHING) == held:
             return
@@ -196,30 +201,34 @@
         )
 
     def record_failure(self, weight: float = 1.0) -> None:
-        """Counts a failure of the upstream."""
+        """Adds a failed call to the failure score."""
         self.failures.record_failure(asyncio.get_running_loop().time(), weight)
 
     def record_hang(self, begun_s: float) -> None:
-        """Counts a call that has gone unanswered for long.
+        """Counts a call that has gone unanswered for a long time as a hang.
 
-        One that was overtaken is only slow: an upstream that hangs answers
-        nothing that was sent later either.
+        Does nothing if a call that was sent later has been answered: then the
+        call is only slow, as an upstream that hangs answers none.
 
         Args:
-          begun_s: Loop time at which it was sent.
+          begun_s: Loop time at which the call was sent.
         """
         if self.last_answered_sent_s < begun_s:
             self.hangs.record_failure(asyncio.get_running_loop().time())
 
     def record_time_left(self, leaves_s: float | None) -> None:
-        """Takes the time that an engine says it has left, if it does."""
+        """Records when an engine stops, from the time left that it reported.
+
+        Args:
+          leaves_s: Time left in seconds; None if the engine reported none.
+        """
         if leaves_s is None:
             return
         now = asyncio.get_running_loop().time()
         self.leaves_at_s = now + leaves_s - MAX_REPORT_AGE_S
 
     def record_latency(self, took_s: float) -> None:
-        """Takes the time of a call that was answered."""
+        """Records the latency of a call that was answered."""
         self.hangs.record_success()
         begun_s = asyncio.get_running_loop().time() - took_s
         self.last_answered_sent_s = max(self.last_answered_sent_s, begun_s)
@@ -227,14 +236,14 @@
 
 
 class StatsTable:
-    """Pages by upstream.
+    """Statistics of all upstreams, with averages over all engines.
 
     Attributes:
-      mean_held_s: How long a token of memory is held, in the mean.
-      prefill_tokens_per_s: Tokens of prompts that an engine reads in a second
-        while it also generates, in the mean.
-      mean_token_s: Time that a generation takes per token of output that was
-        expected of it, in the mean.
+      mean_held_s: Average time for which a token of memory is held.
+      prefill_tokens_per_s: Average prefill rate of an engine that also
+        generates.
+      mean_token_s: Average time that a generation takes per expected output
+        token.
     """
 
     def __init__(self) -> None:
@@ -246,17 +255,17 @@
         self.prefill_tokens_per_s = INITIAL_PREFILL_TOKENS_PER_S
 
     def of(self, upstream: upstream_lib.Upstream) -> UpstreamStats:
-        """Returns the page of an upstream, a new one at first."""
+        """Returns the statistics of an upstream, creating them if needed."""
         return self._get_or_create(upstream.key)
 
     def items(self) -> ItemsView[str, UpstreamStats]:
-        """Returns all pages by the keys of their upstreams."""
+        """Returns all statistics with the keys of their upstreams."""
         return self._stats.items()
 
     def replace_peer_loads(
         self, node: str, held: dict[str, held_lib.Held]
     ) -> None:
-        """Takes all that another gateway holds, in place of what it held."""
+        """Replaces everything that a peer holds, by upstream key."""
         for key in self._keys_by_peer.pop(node, set()) - held.keys():
             if key in self._stats:
                 self._stats[key].set_peer_load(node, held_lib.NOTHING)
@@ -265,7 +274,7 @@
     def update_peer_loads(
         self, node: str, held: dict[str, held_lib.Held]
     ) -> None:
-        """Takes what has changed in what another gateway holds."""
+        """Applies changes to what a peer holds, by upstream key."""
         for key, entry in held.items():
             if key in self._stats or len(self._stats) < MAX_UPSTREAMS:
                 self._get_or_create(key).set_peer_load(node, entry)
@@ -274,24 +283,24 @@
     def record_generation(
         self, reservation: Reservation, held_s: float
     ) -> None:
-        """Takes for how long a generation has held its memory."""
+        """Updates the averages with the time a generation held its memory."""
         weight = GENERATION_WEIGHT * min(
             1.0, reservation.memory_tokens / TYPICAL_TOKENS
         )
         self.mean_held_s += weight * (held_s - self.mean_held_s)
         if reservation.output_tokens:
             token_s = held_s / reservation.output_tokens
-            # One of a few tokens says more of its prompt than of its pace.
+            # The time of a short output is mostly the prefill of its prompt.
             weight = GENERATION_WEIGHT * min(
                 1.0, reservation.output_tokens / TYPICAL_OUTPUT_TOKENS
             )
             self.mean_token_s += weight * (token_s - self.mean_token_s)
 
     def record_prefill(self, tokens: int, took_s: float) -> None:
-        """Takes how long an engine has read prompts one after another.
+        """Updates the prefill rate; an engine prefills prompts sequentially.
 
         Args:
-          tokens: Those ahead when the prompt came, and its own.
+          tokens: Prompt tokens of the request and of those queued ahead of it.
           took_s: Time from the send to the first event.
         """
         if took_s > 0:
@@ -302,26 +311,26 @@
             )
 
     def prefill_s(self, tokens: int) -> float:
-        """Returns how long an engine is expected to read so many tokens."""
+        """Returns the expected time in seconds to prefill `tokens`."""
         return tokens / self.prefill_tokens_per_s
 
     def generation_s(self, reservation: Reservation) -> float:
-        """Returns how long a generation is expected to take."""
+        """Returns the expected duration of a generation in seconds."""
         return reservation.output_tokens * self.mean_token_s
 
     def set_peer_waiting(self, node: str, waiting: held_lib.Waiting) -> None:
-        """Takes all that waits at another gateway."""
+        """Replaces the tokens that are queued at a peer."""
         if waiting:
             self._waiting_by_peer[node] = waiting
         else:
             self._waiting_by_peer.pop(node, None)
 
     def waiting_at_peers(self, service: str, rank: int) -> int:
-        """Returns the tokens that wait at others for engines of a service.
+        """Returns the tokens queued at all peers for engines of a service.
 
         Args:
           service: Name of the service.
-          rank: Only what is ranked so or ahead of it counts.
+          rank: Only entries of this rank or a lower one are counted.
         """
         return sum(
             tokens
@@ -331,7 +340,7 @@
         )
 
     def remove(self, upstream: upstream_lib.Upstream) -> None:
-        """Drops the page of an upstream that is gone."""
+        """Removes the statistics of an upstream that is gone."""
         self._stats.pop(upstream.key, None)
 
     def _get_or_create(self, key: str) -> UpstreamStats:
