--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -79,8 +79,8 @@
     ),
     'destinations-in-the-zone': _gateway(
         'balance/choose.py',
-        'return is_full, crossing, drawn',
-        'return is_full, False, drawn',
+        'return is_full, crossing, tie_break',
+        'return is_full, False, tie_break',
     ),
     'failures-of-all': _gateway(
         'balance/upstream_stats.py',
@@ -88,7 +88,7 @@
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/failure_score.py',
+        'balance/faults.py',
         'FAULTY_SCORE = 1.5',
         'FAULTY_SCORE = 1e9',
     ),
