--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/gateway.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/gateway.py
@@ -16,7 +16,7 @@
 
 from quetzalsill_dev import launch
 from quetzalsill_dev.bench import processor_time
-from quetzalsill_dev.soak import stage as stage_lib
+from quetzalsill_dev.soak import testbed as testbed_lib
 from quetzalsill_dev.users_platform import caller
 
 __all__ = ['main']
@@ -42,8 +42,8 @@
     piece_us: float
 
 
-async def _ask(stage: stage_lib.Stage, kind: str, method: str) -> None:
-    conn = caller.Caller('127.0.0.1', stage.gateways[0].relay.target[1])
+async def _ask(testbed: testbed_lib.Testbed, kind: str, method: str) -> None:
+    conn = caller.Caller('127.0.0.1', testbed.gateways[0].relay.target[1])
     count = CALLS if kind == 'safe' else STREAMS
     for _ in range(count // WIDTH):
         answer = await conn.ask(f'/{kind}/x', method=method, deadline_ms=30_000)
@@ -53,9 +53,11 @@
 
 
 async def _cost_us(
-    stage: stage_lib.Stage, work: Callable[[], Awaitable[None]], units: int
+    testbed: testbed_lib.Testbed,
+    work: Callable[[], Awaitable[None]],
+    units: int,
 ) -> float:
-    pid = stage.gateways[0].process.pid
+    pid = testbed.gateways[0].process.pid
     before_s = processor_time.processor_time_s(pid)
     await asyncio.gather(*(work() for _ in range(WIDTH)))
     used_s = processor_time.processor_time_s(pid) - before_s
@@ -64,24 +66,24 @@
 
 async def _turn(level: str) -> Cost:
     async with launch.Launcher() as launcher:
-        stage = stage_lib.Stage(launcher, 1, log_level=level)
+        testbed = testbed_lib.Testbed(launcher, 1, log_level=level)
         try:
-            await stage.start(desks=2, engines=2)
+            await testbed.start(http_servers=2, engines=2)
             await asyncio.sleep(1.0)
             for _ in range(WARM_UP):
-                await caller.Caller(*stage.gateways[0].relay.target).ask(
+                await caller.Caller(*testbed.gateways[0].relay.target).ask(
                     '/safe/x'
                 )
             call_us = await _cost_us(
-                stage, lambda: _ask(stage, 'safe', 'GET'), CALLS
+                testbed, lambda: _ask(testbed, 'safe', 'GET'), CALLS
             )
-            pieces = STREAMS * stage_lib.EVENTS
+            pieces = STREAMS * testbed_lib.EVENTS_PER_STREAM
             piece_us = await _cost_us(
-                stage, lambda: _ask(stage, 'plan', 'POST'), pieces
+                testbed, lambda: _ask(testbed, 'plan', 'POST'), pieces
             )
             return Cost(call_us, piece_us)
         finally:
-            await stage.stop()
+            await testbed.stop()
 
 
 async def _run(turns: int) -> dict[str, list[Cost]]:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
@@ -9,7 +9,7 @@
 
 import click
 
-from quetzalsill_dev.soak import run, verdict
+from quetzalsill_dev.soak import checks, run
 
 __all__ = ['main']
 
@@ -46,40 +46,40 @@
 ) -> None:
     """Plays seeds; ends with an exit status other than 0 if one broke."""
 
-    def play(seed: int, *, goes_back: bool) -> run.Result:
-        name = str(seed) if goes_back else f'{seed}-outage'
+    def run_seed(seed: int, *, rolls_back: bool) -> run.Result:
+        name = str(seed) if rolls_back else f'{seed}-outage'
         result = asyncio.run(
             run.run(
                 seed,
                 seconds,
                 gateways,
                 keep / name if keep else None,
-                goes_back=goes_back,
+                rolls_back=rolls_back,
                 only_drills=only_drills,
             )
         )
         click.echo(
-            f'seed {name}: {result.strikes} faults, {result.asked} asked, '
+            f'seed {name}: {result.injections} faults, {result.sent} asked, '
             f'{result.served} served, {result.lost} lost, '
-            f'{len(result.broken)} broken'
+            f'{len(result.violations)} broken'
         )
-        for line in result.broken:
+        for line in result.violations:
             click.echo(f'  {line}')
         return result
 
     numbers = range(first, first + seeds)
     failed = 0
-    more_lost = []
+    loss_differences = []
     for seed in numbers:
-        result = play(seed, goes_back=True)
-        failed += bool(result.broken)
+        result = run_seed(seed, rolls_back=True)
+        failed += bool(result.violations)
         if beside:
-            outage = play(seed, goes_back=False)
-            more_lost.append(result.lost_share - outage.lost_share)
+            outage = run_seed(seed, rolls_back=False)
+            loss_differences.append(result.lost_share - outage.lost_share)
     click.echo(f'{seeds - failed} seeds held, {failed} broke')
-    is_worse = verdict.is_above_chance(more_lost)
-    if more_lost:
-        mean = statistics.fmean(more_lost)
+    is_worse = checks.is_significantly_above_zero(loss_differences)
+    if loss_differences:
+        mean = statistics.fmean(loss_differences)
         word = 'more' if is_worse else 'no more'
         click.echo(
             f'{word} lost than in outages: {mean:+.5f} of all in the mean'
--- /dev/null
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
@@ -0,0 +1,165 @@
+"""What must hold, whatever was done: judged by callers and servers alone."""
+
+from __future__ import annotations
+
+import collections
+import re
+import statistics
+from typing import TYPE_CHECKING
+
+from quetzalsill_dev.soak import testbed as testbed_lib
+from quetzalsill_dev.users_platform import engine
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator, Sequence
+
+    from quetzalsill_dev.soak import load as load_lib
+
+__all__ = [
+    'find_violations',
+    'is_significantly_above_zero',
+    'upstreams_in_log',
+    'find_unexpected_log_lines',
+    'find_config_rollbacks',
+]
+
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+AT_MOST_ONCE_KINDS = ('unsafe', 'plan')
+OK = 200
+NOT_FOUND = 404
+# A request that is sent this long after another was answered is handled by the
+# same process behind it.
+CONFIG_SETTLE_S = 0.25
+# Standard errors above which a mean is not by chance.
+MIN_STANDARD_ERRORS = 3.0
+MIN_PAIRS = 5
+# What a process writes when it takes an entry in, or drops it.
+MEMBERSHIP_EVENT = re.compile(
+    r'event=upstream_(added|removed) .*?\bupstream=(\S+)'
+)
+# What a process writes when something happened that nobody thought of.
+UNEXPECTED_LINE = re.compile(r'Traceback|level=(?:error|critical)')
+
+
+def find_violations(
+    testbed: testbed_lib.Testbed, records: Iterable[load_lib.RequestRecord]
+) -> Iterator[str]:
+    """Yields what callers and servers saw that must never be."""
+    run_counts = collections.Counter(
+        run[0] for server in testbed.http_servers for run in server.runs
+    )
+    run_counts.update(
+        {name: len(at) for name, at in testbed.fleet.started.items()}
+    )
+    for record in records:
+        where = f'{record.kind} {record.request_id} at {record.gateway}'
+        runs = run_counts[record.request_id]
+        if record.kind in AT_MOST_ONCE_KINDS and runs > 1:
+            yield f'{where} ran {runs} times'
+        if (
+            record.answer.status in NOT_RUN_STATUSES
+            and record.kind in AT_MOST_ONCE_KINDS
+            and runs
+        ):
+            yield f'{where} was told {record.answer.status}, and ran'
+        if record.kind in ('plan', 'verdict'):
+            yield from _stream(record, where)
+        elif record.answer.status == OK and record.answer.whole:
+            if not record.answer.body.decode().endswith(
+                f':{record.request_id}'
+            ):
+                yield f'{where} got another body: {record.answer.body!r}'
+            if not runs:
+                yield f'{where} was answered and never ran'
+    for name in testbed.fleet.doubled:
+        if any(
+            record.request_id == name and record.kind == 'plan'
+            for record in records
+        ):
+            yield f'plan {name} ran at two engines at once'
+
+
+def find_config_rollbacks(
+    records: Iterable[load_lib.RequestRecord],
+) -> Iterator[str]:
+    """Yields where a process serves an older configuration than before.
+
+    A route that was served shows that its version is in force; from then on,
+    that process knows the route, and no key of versions before.
+    """
+    asked = [
+        record for record in records if record.version and record.incarnation
+    ]
+    shown = [
+        (record.ended_s + CONFIG_SETTLE_S, 0, record)
+        for record in asked
+        if record.kind == 'edit' and record.answer.status == OK
+    ]
+    sent = [(record.sent_s, 1, record) for record in asked]
+    in_force: dict[tuple[str, int], int] = {}
+    for _, is_sent, record in sorted(shown + sent, key=lambda at: at[:2]):
+        process = (record.gateway, record.incarnation)
+        newest = in_force.get(process, 0)
+        if not is_sent:
+            in_force[process] = max(newest, record.version)
+        elif _is_from_older_config(record, newest):
+            yield (
+                f'{record.kind} {record.request_id} of version '
+                f'{record.version} got {record.answer.status} at '
+                f'{record.gateway}, behind {newest}'
+            )
+
+
+def _is_from_older_config(record: load_lib.RequestRecord, newest: int) -> bool:
+    """Whether only a configuration before a version handles it so."""
+    if record.kind == 'edit':
+        return record.answer.status == NOT_FOUND and record.version <= newest
+    return record.answer.status == OK and record.version < newest
+
+
+def is_significantly_above_zero(differences: Sequence[float]) -> bool:
+    """Whether the mean of differences between pairs is above zero for sure.
+
+    Faults that meet requests at other moments lose a few more or fewer; few
+    pairs show nothing.
+    """
+    if len(differences) < MIN_PAIRS:
+        return False
+    error = statistics.stdev(differences) / len(differences) ** 0.5
+    return statistics.fmean(differences) > MIN_STANDARD_ERRORS * error
+
+
+def _stream(record: load_lib.RequestRecord, where: str) -> Iterator[str]:
+    if record.answer.status != OK:
+        return
+    whole = b''.join(
+        engine.event(record.request_id, n)
+        for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
+    )
+    if record.answer.whole and record.answer.body != whole:
+        yield f'{where} looks whole and is not: {record.answer.body[-80:]!r}'
+    if not whole.startswith(record.answer.body):
+        yield f'{where} got other events: {record.answer.body[-80:]!r}'
+
+
+def find_unexpected_log_lines(logs: Iterable[tuple[str, str]]) -> Iterator[str]:
+    """Yields what the processes wrote that nobody foresaw."""
+    for name, text in logs:
+        for line in text.splitlines():
+            if UNEXPECTED_LINE.search(line):
+                yield f'{name}: {line[:300]}'
+
+
+def upstreams_in_log(text: str) -> set[str]:
+    """Returns the upstreams that a process knows, by what it wrote.
+
+    Callers hardly see that one is missing, or is there that has ended: others
+    serve them.
+    """
+    known: set[str] = set()
+    for change, name in MEMBERSHIP_EVENT.findall(text):
+        if change == 'added':
+            known.add(name)
+        else:
+            known.discard(name)
+    return known
--- /dev/null
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
@@ -0,0 +1,301 @@
+"""Does to the processes, links and servers of a soak what its plan says."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable, Coroutine
+from typing import TYPE_CHECKING
+
+from quetzalsill_dev.soak import plan
+from quetzalsill_dev.soak import testbed as testbed_lib
+
+if TYPE_CHECKING:
+    from quetzalsill_dev import launch
+
+__all__ = ['FaultInjector']
+
+# Time from an engine's notice until it goes, and until its row is dropped.
+DRAIN_NOTICE_S = 1.5
+STOP_TIMEOUT_S = testbed_lib.STOP_GRACE_S + 3.0
+LINK_DELAY_S = 0.15
+STORE_DELAY_S = 0.6
+MIN_SERVERS = 2
+# One of so many gateways is cut off from the store.
+PARTITION_STRIDE = 3
+MAX_RESETS = 3
+# Servers have two seconds to enter themselves again.
+REWRITE_S = 2.0
+# Versions that others use up between copy and loss, and on the store's return:
+# none, or past the old ones.
+VERSION_GAP = 50
+VERSION_SKIPS = (0, 2 * VERSION_GAP)
+# Share of drills that break off the watches that wait.
+CUT_WATCHES_PROBABILITY = 0.5
+# Share of lost rows that are there again before anybody is answered.
+IMMEDIATE_REWRITE_SHARES = (0.0, 0.5, 1.0)
+
+
+class FaultInjector:
+    """Faults under way.
+
+    A gateway that is down, paused or stopping is left alone by what would
+    need its process; everything else meets it all the same.
+    """
+
+    def __init__(
+        self, testbed: testbed_lib.Testbed, *, rolls_back: bool = True
+    ) -> None:
+        """Prepares to strike.
+
+        Args:
+          testbed: Everything that may be struck.
+          rolls_back: Whether drills have the store lose what it was told; they
+            are outages as long otherwise.
+        """
+        self._testbed = testbed
+        self._rolls_back = rolls_back
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._violations: list[str] = []
+        self._departing: list[testbed_lib.Upstream] = []
+        fault = plan.Fault
+        self._handlers: dict[
+            plan.Fault, Callable[[plan.Injection], Coroutine[None, None, None]]
+        ] = {
+            fault.KILL: self._kill,
+            fault.PAUSE: self._pause,
+            fault.STOP: self._stop,
+            fault.RELOAD: self._reload,
+            fault.CUT_CALLERS: self._disrupt_link,
+            fault.SILENCE_CALLERS: self._disrupt_link,
+            fault.DELAY_CALLERS: self._disrupt_link,
+            fault.CUT_UPSTREAM: self._disrupt_link,
+            fault.SILENCE_UPSTREAM: self._disrupt_link,
+            fault.SILENCE_RESPONSES: self._disrupt_link,
+            fault.DELAY_UPSTREAM: self._disrupt_link,
+            fault.REFUSE_UPSTREAM: self._disrupt_link,
+            fault.MISBEHAVE: self._misbehave,
+            fault.LEAVE: self._leave,
+            fault.CRASH: self._crash,
+            fault.STORE_BUSY: self._interrupt_store,
+            fault.STORE_SILENT: self._interrupt_store,
+            fault.STORE_CUT: self._store_cut,
+            fault.STORE_DELAY: self._store_delay,
+            fault.STORE_COMPACT: self._lose_store_history,
+            fault.CONFIGURE: self._configure,
+            fault.STORE_PARTITION: self._partition_store,
+            fault.DRILL: self._drill,
+            fault.RESET_ON_START: self._reset_on_start,
+        }
+
+    def inject(self, injection: plan.Injection) -> None:
+        """Begins a strike; it ends by itself."""
+        task = asyncio.create_task(self._handlers[injection.fault](injection))
+        self._tasks.add(task)
+
+    async def wait(self) -> list[str]:
+        """Waits until all strikes are over; returns what broke under them."""
+        await asyncio.gather(*self._tasks)
+        return self._violations
+
+    def _gateway(self, injection: plan.Injection) -> testbed_lib.Gateway:
+        gateways = self._testbed.gateways
+        return gateways[injection.target % len(gateways)]
+
+    async def _kill(self, injection: plan.Injection) -> None:
+        gateway = self._gateway(injection)
+        if gateway.stopping:
+            return
+        gateway.stopping = True
+        gateway.process.kill()
+        await gateway.process.wait()
+        await asyncio.sleep(injection.duration_s)
+        await self._testbed.start_gateway(gateway)
+
+    async def _pause(self, injection: plan.Injection) -> None:
+        gateway = self._gateway(injection)
+        if gateway.stopping:
+            return
+        gateway.stopping = True
+        gateway.process.stop()
+        await asyncio.sleep(injection.duration_s)
+        gateway.process.cont()
+        gateway.stopping = False
+
+    async def _stop(self, injection: plan.Injection) -> None:
+        gateway = self._gateway(injection)
+        if gateway.stopping:
+            return
+        gateway.stopping = True
+        gateway.process.terminate()
+        await self._check_exit(gateway, gateway.process)
+        await self._testbed.start_gateway(gateway)
+
+    async def _check_exit(
+        self, gateway: testbed_lib.Gateway, process: launch.Process
+    ) -> None:
+        try:
+            code = await process.wait(STOP_TIMEOUT_S)
+        except TimeoutError:
+            self._violations.append(f'{gateway.name} does not end by SIGTERM')
+            process.kill()
+            code = await process.wait()
+        if code > 0:
+            self._violations.append(f'{gateway.name} ended with {code}')
+
+    async def _reload(self, injection: plan.Injection) -> None:
+        gateway = self._gateway(injection)
+        if not gateway.stopping:
+            gateway.process.hang_up()
+
+    async def _disrupt_link(self, injection: plan.Injection) -> None:
+        fault = injection.fault
+        if fault.value.endswith('callers'):
+            relay = self._gateway(injection).relay
+        else:
+            upstreams = self._testbed.upstreams
+            relay = upstreams[injection.target % len(upstreams)].relay
+        if fault in (plan.Fault.DELAY_CALLERS, plan.Fault.DELAY_UPSTREAM):
+            relay.delay(LINK_DELAY_S)
+            await asyncio.sleep(injection.duration_s)
+            relay.delay(0.0)
+        elif fault is plan.Fault.REFUSE_UPSTREAM:
+            relay.refusing = True
+            relay.cut()
+            await asyncio.sleep(injection.duration_s)
+            relay.refusing = False
+        elif fault is plan.Fault.SILENCE_RESPONSES:
+            relay.silence(up=False)
+        elif 'silence' in fault.value:
+            relay.silence()
+        else:
+            relay.cut()
+
+    async def _misbehave(self, injection: plan.Injection) -> None:
+        upstreams = self._testbed.upstreams_of(testbed_lib.HTTP_SERVICE)
+        server = upstreams[injection.target % len(upstreams)].server
+        server.scripts = [injection.variant] * (1 + injection.target % 4)
+
+    async def _leave(self, injection: plan.Injection) -> None:
+        """An upstream gives notice and goes, and another takes its place."""
+        upstream = self._pick_departing(injection)
+        if upstream is None:
+            return
+        await self._testbed.add_upstream(upstream.service)
+        if upstream.service == testbed_lib.ENGINE_SERVICE:
+            upstream.server.leaving = True
+            upstream.server.leaves_ms = round(DRAIN_NOTICE_S * 1000)
+            row = upstream.row()
+        else:
+            row = upstream.row() | {'state': 'draining'}
+        self._testbed.store.put('servers', upstream.server.id, row)
+        await asyncio.sleep(DRAIN_NOTICE_S)
+        await self._remove(upstream)
+
+    async def _crash(self, injection: plan.Injection) -> None:
+        """An upstream is gone without a word; its row lapses later."""
+        upstream = self._pick_departing(injection)
+        if upstream is None:
+            return
+        upstream.relay.refusing = True
+        if upstream.service == testbed_lib.ENGINE_SERVICE:
+            await upstream.server.crash()
+        upstream.relay.cut()
+        await asyncio.sleep(injection.duration_s)
+        await self._testbed.add_upstream(upstream.service)
+        await self._remove(upstream)
+
+    def _pick_departing(
+        self, injection: plan.Injection
+    ) -> testbed_lib.Upstream | None:
+        candidates = [
+            upstream
+            for upstream in self._testbed.upstreams
+            if upstream not in self._departing
+            and len(self._testbed.upstreams_of(upstream.service)) > MIN_SERVERS
+        ]
+        if not candidates:
+            return None
+        found = candidates[injection.target % len(candidates)]
+        self._departing.append(found)
+        return found
+
+    async def _remove(self, upstream: testbed_lib.Upstream) -> None:
+        await self._testbed.remove_upstream(upstream)
+        self._departing.remove(upstream)
+
+    async def _interrupt_store(self, injection: plan.Injection) -> None:
+        store = self._testbed.store
+        is_busy = injection.fault is plan.Fault.STORE_BUSY
+        store.down = 'busy' if is_busy else 'silent'
+        await asyncio.sleep(injection.duration_s)
+        store.down = ''
+        # What was held without an answer stays so; its callers give it up.
+        self._cut_store_links()
+
+    def _cut_store_links(self) -> None:
+        for gateway in self._testbed.gateways:
+            gateway.store_relay.cut()
+
+    async def _store_cut(self, injection: plan.Injection) -> None:
+        del injection
+        self._cut_store_links()
+
+    async def _store_delay(self, injection: plan.Injection) -> None:
+        relays = [gateway.store_relay for gateway in self._testbed.gateways]
+        for relay in relays:
+            relay.delay(STORE_DELAY_S)
+        await asyncio.sleep(injection.duration_s)
+        for relay in relays:
+            relay.delay(0.0)
+
+    async def _partition_store(self, injection: plan.Injection) -> None:
+        """A third of the gateways does not reach the store."""
+        first = injection.target % PARTITION_STRIDE
+        relays = [
+            gateway.store_relay
+            for gateway in self._testbed.gateways[first::PARTITION_STRIDE]
+        ]
+        for relay in relays:
+            relay.refusing = True
+            relay.cut()
+        await asyncio.sleep(injection.duration_s)
+        for relay in relays:
+            relay.refusing = False
+
+    async def _drill(self, injection: plan.Injection) -> None:
+        """The store is away, and comes back from a copy some seconds old."""
+        store = self._testbed.store
+        rng = random.Random(injection.target)
+        snapshot = store.snapshot()
+        store.skip(VERSION_GAP)
+        await asyncio.sleep(plan.snapshot_age_s(injection))
+        store.cuts_watches = rng.random() < CUT_WATCHES_PROBABILITY
+        outage_s = injection.duration_s if injection.variant else 0.0
+        if self._rolls_back:
+            await store.restore(
+                snapshot,
+                rng,
+                down=injection.variant,
+                away_s=outage_s,
+                rewrite_s=REWRITE_S,
+                at_once=rng.choice(IMMEDIATE_REWRITE_SHARES),
+                skipped=rng.choice(VERSION_SKIPS),
+            )
+        else:
+            store.down = injection.variant
+            await asyncio.sleep(outage_s)
+            store.down = ''
+
+    async def _reset_on_start(self, injection: plan.Injection) -> None:
+        engines = self._testbed.upstreams_of(testbed_lib.ENGINE_SERVICE)
+        engine = engines[injection.target % len(engines)].server
+        engine.reset_as_begun += 1 + injection.target % MAX_RESETS
+
+    async def _lose_store_history(self, injection: plan.Injection) -> None:
+        del injection
+        self._testbed.store.lose_history()
+
+    async def _configure(self, injection: plan.Injection) -> None:
+        del injection
+        self._testbed.publish_configuration()
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
@@ -11,29 +11,29 @@
 from quetzalsill_dev.users_platform import caller
 
 if TYPE_CHECKING:
-    from quetzalsill_dev.soak import stage as stage_lib
+    from quetzalsill_dev.soak import testbed as testbed_lib
 
-__all__ = ['KINDS', 'Load', 'Told']
+__all__ = ['REQUEST_KINDS', 'LoadGenerator', 'RequestRecord']
 
 # Route, method, and how often it is asked.
-KINDS = (
+REQUEST_KINDS = (
     *(('safe', 'GET', 3), ('unsafe', 'POST', 3)),
     *(('plan', 'POST', 2), ('verdict', 'POST', 2)),
     *(('edit', 'GET', 1), ('revoked', 'GET', 1)),
 )
 # How far back callers ask for what operators changed, in versions.
-VERSIONS = 2
+RECENT_VERSIONS = 2
 # A caller waits a little longer than the time limit that it gives.
 DEADLINE_MS = 4000
-BOUND_S = 6.0
-PAUSE_S = 0.03
+CALLER_TIMEOUT_S = 6.0
+REQUEST_INTERVAL_S = 0.03
 # Share of requests whose callers leave before their answers.
-LEAVING_SHARE = 0.03
+ABANDON_PROBABILITY = 0.03
 OK = 200
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
+class RequestRecord:
     """One request and what came back.
 
     Attributes:
@@ -46,7 +46,7 @@
       incarnation: Process of the gateway; 0 if it was replaced meanwhile.
       sent_s: Loop time at which it was sent.
       ended_s: Loop time at which its answer had come.
-      left: The caller left before its answer.
+      abandoned: The caller left before its answer.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
     incarnation: int = 0
     sent_s: float = 0.0
     ended_s: float = 0.0
-    left: bool = False
+    abandoned: bool = False
 
     @property
     def served(self) -> bool:
@@ -68,108 +68,116 @@
     def lost(self) -> bool:
         """Whether it was given up without being served, as it should be."""
         is_over = self.ended_s > 0
-        return is_over and not (self.served or self.left or self.version)
+        return is_over and not (self.served or self.abandoned or self.version)
 
     @property
-    def target(self) -> str:
+    def path(self) -> str:
         """Path that is asked for."""
         if self.kind == 'edit':
             return f'/v{self.version}/x'
         return f'/{"safe" if self.kind == "revoked" else self.kind}/x'
 
     @property
-    def key(self) -> str:
+    def api_key(self) -> str:
         """Key that is asked with."""
         return f'key-v{self.version}' if self.kind == 'revoked' else 'key-1'
 
 
-class Load:
+class LoadGenerator:
     """Callers that ask without pause, on connections that they keep.
 
     Attributes:
-      told: What became of all requests so far.
+      records: What became of all requests so far.
     """
 
-    def __init__(self, stage: stage_lib.Stage, seed: int) -> None:
-        self._stage = stage
+    def __init__(self, testbed: testbed_lib.Testbed, seed: int) -> None:
+        self._testbed = testbed
         self._rng = random.Random(seed)
-        self._numbers = itertools.count(1)
-        self.told: list[Told] = []
+        self._request_numbers = itertools.count(1)
+        self.records: list[RequestRecord] = []
 
     async def run(self) -> None:
         """Asks at one gateway after another until cancelled."""
-        kept: dict[str, caller.Caller] = {}
+        connections: dict[str, caller.Caller] = {}
         try:
             while True:
-                gateway = self._rng.choice(self._stage.gateways)
-                await self._one(gateway, kept)
-                await asyncio.sleep(PAUSE_S)
+                gateway = self._rng.choice(self._testbed.gateways)
+                await self._send_next(gateway, connections)
+                await asyncio.sleep(REQUEST_INTERVAL_S)
         finally:
-            for conn in kept.values():
+            for conn in connections.values():
                 conn.leave()
 
-    async def probe(self, kind: str, gateway: stage_lib.Gateway) -> Told:
+    async def probe(
+        self, kind: str, gateway: testbed_lib.Gateway
+    ) -> RequestRecord:
         """Asks once on a connection of its own."""
         conn = caller.Caller('127.0.0.1', gateway.relay.port)
-        told = self._begin(kind, gateway)
-        await self._ask(conn, told, 'GET')
-        return told
+        record = self._start_record(kind, gateway)
+        await self._send(conn, record, 'GET')
+        return record
 
-    async def _one(
+    async def _send_next(
         self,
-        gateway: stage_lib.Gateway,
-        kept: dict[str, caller.Caller],
+        gateway: testbed_lib.Gateway,
+        connections: dict[str, caller.Caller],
     ) -> None:
-        weights = [weight for _, _, weight in KINDS]
-        kind, method, _ = self._rng.choices(KINDS, weights)[0]
-        conn = kept.pop(gateway.name, None)
+        weights = [weight for _, _, weight in REQUEST_KINDS]
+        kind, method, _ = self._rng.choices(REQUEST_KINDS, weights)[0]
+        conn = connections.pop(gateway.name, None)
         if conn is None:
             conn = caller.Caller('127.0.0.1', gateway.relay.port)
-        told = self._begin(kind, gateway)
+        record = self._start_record(kind, gateway)
         if kind in ('edit', 'revoked'):
-            newest = self._stage.version
-            oldest = max(1, newest + 1 - VERSIONS)
-            told.version = self._rng.randint(oldest, newest)
-        told.left = self._rng.random() < LEAVING_SHARE
-        bound_s = self._rng.uniform(0.01, 0.2) if told.left else BOUND_S
-        await self._ask(conn, told, method, bound_s)
-        told.ended_s = asyncio.get_running_loop().time()
-        if told.incarnation != gateway.incarnation:
-            told.incarnation = 0
-        if told.answer.whole:
-            kept[gateway.name] = conn
-
-    def _begin(self, kind: str, gateway: stage_lib.Gateway) -> Told:
-        told = Told(
-            f'{next(self._numbers):016x}',
+            newest = self._testbed.config_version
+            oldest = max(1, newest + 1 - RECENT_VERSIONS)
+            record.version = self._rng.randint(oldest, newest)
+        record.abandoned = self._rng.random() < ABANDON_PROBABILITY
+        timeout_s = (
+            self._rng.uniform(0.01, 0.2)
+            if record.abandoned
+            else CALLER_TIMEOUT_S
+        )
+        await self._send(conn, record, method, timeout_s)
+        record.ended_s = asyncio.get_running_loop().time()
+        if record.incarnation != gateway.incarnation:
+            record.incarnation = 0
+        if record.answer.whole:
+            connections[gateway.name] = conn
+
+    def _start_record(
+        self, kind: str, gateway: testbed_lib.Gateway
+    ) -> RequestRecord:
+        record = RequestRecord(
+            f'{next(self._request_numbers):016x}',
             kind,
             gateway.name,
             caller.Answer(),
             incarnation=gateway.incarnation,
             sent_s=asyncio.get_running_loop().time(),
         )
-        self.told.append(told)
-        return told
+        self.records.append(record)
+        return record
 
-    async def _ask(
+    async def _send(
         self,
         conn: caller.Caller,
-        told: Told,
+        record: RequestRecord,
         method: str,
-        bound_s: float = BOUND_S,
+        timeout_s: float = CALLER_TIMEOUT_S,
     ) -> None:
         try:
-            async with asyncio.timeout(bound_s):
+            async with asyncio.timeout(timeout_s):
                 await conn.ask(
-                    told.target,
+                    record.path,
                     method=method,
                     body=b'order' if method == 'POST' else b'',
-                    key=told.key,
+                    key=record.api_key,
                     deadline_ms=DEADLINE_MS,
-                    request_id=told.request_id,
-                    answer=told.answer,
+                    request_id=record.request_id,
+                    answer=record.answer,
                 )
         except (TimeoutError, OSError):
-            told.answer.whole = False
-        if not told.answer.whole:
+            record.answer.whole = False
+        if not record.answer.whole:
             conn.leave()
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/plan.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/plan.py
@@ -7,7 +7,13 @@
 import random
 from collections.abc import Iterator
 
-__all__ = ['Fault', 'Strike', 'copy_age_s', 'draw', 'drills']
+__all__ = [
+    'Fault',
+    'Injection',
+    'snapshot_age_s',
+    'generate',
+    'generate_drills',
+]
 
 
 class Fault(enum.Enum):
@@ -22,7 +28,7 @@
     DELAY_CALLERS = 'delay_callers'
     CUT_UPSTREAM = 'cut_upstream'
     SILENCE_UPSTREAM = 'silence_upstream'
-    SILENCE_ANSWERS = 'silence_answers'
+    SILENCE_RESPONSES = 'silence_responses'
     DELAY_UPSTREAM = 'delay_upstream'
     REFUSE_UPSTREAM = 'refuse_upstream'
     MISBEHAVE = 'misbehave'
@@ -32,160 +38,188 @@
     STORE_SILENT = 'store_silent'
     STORE_CUT = 'store_cut'
     STORE_DELAY = 'store_delay'
-    STORE_FORGETS = 'store_forgets'
+    STORE_COMPACT = 'store_compact'
     CONFIGURE = 'configure'
-    STORE_PART = 'store_part'
+    STORE_PARTITION = 'store_partition'
     DRILL = 'drill'
-    RESET_BEGUN = 'reset_begun'
+    RESET_ON_START = 'reset_on_start'
 
 
 # Drawn by situations of their own, so that faults meet at the same time.
-STAGED = (Fault.STORE_PART, Fault.DRILL, Fault.RESET_BEGUN)
-# Pauses between strikes, in seconds: several overlap, and some come in series.
-SHORTEST_S = 0.02
-MEAN_S = 0.5
-SERIES_SHARE = 0.25
-LONGEST = 2.5
+SCENARIO_FAULTS = (Fault.STORE_PARTITION, Fault.DRILL, Fault.RESET_ON_START)
+# Pauses between injections, in seconds: several overlap, and some come in
+# series.
+MIN_GAP_S = 0.02
+MEAN_GAP_S = 0.5
+REPEAT_PROBABILITY = 0.25
+MAX_DURATION_S = 2.5
 # Situations with a drill of the store, and what is done meanwhile.
-DRILL_EVERY_S = 6.0
-DRILL_LEAD_S = 1.5
-SECOND_DRILL_S = 3.0
+MEAN_DRILL_INTERVAL_S = 6.0
+MAX_FIRST_DRILL_S = 1.5
+MAX_SECOND_DRILL_DELAY_S = 3.0
 # Age of the copy with which the store comes back, in seconds.
-COPY_AGES_S = (0.5, 1.0, 2.0)
+SNAPSHOT_AGES_S = (0.5, 1.0, 2.0)
 # Operators and servers go on writing, while the store is away and behind it.
-CHANGES = (Fault.CONFIGURE, Fault.LEAVE)
-CHANGED_S = 4.0
+CHANGE_FAULTS = (Fault.CONFIGURE, Fault.LEAVE)
+CHANGE_WINDOW_S = 4.0
 # From the crash of a server to the end of its entry.
-LAPSE_S = 0.5
+CRASH_LAPSE_S = 0.5
 # How the store is away; empty if it is back before a call notices.
-AWAY = ('busy', 'silent', 'reset', '')
-LONGEST_AWAY_S = 1.0
+OUTAGE_MODES = ('busy', 'silent', 'reset', '')
+MAX_OUTAGE_S = 1.0
 # Gateways that are restarted one after the other.
-ROLLED = 3
-ROLLED_EVERY_S = 0.7
-RESETS_EVERY_S = 1.5
+RESTARTED_GATEWAYS = 3
+RESTART_INTERVAL_S = 0.7
+MEAN_RESET_INTERVAL_S = 1.5
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Strike:
+class Injection:
     """One fault.
 
     Attributes:
       at_s: When it begins, in seconds from the start of the load.
       fault: What is done.
       target: Picks whom it meets among those that there are then.
-      for_s: How long it lasts, where it lasts.
-      script: Misbehaviour of a server that misbehaves; how the store is away.
+      duration_s: How long it lasts, where it lasts.
+      variant: Misbehaviour of a server that misbehaves; how the store is away.
     """
 
     at_s: float
     fault: Fault
     target: int
-    for_s: float
-    script: str
+    duration_s: float
+    variant: str
 
 
-SCRIPTS = (
+MISBEHAVIOURS = (
     *('fail', 'shed', 'moved', 'false_503', 'reset', 'truncate', 'garbage'),
     *('extra', 'stale', 'unframed', 'no_receipt', 'hang', 'early'),
 )
 
 
-def draw(seed: int, length_s: float) -> list[Strike]:
-    """Returns the strikes of a seed, in order of time."""
+def generate(seed: int, length_s: float) -> list[Injection]:
+    """Returns the injections of a seed, in order of time."""
     rng = random.Random(seed)
-    faults = [fault for fault in Fault if fault not in STAGED]
-    strikes = []
+    faults = [fault for fault in Fault if fault not in SCENARIO_FAULTS]
+    injections = []
     at_s = 0.5
     fault = rng.choice(faults)
     while at_s < length_s:
-        strikes.append(
-            Strike(
+        injections.append(
+            Injection(
                 round(at_s, 3),
                 fault,
                 rng.randrange(1000),
-                round(rng.uniform(0.1, LONGEST), 3),
-                rng.choice(SCRIPTS),
+                round(rng.uniform(0.1, MAX_DURATION_S), 3),
+                rng.choice(MISBEHAVIOURS),
             )
         )
-        at_s += max(SHORTEST_S, rng.expovariate(1 / MEAN_S))
-        if rng.random() >= SERIES_SHARE:
+        at_s += max(MIN_GAP_S, rng.expovariate(1 / MEAN_GAP_S))
+        if rng.random() >= REPEAT_PROBABILITY:
             fault = rng.choice(faults)
-    strikes += [*drills(seed, length_s), *_resets(seed, length_s)]
-    return sorted(strikes, key=lambda one: one.at_s)
+    injections += [
+        *generate_drills(seed, length_s),
+        *_engine_resets(seed, length_s),
+    ]
+    return sorted(injections, key=lambda injection: injection.at_s)
 
 
-def drills(seed: int, length_s: float) -> list[Strike]:
+def generate_drills(seed: int, length_s: float) -> list[Injection]:
     """Returns drills of the store and what is meant to overlap with them."""
     rng = random.Random(f'{seed} drills')
-    strikes: list[Strike] = []
-    at_s = rng.uniform(0.5, DRILL_LEAD_S)
+    injections: list[Injection] = []
+    at_s = rng.uniform(0.5, MAX_FIRST_DRILL_S)
     while at_s < length_s:
-        situation = rng.choice((_alone, _cut_off, _twice, _rolling))
-        struck = [*situation(rng, round(at_s, 3))]
-        strikes += [*struck, *_changes(rng, struck[0])]
-        at_s += rng.uniform(0.5, 1.5) * DRILL_EVERY_S
-    return sorted(strikes, key=lambda one: one.at_s)
-
-
-def _alone(rng: random.Random, at_s: float) -> Iterator[Strike]:
-    away_s = round(rng.uniform(0.1, LONGEST_AWAY_S), 3)
-    yield Strike(
-        at_s, Fault.DRILL, rng.randrange(1000), away_s, rng.choice(AWAY)
+        scenario = rng.choice(
+            (
+                _single_drill,
+                _drill_with_partition,
+                _repeated_drill,
+                _drill_with_rolling_restart,
+            )
+        )
+        scenario_injections = [*scenario(rng, round(at_s, 3))]
+        injections += [
+            *scenario_injections,
+            *_concurrent_changes(rng, scenario_injections[0]),
+        ]
+        at_s += rng.uniform(0.5, 1.5) * MEAN_DRILL_INTERVAL_S
+    return sorted(injections, key=lambda injection: injection.at_s)
+
+
+def _single_drill(rng: random.Random, at_s: float) -> Iterator[Injection]:
+    outage_s = round(rng.uniform(0.1, MAX_OUTAGE_S), 3)
+    yield Injection(
+        at_s,
+        Fault.DRILL,
+        rng.randrange(1000),
+        outage_s,
+        rng.choice(OUTAGE_MODES),
     )
 
 
-def _cut_off(rng: random.Random, at_s: float) -> Iterator[Strike]:
+def _drill_with_partition(
+    rng: random.Random, at_s: float
+) -> Iterator[Injection]:
     """Yields a drill while a third of the gateways is cut off."""
-    yield from _alone(rng, at_s)
-    yield Strike(
+    yield from _single_drill(rng, at_s)
+    yield Injection(
         at_s,
-        Fault.STORE_PART,
+        Fault.STORE_PARTITION,
         rng.randrange(1000),
-        round(rng.uniform(1.0, 2.0) * LONGEST, 3),
+        round(rng.uniform(1.0, 2.0) * MAX_DURATION_S, 3),
         '',
     )
 
 
-def _twice(rng: random.Random, at_s: float) -> Iterator[Strike]:
+def _repeated_drill(rng: random.Random, at_s: float) -> Iterator[Injection]:
     """Yields a drill, and another before all is written again."""
-    [first] = _alone(rng, at_s)
+    [first] = _single_drill(rng, at_s)
     yield first
-    second_s = round(at_s + rng.uniform(0.2, SECOND_DRILL_S), 3)
-    yield dataclasses.replace(first, at_s=second_s, script=rng.choice(AWAY))
+    second_s = round(at_s + rng.uniform(0.2, MAX_SECOND_DRILL_DELAY_S), 3)
+    yield dataclasses.replace(
+        first, at_s=second_s, variant=rng.choice(OUTAGE_MODES)
+    )
 
 
-def _rolling(rng: random.Random, at_s: float) -> Iterator[Strike]:
+def _drill_with_rolling_restart(
+    rng: random.Random, at_s: float
+) -> Iterator[Injection]:
     """Yields a drill while gateways are restarted one after the other."""
-    yield from _alone(rng, at_s)
+    yield from _single_drill(rng, at_s)
     first = rng.randrange(1000)
-    for number in range(ROLLED):
-        stop_s = round(at_s + number * ROLLED_EVERY_S, 3)
-        yield Strike(stop_s, Fault.STOP, first + number, 0.0, '')
+    for number in range(RESTARTED_GATEWAYS):
+        stop_s = round(at_s + number * RESTART_INTERVAL_S, 3)
+        yield Injection(stop_s, Fault.STOP, first + number, 0.0, '')
 
 
-def copy_age_s(drill: Strike) -> float:
+def snapshot_age_s(drill: Injection) -> float:
     """Returns the time from the copy of a drill until the store is away."""
-    return random.Random(drill.target).choice(COPY_AGES_S)
+    return random.Random(drill.target).choice(SNAPSHOT_AGES_S)
 
 
-def _changes(rng: random.Random, drill: Strike) -> Iterator[Strike]:
+def _concurrent_changes(
+    rng: random.Random, drill: Injection
+) -> Iterator[Injection]:
     """Yields what is written while the store is away, and on its return."""
-    away_s = drill.at_s + copy_age_s(drill)
-    for fault in CHANGES:
-        for span_s in (drill.for_s, CHANGED_S):
-            changed_s = round(away_s + rng.uniform(0.0, span_s), 3)
-            yield Strike(changed_s, fault, rng.randrange(1000), 0.0, '')
-    crash_s = max(0.0, away_s + rng.uniform(0.0, drill.for_s) - LAPSE_S)
+    outage_start_s = drill.at_s + snapshot_age_s(drill)
+    for fault in CHANGE_FAULTS:
+        for span_s in (drill.duration_s, CHANGE_WINDOW_S):
+            changed_s = round(outage_start_s + rng.uniform(0.0, span_s), 3)
+            yield Injection(changed_s, fault, rng.randrange(1000), 0.0, '')
+    crash_s = max(
+        0.0, outage_start_s + rng.uniform(0.0, drill.duration_s) - CRASH_LAPSE_S
+    )
     target = rng.randrange(1000)
-    yield Strike(round(crash_s, 3), Fault.CRASH, target, LAPSE_S, '')
+    yield Injection(round(crash_s, 3), Fault.CRASH, target, CRASH_LAPSE_S, '')
 
 
-def _resets(seed: int, length_s: float) -> Iterator[Strike]:
+def _engine_resets(seed: int, length_s: float) -> Iterator[Injection]:
     """Yields engines that end requests as they begin them."""
     rng = random.Random(f'{seed} resets')
-    at_s = rng.uniform(0.0, RESETS_EVERY_S)
+    at_s = rng.uniform(0.0, MEAN_RESET_INTERVAL_S)
     while at_s < length_s:
         target = rng.randrange(1000)
-        yield Strike(round(at_s, 3), Fault.RESET_BEGUN, target, 0.0, '')
-        at_s += rng.expovariate(1 / RESETS_EVERY_S)
+        yield Injection(round(at_s, 3), Fault.RESET_ON_START, target, 0.0, '')
+        at_s += rng.expovariate(1 / MEAN_RESET_INTERVAL_S)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/stage.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/testbed.py
@@ -21,15 +21,15 @@
 
     from quetzalsill_dev import launch
 
-__all__ = ['Gateway', 'Stage', 'Upstream']
+__all__ = ['Gateway', 'Testbed', 'Upstream']
 
-PROGRAM = pathlib.Path(__file__).parents[5] / 'platform' / 'run.py'
-ANYWHERE = '127.0.0.1:0'
-GRACE_S = 2.0
-EVENTS = 25
-EVENT_S = 0.01
-WRITERS = 'writers'
-DESK = 'desk'
+PLATFORM_SCRIPT = pathlib.Path(__file__).parents[5] / 'platform' / 'run.py'
+EPHEMERAL_ADDRESS = '127.0.0.1:0'
+STOP_GRACE_S = 2.0
+EVENTS_PER_STREAM = 25
+EVENT_INTERVAL_S = 0.01
+ENGINE_SERVICE = 'writers'
+HTTP_SERVICE = 'desk'
 
 
 class Gateway:
@@ -89,7 +89,7 @@
         return row | {'address': self.address}
 
 
-class Stage:
+class Testbed:
     """Everything that a soak runs."""
 
     def __init__(
@@ -105,22 +105,22 @@
         self.fleet = engine.Fleet()
         self.gateways = [Gateway(f'entry-{n}') for n in range(gateways)]
         self.upstreams: list[Upstream] = []
-        self.desks: list[plain_server.PlainServer] = []
-        self.version = 0
-        self._numbers = iter(range(1, 10_000))
+        self.http_servers: list[plain_server.PlainServer] = []
+        self.config_version = 0
+        self._server_numbers = iter(range(1, 10_000))
 
-    async def start(self, desks: int, engines: int) -> None:
+    async def start(self, http_servers: int, engines: int) -> None:
         """Starts all of it."""
         await self.store.server.start()
         for gateway in self.gateways:
             gateway.store_relay.target = self.store.server.address
             await gateway.relay.start()
             await gateway.store_relay.start()
-        for _ in range(desks):
-            await self.add(DESK)
+        for _ in range(http_servers):
+            await self.add_upstream(HTTP_SERVICE)
         for _ in range(engines):
-            await self.add(WRITERS)
-        self.configure()
+            await self.add_upstream(ENGINE_SERVICE)
+        self.publish_configuration()
         await asyncio.gather(*map(self.start_gateway, self.gateways))
 
     async def stop(self) -> None:
@@ -133,48 +133,57 @@
             await gateway.store_relay.stop()
         await self.store.server.stop()
 
-    async def add(self, service: str) -> Upstream:
+    async def add_upstream(self, service: str) -> Upstream:
         """Starts a server and enters it."""
-        name = f'{service}-{next(self._numbers)}'
-        if service == DESK:
+        name = f'{service}-{next(self._server_numbers)}'
+        if service == HTTP_SERVICE:
             server = plain_server.PlainServer(name)
-            self.desks.append(server)
+            self.http_servers.append(server)
         else:
             server = engine.Engine(self.fleet, name)
-            server.length, server.event_s = EVENTS, EVENT_S
+            server.length, server.event_s = EVENTS_PER_STREAM, EVENT_INTERVAL_S
         upstream = Upstream(server, service)
         await upstream.open()
-        if service == WRITERS:
+        if service == ENGINE_SERVICE:
             self.fleet.engines[upstream.address] = server
         self.upstreams.append(upstream)
         self.store.put('servers', server.id, upstream.row())
         return upstream
 
-    async def remove(self, upstream: Upstream) -> None:
+    async def remove_upstream(self, upstream: Upstream) -> None:
         """Ends a server and drops its row."""
         self.upstreams.remove(upstream)
         self.store.remove('servers', upstream.server.id)
-        if upstream.service == WRITERS:
+        if upstream.service == ENGINE_SERVICE:
             await upstream.server.crash()
         await upstream.relay.stop()
         await upstream.server.server.stop()
 
-    def of(self, service: str) -> list[Upstream]:
+    def upstreams_of(self, service: str) -> list[Upstream]:
         """Returns the servers of a service."""
-        return [one for one in self.upstreams if one.service == service]
+        return [
+            upstream
+            for upstream in self.upstreams
+            if upstream.service == service
+        ]
 
-    def configure(self) -> None:
+    def publish_configuration(self) -> None:
         """Writes the next version: it adds a route, and has its own key."""
-        self.version += 1
-        self.store.put('op', 'config', _configuration(self.version))
+        self.config_version += 1
+        self.store.put('op', 'config', _configuration(self.config_version))
 
     async def start_gateway(self, gateway: Gateway) -> None:
         """Starts the next process of a gateway."""
         gateway.incarnation += 1
-        path = self._launcher.folder / f'{gateway.name}.json'
+        settings_path = self._launcher.folder / f'{gateway.name}.json'
         port = 0 if self._log_level == 'info' else _free_port()
-        path.write_text(json.dumps(self._settings(gateway, port)))
-        command = (str(PROGRAM), 'gateway', '--settings', str(path))
+        settings_path.write_text(json.dumps(self._settings(gateway, port)))
+        command = (
+            str(PLATFORM_SCRIPT),
+            'gateway',
+            '--settings',
+            str(settings_path),
+        )
         gateway.process = await self._launcher.start_python(
             gateway.name, *command, port=port
         )
@@ -190,13 +199,13 @@
         return {
             'node': {'name': gateway.name, 'availability_zone': 'zone-a'},
             'listen': f'127.0.0.1:{port}',
-            'ready': ANYWHERE,
+            'ready': EPHEMERAL_ADDRESS,
             'store': f'127.0.0.1:{gateway.store_relay.port}',
             'deployment': 'platform',
-            'peers': ANYWHERE,
+            'peers': EPHEMERAL_ADDRESS,
             'telemetry': {'log_level': self._log_level},
             'retry': {'ratio': 0.5, 'allowance': 100, 'window_s': 5.0},
-            'stop': {'grace_s': GRACE_S, 'leave_s': 0.3},
+            'stop': {'grace_s': STOP_GRACE_S, 'leave_s': 0.3},
         }
 
 
@@ -208,19 +217,21 @@
 
 def _configuration(version: int) -> dict[str, Any]:
     routes = [
-        _route('safe', 'safe', DESK),
-        _route('unsafe', 'unsafe', DESK, maxAttempts=1),
-        _route('plan', 'streaming', WRITERS, maxAttempts=1),
-        _route('verdict', 'streaming', WRITERS, streamResume=True),
+        _route('safe', 'safe', HTTP_SERVICE),
+        _route('unsafe', 'unsafe', HTTP_SERVICE, maxAttempts=1),
+        _route('plan', 'streaming', ENGINE_SERVICE, maxAttempts=1),
+        _route('verdict', 'streaming', ENGINE_SERVICE, streamResume=True),
+    ]
+    routes += [
+        _route(f'v{n}', 'safe', HTTP_SERVICE) for n in range(1, version + 1)
     ]
-    routes += [_route(f'v{n}', 'safe', DESK) for n in range(1, version + 1)]
     return {
         'version': version,
         'routes': routes,
         'services': [
-            {'name': DESK, 'maxConnections': 100},
+            {'name': HTTP_SERVICE, 'maxConnections': 100},
             {
-                'name': WRITERS,
+                'name': ENGINE_SERVICE,
                 'maxConnections': 100,
                 'engine': {
                     'slots': 24,
@@ -236,7 +247,9 @@
     }
 
 
-def _route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
+def _route(
+    name: str, kind: str, service: str, **overrides: Any
+) -> dict[str, Any]:
     return {
         'name': name,
         'host': 'shop.example',
@@ -248,4 +261,4 @@
         'service': service,
         'maxAttempts': 2,
         'public': False,
-    } | more
+    } | overrides
--- a/tests/quetzalsill_dev/soak/test_soak.py
+++ b/tests/quetzalsill_dev/soak/test_soak.py
@@ -7,7 +7,8 @@
 import types
 import unittest
 
-from quetzalsill_dev.soak import load, plan, run, stage, verdict
+from quetzalsill_dev.soak import checks, load, plan, run
+from quetzalsill_dev.soak import testbed as testbed_lib
 from quetzalsill_dev.users_platform import caller, engine
 
 SEEDS = pathlib.Path(__file__).parent / 'seeds.txt'
@@ -19,141 +20,157 @@
 DRILL_S = 4.0
 
 
-def told(kind, status=200, body=b'', request_id='a', *, whole=True, **more):
+def record(
+    kind, status=200, body=b'', request_id='a', *, whole=True, **options
+):
     answer = caller.Answer(status, {}, body, whole)
-    return load.Told(request_id, kind, 'entry-0', answer, **more)
+    return load.RequestRecord(request_id, kind, 'entry-0', answer, **options)
 
 
-def scene(runs=(), started=(), doubled=()):
+def testbed(runs=(), started=(), doubled=()):
     """A stage on which these requests ran."""
-    desk = types.SimpleNamespace(runs=[(name, '', {}, b'') for name in runs])
+    server = types.SimpleNamespace(runs=[(name, '', {}, b'') for name in runs])
     fleet = engine.Fleet(
         started={name: ['e'] * started.count(name) for name in started},
         doubled=set(doubled),
     )
-    return types.SimpleNamespace(desks=[desk], fleet=fleet)
+    return types.SimpleNamespace(http_servers=[server], fleet=fleet)
 
 
 class PlanTest(unittest.TestCase):
     """A seed always means the same faults."""
 
     def test_a_seed_draws_the_same_again(self):
-        self.assertEqual(plan.draw(5, 20.0), plan.draw(5, 20.0))
-        self.assertNotEqual(plan.draw(5, 20.0), plan.draw(6, 20.0))
+        self.assertEqual(plan.generate(5, 20.0), plan.generate(5, 20.0))
+        self.assertNotEqual(plan.generate(5, 20.0), plan.generate(6, 20.0))
 
     def test_each_fault_is_drawn(self):
-        drawn = {one.fault for n in range(50) for one in plan.draw(n, 20.0)}
+        drawn = {one.fault for n in range(50) for one in plan.generate(n, 20.0)}
         self.assertEqual(drawn, set(plan.Fault))
 
     def test_each_seed_has_a_drill_whatever_else_it_draws(self):
         for seed in range(50):
-            drills = plan.drills(seed, 4.0)
+            drills = plan.generate_drills(seed, 4.0)
             self.assertIn(plan.Fault.DRILL, [one.fault for one in drills])
-            self.assertLessEqual(set(drills), set(plan.draw(seed, 4.0)))
+            self.assertLessEqual(set(drills), set(plan.generate(seed, 4.0)))
 
     def test_drills_overlap_with_cuts_restarts_and_each_other(self):
         """Each situation comes among a few seeds."""
         met = set()
         for seed in range(50):
-            drills = plan.drills(seed, 4.0)
+            drills = plan.generate_drills(seed, 4.0)
             [first, *others] = sorted(
                 drills, key=lambda one: one.fault is not plan.Fault.DRILL
             )
             met.update(
                 one.fault
                 for one in others
-                if abs(one.at_s - first.at_s) <= plan.SECOND_DRILL_S
+                if abs(one.at_s - first.at_s) <= plan.MAX_SECOND_DRILL_DELAY_S
             )
         fault = plan.Fault
-        overlapping = {fault.DRILL, fault.STORE_PART, fault.STOP, fault.CRASH}
-        self.assertEqual(met, overlapping | set(plan.CHANGES))
+        overlapping = {
+            fault.DRILL,
+            fault.STORE_PARTITION,
+            fault.STOP,
+            fault.CRASH,
+        }
+        self.assertEqual(met, overlapping | set(plan.CHANGE_FAULTS))
 
 
-class VerdictTest(unittest.TestCase):
+class ChecksTest(unittest.TestCase):
     """Each promise is seen to be broken where it is."""
 
-    def broken(self, one, **ran):
-        return list(verdict.broken(scene(**ran), [one]))
+    def violations(self, one, **ran):
+        return list(checks.find_violations(testbed(**ran), [one]))
 
     def test_what_may_run_once_ran_twice(self):
-        one = told('unsafe', body=b'desk:a')
-        self.assertEqual(self.broken(one, runs=['a']), [])
-        self.assertIn('2 times', self.broken(one, runs=['a', 'a'])[0])
-        plan_twice = told('plan', 502, whole=False)
-        found = self.broken(plan_twice, started=['a', 'a'])
+        request = record('unsafe', body=b'desk:a')
+        self.assertEqual(self.violations(request, runs=['a']), [])
+        self.assertIn('2 times', self.violations(request, runs=['a', 'a'])[0])
+        plan_twice = record('plan', 502, whole=False)
+        found = self.violations(plan_twice, started=['a', 'a'])
         self.assertIn('2 times', found[0])
 
     def test_a_refusal_is_false(self):
-        one = told('unsafe', 503)
-        self.assertEqual(self.broken(one), [])
-        self.assertIn('and ran', self.broken(one, runs=['a'])[0])
+        request = record('unsafe', 503)
+        self.assertEqual(self.violations(request), [])
+        self.assertIn('and ran', self.violations(request, runs=['a'])[0])
 
     def test_an_answer_belongs_to_another_request(self):
-        one = told('safe', body=b'desk:b')
-        self.assertIn('another body', self.broken(one, runs=['a'])[0])
+        request = record('safe', body=b'desk:b')
+        self.assertIn('another body', self.violations(request, runs=['a'])[0])
 
     def test_an_answer_that_no_server_gave(self):
-        one = told('safe', body=b'desk:a')
-        self.assertIn('never ran', self.broken(one)[0])
+        request = record('safe', body=b'desk:a')
+        self.assertIn('never ran', self.violations(request)[0])
 
     def test_a_stream_that_is_cut_looks_whole(self):
         part = engine.event('a', 1)
-        cut = told('verdict', body=part, whole=False)
-        self.assertEqual(self.broken(cut, started=['a']), [])
-        false = told('verdict', body=part)
-        self.assertIn('looks whole', self.broken(false, started=['a'])[0])
+        cut = record('verdict', body=part, whole=False)
+        self.assertEqual(self.violations(cut, started=['a']), [])
+        false = record('verdict', body=part)
+        self.assertIn('looks whole', self.violations(false, started=['a'])[0])
 
     def test_a_stream_lacks_an_event(self):
         body = engine.event('a', 1) + engine.event('a', 3)
-        one = told('plan', body=body, whole=False)
-        self.assertIn('other events', self.broken(one, started=['a'])[0])
+        request = record('plan', body=body, whole=False)
+        self.assertIn(
+            'other events', self.violations(request, started=['a'])[0]
+        )
 
     def test_a_plan_runs_at_two_engines(self):
         whole = b''.join(
-            engine.event('a', n) for n in range(1, stage.EVENTS + 1)
+            engine.event('a', n)
+            for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
         )
-        one = told('plan', body=whole)
-        found = self.broken(one, started=['a'], doubled=['a'])
+        request = record('plan', body=whole)
+        found = self.violations(request, started=['a'], doubled=['a'])
         self.assertIn('two engines', found[0])
 
     def test_a_process_goes_back_to_a_configuration_before(self):
         """A route is served, and not known any more a second later."""
-        served = told('edit', 200, version=4, incarnation=1, ended_s=1.0)
+        served = record('edit', 200, version=4, incarnation=1, ended_s=1.0)
         for late in (
-            told('edit', 404, version=4, incarnation=1, sent_s=2.0),
-            told('edit', 404, version=3, incarnation=1, sent_s=2.0),
-            told('revoked', 200, version=3, incarnation=1, sent_s=2.0),
+            record('edit', 404, version=4, incarnation=1, sent_s=2.0),
+            record('edit', 404, version=3, incarnation=1, sent_s=2.0),
+            record('revoked', 200, version=3, incarnation=1, sent_s=2.0),
         ):
-            [found] = verdict.stepped_back([late, served])
+            [found] = checks.find_config_rollbacks([late, served])
             self.assertIn('behind 4', found)
 
     def test_what_is_no_step_back(self):
         """Newer versions, at the same time, and another process."""
-        served = told('edit', 200, version=4, incarnation=1, ended_s=1.0)
+        served = record('edit', 200, version=4, incarnation=1, ended_s=1.0)
         for late in (
-            told('edit', 404, version=5, incarnation=1, sent_s=2.0),
-            told('edit', 404, version=4, incarnation=1, sent_s=1.1),
-            told('edit', 404, version=4, incarnation=2, sent_s=2.0),
-            told('edit', 404, version=4, incarnation=0, sent_s=2.0),
-            told('edit', 503, version=4, incarnation=1, sent_s=2.0),
-            told('revoked', 200, version=4, incarnation=1, sent_s=2.0),
-            told('revoked', 401, version=3, incarnation=1, sent_s=2.0),
+            record('edit', 404, version=5, incarnation=1, sent_s=2.0),
+            record('edit', 404, version=4, incarnation=1, sent_s=1.1),
+            record('edit', 404, version=4, incarnation=2, sent_s=2.0),
+            record('edit', 404, version=4, incarnation=0, sent_s=2.0),
+            record('edit', 503, version=4, incarnation=1, sent_s=2.0),
+            record('revoked', 200, version=4, incarnation=1, sent_s=2.0),
+            record('revoked', 401, version=3, incarnation=1, sent_s=2.0),
         ):
-            self.assertEqual(list(verdict.stepped_back([served, late])), [])
+            self.assertEqual(
+                list(checks.find_config_rollbacks([served, late])), []
+            )
 
     def test_more_is_lost_than_in_outages(self):
-        self.assertTrue(verdict.is_above_chance([0.02, 0.03, 0.02, 0.03, 0.02]))
-        self.assertFalse(verdict.is_above_chance([0.02, -0.03, 0.02, 0.0, 0.0]))
-        self.assertFalse(verdict.is_above_chance([0.02, 0.03]))
+        self.assertTrue(
+            checks.is_significantly_above_zero([0.02, 0.03, 0.02, 0.03, 0.02])
+        )
+        self.assertFalse(
+            checks.is_significantly_above_zero([0.02, -0.03, 0.02, 0.0, 0.0])
+        )
+        self.assertFalse(checks.is_significantly_above_zero([0.02, 0.03]))
 
     def test_who_left_or_asked_for_what_changes_has_lost_nothing(self):
         over = {'ended_s': 1.0}
-        self.assertTrue(told('safe', 503, **over).lost)
-        self.assertTrue(told('safe', whole=False, **over).lost)
-        self.assertFalse(told('safe', **over).lost)
-        self.assertFalse(told('safe', 0, left=True, **over).lost)
-        self.assertFalse(told('edit', 404, version=2, **over).lost)
-        self.assertFalse(told('safe', 0).lost)
+        self.assertTrue(record('safe', 503, **over).lost)
+        self.assertTrue(record('safe', whole=False, **over).lost)
+        self.assertFalse(record('safe', **over).lost)
+        self.assertFalse(record('safe', 0, abandoned=True, **over).lost)
+        self.assertFalse(record('edit', 404, version=2, **over).lost)
+        self.assertFalse(record('safe', 0).lost)
 
     def test_what_a_process_knows_by_its_log(self):
         lines = (
@@ -162,20 +179,20 @@
             'event=upstream_lapsed node=entry-0 upstream=desk-2 version=3',
             'event=upstream_removed node=entry-0 upstream=desk-1 version=4',
         )
-        known = verdict.known_upstreams('\n'.join(lines))
+        known = checks.upstreams_in_log('\n'.join(lines))
         self.assertEqual(known, {'desk-2'})
 
     def test_a_traceback_in_a_log(self):
         logs = [('entry-0.0.log', 'event=listening\nTraceback (most\n')]
-        self.assertEqual(len(list(verdict.of_logs(logs))), 1)
+        self.assertEqual(len(list(checks.find_unexpected_log_lines(logs))), 1)
 
 
 class SoakTest(unittest.TestCase):
     """Real processes, with faults from outside."""
 
-    def play(self, seed, length_s, **more):
-        result = asyncio.run(run.run(seed, length_s, **more))
-        self.assertEqual(result.broken, [], f'seed {seed}, {length_s} s')
+    def play(self, seed, length_s, **options):
+        result = asyncio.run(run.run(seed, length_s, **options))
+        self.assertEqual(result.violations, [], f'seed {seed}, {length_s} s')
         self.assertGreater(result.served, 0)
 
     def test_a_short_soak_holds(self):
