--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of gateways under faults from outside."""
+"""A randomized soak test of gateways under external faults."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m quetzalsill_dev.soak`: plays seeds and tells what broke."""
+"""`python -m quetzalsill_dev.soak`: runs seeds and prints violations."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @click.command()
 @click.option('--first', default=1, help='First seed.')
-@click.option('--seeds', default=1, help='How many seeds, one after another.')
-@click.option('--seconds', default=10.0, help='How long faults are done.')
-@click.option('--gateways', default=3, help='Processes under test.')
+@click.option('--seeds', default=1, help='Number of consecutive seeds.')
+@click.option('--seconds', default=10.0, help='How long faults are injected.')
+@click.option('--gateways', default=3, help='Number of gateway processes.')
 @click.option(
     '--keep',
     type=click.Path(path_type=pathlib.Path),
@@ -27,12 +27,12 @@
 @click.option(
     '--only-drills',
     is_flag=True,
-    help='Drills of the store, and what overlaps with them.',
+    help='Inject only restore drills and the faults that overlap them.',
 )
 @click.option(
     '--beside',
     is_flag=True,
-    help='Plays each seed again, with outages for drills.',
+    help='Run each seed again with outages in place of drills.',
 )
 def main(
     first: int,
@@ -44,7 +44,7 @@
     only_drills: bool,
     beside: bool,
 ) -> None:
-    """Plays seeds; ends with an exit status other than 0 if one broke."""
+    """Runs seeds; exits with a non-zero status if one fails."""
 
     def run_seed(seed: int, *, rolls_back: bool) -> run.Result:
         name = str(seed) if rolls_back else f'{seed}-outage'
@@ -59,9 +59,9 @@
             )
         )
         click.echo(
-            f'seed {name}: {result.injections} faults, {result.sent} asked, '
+            f'seed {name}: {result.injections} faults, {result.sent} sent, '
             f'{result.served} served, {result.lost} lost, '
-            f'{len(result.violations)} broken'
+            f'{len(result.violations)} violations'
         )
         for line in result.violations:
             click.echo(f'  {line}')
@@ -76,13 +76,14 @@
         if beside:
             outage = run_seed(seed, rolls_back=False)
             loss_differences.append(result.lost_share - outage.lost_share)
-    click.echo(f'{seeds - failed} seeds held, {failed} broke')
+    click.echo(f'{seeds - failed} seeds passed, {failed} failed')
     is_worse = checks.is_significantly_above_zero(loss_differences)
     if loss_differences:
         mean = statistics.fmean(loss_differences)
         word = 'more' if is_worse else 'no more'
         click.echo(
-            f'{word} lost than in outages: {mean:+.5f} of all in the mean'
+            f'{word} lost than in outages: mean difference {mean:+.5f} of all '
+            f'requests'
         )
     sys.exit(1 if failed or is_worse else 0)
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
@@ -1,4 +1,7 @@
-"""What must hold, whatever was done: judged by callers and servers alone."""
+"""Invariants that hold under all faults.
+
+They are checked by what callers, servers and logs show from outside.
+"""
 
 from __future__ import annotations
 
@@ -27,24 +30,24 @@
 AT_MOST_ONCE_KINDS = ('unsafe', 'plan')
 OK = 200
 NOT_FOUND = 404
-# A request that is sent this long after another was answered is handled by the
-# same process behind it.
+# A request sent this long after the response to another one is handled after it
+# by the same process.
 CONFIG_SETTLE_S = 0.25
-# Standard errors above which a mean is not by chance.
+# A mean this many standard errors above zero is not due to chance.
 MIN_STANDARD_ERRORS = 3.0
 MIN_PAIRS = 5
-# What a process writes when it takes an entry in, or drops it.
+# Logged when a process adds or removes an upstream.
 MEMBERSHIP_EVENT = re.compile(
     r'event=upstream_(added|removed) .*?\bupstream=(\S+)'
 )
-# What a process writes when something happened that nobody thought of.
+# Logged on an unforeseen failure.
 UNEXPECTED_LINE = re.compile(r'Traceback|level=(?:error|critical)')
 
 
 def find_violations(
     testbed: testbed_lib.Testbed, records: Iterable[load_lib.RequestRecord]
 ) -> Iterator[str]:
-    """Yields what callers and servers saw that must never be."""
+    """Yields a line for each violation that callers or servers saw."""
     run_counts = collections.Counter(
         run[0] for server in testbed.http_servers for run in server.runs
     )
@@ -68,24 +71,24 @@
             if not record.answer.body.decode().endswith(
                 f':{record.request_id}'
             ):
-                yield f'{where} got another body: {record.answer.body!r}'
+                yield f'{where} got a mismatched body: {record.answer.body!r}'
             if not runs:
-                yield f'{where} was answered and never ran'
+                yield f'{where} was answered but never ran'
     for name in testbed.fleet.doubled:
         if any(
             record.request_id == name and record.kind == 'plan'
             for record in records
         ):
-            yield f'plan {name} ran at two engines at once'
+            yield f'plan {name} ran on two engines at once'
 
 
 def find_config_rollbacks(
     records: Iterable[load_lib.RequestRecord],
 ) -> Iterator[str]:
-    """Yields where a process serves an older configuration than before.
+    """Yields responses from an older configuration than one already in force.
 
-    A route that was served shows that its version is in force; from then on,
-    that process knows the route, and no key of versions before.
+    A served route shows that its version is in force. From then on, that
+    process has to know the route and to reject the keys of older versions.
     """
     asked = [
         record for record in records if record.version and record.incarnation
@@ -106,22 +109,22 @@
             yield (
                 f'{record.kind} {record.request_id} of version '
                 f'{record.version} got {record.answer.status} at '
-                f'{record.gateway}, behind {newest}'
+                f'{record.gateway}, after version {newest}'
             )
 
 
 def _is_from_older_config(record: load_lib.RequestRecord, newest: int) -> bool:
-    """Whether only a configuration before a version handles it so."""
+    """Whether only a configuration before `newest` gives this response."""
     if record.kind == 'edit':
         return record.answer.status == NOT_FOUND and record.version <= newest
     return record.answer.status == OK and record.version < newest
 
 
 def is_significantly_above_zero(differences: Sequence[float]) -> bool:
-    """Whether the mean of differences between pairs is above zero for sure.
+    """Whether the mean of paired differences is significantly above zero.
 
-    Faults that meet requests at other moments lose a few more or fewer; few
-    pairs show nothing.
+    Losses vary by chance, because faults hit requests at different moments; a
+    few pairs show nothing.
     """
     if len(differences) < MIN_PAIRS:
         return False
@@ -137,13 +140,13 @@
         for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
     )
     if record.answer.whole and record.answer.body != whole:
-        yield f'{where} looks whole and is not: {record.answer.body[-80:]!r}'
+        yield f'{where} looks complete but is not: {record.answer.body[-80:]!r}'
     if not whole.startswith(record.answer.body):
-        yield f'{where} got other events: {record.answer.body[-80:]!r}'
+        yield f'{where} got unexpected events: {record.answer.body[-80:]!r}'
 
 
 def find_unexpected_log_lines(logs: Iterable[tuple[str, str]]) -> Iterator[str]:
-    """Yields what the processes wrote that nobody foresaw."""
+    """Yields the log lines that show an unforeseen failure."""
     for name, text in logs:
         for line in text.splitlines():
             if UNEXPECTED_LINE.search(line):
@@ -151,10 +154,10 @@
 
 
 def upstreams_in_log(text: str) -> set[str]:
-    """Returns the upstreams that a process knows, by what it wrote.
+    """Returns the upstreams that a process knows, according to its log.
 
-    Callers hardly see that one is missing, or is there that has ended: others
-    serve them.
+    Responses rarely show a missing upstream, or one that is listed although it
+    has ended, because other upstreams serve the requests.
     """
     known: set[str] = set()
     for change, name in MEMBERSHIP_EVENT.findall(text):
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
@@ -1,4 +1,4 @@
-"""Does to the processes, links and servers of a soak what its plan says."""
+"""Injects scheduled faults into processes, links and servers of a soak run."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 
 __all__ = ['FaultInjector']
 
-# Time from an engine's notice until it goes, and until its row is dropped.
+# From the notice of a leaving upstream until it stops and its row is removed.
 DRAIN_NOTICE_S = 1.5
 STOP_TIMEOUT_S = testbed_lib.STOP_GRACE_S + 3.0
 LINK_DELAY_S = 0.15
 STORE_DELAY_S = 0.6
 MIN_SERVERS = 2
-# One of so many gateways is cut off from the store.
+# One in this many gateways is cut off from the store.
 PARTITION_STRIDE = 3
 MAX_RESETS = 3
-# Servers have two seconds to enter themselves again.
+# Servers register again within two seconds of a restore.
 REWRITE_S = 2.0
-# Versions that others use up between copy and loss, and on the store's return:
-# none, or past the old ones.
+# Versions used up by other writers between the snapshot and the outage, and
+# after the restore: none, or enough to pass the versions from before it.
 VERSION_GAP = 50
 VERSION_SKIPS = (0, 2 * VERSION_GAP)
-# Share of drills that break off the watches that wait.
+# Share of drills that break off pending watches.
 CUT_WATCHES_PROBABILITY = 0.5
-# Share of lost rows that are there again before anybody is answered.
+# Share of lost rows written again before the store answers any call.
 IMMEDIATE_REWRITE_SHARES = (0.0, 0.5, 1.0)
 
 
 class FaultInjector:
-    """Faults under way.
+    """Injects faults, which may overlap.
 
-    A gateway that is down, paused or stopping is left alone by what would
-    need its process; everything else meets it all the same.
+    Faults of a gateway's process are skipped while it is down, paused or
+    stopping; all other faults apply to the gateway even then.
     """
 
     def __init__(
         self, testbed: testbed_lib.Testbed, *, rolls_back: bool = True
     ) -> None:
-        """Prepares to strike.
+        """Creates an injector with no active faults.
 
         Args:
-          testbed: Everything that may be struck.
-          rolls_back: Whether drills have the store lose what it was told; they
-            are outages as long otherwise.
+          testbed: Processes and stand-ins to inject faults into.
+          rolls_back: Whether the store loses its newest writes in a drill; if
+            not, a drill is an outage of the same length.
         """
         self._testbed = testbed
         self._rolls_back = rolls_back
@@ -89,12 +89,12 @@
         }
 
     def inject(self, injection: plan.Injection) -> None:
-        """Begins a strike; it ends by itself."""
+        """Starts a fault, which ends by itself."""
         task = asyncio.create_task(self._handlers[injection.fault](injection))
         self._tasks.add(task)
 
     async def wait(self) -> list[str]:
-        """Waits until all strikes are over; returns what broke under them."""
+        """Waits until all faults have ended; returns the violations seen."""
         await asyncio.gather(*self._tasks)
         return self._violations
 
@@ -177,7 +177,7 @@
         server.scripts = [injection.variant] * (1 + injection.target % 4)
 
     async def _leave(self, injection: plan.Injection) -> None:
-        """An upstream gives notice and goes, and another takes its place."""
+        """Starts a new upstream, then drains and removes an old one."""
         upstream = self._pick_departing(injection)
         if upstream is None:
             return
@@ -193,7 +193,7 @@
         await self._remove(upstream)
 
     async def _crash(self, injection: plan.Injection) -> None:
-        """An upstream is gone without a word; its row lapses later."""
+        """Crashes an upstream without notice; its row is removed later."""
         upstream = self._pick_departing(injection)
         if upstream is None:
             return
@@ -230,7 +230,7 @@
         store.down = 'busy' if is_busy else 'silent'
         await asyncio.sleep(injection.duration_s)
         store.down = ''
-        # What was held without an answer stays so; its callers give it up.
+        # Calls held during the outage stay unanswered, and callers give up.
         self._cut_store_links()
 
     def _cut_store_links(self) -> None:
@@ -250,7 +250,7 @@
             relay.delay(0.0)
 
     async def _partition_store(self, injection: plan.Injection) -> None:
-        """A third of the gateways does not reach the store."""
+        """Cuts a third of the gateways off from the store."""
         first = injection.target % PARTITION_STRIDE
         relays = [
             gateway.store_relay
@@ -264,7 +264,7 @@
             relay.refusing = False
 
     async def _drill(self, injection: plan.Injection) -> None:
-        """The store is away, and comes back from a copy some seconds old."""
+        """Takes the store down and restores a snapshot some seconds old."""
         store = self._testbed.store
         rng = random.Random(injection.target)
         snapshot = store.snapshot()
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, and what each was told."""
+"""Load of a soak run, with a record of each request."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
 
 __all__ = ['REQUEST_KINDS', 'LoadGenerator', 'RequestRecord']
 
-# Route, method, and how often it is asked.
+# Kind, method and relative weight of requests.
 REQUEST_KINDS = (
     *(('safe', 'GET', 3), ('unsafe', 'POST', 3)),
     *(('plan', 'POST', 2), ('verdict', 'POST', 2)),
     *(('edit', 'GET', 1), ('revoked', 'GET', 1)),
 )
-# How far back callers ask for what operators changed, in versions.
+# Number of newest configuration versions that callers use.
 RECENT_VERSIONS = 2
-# A caller waits a little longer than the time limit that it gives.
+# Callers wait a little longer than the deadline that they send.
 DEADLINE_MS = 4000
 CALLER_TIMEOUT_S = 6.0
 REQUEST_INTERVAL_S = 0.03
-# Share of requests whose callers leave before their answers.
+# Share of requests whose callers disconnect before the response.
 ABANDON_PROBABILITY = 0.03
 OK = 200
 
 
 @dataclasses.dataclass(slots=True)
 class RequestRecord:
-    """One request and what came back.
+    """A request and its outcome.
 
     Attributes:
-      request_id: Its id.
-      kind: Its route.
-      gateway: Name of the gateway asked.
-      answer: What came of the answer.
-      version: Of the configuration whose route (`edit`) or key (`revoked`) was
-        asked with.
+      request_id: Request id.
+      kind: Kind of request.
+      gateway: Name of the gateway that it was sent to.
+      answer: Response, as far as it was received.
+      version: Configuration version whose route (`edit`) or key (`revoked`) was
+        used; 0 for other kinds.
       incarnation: Process of the gateway; 0 if it was replaced meanwhile.
-      sent_s: Loop time at which it was sent.
-      ended_s: Loop time at which its answer had come.
-      abandoned: The caller left before its answer.
+      sent_s: Loop time at which the request was sent.
+      ended_s: Loop time at which the request ended; 0 for one that is pending,
+        and for a probe.
+      abandoned: Whether the caller disconnects early, usually before the
+        response.
     """
 
     request_id: str
@@ -61,33 +63,33 @@
 
     @property
     def served(self) -> bool:
-        """Whether its answer came whole, with success."""
+        """Whether a complete and successful response was received."""
         return self.answer.status == OK and self.answer.whole
 
     @property
     def lost(self) -> bool:
-        """Whether it was given up without being served, as it should be."""
+        """Whether the request ended unserved although it should be served."""
         is_over = self.ended_s > 0
         return is_over and not (self.served or self.abandoned or self.version)
 
     @property
     def path(self) -> str:
-        """Path that is asked for."""
+        """Path of the request."""
         if self.kind == 'edit':
             return f'/v{self.version}/x'
         return f'/{"safe" if self.kind == "revoked" else self.kind}/x'
 
     @property
     def api_key(self) -> str:
-        """Key that is asked with."""
+        """API key sent with the request."""
         return f'key-v{self.version}' if self.kind == 'revoked' else 'key-1'
 
 
 class LoadGenerator:
-    """Callers that ask without pause, on connections that they keep.
+    """Sends requests continuously on persistent connections.
 
     Attributes:
-      records: What became of all requests so far.
+      records: All requests so far.
     """
 
     def __init__(self, testbed: testbed_lib.Testbed, seed: int) -> None:
@@ -97,7 +99,7 @@
         self.records: list[RequestRecord] = []
 
     async def run(self) -> None:
-        """Asks at one gateway after another until cancelled."""
+        """Sends requests to random gateways until cancelled."""
         connections: dict[str, caller.Caller] = {}
         try:
             while True:
@@ -111,7 +113,7 @@
     async def probe(
         self, kind: str, gateway: testbed_lib.Gateway
     ) -> RequestRecord:
-        """Asks once on a connection of its own."""
+        """Sends a single request on a new connection."""
         conn = caller.Caller('127.0.0.1', gateway.relay.port)
         record = self._start_record(kind, gateway)
         await self._send(conn, record, 'GET')
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/run.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: processes, load, injections, and the verdict."""
+"""Runs a soak: starts processes and load, injects faults, checks invariants."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 __all__ = ['Result', 'run']
 
 CALLERS = 8
-# Everything is back this long after the last fault; the adapter waits 2.2 s
-# for entries that lapsed, and pauses of up to 2 s lie between its tries.
+# Everything has recovered this long after the last fault: the adapter waits
+# 2.2 s for lapsed entries, and its retries are up to 2 s apart.
 RECOVERY_S = 6.0
 PROBES_PER_KIND = 10
 MAX_LOST_PROBES = 1
@@ -26,15 +26,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What a soak found.
+    """Outcome of a soak run.
 
     Attributes:
-      seed: Its seed.
-      sent: Requests sent.
-      served: Answers with success that came whole.
-      lost: Requests that should have been served, and were not.
-      injections: Faults done.
-      violations: What must not be, a line each.
+      seed: Seed of the run.
+      sent: Number of requests sent.
+      served: Number of complete and successful responses.
+      lost: Number of requests that should have been served but were not.
+      injections: Number of faults injected.
+      violations: A line for each violated invariant.
     """
 
     seed: int
@@ -46,7 +46,7 @@
 
     @property
     def lost_share(self) -> float:
-        """Share of all requests that were lost."""
+        """Share of all requests that was lost."""
         return self.lost / max(1, self.sent)
 
 
@@ -59,17 +59,17 @@
     rolls_back: bool = True,
     only_drills: bool = False,
 ) -> Result:
-    """Plays one seed.
+    """Runs one seed.
 
     Args:
-      seed: Draws the injections and the load.
-      length_s: How long faults are done, in seconds.
-      gateways: Processes under test.
-      folder: Keeps settings and logs; a temporary one if None.
-      rolls_back: Whether drills have the store lose what it was told; they are
-        outages as long otherwise.
-      only_drills: Whether drills are all that is done, with what is meant to
-        overlap with them.
+      seed: Seed of the fault schedule and of the load.
+      length_s: How long faults are injected, in seconds.
+      gateways: Number of gateway processes under test.
+      folder: Folder for settings and logs; a temporary one if None.
+      rolls_back: Whether the store loses its newest writes in a drill; if not,
+        a drill is an outage of the same length.
+      only_drills: Whether to inject only restore drills and the faults that
+        overlap them.
     """
     injections = (plan.generate_drills if only_drills else plan.generate)(
         seed, length_s
@@ -119,19 +119,19 @@
 async def _check_recovery(
     testbed: testbed_lib.Testbed, traffic: load.LoadGenerator
 ) -> list[str]:
-    """Returns what each gateway still does not do once all is calm."""
+    """Returns a line for each failure of a gateway to recover."""
     found = []
     newest = f'v{testbed.config_version}'
     entered = {upstream.server.id for upstream in testbed.upstreams}
     for gateway in testbed.gateways:
         if not gateway.process.running:
-            found.append(f'{gateway.name} has ended by itself')
+            found.append(f'{gateway.name} exited unexpectedly')
             continue
         known = checks.upstreams_in_log(gateway.process.log_text())
         if known != entered:
             found.append(
-                f'{gateway.name} lacks {sorted(entered - known)} and holds on '
-                f'to {sorted(known - entered)}, in calm'
+                f'{gateway.name} lacks {sorted(entered - known)} and still '
+                f'lists {sorted(known - entered)} after recovery'
             )
         for kind in ('safe', newest):
             records = await asyncio.gather(
@@ -141,5 +141,7 @@
                 record.answer.status for record in records if not record.served
             ]
             if len(lost) > MAX_LOST_PROBES:
-                found.append(f'{gateway.name} gives {lost} for {kind}, in calm')
+                found.append(
+                    f'{gateway.name} answers {lost} to {kind} after recovery'
+                )
     return found
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/testbed.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/testbed.py
@@ -1,8 +1,8 @@
-"""The processes of a soak and what stands around them.
+"""Gateway processes of a soak run and the stand-ins around them.
 
-Gateways are real processes. Store, plain servers and engines are stand-ins in
-the soak's own process, so that it knows what ran; relays stand before each of
-them and before each gateway.
+Gateways are real processes. The store, plain HTTP servers and engines are
+stand-ins in the soak's own process, so that it knows which requests ran. A
+relay in front of each of them and of each gateway injects network faults.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 
 class Gateway:
-    """One gateway, through all its processes.
+    """A gateway across restarts of its process.
 
     Attributes:
-      name: Its node.
-      relay: What callers connect to.
-      store_relay: What stands between it and the store.
-      process: Its present process; None while it is down.
-      incarnation: Counts its processes.
-      stopping: It was asked to end.
+      name: Node name.
+      relay: Relay that callers connect to.
+      store_relay: Relay between the gateway and the store.
+      process: Latest process; None before the first start.
+      incarnation: Number of processes started so far.
+      stopping: Whether the process is down, paused or stopping.
     """
 
     def __init__(self, name: str) -> None:
@@ -54,13 +54,13 @@
 
 
 class Upstream:
-    """A stand-in server behind a relay, and its row.
+    """A stand-in server behind a relay, and its row in the store.
 
     Attributes:
       server: The stand-in.
       service: Name of its service.
-      relay: What gateways connect to.
-      port: Where that listens, or did.
+      relay: Relay that gateways connect to.
+      port: Port of the relay, also after it has stopped.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.port = 0
 
     async def open(self) -> None:
-        """Starts server and relay."""
+        """Starts the server and its relay."""
         await self.server.start()
         self.relay.target = self.server.server.address
         await self.relay.start()
@@ -80,17 +80,17 @@
 
     @property
     def address(self) -> str:
-        """Where gateways reach it."""
+        """Address that gateways connect to."""
         return f'127.0.0.1:{self.port}'
 
     def row(self) -> dict[str, Any]:
-        """Returns its row in the table of servers."""
+        """Returns its row in the `servers` table."""
         row = self.server.entry(self.service, 'zone-a')
         return row | {'address': self.address}
 
 
 class Testbed:
-    """Everything that a soak runs."""
+    """All gateways and stand-ins of a soak run."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
         self._server_numbers = iter(range(1, 10_000))
 
     async def start(self, http_servers: int, engines: int) -> None:
-        """Starts all of it."""
+        """Starts the stand-ins and all gateways."""
         await self.store.server.start()
         for gateway in self.gateways:
             gateway.store_relay.target = self.store.server.address
@@ -124,7 +124,7 @@
         await asyncio.gather(*map(self.start_gateway, self.gateways))
 
     async def stop(self) -> None:
-        """Ends all but the processes, which the launcher ends."""
+        """Stops relays and stand-ins; the launcher stops the processes."""
         for upstream in self.upstreams:
             await upstream.relay.stop()
             await upstream.server.server.stop()
@@ -134,7 +134,7 @@
         await self.store.server.stop()
 
     async def add_upstream(self, service: str) -> Upstream:
-        """Starts a server and enters it."""
+        """Starts a server and writes its row."""
         name = f'{service}-{next(self._server_numbers)}'
         if service == HTTP_SERVICE:
             server = plain_server.PlainServer(name)
@@ -151,7 +151,7 @@
         return upstream
 
     async def remove_upstream(self, upstream: Upstream) -> None:
-        """Ends a server and drops its row."""
+        """Stops a server and removes its row."""
         self.upstreams.remove(upstream)
         self.store.remove('servers', upstream.server.id)
         if upstream.service == ENGINE_SERVICE:
@@ -160,7 +160,7 @@
         await upstream.server.server.stop()
 
     def upstreams_of(self, service: str) -> list[Upstream]:
-        """Returns the servers of a service."""
+        """Returns the upstreams of a service."""
         return [
             upstream
             for upstream in self.upstreams
@@ -168,7 +168,7 @@
         ]
 
     def publish_configuration(self) -> None:
-        """Writes the next version: it adds a route, and has its own key."""
+        """Writes the next version, which adds a route and has its own key."""
         self.config_version += 1
         self.store.put('op', 'config', _configuration(self.config_version))
 
@@ -191,7 +191,7 @@
         gateway.stopping = False
 
     def logs(self) -> Iterator[tuple[str, str]]:
-        """Yields name and text of each process's log."""
+        """Yields the name and the text of each process log."""
         for process in self._launcher.processes:
             yield process.log.name, process.log_text()
 
@@ -210,7 +210,7 @@
 
 
 def _free_port() -> int:
-    """Returns a port for a process that does not log which one it took."""
+    """Returns a free port, for a process that does not log its own."""
     with socket.create_server(('127.0.0.1', 0)) as server:
         return server.getsockname()[1]
 
--- a/tests/quetzalsill_dev/soak/test_soak.py
+++ b/tests/quetzalsill_dev/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plan, its verdict, a short run, and seeds that once failed."""
+"""Tests of the soak: schedule, checks, short runs and regression seeds."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 SEEDS = pathlib.Path(__file__).parent / 'seeds.txt'
 SHORT_S = 4.0
 SHORT_SEED = 7
-# Drills while gateways are restarted one after the other, twice within three
-# seconds, and while a third of the gateways is cut off from the store.
+# A drill during a rolling restart, two drills within three seconds, and a drill
+# with a third of the gateways cut off from the store.
 DRILL_SEEDS = (1, 4, 5)
 DRILL_S = 4.0
 
@@ -28,7 +28,7 @@
 
 
 def testbed(runs=(), started=(), doubled=()):
-    """A stage on which these requests ran."""
+    """Returns a testbed on which these requests ran."""
     server = types.SimpleNamespace(runs=[(name, '', {}, b'') for name in runs])
     fleet = engine.Fleet(
         started={name: ['e'] * started.count(name) for name in started},
@@ -38,7 +38,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """A seed always means the same faults."""
+    """A seed always gives the same faults."""
 
     def test_a_seed_draws_the_same_again(self):
         self.assertEqual(plan.generate(5, 20.0), plan.generate(5, 20.0))
@@ -55,7 +55,7 @@
             self.assertLessEqual(set(drills), set(plan.generate(seed, 4.0)))
 
     def test_drills_overlap_with_cuts_restarts_and_each_other(self):
-        """Each situation comes among a few seeds."""
+        """Each scenario occurs within a few seeds."""
         met = set()
         for seed in range(50):
             drills = plan.generate_drills(seed, 4.0)
@@ -78,7 +78,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Each promise is seen to be broken where it is."""
+    """Each violation is detected."""
 
     def violations(self, one, **ran):
         return list(checks.find_violations(testbed(**ran), [one]))
@@ -98,7 +98,9 @@
 
     def test_an_answer_belongs_to_another_request(self):
         request = record('safe', body=b'desk:b')
-        self.assertIn('another body', self.violations(request, runs=['a'])[0])
+        self.assertIn(
+            'mismatched body', self.violations(request, runs=['a'])[0]
+        )
 
     def test_an_answer_that_no_server_gave(self):
         request = record('safe', body=b'desk:a')
@@ -109,13 +111,15 @@
         cut = record('verdict', body=part, whole=False)
         self.assertEqual(self.violations(cut, started=['a']), [])
         false = record('verdict', body=part)
-        self.assertIn('looks whole', self.violations(false, started=['a'])[0])
+        self.assertIn(
+            'looks complete', self.violations(false, started=['a'])[0]
+        )
 
     def test_a_stream_lacks_an_event(self):
         body = engine.event('a', 1) + engine.event('a', 3)
         request = record('plan', body=body, whole=False)
         self.assertIn(
-            'other events', self.violations(request, started=['a'])[0]
+            'unexpected events', self.violations(request, started=['a'])[0]
         )
 
     def test_a_plan_runs_at_two_engines(self):
@@ -128,7 +132,7 @@
         self.assertIn('two engines', found[0])
 
     def test_a_process_goes_back_to_a_configuration_before(self):
-        """A route is served, and not known any more a second later."""
+        """A route is served, and a second later it is unknown."""
         served = record('edit', 200, version=4, incarnation=1, ended_s=1.0)
         for late in (
             record('edit', 404, version=4, incarnation=1, sent_s=2.0),
@@ -136,10 +140,10 @@
             record('revoked', 200, version=3, incarnation=1, sent_s=2.0),
         ):
             [found] = checks.find_config_rollbacks([late, served])
-            self.assertIn('behind 4', found)
+            self.assertIn('after version 4', found)
 
     def test_what_is_no_step_back(self):
-        """Newer versions, at the same time, and another process."""
+        """Newer versions, concurrent requests and another process."""
         served = record('edit', 200, version=4, incarnation=1, ended_s=1.0)
         for late in (
             record('edit', 404, version=5, incarnation=1, sent_s=2.0),
@@ -188,7 +192,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    """Real processes, with faults from outside."""
+    """Runs with real processes and injected faults."""
 
     def play(self, seed, length_s, **options):
         result = asyncio.run(run.run(seed, length_s, **options))
