--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/__init__.py
@@ -1,6 +1,6 @@
-"""Many gateways' deciding code in one process, on virtual time.
+"""Simulates the decision code of many gateways in one process.
 
-No sockets and no wall clock: the same seed gives the same run. Gateways, net
-and store are as large as a deployment's sheet says, and a minute of theirs
-takes seconds.
+It uses virtual time and no sockets, so that a seed always gives the same run. A
+fleet can be as large as a deployment is specified; one minute of it takes
+seconds.
 """
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/clock.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only when nothing is left to do."""
+"""An event loop on virtual time, which advances when no callback is ready."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class DeadlockError(Exception):
-    """Every task waits, and none of them for a time."""
+    """Every task waits, and no timer is pending."""
 
 
 class _Selector(selectors.SelectSelector):
-    """Waits in virtual time; no file is ever ready."""
+    """Advances virtual time instead of waiting; no file is ever ready."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Lets the time pass until the next timer."""
+        """Advances the time to the next timer."""
         if timeout is None:
             raise DeadlockError
         self.now_s += max(0.0, timeout)
@@ -32,17 +32,17 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Jumps from timer to timer.
+    """An event loop that jumps from timer to timer.
 
-    Threads and sockets do not work on it: what wakes the loop from outside is
-    never seen.
+    Threads and sockets do not work on it, since it never sees a wake-up from
+    outside.
     """
 
     def __init__(self) -> None:
         self._virtual = _Selector()
         super().__init__(self._virtual)
-        # Of two timers that end within it, both run. The wall clock's would be
-        # wider than the times that are told apart here.
+        # Timers that are due within one clock resolution run together. That of
+        # the wall clock is wider than the intervals to tell apart here.
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
@@ -51,6 +51,6 @@
 
 
 def run(work: Callable[[], Awaitable[Result]]) -> Result:
-    """Runs a coroutine function on a loop of its own; returns its result."""
+    """Runs a coroutine function on a new virtual loop; returns its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work())
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
@@ -1,4 +1,4 @@
-"""News as gateways of the release before tell it: versions without epochs."""
+"""Updates in the format of the previous release: versions without epochs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def encode(node: str, told: news_lib.News) -> bytes:
-    """Returns the datagram in which such a gateway tells news."""
+    """Returns the datagram of an update in the format of that release."""
     kind, fields = frame.unpack(bulletin.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/network.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/network.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: delayed, lost, held up by cuts."""
+"""A simulated network with delay, loss and partitions."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Network:
-    """Carries what gateways tell each other.
+    """Delivers datagrams between gateways.
 
     Attributes:
-      datagrams: How many were sent, by sender.
-      sent_bytes: Bytes of them, by sender.
-      loss: Share that is lost.
-      delay_s: Least and longest time on the way, in seconds.
-      is_partitioned: Whether nothing passes from one gateway to another.
+      datagrams: Number of datagrams sent, by sender.
+      sent_bytes: Number of bytes sent, by sender.
+      loss: Share of datagrams that is lost.
+      delay_s: Minimum and maximum delivery delay, in seconds.
+      is_partitioned: Whether datagrams from one gateway to another are dropped.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         self._receivers: dict[str, Callable[[bytes, str], None]] = {}
 
     def join(self, node: str, receive: Callable[[bytes, str], None]) -> None:
-        """Enters a gateway with what takes its datagrams."""
+        """Adds a gateway with the callback that receives its datagrams."""
         self._receivers[node] = receive
 
     def leave(self, node: str) -> None:
-        """Takes a gateway out: what is on its way to it is lost."""
+        """Removes a gateway; datagrams in flight to it are lost."""
         self._receivers.pop(node, None)
 
     def broadcast(self, sender: str, data: bytes) -> None:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -1,4 +1,4 @@
-"""A source of configuration and membership, kept in memory."""
+"""An in-memory source of configuration and membership."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class StoreMode(enum.Enum):
-    """How the store treats a gateway."""
+    """How the store responds to a gateway."""
 
     SERVES = 'serves'
     REFUSES = 'refuses'
@@ -43,13 +43,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Snapshot:
-    """All that the store held at one moment.
+    """Contents of the store at one moment.
 
     Attributes:
-      version: Its version then.
-      entries: Entries of servers, by name.
-      documents: What operators had written, in order.
-      history: What had changed in the entries, in order.
+      version: Version of the store at that moment.
+      entries: Server entries, by name.
+      documents: Documents and orders written by operators, in order.
+      history: Changes of server entries, in order.
     """
 
     version: int
@@ -59,16 +59,16 @@
 
 
 class Store:
-    """Two tables with their history.
+    """Stores server entries and operator documents with their history.
 
     Attributes:
-      calls: How often each gateway has asked.
-      response_time_s: Time of an answer.
-      mode_for: How each gateway is treated.
-      epoch: Told in every answer; 0 is not told.
-      hides_epoch: Whether a gateway doesn't look at it.
-      reports_compacted: Whether it tells a gateway, each time, that its
-        history is lost.
+      calls: Number of calls by each gateway.
+      response_time_s: Mean duration of a call, in seconds.
+      mode_for: Returns how the store responds to a gateway.
+      epoch: Epoch sent in each response; 0 if the store sends none.
+      hides_epoch: Whether a gateway ignores the epoch.
+      reports_compacted: Whether the store tells a gateway in each response that
+        its history is lost.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         return self._version
 
     def put_entry(self, found: upstream.Upstream) -> None:
-        """Writes an entry, also if nothing in it is new."""
+        """Writes a server entry, even if nothing in it has changed."""
         change = _Change(
             self._next_version(), found.id, dataclasses.replace(found)
         )
@@ -103,28 +103,28 @@
         self._notify_watches()
 
     def remove_entry(self, name: str) -> None:
-        """Drops an entry."""
+        """Removes a server entry."""
         self._entries.pop(name, None)
         self._history.append(_Change(self._next_version(), name, None))
         self._notify_watches()
 
     def configure(self, document: bytes) -> None:
-        """Writes a configuration."""
+        """Writes a configuration document."""
         self._documents.append(_Change(self._next_version(), '', document))
         self._notify_watches()
 
     def drain_zone(self, zone: str, *, is_on: bool) -> None:
-        """Writes an order to drain a zone, or drops it."""
+        """Writes or withdraws an order to drain a zone."""
         self._documents.append(_Change(self._next_version(), zone, is_on))
         self._notify_watches()
 
     def compact(self) -> None:
-        """Drops what watches from before now would ask for."""
+        """Discards the history that older watches would continue from."""
         self._history.clear()
         self._compacted_version = self._version
 
     def snapshot(self) -> Snapshot:
-        """Returns a copy of all that it holds now."""
+        """Returns a copy of the current contents."""
         return Snapshot(
             self._version,
             copy.copy(self._entries),
@@ -133,11 +133,11 @@
         )
 
     def restore(self, snapshot: Snapshot, epochs: int = 1) -> None:
-        """Comes back from a snapshot: versions go back and are given out again.
+        """Restores a snapshot; versions after it are assigned again.
 
         Args:
-          snapshot: The copy; what was written since is lost.
-          epochs: By how much its epoch rises.
+          snapshot: Contents to restore; all later writes are lost.
+          epochs: Number to add to the epoch.
         """
         self.epoch += epochs
         self._version = snapshot.version
@@ -150,7 +150,7 @@
     def membership_query(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[upstream.Change]:
-        """Returns what a gateway asks for entries with."""
+        """Returns the function with which a gateway polls server entries."""
 
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
@@ -168,7 +168,7 @@
     def configuration_query(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[source.OperatorItem]:
-        """Returns what a gateway asks for all that operators write with."""
+        """Returns the function with which a gateway polls operator items."""
 
         async def ask(
             after: revision_lib.Revision | None, wait_s: float
@@ -199,7 +199,7 @@
         wait_s: float,
         rows: Callable[[int | None], list[_Change]],
     ) -> _Response | None:
-        """Returns an answer; None if it says that there is none from there."""
+        """Returns a response; None if `after` is no longer in the history."""
         asked = epochs.newest
         response: _Response | None = None
         try:
@@ -229,7 +229,7 @@
             or after.version < self._compacted_version
         ):
             return True
-        # A version that it doesn't have, in the epoch that it is in.
+        # The store has no such version in its current epoch.
         return self.epoch > 0 and after.version > self._version
 
     def _call(self, node: str, wait_s: float) -> _Call:
@@ -245,7 +245,7 @@
         after: revision_lib.Revision | None,
         wait_s: float,
     ) -> list[_Change]:
-        """Returns rows as soon as there are any, or the store has gone back."""
+        """Waits until there are rows or the store is restored; returns rows."""
         if after is None:
             return rows(None)
         loop = asyncio.get_running_loop()
@@ -273,7 +273,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Response:
-    """An answer of the store."""
+    """A response of the store."""
 
     rows: list[_Change]
     epoch: int
@@ -281,11 +281,11 @@
     is_full: bool
 
     def revision_of(self, row: _Change) -> revision_lib.Revision:
-        """Returns the revision at which a row changed."""
+        """Returns the revision at which a row was written."""
         return revision_lib.Revision(self.epoch, row.version)
 
     def to_found(self, items: Iterable[Item]) -> source.Found[Item]:
-        """Returns the answer as a gateway takes it."""
+        """Returns the response in the form that a gateway expects."""
         revision = revision_lib.Revision(self.epoch, self.version)
         return source.Found(list(items), revision, self.is_full)
 
@@ -301,12 +301,12 @@
 
 
 class _RefusedError(Exception):
-    """The store refuses, and says its epoch in that answer, too."""
+    """The store refuses a call; the refusal also carries its epoch."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Call:
-    """One call: its way there and back, or what becomes of it instead."""
+    """A call: the delays of request and response, or its failure."""
 
     mode: StoreMode
     response_time_s: float
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -1,4 +1,4 @@
-"""Gateways that keep up with one store together, and what a fault does."""
+"""A simulated fleet of gateways that follow one store, with its faults."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Watcher:
-    """What one gateway knows, and how it follows the store."""
+    """State of one gateway that follows the store."""
 
     node: str
     upstreams: upstream.Upstreams
@@ -43,12 +43,12 @@
 
     @property
     def config_version(self) -> int:
-        """Number of the configuration in force; 0 before any."""
+        """Version of the active configuration; 0 if there is none."""
         table = self.holder.current
         return table.version if table else 0
 
     def ids(self) -> set[str]:
-        """Returns the ids of upstreams that get new work."""
+        """Returns the ids of upstreams that receive new work."""
         return {found.id for found in self.upstreams.of(SERVICE)}
 
 
@@ -56,11 +56,11 @@
     """Gateways, a store, and servers that write their entries to it.
 
     Attributes:
-      gateways: Those that run, by name.
-      store: The source of both tables.
-      network: Carries what gateways tell each other.
-      entries: What each server has written last; None for one that is removed.
-      drain_orders: What operators have written last of each zone.
+      gateways: Running gateways, by name.
+      store: Source of configuration and membership.
+      network: Network between the gateways.
+      entries: Last entry written by each server; None for a removed server.
+      drain_orders: Whether operators last ordered each zone to drain.
     """
 
     def __init__(
@@ -71,15 +71,16 @@
         max_staleness_s: float = 2.0,
         heartbeat_s: float = 0.0,
     ) -> None:
-        """Prepares a fleet; `start` starts it.
+        """Creates a fleet; `start` starts it.
 
         Args:
-          gateways: How many.
-          servers: How many servers write entries.
-          seed: Of every draw.
-          max_staleness_s: Time in which changes must be known, in seconds.
-          heartbeat_s: How often each server writes its entry anew; 0 if only a
-            change of it is written, or shows at the store.
+          gateways: Number of gateways.
+          servers: Number of servers that write entries.
+          seed: Seed of all random numbers.
+          max_staleness_s: Time within which changes must be known, in seconds.
+          heartbeat_s: Interval at which each server writes its entry again, in
+            seconds; 0 if servers write only changes, or if the store shows
+            only changes.
         """
         self._heartbeat_s = heartbeat_s
         self._rng = random.Random(seed)
@@ -100,11 +101,11 @@
 
     @property
     def all(self) -> list[Watcher]:
-        """Every gateway that runs."""
+        """All running gateways."""
         return list(self.gateways.values())
 
     async def start(self) -> None:
-        """Starts servers and gateways, and lets them find each other."""
+        """Starts servers and gateways, and waits until they know each other."""
         self.configure(1)
         for name in self._server_names:
             self.add_server(name)
@@ -118,7 +119,7 @@
         self.store.configure(self._document)
 
     def drain_zone(self, zone: str, *, is_on: bool) -> None:
-        """Writes operators' order to drain a zone, or takes it back."""
+        """Writes or withdraws an operator order to drain a zone."""
         self.drain_orders[zone] = is_on
         self.store.drain_zone(zone, is_on=is_on)
 
@@ -129,14 +130,16 @@
         rewrite_s: float = 2.0,
         epochs: int = 1,
     ) -> None:
-        """Has the store be away and come back from a copy; returns by then.
+        """Takes the store down and restores a snapshot.
+
+        Returns as soon as the store is back.
 
         Args:
-          snapshot: The copy.
-          away_s: How long it refuses everyone, in seconds.
-          rewrite_s: Within how long servers and operators have written again
-            what stands now, in any order.
-          epochs: By how much its epoch rises.
+          snapshot: Contents to restore.
+          away_s: How long the store refuses all calls, in seconds.
+          rewrite_s: Time within which servers and operators write their current
+            state again, in random order, in seconds; 0 if they don't.
+          epochs: Number to add to the epoch of the store.
         """
         mode_for = self.store.mode_for
         self.store.mode_for = lambda _: store_lib.StoreMode.REFUSES
@@ -179,7 +182,7 @@
         self._heartbeats[name] = task
 
     def drain_server(self, name: str) -> None:
-        """Has a server say that it leaves."""
+        """Makes a server announce that it is leaving."""
         found = upstream.Upstream(
             name, SERVICE, ('10.0.0.1', 1), 'z', leaving=True, incarnation=1
         )
@@ -201,8 +204,8 @@
 
         Args:
           name: Its name.
-          is_legacy: Whether it is of the release before, which knows versions
-            only.
+          is_legacy: Whether it runs the previous release, which knows versions
+            without epochs.
         """
         number = len(self._node_by_address) + 1
         self._node_by_address[f'10.1.{number // 256}.{number % 256}', 7000] = (
@@ -317,13 +320,13 @@
                     self.network.send(other.node, name, data)
 
     def kill(self, name: str) -> None:
-        """Ends a gateway at once."""
+        """Kills a gateway."""
         for task in self.gateways.pop(name).tasks:
             task.cancel()
         self.network.leave(name)
 
     def stop(self) -> None:
-        """Ends all of it."""
+        """Stops all gateways and servers."""
         for name in list(self.gateways):
             self.kill(name)
         for task in (*self._heartbeats.values(), *self._rewrites):
--- a/tests/quetzalsill_dev/simulation/test_clock.py
+++ b/tests/quetzalsill_dev/simulation/test_clock.py
@@ -1,4 +1,4 @@
-"""Virtual time."""
+"""Tests of the virtual clock and of the simulations on it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClockTest(unittest.TestCase):
-    """Time passes only when nothing is left to do."""
+    """Time advances only when no callback is ready."""
 
     def test_timers_end_in_their_order_at_their_times(self):
         seen = []
@@ -37,12 +37,13 @@
 
 
 class TellingTest(unittest.TestCase):
-    """The bench of what gateways tell each other."""
+    """The benchmark of the updates between gateways."""
 
     def test_the_same_fleet_tells_the_same(self):
         counts = []
         for _ in range(2):
-            # Gateways draw a number for each life, some of fewer bytes.
+            # Each gateway process draws a random number, whose encoded size
+            # varies.
             random.seed(1)
             fleet = telling.Fleet(4)
             clock.run(fleet.play)
