--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -147,38 +147,38 @@
         self._compacted_version = min(self._compacted_version, snapshot.version)
         self._notify_watches()
 
-    def membership_query(
+    def membership_poll(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[upstream.Change]:
         """Returns the function with which a gateway polls server entries."""
 
-        async def ask(
+        async def poll(
             after: revision_lib.Revision | None, wait_s: float
         ) -> source.Found[upstream.Change] | None:
             response = await self._respond(
                 node, epochs, after, wait_s, self._membership_rows
             )
-            return response and response.to_found(
+            return response and response.to_poll_result(
                 upstream.Change(row.key, response.revision_of(row), row.value)
                 for row in response.rows
             )
 
-        return ask
+        return poll
 
-    def configuration_query(
+    def configuration_poll(
         self, node: str, epochs: epoch_lib.Epochs
     ) -> source.Ask[source.OperatorItem]:
         """Returns the function with which a gateway polls operator items."""
 
-        async def ask(
+        async def poll(
             after: revision_lib.Revision | None, wait_s: float
         ) -> source.Found[source.OperatorItem] | None:
             response = await self._respond(
                 node, epochs, after, wait_s, self._operator_rows
             )
-            return response and response.to_found(_items(response))
+            return response and response.to_poll_result(_items(response))
 
-        return ask
+        return poll
 
     def _membership_rows(self, after: int | None) -> list[_Change]:
         if after is None:
@@ -278,23 +278,23 @@
     rows: list[_Change]
     epoch: int
     version: int
-    is_full: bool
+    is_snapshot: bool
 
     def revision_of(self, row: _Change) -> revision_lib.Revision:
         """Returns the revision at which a row was written."""
         return revision_lib.Revision(self.epoch, row.version)
 
-    def to_found(self, items: Iterable[Item]) -> source.Found[Item]:
+    def to_poll_result(self, items: Iterable[Item]) -> source.Found[Item]:
         """Returns the response in the form that a gateway expects."""
         revision = revision_lib.Revision(self.epoch, self.version)
-        return source.Found(list(items), revision, self.is_full)
+        return source.Found(list(items), revision, self.is_snapshot)
 
 
 def _items(response: _Response) -> Iterator[source.OperatorItem]:
     for row in response.rows:
         if isinstance(row.value, bytes):
             yield source.Document(row.value, response.revision_of(row))
-        elif row.value or not response.is_full:
+        elif row.value or not response.is_snapshot:
             yield zones.Drain(
                 row.key, response.revision_of(row), bool(row.value)
             )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -217,7 +217,7 @@
         health.on_regained(upstreams.regained)
         epochs = epoch.Epochs()
         follower = membership.Membership(
-            self.store.membership_query(name, epochs),
+            self.store.membership_poll(name, epochs),
             upstreams,
             health,
             self._max_staleness_s,
@@ -226,7 +226,7 @@
             name,
         )
         configured = configuration.Configuration(
-            self.store.configuration_query(name, epochs),
+            self.store.configuration_poll(name, epochs),
             _parse_document,
             holder,
             upstreams.zones,
