--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m quetzalsill_dev.soak`: plays seeds and tells what broke."""
+"""`python -m quetzalsill_dev.soak`: runs seeds and prints violations."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 import click
 
-from quetzalsill_dev.soak import run, verdict
+from quetzalsill_dev.soak import checks, run
 
 __all__ = ['main']
 
 
 @click.command()
 @click.option('--first', default=1, help='First seed.')
-@click.option('--seeds', default=1, help='How many seeds, one after another.')
-@click.option('--seconds', default=10.0, help='How long faults are done.')
-@click.option('--gateways', default=3, help='Processes under test.')
+@click.option('--seeds', default=1, help='Number of consecutive seeds.')
+@click.option('--seconds', default=10.0, help='How long faults are injected.')
+@click.option('--gateways', default=3, help='Number of gateway processes.')
 @click.option(
     '--keep',
     type=click.Path(path_type=pathlib.Path),
@@ -27,12 +27,12 @@
 @click.option(
     '--only-drills',
     is_flag=True,
-    help='Drills of the store, and what overlaps with them.',
+    help='Inject only restore drills and the faults that overlap them.',
 )
 @click.option(
     '--beside',
     is_flag=True,
-    help='Plays each seed again, with outages for drills.',
+    help='Run each seed again with outages in place of drills.',
 )
 def main(
     first: int,
@@ -44,45 +44,46 @@
     only_drills: bool,
     beside: bool,
 ) -> None:
-    """Plays seeds; ends with an exit status other than 0 if one broke."""
+    """Runs seeds; exits with a non-zero status if one fails."""
 
-    def play(seed: int, *, goes_back: bool) -> run.Result:
-        name = str(seed) if goes_back else f'{seed}-outage'
+    def run_seed(seed: int, *, rolls_back: bool) -> run.Result:
+        name = str(seed) if rolls_back else f'{seed}-outage'
         result = asyncio.run(
             run.run(
                 seed,
                 seconds,
                 gateways,
                 keep / name if keep else None,
-                goes_back=goes_back,
+                rolls_back=rolls_back,
                 only_drills=only_drills,
             )
         )
         click.echo(
-            f'seed {name}: {result.strikes} faults, {result.asked} asked, '
+            f'seed {name}: {result.injections} faults, {result.sent} sent, '
             f'{result.served} served, {result.lost} lost, '
-            f'{len(result.broken)} broken'
+            f'{len(result.violations)} violations'
         )
-        for line in result.broken:
+        for line in result.violations:
             click.echo(f'  {line}')
         return result
 
     numbers = range(first, first + seeds)
     failed = 0
-    more_lost = []
+    loss_differences = []
     for seed in numbers:
-        result = play(seed, goes_back=True)
-        failed += bool(result.broken)
+        result = run_seed(seed, rolls_back=True)
+        failed += bool(result.violations)
         if beside:
-            outage = play(seed, goes_back=False)
-            more_lost.append(result.lost_share - outage.lost_share)
-    click.echo(f'{seeds - failed} seeds held, {failed} broke')
-    is_worse = verdict.is_above_chance(more_lost)
-    if more_lost:
-        mean = statistics.fmean(more_lost)
+            outage = run_seed(seed, rolls_back=False)
+            loss_differences.append(result.lost_share - outage.lost_share)
+    click.echo(f'{seeds - failed} seeds passed, {failed} failed')
+    is_worse = checks.is_significantly_above_zero(loss_differences)
+    if loss_differences:
+        mean = statistics.fmean(loss_differences)
         word = 'more' if is_worse else 'no more'
         click.echo(
-            f'{word} lost than in outages: {mean:+.5f} of all in the mean'
+            f'{word} lost than in outages: mean difference {mean:+.5f} of all '
+            f'requests'
         )
     sys.exit(1 if failed or is_worse else 0)
 
