--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -125,7 +125,9 @@
         'await asyncio.Event().wait()',
     ),
     'telling-of-an-outage': _gateway(
-        'source.py', 'if self._lost or self._told:', 'if self._lost:'
+        'source.py',
+        'if self._down_since_s or self._down_peers:',
+        'if self._down_since_s:',
     ),
     'grace-for-lapsed': _gateway(
         'fleet/upstream.py', 'LAPSE_S = 2.2', 'LAPSE_S = 0.0'
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
@@ -60,14 +60,14 @@
         overtake each other and a store may be restored; going back would
         serve routes and keys that operators have withdrawn.
         """
-        before = self.current
-        if before is not None and table.version <= before.version:
+        previous = self.current
+        if previous is not None and table.version <= previous.version:
             return False
         self.current = table
         event.note(
             event.ConfigurationInstalled(
                 version=table.version,
-                before=before.version if before else 0,
+                before=previous.version if previous else 0,
                 hosts=len(table.routes),
                 services=len(table.services),
             )
@@ -87,15 +87,15 @@
     """
 
     def __init__(self) -> None:
-        self._lost: dict[str, float] = {}
-        self._told: set[str] = set()
+        self._down_since_s: dict[str, float] = {}
+        self._down_peers: set[str] = set()
         self._down = asyncio.Event()
         self._on_regained: list[Callable[[float], None]] = []
 
     @property
     def is_down(self) -> bool:
         """Whether any source does not answer this process."""
-        return bool(self._lost)
+        return bool(self._down_since_s)
 
     async def wait_until_down(self) -> None:
         """Returns while any source does not answer, here or elsewhere."""
@@ -116,21 +116,21 @@
         of many does so soon.
         """
         if is_down:
-            self._told.add(node)
+            self._down_peers.add(node)
         else:
-            self._told.discard(node)
+            self._down_peers.discard(node)
         self._update()
 
     def _update(self) -> None:
-        if self._lost or self._told:
+        if self._down_since_s or self._down_peers:
             self._down.set()
         else:
             self._down.clear()
 
     def mark_down(self, name: str, reason: str) -> None:
         """Notes that a source did not answer."""
-        if name not in self._lost:
-            self._lost[name] = asyncio.get_running_loop().time()
+        if name not in self._down_since_s:
+            self._down_since_s[name] = asyncio.get_running_loop().time()
             event.note(event.StoreLost(name, reason))
         self._update()
 
@@ -141,15 +141,15 @@
         be the first to tell what has lapsed meanwhile: it is told of the outage
         as well, although another may still be away.
         """
-        if not self._lost:
+        if not self._down_since_s:
             return
-        lost_s = min(self._lost.values())
-        if self._lost.pop(name, None) is not None:
+        down_since_s = min(self._down_since_s.values())
+        if self._down_since_s.pop(name, None) is not None:
             event.note(event.StoreRegained(name))
             self._update()
         # Before what it tells is taken in.
         for callback in self._on_regained:
-            callback(lost_s)
+            callback(down_since_s)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/active_document.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/active_document.py
@@ -23,10 +23,10 @@
 __all__ = ['ActiveDocument']
 
 # A patch is told as often as it takes to reach those that missed a datagram.
-PATCH_S = 3.0
+PATCH_TTL_S = 3.0
 # A document whole fits a datagram up to this size; packed, it is some tenth of
 # what operators write.
-MOST_WHOLE_BYTES = 49_152
+MAX_SNAPSHOT_BYTES = 49_152
 
 
 class ActiveDocument:
@@ -39,18 +39,18 @@
     """
 
     def __init__(
-        self, read: source.ParseDocument, holder: source.RoutingTableHolder
+        self, parse: source.ParseDocument, holder: source.RoutingTableHolder
     ) -> None:
         """Holds none yet.
 
         Args:
-          read: Makes a routing table of a document.
+          parse: Makes a routing table of a document.
           holder: Takes each that comes into force.
         """
-        self._read = read
+        self._parse = parse
         self._holder = holder
         self._patch = b''
-        self._patched_s = 0.0
+        self._patched_at_s = 0.0
         self.data = b''
         self.digest = b''
         self.mod_revision = revision_lib.NONE
@@ -65,38 +65,38 @@
     def patch(self) -> bytes:
         """What makes the document of the one before it, just after a change."""
         now = asyncio.get_running_loop().time()
-        return self._patch if now - self._patched_s < PATCH_S else b''
+        return self._patch if now - self._patched_at_s < PATCH_TTL_S else b''
 
     def snapshot(self) -> bytes | None:
         """Returns what makes the document of nothing; None if too large."""
         if not self.data:
             return None
-        return patch_lib.make(b'', self.data, MOST_WHOLE_BYTES)
+        return patch_lib.make(b'', self.data, MAX_SNAPSHOT_BYTES)
 
-    def is_superseded_by(self, told: update_lib.ConfigurationUpdate) -> bool:
+    def is_superseded_by(self, update: update_lib.ConfigurationUpdate) -> bool:
         """Whether a configuration that counts more is told.
 
         A greater number does; of two with the same, the one written last.
         """
-        if told.number != self.number:
-            return told.number > self.number
-        if told.digest in (b'', self.digest):
-            self.mod_revision = max(self.mod_revision, told.mod_revision)
+        if update.number != self.number:
+            return update.number > self.number
+        if update.digest in (b'', self.digest):
+            self.mod_revision = max(self.mod_revision, update.mod_revision)
             return False
-        return told.mod_revision > self.mod_revision
+        return update.mod_revision > self.mod_revision
 
-    def apply(self, told: update_lib.ConfigurationUpdate) -> bool:
+    def apply(self, update: update_lib.ConfigurationUpdate) -> bool:
         """Whether the patch that is told has made what is told of."""
-        if not told.patch:
+        if not update.patch:
             return False
-        document = self._patched(told.patch)
+        document = self._apply_patch(update.patch)
         if document is None:
             return False
-        self.install(source.Document(document, told.mod_revision))
-        is_same = told.digest in (b'', self.digest)
-        return is_same and self.number == told.number
+        self.install(source.Document(document, update.mod_revision))
+        is_same = update.digest in (b'', self.digest)
+        return is_same and self.number == update.number
 
-    def _patched(self, patch: bytes) -> bytes | None:
+    def _apply_patch(self, patch: bytes) -> bytes | None:
         # A document that is told whole is a patch of nothing.
         for base in (self.data, b''):
             try:
@@ -113,43 +113,43 @@
         """
         self.mod_revision = min(self.mod_revision, revision)
 
-    def install(self, found: source.Document) -> int:
+    def install(self, document: source.Document) -> int:
         """Takes a document if it counts more; returns its number or 0."""
         try:
-            table = self._read(found.data)
+            table = self._parse(document.data)
         except error.ConfigurationError as exc:
             event.note(event.ConfigurationInvalid(str(exc), exc.advice))
             return 0
         if table.version == self.number:
-            self._settle(found, table)
+            self._resolve_conflict(document, table)
         elif self._holder.install(table):
-            self._take(found)
+            self._activate(document)
         return table.version
 
-    def _settle(
-        self, found: source.Document, table: routing_table.RoutingTable
+    def _resolve_conflict(
+        self, document: source.Document, table: routing_table.RoutingTable
     ) -> None:
         """Settles which of two documents that bear one number is in force."""
-        if found.mod_revision <= self.mod_revision:
+        if document.mod_revision <= self.mod_revision:
             return
-        if found.data == self.data:
-            self.mod_revision = found.mod_revision
+        if document.data == self.data:
+            self.mod_revision = document.mod_revision
             return
         event.note(
             event.ConfigurationReplaced(
                 table.version,
                 str(self.mod_revision),
-                str(found.mod_revision),
+                str(document.mod_revision),
                 'Write the configuration that is meant with a new number.',
             )
         )
         self._holder.replace(table)
-        self._take(found)
+        self._activate(document)
 
-    def _take(self, found: source.Document) -> None:
+    def _activate(self, document: source.Document) -> None:
         if self.data:
-            self._patch = patch_lib.make(self.data, found.data) or b''
-            self._patched_s = asyncio.get_running_loop().time()
-        self.data = found.data
-        self.digest = patch_lib.digest(found.data)
-        self.mod_revision = found.mod_revision
+            self._patch = patch_lib.make(self.data, document.data) or b''
+            self._patched_at_s = asyncio.get_running_loop().time()
+        self.data = document.data
+        self.digest = patch_lib.digest(document.data)
+        self.mod_revision = document.mod_revision
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
@@ -14,10 +14,10 @@
 __all__ = ['ChangeLog']
 
 # How far back a datagram reaches, in seconds: a few calls at the source.
-KEPT_S = 1.0
+RETENTION_S = 1.0
 # Entries in a datagram; some 100 bytes each. More come only if a good part of
 # a large fleet changes at once, and then each gateway asks for itself.
-MOST_CHANGES = 80
+MAX_CHANGES = 80
 
 
 class ChangeLog:
@@ -29,9 +29,9 @@
     """
 
     def __init__(self) -> None:
-        self._steps: collections.deque[tuple[float, revision_lib.Revision]] = (
-            collections.deque()
-        )
+        self._batches: collections.deque[
+            tuple[float, revision_lib.Revision]
+        ] = collections.deque()
         self._changes: collections.deque[upstream.Change] = collections.deque()
         self._since = revision_lib.NONE
         self._entries: dict[str, upstream.Upstream] = {}
@@ -51,56 +51,58 @@
     ) -> tuple[upstream.Change, ...]:
         """Returns every entry, as of a revision."""
         return tuple(
-            upstream.Change(name, revision, found)
-            for name, found in self._entries.items()
+            upstream.Change(name, revision, entry)
+            for name, entry in self._entries.items()
         )
 
     def reset(
-        self, found: list[upstream.Change], revision: revision_lib.Revision
+        self, changes: list[upstream.Change], revision: revision_lib.Revision
     ) -> None:
         """Begins anew with all entries as of a revision."""
-        self._steps.clear()
+        self._batches.clear()
         self._changes.clear()
         self._since = revision
         self._entries.clear()
-        for change in found:
-            self._enter(change)
+        for change in changes:
+            self._store(change)
 
     def record(
         self,
         now: float,
         before: revision_lib.Revision,
-        found: list[upstream.Change],
+        received: list[upstream.Change],
     ) -> list[upstream.Change]:
         """Takes what changed behind a revision; returns what means anything.
 
         Args:
           now: Loop time, in seconds.
           before: Revision behind which they came.
-          found: The changes, in order.
+          received: The changes, in order.
         """
-        changes = [change for change in found if self._enter(change)]
-        if not self._steps:
+        changes = [change for change in received if self._store(change)]
+        if not self._batches:
             self._since = before
-        self._steps.append((now, before))
+        self._batches.append((now, before))
         self._changes.extend(changes)
-        while len(self._steps) > 1 and now - self._steps[0][0] > KEPT_S:
-            self._steps.popleft()
-        self._drop_until(self._steps[0][1])
-        if len(self._changes) > MOST_CHANGES:
-            self._drop_until(self._changes[-MOST_CHANGES - 1].revision)
+        while (
+            len(self._batches) > 1 and now - self._batches[0][0] > RETENTION_S
+        ):
+            self._batches.popleft()
+        self._truncate(self._batches[0][1])
+        if len(self._changes) > MAX_CHANGES:
+            self._truncate(self._changes[-MAX_CHANGES - 1].revision)
         return changes
 
-    def _enter(self, change: upstream.Change) -> bool:
+    def _store(self, change: upstream.Change) -> bool:
         """Takes an entry; returns whether it is another than before."""
-        before = self._entries.get(change.id)
+        previous = self._entries.get(change.id)
         if change.upstream is None:
             self._entries.pop(change.id, None)
-            return before is not None
+            return previous is not None
         self._entries[change.id] = change.upstream
-        return before is None or not before.says_the_same(change.upstream)
+        return previous is None or not previous.says_the_same(change.upstream)
 
-    def _drop_until(self, revision: revision_lib.Revision) -> None:
+    def _truncate(self, revision: revision_lib.Revision) -> None:
         self._since = max(self._since, revision)
         while self._changes and self._changes[0].revision <= self._since:
             self._changes.popleft()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -27,26 +27,27 @@
 
 NAME = 'configuration'
 # Shares of the time in which a change must be in force. A call waits for
-# `WAIT`, so that one whose connection has fallen silent is noticed; who has
-# heard nothing asks itself between `LEAST` and `LEAST` + `SPREAD`, which leaves
+# `WAIT_SHARE`, so that one whose connection has fallen silent is noticed; who
+# has heard nothing asks itself between `MIN_DELAY_SHARE` and that plus
+# `JITTER_SHARE`, which leaves
 # time to read.
-WAIT = 0.3
-LEAST = 0.5
-SPREAD = 0.25
+WAIT_SHARE = 0.3
+MIN_DELAY_SHARE = 0.5
+JITTER_SHARE = 0.25
 # Whoever watches asks on after so long. Two that were answered at the same time
 # have heard of each other by then; at once, each would take the other's word
 # for that of who watches from now on, and both would stop.
-ASK_ON_S = 0.03
+REPOLL_DELAY_S = 0.03
 # An order to drain a zone that is newer than what the source has come to for
 # this long is a sender's fault: the source is never behind itself for longer.
-AHEAD_S = 5.0
+MAX_AHEAD_S = 5.0
 # Draw of the time at which a gateway asks in a new epoch of the source, unless
 # another has told by then.
-ANEW_S = 1.0
+RELIST_JITTER_S = 1.0
 # Others are asked for a configuration that the source lacks this rarely. Each
 # answers: if that makes nothing here either, such as one that only a later
 # release can read, every answer would be met with further questions.
-ASK_OTHERS_S = 1.0
+PEER_QUERY_INTERVAL_S = 1.0
 
 
 class Configuration:
@@ -58,13 +59,13 @@
 
     def __init__(
         self,
-        ask: source.Poll[source.OperatorItem],
-        read: source.ParseDocument,
+        poll: source.Poll[source.OperatorItem],
+        parse: source.ParseDocument,
         holder: source.RoutingTableHolder,
-        drained: zones.Zones,
+        drained_zones: zones.Zones,
         health: source.Health,
-        sharers: Callable[[], int],
-        bound_s: float,
+        gateway_count: Callable[[], int],
+        max_delay_s: float,
         rng: random.Random | None = None,
         epochs: epoch.EpochTracker | None = None,
         node: str = '',
@@ -72,38 +73,44 @@
         """Prepares to follow.
 
         Args:
-          ask: Asks the source for documents and for orders to drain zones.
-          read: Makes a routing table of a document.
+          poll: Asks the source for documents and for orders to drain zones.
+          parse: Makes a routing table of a document.
           holder: Takes each newer one.
-          drained: Takes the orders.
+          drained_zones: Takes the orders.
           health: Told whether the source answers.
-          sharers: Returns how many gateways tell each other.
-          bound_s: Time in which a change must be in force, in seconds.
+          gateway_count: Returns how many gateways tell each other.
+          max_delay_s: Time in which a change must be in force, in seconds.
           rng: Draws the times of calls.
           epochs: The epoch that the source has told; None if it tells none.
           node: Name of this gateway.
         """
-        self._ask = ask
+        self._poll_source = poll
         self._node = node
         self._holder = holder
-        self.active = active_document.ActiveDocument(read, holder)
-        self._drained = drained
-        self._ahead_s: float | None = None
+        self.active = active_document.ActiveDocument(parse, holder)
+        self._drained_zones = drained_zones
+        self._ahead_since_s: float | None = None
         # Whether the next list counts whatever is known of zones.
-        self._is_overruled = False
+        self._overrules_drains = False
         self._health = health
-        self._wait_s = WAIT * bound_s
+        self._wait_s = WAIT_SHARE * max_delay_s
         self._epochs = epochs or epoch.EpochTracker()
-        self._epochs.on_change(lambda: self._schedule.poll_within(ANEW_S))
+        self._epochs.on_change(
+            lambda: self._schedule.poll_within(RELIST_JITTER_S)
+        )
         self._revision: revision_lib.Revision | None = None
-        self._listed: revision_lib.Revision | None = None
-        self._wanted = self._lacking = 0
-        self._deferred = deferred.DeferredAnnouncement(sharers, rng)
-        self._ask_others_s = 0.0
-        pace = schedule_lib.PollIntervals(
-            LEAST * bound_s, SPREAD * bound_s, ASK_ON_S
+        self._listed_revision: revision_lib.Revision | None = None
+        self._wanted_number = self._missing_number = 0
+        self._deferred = deferred.DeferredAnnouncement(gateway_count, rng)
+        self._query_peers_after_s = 0.0
+        intervals = schedule_lib.PollIntervals(
+            MIN_DELAY_SHARE * max_delay_s,
+            JITTER_SHARE * max_delay_s,
+            REPOLL_DELAY_S,
+        )
+        self._schedule = schedule_lib.PollSchedule(
+            intervals, gateway_count, rng
         )
-        self._schedule = schedule_lib.PollSchedule(pace, sharers, rng)
         self._announce: Callable[[update_lib.Update], None] | None = None
         self._on_missing: Callable[[], None] | None = None
 
@@ -122,16 +129,18 @@
         document = self.active.snapshot()
         if self._revision is None or document is None:
             return None
-        return self._news(document)
+        return self._make_update(document)
 
-    def _news(self, patch: bytes) -> update_lib.ConfigurationUpdate:
-        drains = self._drained.drains
+    def _make_update(self, patch: bytes) -> update_lib.ConfigurationUpdate:
+        drains = self._drained_zones.drains
         return update_lib.ConfigurationUpdate(
             self._revision,
             self.active.number,
             patch,
             # One that is newer than the rest would make all of it malformed.
-            tuple(one for one in drains if one.revision <= self._revision),
+            tuple(
+                drain for drain in drains if drain.revision <= self._revision
+            ),
             mod_revision=min(self.active.mod_revision, self._revision),
             digest=self.active.digest,
         )
@@ -140,106 +149,111 @@
         """Asks whenever it is this gateway's turn; runs until cancelled."""
         while True:
             await self._schedule.wait()
-            await self._look()
+            await self._poll()
 
-    def handle_update(self, told: update_lib.ConfigurationUpdate) -> None:
+    def handle_update(self, update: update_lib.ConfigurationUpdate) -> None:
         """Takes what another gateway was told."""
-        if self._epochs.is_refuted(told.revision.epoch):
+        if self._epochs.is_refuted(update.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        self._deferred.note_announced(told.revision)
+        self._deferred.note_announced(update.revision)
         # Each order by its own revision, whatever else is told.
-        self._drained.hear(told.drains)
-        self._hear_drains(told.revision)
+        self._drained_zones.hear(update.drains)
+        self._check_drains(update.revision)
         known = self._revision
-        if known is None and self.active.apply(told):
-            self._begin(told)
+        if known is None and self.active.apply(update):
+            self._apply_first(update)
             return
-        if known is None or told.number < self.active.number:
+        if known is None or update.number < self.active.number:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self.active.is_superseded_by(told) and not self.active.apply(told):
+        if self.active.is_superseded_by(update) and not self.active.apply(
+            update
+        ):
             # The revision known here stays, so that no edit is passed over.
             meter.news.inc({'of': NAME, 'result': 'newer'})
-            self._fetch(told)
+            self._fetch(update)
             return
-        if told.revision < known:
+        if update.revision < known:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self._drained.is_missing(told.drains, told.revision):
+        if self._drained_zones.is_missing(update.drains, update.revision):
             # Followed, it would hide for good that an order was taken back.
             meter.news.inc({'of': NAME, 'result': 'gap'})
-            self._schedule.poll_within(ANEW_S, is_behind=True)
+            self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
         meter.news.inc({'of': NAME, 'result': 'taken'})
-        self._follow(told)
+        self._advance(update)
 
-    def _hear_drains(self, told: revision_lib.Revision) -> None:
+    def _check_drains(self, reported: revision_lib.Revision) -> None:
         """Looks for orders that are newer than how far the source has come."""
-        newest = self._drained.newest
-        if told.epoch < newest.epoch:
+        newest = self._drained_zones.newest
+        if reported.epoch < newest.epoch:
             # Told late, or the order is faulty: the source has to say.
-            self._schedule.poll_within(ANEW_S)
+            self._schedule.poll_within(RELIST_JITTER_S)
         else:
-            self._correct_drains(newest, told)
+            self._relist_if_ahead(newest, reported)
 
-    def _begin(self, told: update_lib.ConfigurationUpdate) -> None:
+    def _apply_first(self, update: update_lib.ConfigurationUpdate) -> None:
         """Begins with what another gateway has told whole."""
         self._holder.confirm()
-        if self._drained.is_missing(told.drains, told.revision):
+        if self._drained_zones.is_missing(update.drains, update.revision):
             # Followed, it would hide for good that an order was taken back.
-            self._schedule.poll_within(ANEW_S, is_behind=True)
+            self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
-        self._enter(told.revision, told.sender)
+        self._set_revision(update.revision, update.sender)
 
-    def _fetch(self, told: update_lib.ConfigurationUpdate) -> None:
+    def _fetch(self, update: update_lib.ConfigurationUpdate) -> None:
         """Asks for a configuration that another gateway has.
 
         Of the source, or of the other gateways if the source has lost it and
         lists an older one, however often it is asked.
         """
-        if told.number == self._lacking and self._on_missing is not None:
+        if (
+            update.number == self._missing_number
+            and self._on_missing is not None
+        ):
             now = asyncio.get_running_loop().time()
-            if now >= self._ask_others_s:
-                self._ask_others_s = now + ASK_OTHERS_S
+            if now >= self._query_peers_after_s:
+                self._query_peers_after_s = now + PEER_QUERY_INTERVAL_S
                 self._on_missing()
             return
-        self._wanted = told.number
+        self._wanted_number = update.number
         self._schedule.poll_now()
 
-    def _follow(self, told: update_lib.ConfigurationUpdate) -> None:
+    def _advance(self, update: update_lib.ConfigurationUpdate) -> None:
         """Takes how far the source has come, from another gateway."""
         known = self._revision
-        self._enter(told.revision, told.sender)
+        self._set_revision(update.revision, update.sender)
         self._holder.confirm()
         newest = self._epochs.newest
-        if told.revision.epoch > newest:
+        if update.revision.epoch > newest:
             # Its word counts; but whether the source is there, only the source
             # can say.
             if known is not None:
                 self._epochs.note_peer_epoch(
-                    NAME, told.sender, known, told.revision
+                    NAME, update.sender, known, update.revision
                 )
-            self._schedule.poll_within(ANEW_S)
-        elif told.revision.epoch < self._drained.newest.epoch:
+            self._schedule.poll_within(RELIST_JITTER_S)
+        elif update.revision.epoch < self._drained_zones.newest.epoch:
             # The source has to say of the newer order; the call is due already.
             return
-        elif told.revision.epoch == newest and not told.is_repeat:
+        elif update.revision.epoch == newest and not update.is_repeat:
             self._schedule.note_peer_answer(
                 asyncio.get_running_loop().time(),
-                is_first=self._node < told.sender,
+                has_priority=self._node < update.sender,
             )
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         loop = asyncio.get_running_loop()
         known = self._revision
-        is_ended = known is not None and known.epoch < self._epochs.newest
+        is_epoch_over = known is not None and known.epoch < self._epochs.newest
         # Behind it may lie many edits, each told with its whole document, and
         # only the newest counts.
-        after = None if is_ended or self._schedule.is_behind else known
-        newest_drain = self._drained.newest
+        after = None if is_epoch_over or self._schedule.is_behind else known
+        newest_drain = self._drained_zones.newest
         try:
-            found = await self._ask(after, self._wait_s)
+            result = await self._poll_source(after, self._wait_s)
         except error.StaleAnswerError:
             self._schedule.note_failure(loop.time())
             return
@@ -250,30 +264,30 @@
                 self._on_missing()
             return
         self._health.mark_up(NAME)
-        if found is None:
-            self._end_feed(known)
+        if result is None:
+            self._handle_lost_history(known)
             return
-        if found.revision.epoch < self._epochs.newest:
+        if result.revision.epoch < self._epochs.newest:
             # Told of a newer one by another call meanwhile.
             return
-        if known is not None and found.revision < known:
-            self._note_ahead(known, found.revision)
+        if known is not None and result.revision < known:
+            self._log_ahead(known, result.revision)
             self._deferred.reset()
-            self._schedule.note_resync(loop.time(), at_once=False)
+            self._schedule.note_resync(loop.time(), is_expected=False)
             self._revision = None
             return
         self._holder.confirm()
-        self._take(found)
-        if self._correct_drains(newest_drain, found.revision):
+        self._apply_result(result)
+        if self._relist_if_ahead(newest_drain, result.revision):
             return
-        if self._revision is None or found.revision > self._revision:
-            self._enter(found.revision, 'store')
+        if self._revision is None or result.revision > self._revision:
+            self._set_revision(result.revision, 'store')
         if self._schedule.note_answer(loop.time()):
-            self._tell()
-        elif found.items and not found.is_snapshot:
-            self._deferred.schedule(found.revision, self._tell_late)
+            self._publish()
+        elif result.items and not result.is_snapshot:
+            self._deferred.schedule(result.revision, self._publish_deferred)
 
-    def _end_feed(self, known: revision_lib.Revision | None) -> None:
+    def _handle_lost_history(self, known: revision_lib.Revision | None) -> None:
         """Meets a source that doesn't tell on from what was known."""
         if self._revision != known:
             # Another gateway has told of a newer epoch meanwhile.
@@ -282,55 +296,65 @@
         if known is not None and known.epoch == newest:
             event.note(event.StoreHistoryLost(NAME, str(known)))
         elif known is not None and known.epoch > newest:
-            self._note_ahead(known, revision_lib.Revision(newest, 0))
+            self._log_ahead(known, revision_lib.Revision(newest, 0))
         self._schedule.note_resync(asyncio.get_running_loop().time())
         self._revision = None
 
-    def _note_ahead(
-        self, known: revision_lib.Revision, found: revision_lib.Revision
+    def _log_ahead(
+        self, known: revision_lib.Revision, current: revision_lib.Revision
     ) -> None:
-        event.note(event.VersionAhead(NAME, str(known), str(found)))
+        event.note(event.VersionAhead(NAME, str(known), str(current)))
 
-    def _enter(self, revision: revision_lib.Revision, source: str) -> None:
+    def _set_revision(
+        self, revision: revision_lib.Revision, origin: str
+    ) -> None:
         """Takes up to which revision everything is known."""
-        before, self._listed = self._listed, revision
+        previous, self._listed_revision = self._listed_revision, revision
         self._revision = revision
-        if before is None or before.epoch == revision.epoch:
+        if previous is None or previous.epoch == revision.epoch:
             return
         meter.epochs.inc({'what': 'listed'})
         event.note(
             event.TableListed(
                 NAME,
-                source,
-                str(before),
+                origin,
+                str(previous),
                 str(revision),
-                len(self._drained.drains),
+                len(self._drained_zones.drains),
             )
         )
 
-    def _take(self, found: source.PollResult[source.OperatorItem]) -> None:
-        drains, held = [], 0
-        self.active.cap_revision(found.revision)
-        for item in found.items:
+    def _apply_result(
+        self, result: source.PollResult[source.OperatorItem]
+    ) -> None:
+        drains, listed_number = [], 0
+        self.active.cap_revision(result.revision)
+        for item in result.items:
             if isinstance(item, zones.Drain):
                 drains.append(item)
             else:
-                held = max(held, self.active.install(item))
-        self._drained.enter(found.revision)
-        if found.is_snapshot and self._is_overruled:
-            self._drained.overrule(drains, found.revision)
-            self._is_overruled = False
-        if found.is_snapshot:
-            self._drained.replace(drains, found.revision)
-            self._lacking = self._wanted if held < self._wanted else 0
+                listed_number = max(listed_number, self.active.install(item))
+        self._drained_zones.enter(result.revision)
+        if result.is_snapshot and self._overrules_drains:
+            self._drained_zones.overrule(drains, result.revision)
+            self._overrules_drains = False
+        if result.is_snapshot:
+            self._drained_zones.replace(drains, result.revision)
+            self._missing_number = (
+                self._wanted_number
+                if listed_number < self._wanted_number
+                else 0
+            )
         else:
             self._schedule.note_resumed()
-            self._drained.hear(drains)
-        if 0 < held < self.active.number:
-            event.note(event.ConfigurationKept(self.active.number, held))
+            self._drained_zones.hear(drains)
+        if 0 < listed_number < self.active.number:
+            event.note(
+                event.ConfigurationKept(self.active.number, listed_number)
+            )
 
-    def _correct_drains(
-        self, known: revision_lib.Revision, told: revision_lib.Revision
+    def _relist_if_ahead(
+        self, known: revision_lib.Revision, current: revision_lib.Revision
     ) -> bool:
         """Has all listed where the source does not come to an order.
 
@@ -341,22 +365,22 @@
           Whether all is to be listed.
         """
         now = asyncio.get_running_loop().time()
-        if known <= told:
-            self._ahead_s = None
-        elif self._ahead_s is None:
-            self._ahead_s = now
-        elif now - self._ahead_s > AHEAD_S:
-            event.note(event.VersionAhead('zones', str(known), str(told)))
-            self._is_overruled = True
-            self._ahead_s = self._revision = None
+        if known <= current:
+            self._ahead_since_s = None
+        elif self._ahead_since_s is None:
+            self._ahead_since_s = now
+        elif now - self._ahead_since_s > MAX_AHEAD_S:
+            event.note(event.VersionAhead('zones', str(known), str(current)))
+            self._overrules_drains = True
+            self._ahead_since_s = self._revision = None
             self._schedule.poll_now()
             return True
         return False
 
-    def _tell_late(self) -> None:
+    def _publish_deferred(self) -> None:
         if self._revision is not None:
-            self._tell()
+            self._publish()
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         if self._announce is not None:
-            self._announce(self._news(self.active.patch))
+            self._announce(self._make_update(self.active.patch))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
@@ -26,15 +26,16 @@
     """One gateway's announcements of answers that came second."""
 
     def __init__(
-        self, sharers: Callable[[], int], rng: random.Random | None = None
+        self, gateway_count: Callable[[], int], rng: random.Random | None = None
     ) -> None:
         """Starts with nothing announced.
 
         Args:
-          sharers: Returns how many gateways tell each other, this included.
+          gateway_count: Returns how many gateways follow the source together,
+            this included.
           rng: Draws the waits.
         """
-        self._sharers = sharers
+        self._gateway_count = gateway_count
         self._rng = rng or random.Random()
         self._announced = revision_lib.NONE
         self._timer: asyncio.TimerHandle | None = None
@@ -59,12 +60,12 @@
         if self._timer is not None:
             self._timer.cancel()
 
-        def due() -> None:
+        def fire() -> None:
             self._timer = None
             if self._announced < revision:
                 announce()
 
-        least_s = pace.spread_s(self._sharers(), is_urgent=True) / 2
-        delay_s = self._rng.uniform(least_s, 2 * least_s + JITTER_S)
+        min_delay_s = pace.spread_s(self._gateway_count(), is_urgent=True) / 2
+        delay_s = self._rng.uniform(min_delay_s, 2 * min_delay_s + JITTER_S)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(delay_s, due)
+        self._timer = loop.call_later(delay_s, fire)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -45,39 +45,41 @@
     def __init__(self) -> None:
         self.newest = 0
         self._is_known = False
-        self._told = 0
-        self._told_s = 0.0
+        self._peer_epoch = 0
+        self._peer_epoch_s = 0.0
         self._refuted = 0
         self._refuted_until_s = 0.0
-        self._behind_s: float | None = None
-        self._quiet_until_s = 0.0
-        self._on_new: list[Callable[[], None]] = []
+        self._downgrade_since_s: float | None = None
+        self._log_after_s = 0.0
+        self._on_change: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Calls back when the source has entered another epoch."""
-        self._on_new.append(callback)
+        self._on_change.append(callback)
 
-    def observe(self, call: str, told: int, asked: int) -> None:
+    def observe(self, call: str, epoch: int, newest_when_sent: int) -> None:
         """Takes the epoch of an answer, whatever else is in it.
 
         Args:
           call: Name of the call.
-          told: The epoch.
-          asked: `newest` as the call was sent.
+          epoch: The epoch.
+          newest_when_sent: `newest` as the call was sent.
 
         Raises:
           error.StaleAnswerError: The answer is of an epoch that has ended; it
             changes nothing.
         """
-        if told < self.newest and not self._has_fallen(told, asked):
+        if epoch < self.newest and not self._is_downgrade(
+            epoch, newest_when_sent
+        ):
             epochs_total.inc({'what': 'stale'})
-            self._note_stale(call, told)
+            self._log_stale(call, epoch)
             raise error.StaleAnswerError(
-                f'{call}: epoch {told}, after {self.newest}'
+                f'{call}: epoch {epoch}, after {self.newest}'
             )
-        self._behind_s = None
-        if told != self.newest:
-            self._enter(call, told)
+        self._downgrade_since_s = None
+        if epoch != self.newest:
+            self._enter(call, epoch)
         self._is_known = True
         self._refute()
 
@@ -86,7 +88,7 @@
         table: str,
         peer: str,
         known: revision.Revision,
-        told: revision.Revision,
+        reported: revision.Revision,
     ) -> None:
         """Notes what another gateway tells; one line for each new epoch.
 
@@ -94,55 +96,55 @@
           table: Which table its news is of.
           peer: Its name.
           known: Revision known here.
-          told: Revision that it tells.
+          reported: Revision that it tells.
         """
-        if told.epoch > max(self.newest, self._told):
-            self._told = told.epoch
-            self._told_s = asyncio.get_running_loop().time()
-            event.note(event.EpochTold(table, peer, str(known), str(told)))
+        if reported.epoch > max(self.newest, self._peer_epoch):
+            self._peer_epoch = reported.epoch
+            self._peer_epoch_s = asyncio.get_running_loop().time()
+            event.note(event.EpochTold(table, peer, str(known), str(reported)))
 
-    def is_refuted(self, told: int) -> bool:
+    def is_refuted(self, epoch: int) -> bool:
         """Whether the source has denied an epoch that other gateways tell."""
-        if told <= self.newest or told != self._refuted:
+        if epoch <= self.newest or epoch != self._refuted:
             return False
         return asyncio.get_running_loop().time() < self._refuted_until_s
 
     def _refute(self) -> None:
         """Notes that the source, asked since, knows no epoch that was told."""
-        if self._told <= self.newest:
+        if self._peer_epoch <= self.newest:
             return
         now = asyncio.get_running_loop().time()
-        if now - self._told_s > DOWNGRADE_AFTER_S:
-            self._refuted = self._told
+        if now - self._peer_epoch_s > DOWNGRADE_AFTER_S:
+            self._refuted = self._peer_epoch
             self._refuted_until_s = now + REFUTED_S
-            self._told = 0
+            self._peer_epoch = 0
 
-    def _has_fallen(self, told: int, asked: int) -> bool:
+    def _is_downgrade(self, epoch: int, newest_when_sent: int) -> bool:
         """Whether the newer epoch that is known was a fault.
 
         Held for good, one answer's fault would make the gateway deaf for all
         later ones. Calls sent before it was known count for nothing: they are
         late, as answers are that overtake each other.
         """
-        if asked != self.newest:
+        if newest_when_sent != self.newest:
             return False
         now = asyncio.get_running_loop().time()
-        if self._behind_s is None:
-            self._behind_s = now
-        return now - self._behind_s > DOWNGRADE_AFTER_S
+        if self._downgrade_since_s is None:
+            self._downgrade_since_s = now
+        return now - self._downgrade_since_s > DOWNGRADE_AFTER_S
 
-    def _enter(self, call: str, told: int) -> None:
-        before, self.newest = self.newest, told
-        self._told = 0
+    def _enter(self, call: str, epoch: int) -> None:
+        previous, self.newest = self.newest, epoch
+        self._peer_epoch = 0
         if not self._is_known:
             return
-        epochs_total.inc({'what': 'new' if told > before else 'fallen'})
-        event.note(event.EpochEntered(call, before, told))
-        for callback in self._on_new:
+        epochs_total.inc({'what': 'new' if epoch > previous else 'fallen'})
+        event.note(event.EpochEntered(call, previous, epoch))
+        for callback in self._on_change:
             callback()
 
-    def _note_stale(self, call: str, told: int) -> None:
+    def _log_stale(self, call: str, epoch: int) -> None:
         now = asyncio.get_running_loop().time()
-        if now >= self._quiet_until_s:
-            self._quiet_until_s = now + LOG_EVERY_S
-            event.note(event.AnswerStale(call, self.newest, told))
+        if now >= self._log_after_s:
+            self._log_after_s = now + LOG_EVERY_S
+            event.note(event.AnswerStale(call, self.newest, epoch))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -33,21 +33,21 @@
 # Who has heard nothing for so long asks itself: `WAIT_S` and the time of a call
 # to a slow source, and a draw. Upstreams that leave serve on for 1.5 s after
 # their notice at the least; with whoever watches lost, some of it is left.
-LEAST_S = 0.75
-SPREAD_S = 0.4
+MIN_DELAY_S = 0.75
+JITTER_S = 0.4
 # Whoever watches asks on after so long, which takes in what changes with what
 # was told, and bounds its calls where entries change without end.
-ASK_ON_S = 0.03
+REPOLL_DELAY_S = 0.03
 # In a new epoch of the source every gateway is to list all anew, and sees so at
 # the same moment. The first that has the list tells the others, who draw the
 # time at which they ask from this and have no need to.
-ANEW_S = 1.0
+RELIST_JITTER_S = 1.0
 # Entries that are told whole in one datagram, some 100 bytes each; of more,
 # each gateway asks for itself.
-MOST_TOLD = 160
+MAX_SNAPSHOT_ENTRIES = 160
 # Share of the time in which a notice must be known, after which a gateway that
 # hears nothing asks at the latest.
-BOUND_SHARE = 0.75
+MAX_DELAY_SHARE = 0.75
 
 
 class Membership:
@@ -55,10 +55,10 @@
 
     def __init__(
         self,
-        ask: source.Poll[upstream.Change],
+        poll: source.Poll[upstream.Change],
         upstreams: upstream.Upstreams,
         health: source.Health,
-        bound_s: float,
+        max_delay_s: float,
         rng: random.Random | None = None,
         epochs: epoch.EpochTracker | None = None,
         node: str = '',
@@ -66,35 +66,39 @@
         """Prepares to follow.
 
         Args:
-          ask: Asks the source.
+          poll: Asks the source.
           upstreams: Kept up to date.
           health: Told whether the source answers.
-          bound_s: Time in which a change must be known, in seconds.
+          max_delay_s: Time in which a change must be known, in seconds.
           rng: Draws the times of looks.
           epochs: The epoch that the source has told; None if it tells none.
           node: Name of this gateway.
         """
-        self._ask = ask
+        self._poll_source = poll
         self._node = node
         self._upstreams = upstreams
         self._health = health
         self._epochs = epochs or epoch.EpochTracker()
-        self._epochs.on_change(lambda: self._schedule.poll_within(ANEW_S))
+        self._epochs.on_change(
+            lambda: self._schedule.poll_within(RELIST_JITTER_S)
+        )
         self._revision: revision_lib.Revision | None = None
-        self._listed: revision_lib.Revision | None = None
+        self._listed_revision: revision_lib.Revision | None = None
         # What was known up to when the source told no further.
-        self._floor = revision_lib.NONE
+        self._min_revision = revision_lib.NONE
         self._change_log = change_log_lib.ChangeLog()
         self._deferred = deferred.DeferredAnnouncement(
             lambda: upstreams.sharers, rng
         )
-        scale = min(1.0, BOUND_SHARE * bound_s / (LEAST_S + SPREAD_S))
+        scale = min(
+            1.0, MAX_DELAY_SHARE * max_delay_s / (MIN_DELAY_S + JITTER_S)
+        )
         self._wait_s = scale * WAIT_S
-        pace = schedule_lib.PollIntervals(
-            scale * LEAST_S, scale * SPREAD_S, ASK_ON_S
+        intervals = schedule_lib.PollIntervals(
+            scale * MIN_DELAY_S, scale * JITTER_S, REPOLL_DELAY_S
         )
         self._schedule = schedule_lib.PollSchedule(
-            pace, lambda: upstreams.sharers, rng
+            intervals, lambda: upstreams.sharers, rng
         )
         self._announce: Callable[[update_lib.Update], None] | None = None
         self._on_missing: Callable[[], None] | None = None
@@ -124,95 +128,104 @@
         """Looks whenever it is this gateway's turn; runs until cancelled."""
         while True:
             await self._schedule.wait()
-            await self._look()
+            await self._poll()
 
-    def handle_update(self, told: update_lib.MembershipUpdate) -> None:
+    def handle_update(self, update: update_lib.MembershipUpdate) -> None:
         """Takes what another gateway was told."""
-        if self._epochs.is_refuted(told.revision.epoch):
+        if self._epochs.is_refuted(update.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        self._deferred.note_announced(told.revision)
-        if not self._take_told(told):
+        self._deferred.note_announced(update.revision)
+        if not self._apply_update(update):
             return
-        if told.revision.epoch > self._epochs.newest:
+        if update.revision.epoch > self._epochs.newest:
             # Its word counts; but whether the source is there, only the source
             # can say.
-            self._schedule.poll_within(ANEW_S)
-        elif told.revision.epoch == self._epochs.newest and not told.is_repeat:
+            self._schedule.poll_within(RELIST_JITTER_S)
+        elif (
+            update.revision.epoch == self._epochs.newest
+            and not update.is_repeat
+        ):
             self._schedule.note_peer_answer(
                 asyncio.get_running_loop().time(),
-                is_first=self._node < told.sender,
+                has_priority=self._node < update.sender,
             )
 
-    def _take_told(self, told: update_lib.MembershipUpdate) -> bool:
+    def _apply_update(self, update: update_lib.MembershipUpdate) -> bool:
         """Returns whether news was of use."""
         known = self._revision
-        if self._is_first_list(told) or self._is_newer_list(told):
-            self._begin(told, known)
+        if self._is_first_snapshot(update) or self._is_newer_snapshot(update):
+            self._apply_snapshot(update, known)
             return True
-        if known is None or told.revision < known:
+        if known is None or update.revision < known:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return False
-        if _is_gap(told, known):
+        if _is_gap(update, known):
             # Datagrams were lost: what came between is not known here.
             meter.news.inc({'of': NAME, 'result': 'gap'})
-            if told.revision.epoch > known.epoch:
+            if update.revision.epoch > known.epoch:
                 self._epochs.note_peer_epoch(
-                    NAME, told.sender, known, told.revision
+                    NAME, update.sender, known, update.revision
                 )
-                self._schedule.poll_within(ANEW_S, is_behind=True)
+                self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             else:
                 self._schedule.poll_now()
             return False
         meter.news.inc({'of': NAME, 'result': 'taken'})
-        if told.grace_s > 0:
-            self._upstreams.expect_lapsed(told.grace_s)
-        fresh = [one for one in told.changes if one.revision > known]
-        self._take(fresh, known, told.revision)
+        if update.grace_s > 0:
+            self._upstreams.expect_lapsed(update.grace_s)
+        fresh = [one for one in update.changes if one.revision > known]
+        self._apply_changes(fresh, known, update.revision)
         return True
 
-    def _is_first_list(self, told: update_lib.MembershipUpdate) -> bool:
+    def _is_first_snapshot(self, update: update_lib.MembershipUpdate) -> bool:
         """Whether a list is all that there is to go by.
 
         One of a gateway that was cut off may be from before what was known as
         the source fell silent, and name upstreams that have ended since.
         """
-        is_silent = self._revision is None
-        return is_silent and told.is_snapshot and told.revision >= self._floor
+        is_unsynced = self._revision is None
+        return (
+            is_unsynced
+            and update.is_snapshot
+            and update.revision >= self._min_revision
+        )
 
-    def _is_newer_list(self, told: update_lib.MembershipUpdate) -> bool:
+    def _is_newer_snapshot(self, update: update_lib.MembershipUpdate) -> bool:
         """Whether a list is newer than what is known.
 
         One without any entry is left for the source to tell: a faulty sender's
         would leave nobody to serve.
         """
         return (
-            told.is_snapshot
-            and bool(told.changes)
-            and told.revision > (self._revision or self._floor)
+            update.is_snapshot
+            and bool(update.changes)
+            and update.revision > (self._revision or self._min_revision)
         )
 
-    def _begin(
+    def _apply_snapshot(
         self,
-        told: update_lib.MembershipUpdate,
+        update: update_lib.MembershipUpdate,
         known: revision_lib.Revision | None,
     ) -> None:
         """Begins anew with all that another gateway has listed."""
         meter.news.inc({'of': NAME, 'result': 'whole'})
         if known is not None:
             self._epochs.note_peer_epoch(
-                NAME, told.sender, known, told.revision
+                NAME, update.sender, known, update.revision
             )
-        if told.grace_s > 0:
-            self._upstreams.expect_lapsed(told.grace_s)
-        self._restart(list(told.changes), told.revision, told.sender)
+        if update.grace_s > 0:
+            self._upstreams.expect_lapsed(update.grace_s)
+        self._replace_all(list(update.changes), update.revision, update.sender)
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         loop = asyncio.get_running_loop()
         known = self._revision
-        is_ended = known is not None and known.epoch < self._epochs.newest
+        is_epoch_over = known is not None and known.epoch < self._epochs.newest
         try:
-            found = await self._ask(None if is_ended else known, self._wait_s)
+            result = await self._poll_source(
+                None if is_epoch_over else known, self._wait_s
+            )
         except error.StaleAnswerError:
             self._schedule.note_failure(loop.time())
             return
@@ -223,31 +236,33 @@
                 self._on_missing()
             return
         self._health.mark_up(NAME)
-        if found is None:
-            self._end_feed(known)
+        if result is None:
+            self._handle_lost_history(known)
             return
-        if found.revision.epoch < self._epochs.newest:
+        if result.revision.epoch < self._epochs.newest:
             # Told of a newer one by another call meanwhile.
             return
         newest = self._revision
-        if newest is not None and found.revision < newest:
-            self._correct(known, found.revision)
+        if newest is not None and result.revision < newest:
+            self._handle_older_answer(known, result.revision)
             return
-        is_new = found.is_snapshot and self._is_new_epoch(found.revision)
+        is_new_epoch = result.is_snapshot and self._is_new_epoch(
+            result.revision
+        )
         fresh: list[upstream.Change] = []
-        if found.is_snapshot:
-            self._restart(found.items, found.revision, 'store')
+        if result.is_snapshot:
+            self._replace_all(result.items, result.revision, 'store')
         else:
             self._schedule.note_resumed()
             # Told by others meanwhile, if it is not behind `newest`.
-            fresh = [one for one in found.items if one.revision > newest]
-            self._take(fresh, newest, found.revision)
+            fresh = [one for one in result.items if one.revision > newest]
+            self._apply_changes(fresh, newest, result.revision)
         if self._schedule.note_answer(loop.time()):
-            self._tell(is_new=is_new)
+            self._publish(is_new_epoch=is_new_epoch)
         elif fresh:
-            self._deferred.schedule(found.revision, self._tell_late)
+            self._deferred.schedule(result.revision, self._publish_deferred)
 
-    def _end_feed(self, known: revision_lib.Revision | None) -> None:
+    def _handle_lost_history(self, known: revision_lib.Revision | None) -> None:
         """Meets a source that doesn't tell on from what was known."""
         if self._revision != known:
             # Another gateway has told the whole list meanwhile.
@@ -256,15 +271,17 @@
         if known is not None and known.epoch == newest:
             event.note(event.StoreHistoryLost(NAME, str(known)))
         elif known is not None and known.epoch > newest:
-            told = revision_lib.Revision(newest, 0)
-            event.note(event.VersionAhead(NAME, str(known), str(told)))
+            current = revision_lib.Revision(newest, 0)
+            event.note(event.VersionAhead(NAME, str(known), str(current)))
         self._schedule.note_resync(asyncio.get_running_loop().time())
         if known is not None and known.epoch <= newest:
-            self._floor = known
+            self._min_revision = known
         self._revision = None
 
-    def _correct(
-        self, known: revision_lib.Revision | None, told: revision_lib.Revision
+    def _handle_older_answer(
+        self,
+        known: revision_lib.Revision | None,
+        answered: revision_lib.Revision,
     ) -> None:
         """Meets an answer from before what is known here.
 
@@ -273,48 +290,55 @@
         come from a faulty datagram, and nothing would be heard until the
         source has come so far.
         """
-        if known is not None and told < known:
-            event.note(event.VersionAhead(NAME, str(known), str(told)))
+        if known is not None and answered < known:
+            event.note(event.VersionAhead(NAME, str(known), str(answered)))
             now = asyncio.get_running_loop().time()
-            self._schedule.note_resync(now, at_once=False)
+            self._schedule.note_resync(now, is_expected=False)
             self._deferred.reset()
-            self._floor = revision_lib.NONE
+            self._min_revision = revision_lib.NONE
             self._revision = None
 
     def _is_new_epoch(self, revision: revision_lib.Revision) -> bool:
-        return self._listed is not None and self._listed.epoch != revision.epoch
+        return (
+            self._listed_revision is not None
+            and self._listed_revision.epoch != revision.epoch
+        )
 
-    def _restart(
+    def _replace_all(
         self,
-        found: list[upstream.Change],
+        changes: list[upstream.Change],
         revision: revision_lib.Revision,
-        source: str,
+        origin: str,
     ) -> None:
         if self._is_new_epoch(revision):
             # Its copy lacks what was written last, which is written again.
             self._upstreams.expect_lapsed()
-            self._upstreams.doubt_ended(found)
-            self._note_listed(found, revision, source)
+            self._upstreams.doubt_ended(changes)
+            self._log_relist(changes, revision, origin)
         self._upstreams.confirm()
-        self._upstreams.replace(found, revision)
-        self._change_log.reset(found, revision)
-        self._revision = self._listed = revision
-        self._floor = revision_lib.NONE
+        self._upstreams.replace(changes, revision)
+        self._change_log.reset(changes, revision)
+        self._revision = self._listed_revision = revision
+        self._min_revision = revision_lib.NONE
 
-    def _note_listed(
+    def _log_relist(
         self,
-        found: list[upstream.Change],
+        changes: list[upstream.Change],
         revision: revision_lib.Revision,
-        source: str,
+        origin: str,
     ) -> None:
         meter.epochs.inc({'what': 'listed'})
         event.note(
             event.TableListed(
-                NAME, source, str(self._listed), str(revision), len(found)
+                NAME,
+                origin,
+                str(self._listed_revision),
+                str(revision),
+                len(changes),
             )
         )
 
-    def _take(
+    def _apply_changes(
         self,
         changes: list[upstream.Change],
         before: revision_lib.Revision,
@@ -326,17 +350,17 @@
         for change in self._change_log.record(now, before, changes):
             self._upstreams.apply(change)
 
-    def _tell_late(self) -> None:
+    def _publish_deferred(self) -> None:
         if self._revision is not None:
-            self._tell(is_new=False)
+            self._publish(is_new_epoch=False)
 
-    def _tell(self, *, is_new: bool) -> None:
+    def _publish(self, *, is_new_epoch: bool) -> None:
         if self._announce is None:
             return
-        whole = self.snapshot()
-        if is_new and len(whole.changes) <= MOST_TOLD:
+        snapshot = self.snapshot()
+        if is_new_epoch and len(snapshot.changes) <= MAX_SNAPSHOT_ENTRIES:
             # Nobody can go on from the epoch before.
-            self._announce(whole)
+            self._announce(snapshot)
             return
         self._announce(
             update_lib.MembershipUpdate(
@@ -349,13 +373,13 @@
 
 
 def _is_gap(
-    told: update_lib.MembershipUpdate, known: revision_lib.Revision
+    update: update_lib.MembershipUpdate, known: revision_lib.Revision
 ) -> bool:
     """Whether changes behind what is known are not told.
 
     No changes lead from one epoch to the next, and none from what is known to a
     list that is not taken.
     """
-    is_list = told.is_snapshot and told.revision > known
-    is_later = told.revision.epoch > known.epoch
-    return is_list or is_later or told.since > known
+    is_newer_snapshot = update.is_snapshot and update.revision > known
+    is_newer_epoch = update.revision.epoch > known.epoch
+    return is_newer_snapshot or is_newer_epoch or update.since > known
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/patch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/patch.py
@@ -23,13 +23,13 @@
 
 # Sent to every other gateway: some packets each. A larger edit is read from
 # the source by each, whose link is a hundred times that of a small entry host.
-MOST_PATCH_BYTES = 4096
-MOST_DOCUMENT_BYTES = 4 * 1024 * 1024
+MAX_PATCH_BYTES = 4096
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 DIGEST_BYTES = 8
 # Between the objects of a list, as the JSON encoder writes it.
 SEPARATOR = b'}, '
 # What opening a damaged patch raises.
-DAMAGED = (
+DECODE_ERRORS = (
     zlib.error,
     ValueError,
     TypeError,
@@ -44,21 +44,21 @@
 
 
 def make(
-    base: bytes, document: bytes, most_bytes: int = MOST_PATCH_BYTES
+    base: bytes, document: bytes, max_bytes: int = MAX_PATCH_BYTES
 ) -> bytes | None:
     """Returns what makes a document of its base; None if that is larger."""
-    where = {piece: n for n, piece in enumerate(base.split(SEPARATOR))}
+    index = {piece: n for n, piece in enumerate(base.split(SEPARATOR))}
     steps: list[Any] = []
     for piece in document.split(SEPARATOR):
-        found = where.get(piece)
-        if found is None:
+        position = index.get(piece)
+        if position is None:
             steps.append(piece)
-        elif steps and _ends_at(steps[-1]) == found:
+        elif steps and _end_of(steps[-1]) == position:
             steps[-1][1] += 1
         else:
-            steps.append([found, 1])
+            steps.append([position, 1])
     patch = digest(base) + zlib.compress(msgpack.packb(steps))
-    return patch if len(patch) <= most_bytes else None
+    return patch if len(patch) <= max_bytes else None
 
 
 def apply(base: bytes, patch: bytes) -> bytes:
@@ -70,19 +70,19 @@
     if patch[:DIGEST_BYTES] != digest(base):
         raise error.PatchError('it belongs to another base')
     try:
-        return _built(base.split(SEPARATOR), patch[DIGEST_BYTES:])
-    except DAMAGED as exc:
+        return _rebuild(base.split(SEPARATOR), patch[DIGEST_BYTES:])
+    except DECODE_ERRORS as exc:
         raise error.PatchError(f'it is damaged: {exc!r}') from exc
 
 
-def _ends_at(step: bytes | list[int]) -> int | None:
+def _end_of(step: bytes | list[int]) -> int | None:
     return None if isinstance(step, bytes) else step[0] + step[1]
 
 
-def _built(pieces: list[bytes], packed: bytes) -> bytes:
-    opener = zlib.decompressobj()
-    data = opener.decompress(packed, MOST_DOCUMENT_BYTES)
-    if not opener.eof:
+def _rebuild(pieces: list[bytes], packed: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
+    data = decompressor.decompress(packed, MAX_DOCUMENT_BYTES)
+    if not decompressor.eof:
         raise ValueError('it ends early, or is too large')
     built: list[bytes] = []
     for step in msgpack.unpackb(data):
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
@@ -22,15 +22,15 @@
 
 # After a failed call; doubled up to the longest.
 FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 0.8
+MAX_RETRY_S = 0.8
 # Where many miss the source, the first that gets an answer tells all others;
 # so each may ask the more rarely, but not for longer than this. It is within
 # what a source takes to be called stable again.
-LONGEST_RETRY_OF_MANY_S = 2.0
+MAX_FLEET_RETRY_S = 2.0
 RETRY_PER_GATEWAY_S = 0.1
 # While others are served and tell, a gateway that is turned away tries this
 # often whether it is still so.
-RETRY_WHILE_TOLD_S = 2.0
+RETRY_WHILE_UPDATED_S = 2.0
 JITTER = (0.75, 1.25)
 
 
@@ -56,75 +56,76 @@
 
     def __init__(
         self,
-        pace: PollIntervals,
-        sharers: Callable[[], int],
+        intervals: PollIntervals,
+        gateway_count: Callable[[], int],
         rng: random.Random | None = None,
     ) -> None:
         """Starts with a call that is due.
 
         Args:
-          pace: How long the source is left alone.
-          sharers: Returns how many gateways tell each other, this included.
+          intervals: How long the source is left alone.
+          gateway_count: Returns how many gateways follow the source together,
+            this included.
           rng: Draws the times.
         """
-        self._pace = pace
-        self._sharers = sharers
+        self._intervals = intervals
+        self._gateway_count = gateway_count
         self._rng = rng or random.Random()
         self._due_s = 0.0
         self._failures = 0
-        self._told_due_s = 0.0
-        self._asked_s = 0.0
-        self._heard_s = 0.0
-        self._is_hurried = False
-        self._hurried = asyncio.Event()
-        self._is_drawn = False
-        self._watches = False
-        self._dead_ends = 0
+        self._updated_due_s = 0.0
+        self._polled_s = 0.0
+        self._peer_answer_s = 0.0
+        self._is_lagging = False
+        self._rescheduled = asyncio.Event()
+        self._has_random_due = False
+        self._is_poller = False
+        self._resyncs = 0
 
     @property
     def is_behind(self) -> bool:
         """Whether others know more, or the source has not answered of late."""
-        return self._is_hurried or self._failures > 0
+        return self._is_lagging or self._failures > 0
 
     async def wait(self) -> None:
         """Returns when the next call is due."""
         loop = asyncio.get_running_loop()
         while (left_s := self._due_s - loop.time()) > 0:
-            self._hurried.clear()
+            self._rescheduled.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
-                    await self._hurried.wait()
-        self._asked_s = loop.time()
-        self._is_drawn = self._watches = False
+                    await self._rescheduled.wait()
+        self._polled_s = loop.time()
+        self._has_random_due = self._is_poller = False
 
     def poll_now(self) -> None:
         """Makes the call due now: others know what is not known here."""
         self._due_s = 0.0
-        self._is_hurried = True
-        self._hurried.set()
+        self._is_lagging = True
+        self._rescheduled.set()
 
-    def poll_within(self, spread_s: float, *, is_behind: bool = False) -> None:
+    def poll_within(self, within_s: float, *, is_behind: bool = False) -> None:
         """Makes the call due at a draw of the time that follows.
 
         Also if another is told meanwhile; but not sooner than after a failed
         call, since a source that is away is not to be asked the more for it.
 
         Args:
-          spread_s: Width of the draw, in seconds.
+          within_s: Width of the draw, in seconds.
           is_behind: Whether others have been told already.
         """
-        self._is_hurried = self._is_hurried or is_behind
-        if self._failures or self._is_drawn:
+        self._is_lagging = self._is_lagging or is_behind
+        if self._failures or self._has_random_due:
             # Drawn anew at each word of the others, it would come early.
             return
-        self._is_drawn = True
+        self._has_random_due = True
         now = asyncio.get_running_loop().time()
-        due_s = now + self._rng.uniform(0.0, spread_s)
+        due_s = now + self._rng.uniform(0.0, within_s)
         if due_s < self._due_s:
             self._due_s = due_s
-            self._hurried.set()
+            self._rescheduled.set()
 
-    def note_resync(self, now: float, *, at_once: bool = True) -> None:
+    def note_resync(self, now: float, *, is_expected: bool = True) -> None:
         """Notes that the source doesn't tell on from what is known.
 
         All is asked for anew, at once. A source that lists all and then doesn't
@@ -133,19 +134,19 @@
 
         Args:
           now: Loop time.
-          at_once: Whether that may happen to a sound source.
+          is_expected: Whether that may happen to a sound source.
         """
-        if not at_once:
-            self._dead_ends = max(1, self._dead_ends)
-        if self._dead_ends:
-            retry_s = FIRST_RETRY_S * 2**self._dead_ends
-            retry_s = min(LONGEST_RETRY_OF_MANY_S, retry_s)
+        if not is_expected:
+            self._resyncs = max(1, self._resyncs)
+        if self._resyncs:
+            retry_s = FIRST_RETRY_S * 2**self._resyncs
+            retry_s = min(MAX_FLEET_RETRY_S, retry_s)
             self._due_s = now + retry_s * self._rng.uniform(*JITTER)
-        self._dead_ends = min(self._dead_ends + 1, 10)
+        self._resyncs = min(self._resyncs + 1, 10)
 
     def note_resumed(self) -> None:
         """Notes that the source has told on from what was known."""
-        self._dead_ends = 0
+        self._resyncs = 0
 
     def note_answer(self, now: float) -> bool:
         """Notes that the source has answered this gateway.
@@ -156,25 +157,31 @@
           first and is silent, so that the first goes on.
         """
         self._failures = 0
-        is_alone = self._heard_s < self._asked_s and not self._is_hurried
-        self._is_hurried = False
-        self._watches = is_alone
-        after_s = self._ask_on_s() if is_alone else self._draw_s()
-        self._due_s = now + after_s
-        return is_alone
+        is_only_poller = (
+            self._peer_answer_s < self._polled_s and not self._is_lagging
+        )
+        self._is_lagging = False
+        self._is_poller = is_only_poller
+        delay_s = (
+            self._repoll_delay_s() if is_only_poller else self._random_delay_s()
+        )
+        self._due_s = now + delay_s
+        return is_only_poller
 
     def note_failure(self, now: float) -> None:
         """Notes that the source has not answered."""
-        longest_s = RETRY_PER_GATEWAY_S * self._sharers()
-        longest_s = max(LONGEST_RETRY_S, longest_s)
-        longest_s = min(LONGEST_RETRY_OF_MANY_S, longest_s)
-        retry_s = min(longest_s, FIRST_RETRY_S * 2**self._failures)
+        max_retry_s = RETRY_PER_GATEWAY_S * self._gateway_count()
+        max_retry_s = max(MAX_RETRY_S, max_retry_s)
+        max_retry_s = min(MAX_FLEET_RETRY_S, max_retry_s)
+        retry_s = min(max_retry_s, FIRST_RETRY_S * 2**self._failures)
         self._failures = min(self._failures + 1, 10)
         self._due_s = now + retry_s * self._rng.uniform(*JITTER)
-        told_s = RETRY_WHILE_TOLD_S * self._rng.uniform(*JITTER)
-        self._told_due_s = now + told_s
+        updated_s = RETRY_WHILE_UPDATED_S * self._rng.uniform(*JITTER)
+        self._updated_due_s = now + updated_s
 
-    def note_peer_answer(self, now: float, *, is_first: bool = False) -> None:
+    def note_peer_answer(
+        self, now: float, *, has_priority: bool = False
+    ) -> None:
         """Notes that another gateway was answered, and what it was told.
 
         Of two that were answered at once each hears the other as it pauses
@@ -183,23 +190,25 @@
 
         Args:
           now: Loop time.
-          is_first: Whether this gateway goes before the other.
+          has_priority: Whether this gateway goes before the other.
         """
-        self._heard_s = now
-        self._is_drawn = False
-        if self._watches and is_first:
+        self._peer_answer_s = now
+        self._has_random_due = False
+        if self._is_poller and has_priority:
             return
-        self._watches = False
+        self._is_poller = False
         if self._failures:
             # Put off each time, it would never notice that it is served again.
-            self._due_s = self._told_due_s
+            self._due_s = self._updated_due_s
         else:
-            self._due_s = now + self._draw_s()
+            self._due_s = now + self._random_delay_s()
 
-    def _ask_on_s(self) -> float:
+    def _repoll_delay_s(self) -> float:
         """Each answer goes to all, so that a large fleet takes in fewer."""
-        return self._pace.repoll_delay_s * max(1.0, self._sharers() / pace.NEAR)
+        return self._intervals.repoll_delay_s * max(
+            1.0, self._gateway_count() / pace.NEAR
+        )
 
-    def _draw_s(self) -> float:
-        drawn_s = self._rng.uniform(0.0, self._pace.jitter_s)
-        return self._pace.min_delay_s + drawn_s
+    def _random_delay_s(self) -> float:
+        random_s = self._rng.uniform(0.0, self._intervals.jitter_s)
+        return self._intervals.min_delay_s + random_s
--- a/tests/quetzalsill_gateway/watch/test_schedule.py
+++ b/tests/quetzalsill_gateway/watch/test_schedule.py
@@ -25,9 +25,11 @@
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = schedule.PollIntervals(1.5, 0.75, configuration.ASK_ON_S)
+            intervals = schedule.PollIntervals(
+                1.5, 0.75, configuration.REPOLL_DELAY_S
+            )
             both = [
-                schedule.PollSchedule(pace, lambda: 2, random.Random(n))
+                schedule.PollSchedule(intervals, lambda: 2, random.Random(n))
                 for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
@@ -53,9 +55,11 @@
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = schedule.PollIntervals(LEAST_S, 0.4, membership.ASK_ON_S)
+            intervals = schedule.PollIntervals(
+                LEAST_S, 0.4, membership.REPOLL_DELAY_S
+            )
             both = [
-                schedule.PollSchedule(pace, lambda: 300, random.Random(n))
+                schedule.PollSchedule(intervals, lambda: 300, random.Random(n))
                 for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
@@ -63,8 +67,8 @@
                 await one.wait()
                 self.assertTrue(one.note_answer(loop.time()))
             await asyncio.sleep(NEAR_S)
-            for one, is_first in zip(both, (True, False), strict=True):
-                one.note_peer_answer(loop.time(), is_first=is_first)
+            for one, has_priority in zip(both, (True, False), strict=True):
+                one.note_peer_answer(loop.time(), has_priority=has_priority)
             waits = [asyncio.create_task(one.wait()) for one in both]
             await asyncio.sleep(LEAST_S / 2)
             return [wait.done() for wait in waits]
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -242,7 +242,7 @@
                 one.handle_update(
                     update.ConfigurationUpdate(at(55), 5, sender='cut-off')
                 )
-                await asyncio.sleep(configuration.AHEAD_S + 1.0)
+                await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
         self.play(follower, story)
@@ -262,7 +262,7 @@
                 one.handle_update(
                     update.ConfigurationUpdate(at(55), 5, sender='cut-off')
                 )
-                await asyncio.sleep(configuration.AHEAD_S + 1.0)
+                await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
         self.play(follower, story)
