--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/source.py
@@ -1,4 +1,4 @@
-"""Where configuration and membership come from."""
+"""Sources of configuration and membership, and whether they are available."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 Item = TypeVar('Item')
 
-# Loop time before anything was heard.
+# Loop time of the last confirmation while there is none.
 NEVER_S = 0.0
 
 
 class RoutingTableHolder:
-    """The routing table in force in this process.
+    """Holds the active routing table of this process.
 
     Attributes:
       current: The table, None before the first.
@@ -46,19 +46,20 @@
 
     @property
     def age_s(self) -> float:
-        """Time since the source last said that this is the newest."""
+        """Time since the source last confirmed its state, in seconds."""
         return asyncio.get_running_loop().time() - self._confirmed_s
 
     def confirm(self) -> None:
-        """Notes that the source answered."""
+        """Records that the source has answered."""
         self._confirmed_s = asyncio.get_running_loop().time()
 
     def install(self, table: routing_table.RoutingTable) -> bool:
-        """Takes a newer table; an older one is left out.
+        """Installs a table if its version is higher; returns whether it was.
 
-        A source may tell a stale version after a newer one, since reads
-        overtake each other and a store may be restored; going back would
-        serve routes and keys that operators have withdrawn.
+        A source may return a stale version after a newer one, since reads can
+        overtake each other and a store may be restored from a backup.
+        Installing it would bring back routes and keys that operators have
+        withdrawn.
         """
         previous = self.current
         if previous is not None and table.version <= previous.version:
@@ -75,15 +76,16 @@
         return True
 
     def replace(self, table: routing_table.RoutingTable) -> None:
-        """Takes another table of the same version, which was written later."""
+        """Replaces the table by a later one of the same version."""
         self.current = table
 
 
 class Health:
-    """Whether the sources answer.
+    """Tracks whether the sources are available.
 
-    Each is watched by itself and notices an outage only at the end of a watch;
-    whichever does so first speaks for all, since they are usually one store.
+    Each source is polled separately, and its outage shows only when a long poll
+    ends. The first failed poll marks all sources as down, since they are
+    usually tables of one store.
     """
 
     def __init__(self) -> None:
@@ -94,26 +96,26 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether any source does not answer this process."""
+        """Whether any source is unavailable to this process."""
         return bool(self._down_since_s)
 
     async def wait_until_down(self) -> None:
-        """Returns while any source does not answer, here or elsewhere."""
+        """Waits until a source is unavailable, to this gateway or to a peer."""
         await self._down.wait()
 
     def on_recovery(self, callback: Callable[[float], None]) -> None:
-        """Calls back whenever a source answers again.
+        """Registers a callback for when a source answers again.
 
         Args:
-          callback: Gets the loop time at which it was lost.
+          callback: Receives the loop time at which the outage began.
         """
         self._on_regained.append(callback)
 
     def update_peer(self, node: str, *, is_down: bool) -> None:
-        """Takes what another gateway says of its sources.
+        """Records whether a peer reports its sources as unavailable.
 
-        Each notices an outage at the end of a watch, which lasts seconds; one
-        of many does so soon.
+        A gateway notices an outage when its long poll ends, which takes
+        seconds; among many gateways one notices it early.
         """
         if is_down:
             self._down_peers.add(node)
@@ -128,18 +130,19 @@
             self._down.clear()
 
     def mark_down(self, name: str, reason: str) -> None:
-        """Notes that a source did not answer."""
+        """Records that a poll of a source failed."""
         if name not in self._down_since_s:
             self._down_since_s[name] = asyncio.get_running_loop().time()
             event.note(event.StoreLost(name, reason))
         self._update()
 
     def mark_up(self, name: str) -> None:
-        """Notes that a source answered.
+        """Records that a source has answered.
 
-        One whose call was under way during an outage hasn't noticed it, and may
-        be the first to tell what has lapsed meanwhile: it is told of the outage
-        as well, although another may still be away.
+        A poll that was in flight throughout an outage does not fail, and may be
+        the first to return entries that have expired meanwhile. So the recovery
+        callbacks run for any source that answers, even while another one is
+        still down.
         """
         if not self._down_since_s:
             return
@@ -147,19 +150,20 @@
         if self._down_since_s.pop(name, None) is not None:
             event.note(event.StoreRegained(name))
             self._update()
-        # Before what it tells is taken in.
+        # Before the answer is applied, so that expired entries get a grace
+        # period.
         for callback in self._on_regained:
             callback(down_since_s)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PollResult(Generic[Item]):
-    """What a source answers.
+    """The result of a poll.
 
     Attributes:
-      items: What changed, in order, or all there is.
-      revision: Revision of the source up to which they are told.
-      is_snapshot: Whether they are all there is.
+      items: The changes in order, or all items.
+      revision: Revision of the source up to which the items are complete.
+      is_snapshot: Whether these are all items.
     """
 
     items: list[Item]
@@ -169,10 +173,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Document:
-    """A document of the configuration.
+    """A configuration document.
 
     Attributes:
-      data: Its bytes, the same for what says the same.
+      data: Its bytes; equal documents have equal bytes.
       mod_revision: Revision of the source at which it was written.
     """
 
@@ -180,31 +184,31 @@
     mod_revision: revision_lib.Revision
 
 
-# Asks for what changed behind a revision, or for all if there is none, and
-# waits for a change for so many seconds at most. None is answered if the source
-# cannot tell on from there: it has forgotten that far back, or is in another
-# epoch. Raises `error.SourceError`.
+# Polls for the changes after a revision, or for a snapshot if it is None, and
+# waits at most that many seconds for a change. Returns None if the source
+# cannot continue from that revision: its history no longer reaches back so far,
+# or it is in another epoch. Raises `error.SourceError`.
 Poll = Callable[
     [revision_lib.Revision | None, float], Awaitable[PollResult[Item] | None]
 ]
-# What operators write: a document of the configuration, or an order for a zone.
+# What operators write: a configuration document, or a drain order for a zone.
 OperatorItem = Document | zones.Drain
-# Makes a routing table of a document. Raises `error.ConfigurationError`.
+# Builds a routing table from a document. Raises `error.ConfigurationError`.
 ParseDocument = Callable[[bytes], 'routing_table.RoutingTable']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Sources:
-    """How a gateway is kept up to date.
+    """The sources that keep a gateway up to date.
 
     Attributes:
-      poll_configuration: Asks for documents of the configuration, and for
-        orders to drain availability zones.
-      parse_configuration: Reads one.
-      poll_membership: Asks for entries of upstreams.
-      join: Enters a gateway, by name and address, in the directory of
+      poll_configuration: Polls for configuration documents, and for orders to
+        drain availability zones.
+      parse_configuration: Parses a document.
+      poll_membership: Polls for entries of upstreams.
+      join: Registers a gateway, by name and address, in the directory of
         gateways, and returns the addresses of all others in it by name.
-      epochs: The epoch that the source has told.
+      epochs: Tracks the epoch that the source reports.
     """
 
     poll_configuration: Poll[OperatorItem]
--- a/tests/quetzalsill_gateway/test_source.py
+++ b/tests/quetzalsill_gateway/test_source.py
@@ -1,4 +1,4 @@
-"""Whether the sources answer, as one gateway sees it."""
+"""Tests of how a gateway tracks whether its sources are available."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
         self.upstreams = upstream.Upstreams()
         self.health.on_recovery(self.upstreams.regained)
 
-    async def test_a_call_that_spans_an_outage_tells_of_it_too(self):
-        """Every upstream is gone after a short outage, and callers get 503.
+    async def test_a_call_that_spans_an_outage_starts_the_grace_period(
+        self,
+    ):
+        """Guards against the removal of all upstreams after a short outage.
 
-        Only the call for the configuration fails. That for the membership was
-        under way all the while, and is the first to be answered: by then the
-        entries of upstreams that live have lapsed. Taken for an answer like any
-        other, it would have them removed without the grace.
+        Only the poll for the configuration fails. The poll for the membership
+        is in flight throughout, and is the first to be answered: by then the
+        entries of running upstreams have expired. Without the grace period they
+        would be removed, and callers would get 503.
         """
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         self.upstreams.confirm()
@@ -38,7 +40,7 @@
         self.upstreams.remove('u-1', revision.Revision(0, 2))
         self.assertEqual(self.upstreams.of('s'), [found])
 
-    async def test_a_table_that_answers_does_not_speak_for_another(self):
+    async def test_an_answer_of_one_table_does_not_mark_another_as_up(self):
         self.health.mark_down('configuration', 'refused')
         self.health.mark_up('membership')
         self.assertTrue(self.health.is_down)
