--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/__init__.py
@@ -1,1 +1,1 @@
-"""How gateways keep up with the sources of configuration and membership."""
+"""Follows the sources of configuration and membership."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/active_document.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/active_document.py
@@ -1,10 +1,10 @@
-"""The document of the configuration in force, and which one takes its place.
+"""The active configuration document, and which document replaces it.
 
-The number that operators give decides, never where a document comes from: a
-source that has come back from a copy may hold an older one, which would serve
-keys that they have withdrawn. Of two that bear one number the one that was
-written last counts, so that all gateways come to the same, in whatever order
-they are told of both.
+The number that operators assign decides, not where a document comes from: a
+source that was restored from a backup may hold an older document, which would
+bring back keys that operators have withdrawn. Of two documents with the same
+number the one written last wins, so that all gateways converge on it in
+whatever order they receive both.
 """
 
 from __future__ import annotations
@@ -22,30 +22,31 @@
 
 __all__ = ['ActiveDocument']
 
-# A patch is told as often as it takes to reach those that missed a datagram.
+# How long updates carry the patch, so that gateways that missed a datagram get
+# it from a later one.
 PATCH_TTL_S = 3.0
-# A document whole fits a datagram up to this size; packed, it is some tenth of
-# what operators write.
+# A complete document fits a datagram up to this size; compressed, it has about
+# a tenth of the size that operators write.
 MAX_SNAPSHOT_BYTES = 49_152
 
 
 class ActiveDocument:
-    """The document in force.
+    """The active configuration document.
 
     Attributes:
       data: Its bytes; empty before the first.
-      digest: Tells it from another.
+      digest: Distinguishes the document from others.
       mod_revision: Revision of the source at which it was written.
     """
 
     def __init__(
         self, parse: source.ParseDocument, holder: source.RoutingTableHolder
     ) -> None:
-        """Holds none yet.
+        """Starts without a document.
 
         Args:
-          parse: Makes a routing table of a document.
-          holder: Takes each that comes into force.
+          parse: Builds a routing table from a document.
+          holder: Receives the table of each document that becomes active.
         """
         self._parse = parse
         self._holder = holder
@@ -63,20 +64,20 @@
 
     @property
     def patch(self) -> bytes:
-        """What makes the document of the one before it, just after a change."""
+        """A patch from the previous document, for a while after a change."""
         now = asyncio.get_running_loop().time()
         return self._patch if now - self._patched_at_s < PATCH_TTL_S else b''
 
     def snapshot(self) -> bytes | None:
-        """Returns what makes the document of nothing; None if too large."""
+        """Returns a patch from an empty document; None if it is too large."""
         if not self.data:
             return None
         return patch_lib.make(b'', self.data, MAX_SNAPSHOT_BYTES)
 
     def is_superseded_by(self, update: update_lib.ConfigurationUpdate) -> bool:
-        """Whether a configuration that counts more is told.
+        """Whether an update announces a configuration that takes precedence.
 
-        A greater number does; of two with the same, the one written last.
+        A higher number does; with the same number, the one written last.
         """
         if update.number != self.number:
             return update.number > self.number
@@ -86,7 +87,11 @@
         return update.mod_revision > self.mod_revision
 
     def apply(self, update: update_lib.ConfigurationUpdate) -> bool:
-        """Whether the patch that is told has made what is told of."""
+        """Applies the patch of an update.
+
+        Returns:
+          Whether the result is the document that the update announces.
+        """
         if not update.patch:
             return False
         document = self._apply_patch(update.patch)
@@ -97,7 +102,7 @@
         return is_same and self.number == update.number
 
     def _apply_patch(self, patch: bytes) -> bytes | None:
-        # A document that is told whole is a patch of nothing.
+        # A snapshot is a patch from an empty document.
         for base in (self.data, b''):
             try:
                 return patch_lib.apply(base, patch)
@@ -106,15 +111,19 @@
         return None
 
     def cap_revision(self, revision: revision_lib.Revision) -> None:
-        """Notes how far the source has come: nothing is written behind it.
+        """Limits `mod_revision` to the revision of the source.
 
-        Taken as told, a faulty revision would count above all that is written
-        later with the same number.
+        Otherwise a faulty revision that a peer has sent would take precedence
+        over everything written later with the same number.
         """
         self.mod_revision = min(self.mod_revision, revision)
 
     def install(self, document: source.Document) -> int:
-        """Takes a document if it counts more; returns its number or 0."""
+        """Makes a document active if it takes precedence.
+
+        Returns:
+          Its number; 0 if it is invalid.
+        """
         try:
             table = self._parse(document.data)
         except error.ConfigurationError as exc:
@@ -129,7 +138,7 @@
     def _resolve_conflict(
         self, document: source.Document, table: routing_table.RoutingTable
     ) -> None:
-        """Settles which of two documents that bear one number is in force."""
+        """Decides between two documents with the same number."""
         if document.mod_revision <= self.mod_revision:
             return
         if document.data == self.data:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
@@ -1,7 +1,7 @@
-"""Changes of the membership of late, as one gateway tells them to others.
+"""The latest membership changes, kept to be sent to peers.
 
-A datagram may be lost, so each tells again what the last few told. Whoever has
-missed more than that sees the gap, and asks the source itself.
+A datagram may be lost, so each one repeats the last few changes. A gateway that
+has missed more than that detects the gap and polls the source itself.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 __all__ = ['ChangeLog']
 
-# How far back a datagram reaches, in seconds: a few calls at the source.
+# How long changes are repeated, in seconds: a few polls of the source.
 RETENTION_S = 1.0
-# Entries in a datagram; some 100 bytes each. More come only if a good part of
-# a large fleet changes at once, and then each gateway asks for itself.
+# Changes in a datagram; about 100 bytes each. There are more only if a large
+# part of a large fleet changes at once; then each gateway polls by itself.
 MAX_CHANGES = 80
 
 
 class ChangeLog:
-    """Changes behind a revision, in the order of their revisions.
+    """The changes after a revision, in the order of their revisions.
 
-    What means nothing is left out: an upstream may write its entry anew with
-    nothing but a count in it changed. Every gateway goes through the same
-    revisions, and so takes the same changes for meaningful.
+    Changes without effect are left out: an upstream may rewrite its entry with
+    only a counter changed. Every gateway processes the same revisions, so all
+    leave out the same changes.
     """
 
     def __init__(self) -> None:
@@ -38,18 +38,18 @@
 
     @property
     def since(self) -> revision_lib.Revision:
-        """Revision behind which every change is in `changes`."""
+        """Revision after which every change is in `changes`."""
         return self._since
 
     @property
     def changes(self) -> tuple[upstream.Change, ...]:
-        """Changes behind `since`, the oldest first."""
+        """Changes after `since`, oldest first."""
         return tuple(self._changes)
 
     def entries(
         self, revision: revision_lib.Revision
     ) -> tuple[upstream.Change, ...]:
-        """Returns every entry, as of a revision."""
+        """Returns all entries, as of a revision."""
         return tuple(
             upstream.Change(name, revision, entry)
             for name, entry in self._entries.items()
@@ -58,7 +58,7 @@
     def reset(
         self, changes: list[upstream.Change], revision: revision_lib.Revision
     ) -> None:
-        """Begins anew with all entries as of a revision."""
+        """Starts over from all entries as of a revision."""
         self._batches.clear()
         self._changes.clear()
         self._since = revision
@@ -72,11 +72,11 @@
         before: revision_lib.Revision,
         received: list[upstream.Change],
     ) -> list[upstream.Change]:
-        """Takes what changed behind a revision; returns what means anything.
+        """Records the changes after a revision; returns those with an effect.
 
         Args:
           now: Loop time, in seconds.
-          before: Revision behind which they came.
+          before: Revision after which they came.
           received: The changes, in order.
         """
         changes = [change for change in received if self._store(change)]
@@ -94,7 +94,7 @@
         return changes
 
     def _store(self, change: upstream.Change) -> bool:
-        """Takes an entry; returns whether it is another than before."""
+        """Stores an entry; returns whether it differs from the previous one."""
         previous = self._entries.get(change.id)
         if change.upstream is None:
             self._entries.pop(change.id, None)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -1,9 +1,9 @@
-"""Keeps the configuration in force, and the zones that are drained, up to date.
+"""Keeps the active configuration and the drained zones up to date.
 
-One gateway at a time has a call at the source that waits for a change. Whoever
-it is tells the others the number of the newest configuration, and for a while
-after a change what is new in it. Who cannot make the newest of that reads it
-from the source.
+One gateway at a time has a call at the source that waits for a change. It sends
+its peers the number of the newest configuration, and for a while after a change
+a patch from the one before. A gateway that cannot apply the patch reads the
+configuration from the source.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 __all__ = ['Configuration']
 
 NAME = 'configuration'
-# Shares of the time in which a change must be in force. A call waits for
-# `WAIT_SHARE`, so that one whose connection has fallen silent is noticed; who
-# has heard nothing asks itself between `MIN_DELAY_SHARE` and that plus
-# `JITTER_SHARE`, which leaves
-# time to read.
+# Shares of the time in which a change must be active. A call waits for
+# `WAIT_SHARE`, so that a connection that has gone silent is noticed. A gateway
+# that has received no update polls after `MIN_DELAY_SHARE` and up to
+# `JITTER_SHARE` more, which leaves time to read.
 WAIT_SHARE = 0.3
 MIN_DELAY_SHARE = 0.5
 JITTER_SHARE = 0.25
-# Whoever watches asks on after so long. Two that were answered at the same time
-# have heard of each other by then; at once, each would take the other's word
-# for that of who watches from now on, and both would stop.
+# The polling gateway polls again after this delay. Two that were answered at
+# the same time have received the update of the other by then. Without the delay
+# each would leave the polling to the other, and both would stop.
 REPOLL_DELAY_S = 0.03
-# An order to drain a zone that is newer than what the source has come to for
-# this long is a sender's fault: the source is never behind itself for longer.
+# A drain order that is ahead of the source for this long is faulty: the source
+# is never behind its own state for longer.
 MAX_AHEAD_S = 5.0
-# Draw of the time at which a gateway asks in a new epoch of the source, unless
-# another has told by then.
+# In a new epoch of the source a gateway polls within this time, unless a peer
+# has sent an update by then.
 RELIST_JITTER_S = 1.0
-# Others are asked for a configuration that the source lacks this rarely. Each
-# answers: if that makes nothing here either, such as one that only a later
-# release can read, every answer would be met with further questions.
+# Minimum time between two requests to peers for a configuration that the source
+# does not have. Each peer answers: if the answer cannot be used either, such as
+# a document that only a later release can parse, every answer would cause
+# further requests.
 PEER_QUERY_INTERVAL_S = 1.0
 
 
@@ -54,7 +54,7 @@
     """Follows the source of configuration; one task runs `run`.
 
     Attributes:
-      in_force: The document in force.
+      active: The active document.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         epochs: epoch.EpochTracker | None = None,
         node: str = '',
     ) -> None:
-        """Prepares to follow.
+        """Prepares to follow the source.
 
         Args:
-          poll: Asks the source for documents and for orders to drain zones.
-          parse: Makes a routing table of a document.
-          holder: Takes each newer one.
-          drained_zones: Takes the orders.
-          health: Told whether the source answers.
-          gateway_count: Returns how many gateways tell each other.
-          max_delay_s: Time in which a change must be in force, in seconds.
-          rng: Draws the times of calls.
-          epochs: The epoch that the source has told; None if it tells none.
+          poll: Polls the source for documents and for drain orders.
+          parse: Builds a routing table from a document.
+          holder: Receives each newer table.
+          drained_zones: Receives the drain orders.
+          health: Updated with whether the source answers.
+          gateway_count: Returns how many gateways follow the source together.
+          max_delay_s: Time in which a change must be active, in seconds.
+          rng: Draws the times of polls.
+          epochs: Tracks the epoch of the source; None if it reports none.
           node: Name of this gateway.
         """
         self._poll_source = poll
@@ -90,7 +90,7 @@
         self.active = active_document.ActiveDocument(parse, holder)
         self._drained_zones = drained_zones
         self._ahead_since_s: float | None = None
-        # Whether the next list counts whatever is known of zones.
+        # Whether the next snapshot overrides the known drain orders.
         self._overrules_drains = False
         self._health = health
         self._wait_s = WAIT_SHARE * max_delay_s
@@ -117,15 +117,19 @@
     def set_announcer(
         self, announce: Callable[[update_lib.Update], None]
     ) -> None:
-        """Sets what tells the other gateways."""
+        """Sets the function that sends updates to the peers."""
         self._announce = announce
 
     def on_missing(self, callback: Callable[[], None]) -> None:
-        """Calls back when nothing is known and the source does not answer."""
+        """Sets a callback for when a configuration must be got from peers.
+
+        Either nothing is known and the source does not answer, or peers
+        announce a configuration that the source does not have.
+        """
         self._on_missing = callback
 
     def snapshot(self) -> update_lib.ConfigurationUpdate | None:
-        """Returns all that is known, for a gateway that knows nothing."""
+        """Returns the complete state, for a gateway that has none."""
         document = self.active.snapshot()
         if self._revision is None or document is None:
             return None
@@ -137,7 +141,8 @@
             self._revision,
             self.active.number,
             patch,
-            # One that is newer than the rest would make all of it malformed.
+            # A drain order newer than the revision would make the update
+            # malformed.
             tuple(
                 drain for drain in drains if drain.revision <= self._revision
             ),
@@ -146,18 +151,19 @@
         )
 
     async def run(self) -> None:
-        """Asks whenever it is this gateway's turn; runs until cancelled."""
+        """Polls whenever a poll is due, until cancelled."""
         while True:
             await self._schedule.wait()
             await self._poll()
 
     def handle_update(self, update: update_lib.ConfigurationUpdate) -> None:
-        """Takes what another gateway was told."""
+        """Handles an update from a peer."""
         if self._epochs.is_refuted(update.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
         self._deferred.note_announced(update.revision)
-        # Each order by its own revision, whatever else is told.
+        # Each order is compared by its own revision, whatever else is in the
+        # update.
         self._drained_zones.hear(update.drains)
         self._check_drains(update.revision)
         known = self._revision
@@ -170,7 +176,7 @@
         if self.active.is_superseded_by(update) and not self.active.apply(
             update
         ):
-            # The revision known here stays, so that no edit is passed over.
+            # The known revision stays, so that no edit is skipped.
             meter.news.inc({'of': NAME, 'result': 'newer'})
             self._fetch(update)
             return
@@ -178,7 +184,7 @@
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
         if self._drained_zones.is_missing(update.drains, update.revision):
-            # Followed, it would hide for good that an order was taken back.
+            # Advancing would hide for good that a drain order was cancelled.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
@@ -186,28 +192,29 @@
         self._advance(update)
 
     def _check_drains(self, reported: revision_lib.Revision) -> None:
-        """Looks for orders that are newer than how far the source has come."""
+        """Checks for drain orders newer than the revision of the source."""
         newest = self._drained_zones.newest
         if reported.epoch < newest.epoch:
-            # Told late, or the order is faulty: the source has to say.
+            # The update is late, or the order is faulty: only the source can
+            # say.
             self._schedule.poll_within(RELIST_JITTER_S)
         else:
             self._relist_if_ahead(newest, reported)
 
     def _apply_first(self, update: update_lib.ConfigurationUpdate) -> None:
-        """Begins with what another gateway has told whole."""
+        """Starts from the first complete update of a peer."""
         self._holder.confirm()
         if self._drained_zones.is_missing(update.drains, update.revision):
-            # Followed, it would hide for good that an order was taken back.
+            # Advancing would hide for good that a drain order was cancelled.
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
         self._set_revision(update.revision, update.sender)
 
     def _fetch(self, update: update_lib.ConfigurationUpdate) -> None:
-        """Asks for a configuration that another gateway has.
+        """Requests a configuration that a peer has announced.
 
-        Of the source, or of the other gateways if the source has lost it and
-        lists an older one, however often it is asked.
+        From the source, or from the peers if the source has lost it and returns
+        an older one however often it is polled.
         """
         if (
             update.number == self._missing_number
@@ -222,21 +229,22 @@
         self._schedule.poll_now()
 
     def _advance(self, update: update_lib.ConfigurationUpdate) -> None:
-        """Takes how far the source has come, from another gateway."""
+        """Advances to the revision of the source that a peer has sent."""
         known = self._revision
         self._set_revision(update.revision, update.sender)
         self._holder.confirm()
         newest = self._epochs.newest
         if update.revision.epoch > newest:
-            # Its word counts; but whether the source is there, only the source
-            # can say.
+            # The update is applied, but only the source can say whether it is
+            # in that epoch.
             if known is not None:
                 self._epochs.note_peer_epoch(
                     NAME, update.sender, known, update.revision
                 )
             self._schedule.poll_within(RELIST_JITTER_S)
         elif update.revision.epoch < self._drained_zones.newest.epoch:
-            # The source has to say of the newer order; the call is due already.
+            # Only the source can confirm the newer order; the poll is already
+            # due.
             return
         elif update.revision.epoch == newest and not update.is_repeat:
             self._schedule.note_peer_answer(
@@ -248,8 +256,8 @@
         loop = asyncio.get_running_loop()
         known = self._revision
         is_epoch_over = known is not None and known.epoch < self._epochs.newest
-        # Behind it may lie many edits, each told with its whole document, and
-        # only the newest counts.
+        # Many edits may follow the known revision, each with its complete
+        # document, and only the newest is needed.
         after = None if is_epoch_over or self._schedule.is_behind else known
         newest_drain = self._drained_zones.newest
         try:
@@ -268,7 +276,7 @@
             self._handle_lost_history(known)
             return
         if result.revision.epoch < self._epochs.newest:
-            # Told of a newer one by another call meanwhile.
+            # Another call has reported a newer epoch meanwhile.
             return
         if known is not None and result.revision < known:
             self._log_ahead(known, result.revision)
@@ -288,9 +296,9 @@
             self._deferred.schedule(result.revision, self._publish_deferred)
 
     def _handle_lost_history(self, known: revision_lib.Revision | None) -> None:
-        """Meets a source that doesn't tell on from what was known."""
+        """Handles a source that cannot continue from the known revision."""
         if self._revision != known:
-            # Another gateway has told of a newer epoch meanwhile.
+            # A peer has reported a newer epoch meanwhile.
             return
         newest = self._epochs.newest
         if known is not None and known.epoch == newest:
@@ -308,7 +316,7 @@
     def _set_revision(
         self, revision: revision_lib.Revision, origin: str
     ) -> None:
-        """Takes up to which revision everything is known."""
+        """Sets the revision up to which everything is known."""
         previous, self._listed_revision = self._listed_revision, revision
         self._revision = revision
         if previous is None or previous.epoch == revision.epoch:
@@ -356,13 +364,13 @@
     def _relist_if_ahead(
         self, known: revision_lib.Revision, current: revision_lib.Revision
     ) -> bool:
-        """Has all listed where the source does not come to an order.
+        """Requests a snapshot if a drain order stays ahead of the source.
 
-        The order is faulty then, and what the source lists takes its place. Not
-        at the first answer, which may be one that is told late.
+        Such an order is faulty, and the snapshot replaces it. The first older
+        answer is not enough, since it may have arrived late.
 
         Returns:
-          Whether all is to be listed.
+          Whether a snapshot was requested.
         """
         now = asyncio.get_running_loop().time()
         if known <= current:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
@@ -1,10 +1,10 @@
-"""Announces what is new in an answer whose call overlapped another's.
+"""Announces new items of an answer to a call that overlapped another call.
 
-Of gateways whose calls overlap only the first to be answered announces its
-answer (`watch.schedule`). A change that follows that answer is in those of the
-others alone. Each of them waits for a draw and announces it, unless another
-has by then. In a large fleet an announcement takes longer to arrive, and costs
-more.
+Of gateways whose calls overlap, only the first to be answered announces its
+answer (`watch.schedule`). A change that came after that answer is only in the
+answers of the others. Each of them waits for a random delay and announces it,
+unless a peer has done so by then. In a large fleet an announcement takes longer
+to arrive and costs more, so the delay is longer.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 
 __all__ = ['DeferredAnnouncement']
 
-# Longer than an announcement is under way, so that one or two of many are made.
+# Longer than an announcement takes to arrive, so that only one or two of many
+# gateways make theirs.
 JITTER_S = 0.05
 
 
 class DeferredAnnouncement:
-    """One gateway's announcements of answers that came second."""
+    """The deferred announcements of one gateway."""
 
     def __init__(
         self, gateway_count: Callable[[], int], rng: random.Random | None = None
@@ -33,7 +34,7 @@
         Args:
           gateway_count: Returns how many gateways follow the source together,
             this included.
-          rng: Draws the waits.
+          rng: Draws the delays.
         """
         self._gateway_count = gateway_count
         self._rng = rng or random.Random()
@@ -41,21 +42,21 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def note_announced(self, revision: revision_lib.Revision) -> None:
-        """Notes up to where another gateway has announced the source."""
+        """Records up to which revision a peer has announced the source."""
         self._announced = max(self._announced, revision)
 
     def reset(self) -> None:
-        """Drops what was noted: an announcement was of no true revision."""
+        """Forgets the announced revision, which was none of the source's."""
         self._announced = revision_lib.NONE
 
     def schedule(
         self, revision: revision_lib.Revision, announce: Callable[[], None]
     ) -> None:
-        """Announces an answer later, unless another gateway does before.
+        """Announces an answer after a delay, unless a peer does so before.
 
         Args:
-          revision: Revision up to which the answer tells.
-          announce: Announces all that is known by then.
+          revision: Revision of the answer.
+          announce: Announces all that is known at that time.
         """
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -1,8 +1,8 @@
-"""Which epoch the source is in, as its answers to this gateway say.
+"""Tracks the epoch of the source, as its answers to this gateway report it.
 
-A source that loses its newest changes enters a new epoch (`fleet.revision`).
-Whichever call hears of it first speaks for all: every table is listed anew, and
-what the gateway has written there is written again.
+A source that loses its newest changes enters a new epoch (`fleet.revision`). As
+soon as any call reports it, all tables are listed again, and the entries that
+the gateway has written are written again.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 __all__ = ['DOWNGRADE_AFTER_S', 'EpochTracker', 'epochs_total']
 
-# A source that tells an older epoch for so long, and the newer not once in
-# between, is in the older: the other was a fault of one answer's.
+# If a source reports an older epoch for this long, and the newer one not once
+# in between, it is in the older: the newer one was a fault of one answer.
 DOWNGRADE_AFTER_S = 1.0
-# What another gateway tells of an epoch that the source has denied is left out
-# for so long: its word would send all others to the source, again and again.
+# Updates of an epoch that the source has denied are ignored for this long: each
+# would send all other gateways to the source again.
 REFUTED_S = 60.0
-# Least time between two log lines of answers that were left out.
+# Minimum time between two log lines about discarded answers.
 LOG_EVERY_S = 60.0
 
-# `meter.epochs` to all others; that looks at what holds a source.
+# Exported as `meter.epochs`. Defined here because `meter` imports this module.
 epochs_total = metric.counter(
     'quetzalsill_gateway_store_epochs_total',
     'Epochs of the store: entered, tables listed for it, answers left out.',
@@ -36,10 +36,10 @@
 
 
 class EpochTracker:
-    """The newest epoch that the source has told.
+    """The newest epoch that the source has reported.
 
     Attributes:
-      newest: That epoch; 0 before any, and for a source that tells none.
+      newest: That epoch; 0 before any, and for a source that reports none.
     """
 
     def __init__(self) -> None:
@@ -54,20 +54,20 @@
         self._on_change: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Calls back when the source has entered another epoch."""
+        """Registers a callback for when the source enters another epoch."""
         self._on_change.append(callback)
 
     def observe(self, call: str, epoch: int, newest_when_sent: int) -> None:
-        """Takes the epoch of an answer, whatever else is in it.
+        """Checks the epoch of an answer before its content is used.
 
         Args:
           call: Name of the call.
-          epoch: The epoch.
-          newest_when_sent: `newest` as the call was sent.
+          epoch: Epoch of the answer.
+          newest_when_sent: `newest` when the call was sent.
 
         Raises:
-          error.StaleAnswerError: The answer is of an epoch that has ended; it
-            changes nothing.
+          error.StaleAnswerError: The answer is of an epoch that has ended and
+            must be discarded.
         """
         if epoch < self.newest and not self._is_downgrade(
             epoch, newest_when_sent
@@ -90,13 +90,13 @@
         known: revision.Revision,
         reported: revision.Revision,
     ) -> None:
-        """Notes what another gateway tells; one line for each new epoch.
+        """Logs a new epoch reported by a peer, once per epoch.
 
         Args:
-          table: Which table its news is of.
-          peer: Its name.
+          table: Table of the update.
+          peer: Name of the peer.
           known: Revision known here.
-          reported: Revision that it tells.
+          reported: Revision in the update.
         """
         if reported.epoch > max(self.newest, self._peer_epoch):
             self._peer_epoch = reported.epoch
@@ -104,13 +104,17 @@
             event.note(event.EpochTold(table, peer, str(known), str(reported)))
 
     def is_refuted(self, epoch: int) -> bool:
-        """Whether the source has denied an epoch that other gateways tell."""
+        """Whether the source has denied an epoch that peers report."""
         if epoch <= self.newest or epoch != self._refuted:
             return False
         return asyncio.get_running_loop().time() < self._refuted_until_s
 
     def _refute(self) -> None:
-        """Notes that the source, asked since, knows no epoch that was told."""
+        """Marks an epoch that peers reported as denied by the source.
+
+        The source must have answered some time after the report, with an older
+        epoch.
+        """
         if self._peer_epoch <= self.newest:
             return
         now = asyncio.get_running_loop().time()
@@ -120,11 +124,12 @@
             self._peer_epoch = 0
 
     def _is_downgrade(self, epoch: int, newest_when_sent: int) -> bool:
-        """Whether the newer epoch that is known was a fault.
+        """Whether the source is in an older epoch than the newest known one.
 
-        Held for good, one answer's fault would make the gateway deaf for all
-        later ones. Calls sent before it was known count for nothing: they are
-        late, as answers are that overtake each other.
+        If the newest epoch were kept for good, one faulty answer would make the
+        gateway discard all later ones. Calls sent before the newest epoch was
+        known do not count: their answers are late, since answers can overtake
+        each other.
         """
         if newest_when_sent != self.newest:
             return False
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -1,8 +1,8 @@
-"""Keeps the upstreams by what the source tells, here or to another gateway.
+"""Keeps the upstreams up to date from the source and from peers.
 
-The price of a notice that comes late is runs lost with their engine. So one
-gateway at any time has a call at the source that waits for a change, and tells
-the others at once (`watch.schedule`).
+A drain notice that arrives late costs the runs of the engine that leaves. So
+one gateway at any time has a call at the source that waits for a change, and
+sends the result to its peers at once (`watch.schedule`).
 """
 
 from __future__ import annotations
@@ -27,26 +27,28 @@
 __all__ = ['Membership']
 
 NAME = 'membership'
-# A call waits so long for a change at the source; it ends late if its
-# connection is silent.
+# How long a call waits for a change at the source. If its connection has gone
+# silent, it ends only after that.
 WAIT_S = 0.4
-# Who has heard nothing for so long asks itself: `WAIT_S` and the time of a call
-# to a slow source, and a draw. Upstreams that leave serve on for 1.5 s after
-# their notice at the least; with whoever watches lost, some of it is left.
+# A gateway that has received no update for this long polls by itself: `WAIT_S`,
+# the time of a call to a slow source, and a random delay. Upstreams that leave
+# go on serving for at least 1.5 s after their notice; if the polling gateway is
+# lost, some of that time is left.
 MIN_DELAY_S = 0.75
 JITTER_S = 0.4
-# Whoever watches asks on after so long, which takes in what changes with what
-# was told, and bounds its calls where entries change without end.
+# The polling gateway polls again after this delay, which includes changes that
+# come with the announced ones, and limits its calls where entries change all
+# the time.
 REPOLL_DELAY_S = 0.03
-# In a new epoch of the source every gateway is to list all anew, and sees so at
-# the same moment. The first that has the list tells the others, who draw the
-# time at which they ask from this and have no need to.
+# In a new epoch of the source every gateway has to list all entries again, and
+# all notice it at the same time. Each waits for a random time up to this; the
+# first that has the list sends it to the others, which then need not poll.
 RELIST_JITTER_S = 1.0
-# Entries that are told whole in one datagram, some 100 bytes each; of more,
-# each gateway asks for itself.
+# Entries in a snapshot that is sent in one datagram, about 100 bytes each; if
+# there are more, each gateway polls by itself.
 MAX_SNAPSHOT_ENTRIES = 160
 # Share of the time in which a notice must be known, after which a gateway that
-# hears nothing asks at the latest.
+# receives no updates polls at the latest.
 MAX_DELAY_SHARE = 0.75
 
 
@@ -63,15 +65,15 @@
         epochs: epoch.EpochTracker | None = None,
         node: str = '',
     ) -> None:
-        """Prepares to follow.
+        """Prepares to follow the source.
 
         Args:
-          poll: Asks the source.
+          poll: Polls the source.
           upstreams: Kept up to date.
-          health: Told whether the source answers.
+          health: Updated with whether the source answers.
           max_delay_s: Time in which a change must be known, in seconds.
-          rng: Draws the times of looks.
-          epochs: The epoch that the source has told; None if it tells none.
+          rng: Draws the times of polls.
+          epochs: Tracks the epoch of the source; None if it reports none.
           node: Name of this gateway.
         """
         self._poll_source = poll
@@ -84,7 +86,8 @@
         )
         self._revision: revision_lib.Revision | None = None
         self._listed_revision: revision_lib.Revision | None = None
-        # What was known up to when the source told no further.
+        # The last known revision when the source could not continue from it. An
+        # older snapshot from a peer is not used.
         self._min_revision = revision_lib.NONE
         self._change_log = change_log_lib.ChangeLog()
         self._deferred = deferred.DeferredAnnouncement(
@@ -106,15 +109,15 @@
     def set_announcer(
         self, announce: Callable[[update_lib.Update], None]
     ) -> None:
-        """Sets what tells the other gateways."""
+        """Sets the function that sends updates to the peers."""
         self._announce = announce
 
     def on_missing(self, callback: Callable[[], None]) -> None:
-        """Calls back when nothing is known and the source does not answer."""
+        """Sets a callback for when nothing is known and the source is down."""
         self._on_missing = callback
 
     def snapshot(self) -> update_lib.MembershipUpdate | None:
-        """Returns all that is known, for a gateway that knows nothing."""
+        """Returns all entries, for a gateway that has none."""
         if self._revision is None:
             return None
         return update_lib.MembershipUpdate(
@@ -125,13 +128,13 @@
         )
 
     async def run(self) -> None:
-        """Looks whenever it is this gateway's turn; runs until cancelled."""
+        """Polls whenever a poll is due, until cancelled."""
         while True:
             await self._schedule.wait()
             await self._poll()
 
     def handle_update(self, update: update_lib.MembershipUpdate) -> None:
-        """Takes what another gateway was told."""
+        """Handles an update from a peer."""
         if self._epochs.is_refuted(update.revision.epoch):
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
@@ -139,8 +142,8 @@
         if not self._apply_update(update):
             return
         if update.revision.epoch > self._epochs.newest:
-            # Its word counts; but whether the source is there, only the source
-            # can say.
+            # The update is applied, but only the source can say whether it is
+            # in that epoch.
             self._schedule.poll_within(RELIST_JITTER_S)
         elif (
             update.revision.epoch == self._epochs.newest
@@ -152,7 +155,7 @@
             )
 
     def _apply_update(self, update: update_lib.MembershipUpdate) -> bool:
-        """Returns whether news was of use."""
+        """Applies an update; returns whether it was of use."""
         known = self._revision
         if self._is_first_snapshot(update) or self._is_newer_snapshot(update):
             self._apply_snapshot(update, known)
@@ -161,7 +164,7 @@
             meter.news.inc({'of': NAME, 'result': 'old'})
             return False
         if _is_gap(update, known):
-            # Datagrams were lost: what came between is not known here.
+            # Datagrams were lost, so the changes in between are missing here.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             if update.revision.epoch > known.epoch:
                 self._epochs.note_peer_epoch(
@@ -179,10 +182,10 @@
         return True
 
     def _is_first_snapshot(self, update: update_lib.MembershipUpdate) -> bool:
-        """Whether a list is all that there is to go by.
+        """Whether a snapshot may be used while no revision is known.
 
-        One of a gateway that was cut off may be from before what was known as
-        the source fell silent, and name upstreams that have ended since.
+        A gateway that was partitioned off may send one from before the last
+        known revision, with upstreams that have ended since.
         """
         is_unsynced = self._revision is None
         return (
@@ -192,10 +195,10 @@
         )
 
     def _is_newer_snapshot(self, update: update_lib.MembershipUpdate) -> bool:
-        """Whether a list is newer than what is known.
+        """Whether a snapshot is newer than what is known.
 
-        One without any entry is left for the source to tell: a faulty sender's
-        would leave nobody to serve.
+        An empty one is not used but left to the source to confirm: from a
+        faulty sender it would leave no upstream to serve.
         """
         return (
             update.is_snapshot
@@ -208,7 +211,7 @@
         update: update_lib.MembershipUpdate,
         known: revision_lib.Revision | None,
     ) -> None:
-        """Begins anew with all that another gateway has listed."""
+        """Starts over from a snapshot that a peer has sent."""
         meter.news.inc({'of': NAME, 'result': 'whole'})
         if known is not None:
             self._epochs.note_peer_epoch(
@@ -240,7 +243,7 @@
             self._handle_lost_history(known)
             return
         if result.revision.epoch < self._epochs.newest:
-            # Told of a newer one by another call meanwhile.
+            # Another call has reported a newer epoch meanwhile.
             return
         newest = self._revision
         if newest is not None and result.revision < newest:
@@ -254,7 +257,7 @@
             self._replace_all(result.items, result.revision, 'store')
         else:
             self._schedule.note_resumed()
-            # Told by others meanwhile, if it is not behind `newest`.
+            # Without what peers have sent meanwhile, up to `newest`.
             fresh = [one for one in result.items if one.revision > newest]
             self._apply_changes(fresh, newest, result.revision)
         if self._schedule.note_answer(loop.time()):
@@ -263,9 +266,9 @@
             self._deferred.schedule(result.revision, self._publish_deferred)
 
     def _handle_lost_history(self, known: revision_lib.Revision | None) -> None:
-        """Meets a source that doesn't tell on from what was known."""
+        """Handles a source that cannot continue from the known revision."""
         if self._revision != known:
-            # Another gateway has told the whole list meanwhile.
+            # A peer has sent a snapshot meanwhile.
             return
         newest = self._epochs.newest
         if known is not None and known.epoch == newest:
@@ -283,12 +286,12 @@
         known: revision_lib.Revision | None,
         answered: revision_lib.Revision,
     ) -> None:
-        """Meets an answer from before what is known here.
+        """Handles an answer that is older than the known revision.
 
-        Others may have told more while the call was under way. But what was
-        known when it was sent is in every answer: a revision above it can only
-        come from a faulty datagram, and nothing would be heard until the
-        source has come so far.
+        Peers may have sent newer updates while the call was in flight. But an
+        answer always includes what was known when the call was sent: a revision
+        above it can only come from a faulty datagram, and would hide all
+        changes until the source reached it.
         """
         if known is not None and answered < known:
             event.note(event.VersionAhead(NAME, str(known), str(answered)))
@@ -311,7 +314,8 @@
         origin: str,
     ) -> None:
         if self._is_new_epoch(revision):
-            # Its copy lacks what was written last, which is written again.
+            # The restored copy lacks the latest entries, which are written
+            # again.
             self._upstreams.expect_lapsed()
             self._upstreams.doubt_ended(changes)
             self._log_relist(changes, revision, origin)
@@ -359,7 +363,7 @@
             return
         snapshot = self.snapshot()
         if is_new_epoch and len(snapshot.changes) <= MAX_SNAPSHOT_ENTRIES:
-            # Nobody can go on from the epoch before.
+            # No peer can continue from the epoch before.
             self._announce(snapshot)
             return
         self._announce(
@@ -375,10 +379,10 @@
 def _is_gap(
     update: update_lib.MembershipUpdate, known: revision_lib.Revision
 ) -> bool:
-    """Whether changes behind what is known are not told.
+    """Whether changes after the known revision are missing from an update.
 
-    No changes lead from one epoch to the next, and none from what is known to a
-    list that is not taken.
+    Changes never lead from one epoch to the next, nor from the known revision
+    to a snapshot that is not used.
     """
     is_newer_snapshot = update.is_snapshot and update.revision > known
     is_newer_epoch = update.revision.epoch > known.epoch
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/patch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/patch.py
@@ -1,12 +1,12 @@
-"""A document as its difference to another, small enough for a datagram.
+"""Encodes a document as a difference to another, small enough for a datagram.
 
-Edits change a few hundred bytes of a document that may have tens of thousands.
-Read by each gateway itself, every edit would cost the source a call and a
-document for each of them.
+An edit changes a few hundred bytes of a document that may have tens of
+thousands. If each gateway read the document itself, every edit would cost the
+source one call and one document per gateway.
 
-Documents are taken in pieces, one for each object in them. A patch names runs
-of pieces of the base and brings those that are new. The compressor alone sees
-only the last 32 KB of a base.
+Documents are split into pieces, one per object. A patch refers to runs of
+pieces of the base and contains those that are new. The compressor alone would
+only see the last 32 KB of a base.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 
 __all__ = ['apply', 'digest', 'make']
 
-# Sent to every other gateway: some packets each. A larger edit is read from
-# the source by each, whose link is a hundred times that of a small entry host.
+# A patch goes to every other gateway, in a few packets each. For a larger edit
+# each gateway reads the document from the source, whose link has a hundred
+# times the bandwidth of that of a small gateway host.
 MAX_PATCH_BYTES = 4096
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 DIGEST_BYTES = 8
-# Between the objects of a list, as the JSON encoder writes it.
+# Separates the objects of a list, as the JSON encoder writes it.
 SEPARATOR = b'}, '
-# What opening a damaged patch raises.
+# Raised when a damaged patch is decoded.
 DECODE_ERRORS = (
     zlib.error,
     ValueError,
@@ -39,14 +40,14 @@
 
 
 def digest(document: bytes) -> bytes:
-    """Returns what tells a document from others."""
+    """Returns a digest that distinguishes a document from others."""
     return xxhash.xxh64_digest(document)
 
 
 def make(
     base: bytes, document: bytes, max_bytes: int = MAX_PATCH_BYTES
 ) -> bytes | None:
-    """Returns what makes a document of its base; None if that is larger."""
+    """Returns a patch from `base` to `document`; None if it is too large."""
     index = {piece: n for n, piece in enumerate(base.split(SEPARATOR))}
     steps: list[Any] = []
     for piece in document.split(SEPARATOR):
@@ -62,17 +63,17 @@
 
 
 def apply(base: bytes, patch: bytes) -> bytes:
-    """Returns the document that a patch makes of its base.
+    """Returns the document that a patch produces from its base.
 
     Raises:
-      error.PatchError: It belongs to another base, or is damaged.
+      error.PatchError: The patch is for another base, or is damaged.
     """
     if patch[:DIGEST_BYTES] != digest(base):
-        raise error.PatchError('it belongs to another base')
+        raise error.PatchError('patch is for another base')
     try:
         return _rebuild(base.split(SEPARATOR), patch[DIGEST_BYTES:])
     except DECODE_ERRORS as exc:
-        raise error.PatchError(f'it is damaged: {exc!r}') from exc
+        raise error.PatchError(f'patch is damaged: {exc!r}') from exc
 
 
 def _end_of(step: bytes | list[int]) -> int | None:
@@ -83,7 +84,7 @@
     decompressor = zlib.decompressobj()
     data = decompressor.decompress(packed, MAX_DOCUMENT_BYTES)
     if not decompressor.eof:
-        raise ValueError('it ends early, or is too large')
+        raise ValueError('compressed data is truncated or too large')
     built: list[bytes] = []
     for step in msgpack.unpackb(data):
         if isinstance(step, bytes):
@@ -91,6 +92,8 @@
             continue
         start, count = step
         if not 0 <= start <= start + count <= len(pieces):
-            raise ValueError(f'no pieces {start} and {count} behind')
+            raise ValueError(
+                f'pieces out of range: start {start}, count {count}'
+            )
         built += pieces[start : start + count]
     return SEPARATOR.join(built)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
@@ -1,11 +1,12 @@
-"""When a gateway asks a source itself, and when it leaves that to another.
-
-With one watch of its own in each gateway, calls to the source grow with the
-fleet although all are told the same. Here whoever asks tells the others, and
-who has just been told waits. Nobody is elected: each draws the time at which it
-asks if it has heard nothing by then, as the Trickle algorithm does (RFC 6206).
-A gateway that is lost, paused or cut off is replaced by the next draw, and one
-that hears nobody asks at its own times.
+"""When a gateway polls a source itself, and when it leaves that to a peer.
+
+If every gateway polled by itself, the load on the source would grow with the
+fleet although all get the same answers. Instead the gateway that polls sends
+its results to all, and a gateway that has just received some waits. There is no
+leader election: each gateway draws the random time at which it polls unless it
+has received an update by then, as in the Trickle algorithm (RFC 6206). A
+gateway that has failed, is paused or is partitioned off is replaced at the next
+such time, and one that receives no updates polls at its own times.
 """
 
 from __future__ import annotations
@@ -20,30 +21,31 @@
 
 __all__ = ['PollIntervals', 'PollSchedule']
 
-# After a failed call; doubled up to the longest.
+# Delay after a failed poll; doubled up to `MAX_RETRY_S`.
 FIRST_RETRY_S = 0.1
 MAX_RETRY_S = 0.8
-# Where many miss the source, the first that gets an answer tells all others;
-# so each may ask the more rarely, but not for longer than this. It is within
-# what a source takes to be called stable again.
+# If many gateways miss the source, the first that gets an answer sends it to
+# all. So each may retry less often the larger the fleet, up to this delay,
+# which is within the time in which a recovered source counts as stable.
 MAX_FLEET_RETRY_S = 2.0
 RETRY_PER_GATEWAY_S = 0.1
-# While others are served and tell, a gateway that is turned away tries this
-# often whether it is still so.
+# While peers are served and send updates, a gateway whose polls fail retries
+# this often.
 RETRY_WHILE_UPDATED_S = 2.0
 JITTER = (0.75, 1.25)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class PollIntervals:
-    """How long a gateway leaves a source alone, in seconds.
+    """The delays between polls, in seconds.
 
     Attributes:
-      min_delay_s: At least, after another gateway was answered; longer than a
-        call waits at the source for a change.
-      jitter_s: Width of the draw that is added.
-      repoll_delay_s: For whoever was answered last. It asks on, so that one
-        call is at the source at any time, which every change ends at once.
+      min_delay_s: Minimum delay after a peer was answered; longer than a poll
+        waits at the source for a change.
+      jitter_s: Upper bound of the random delay that is added.
+      repoll_delay_s: Delay of the gateway that was answered last. It polls
+        again, so that one call is waiting at the source at any time, which
+        every change ends at once.
     """
 
     min_delay_s: float
@@ -52,7 +54,7 @@
 
 
 class PollSchedule:
-    """One gateway's next call to one source."""
+    """Schedules the polls of one source by one gateway."""
 
     def __init__(
         self,
@@ -60,13 +62,13 @@
         gateway_count: Callable[[], int],
         rng: random.Random | None = None,
     ) -> None:
-        """Starts with a call that is due.
+        """Starts with a poll that is due.
 
         Args:
-          intervals: How long the source is left alone.
+          intervals: Delays between polls.
           gateway_count: Returns how many gateways follow the source together,
             this included.
-          rng: Draws the times.
+          rng: Draws the random delays.
         """
         self._intervals = intervals
         self._gateway_count = gateway_count
@@ -84,11 +86,11 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether others know more, or the source has not answered of late."""
+        """Whether peers know more, or the last poll failed."""
         return self._is_lagging or self._failures > 0
 
     async def wait(self) -> None:
-        """Returns when the next call is due."""
+        """Waits until the next poll is due."""
         loop = asyncio.get_running_loop()
         while (left_s := self._due_s - loop.time()) > 0:
             self._rescheduled.clear()
@@ -99,24 +101,26 @@
         self._has_random_due = self._is_poller = False
 
     def poll_now(self) -> None:
-        """Makes the call due now: others know what is not known here."""
+        """Makes the poll due now, because peers know of changes missed here."""
         self._due_s = 0.0
         self._is_lagging = True
         self._rescheduled.set()
 
     def poll_within(self, within_s: float, *, is_behind: bool = False) -> None:
-        """Makes the call due at a draw of the time that follows.
+        """Makes the poll due at a random time within a period.
 
-        Also if another is told meanwhile; but not sooner than after a failed
-        call, since a source that is away is not to be asked the more for it.
+        A later update from a peer can postpone it (`note_peer_answer`). After a
+        failed poll the retry time stands, so that an unavailable source is not
+        polled more often.
 
         Args:
-          within_s: Width of the draw, in seconds.
-          is_behind: Whether others have been told already.
+          within_s: Length of the period, in seconds.
+          is_behind: Whether peers already know of changes missed here.
         """
         self._is_lagging = self._is_lagging or is_behind
         if self._failures or self._has_random_due:
-            # Drawn anew at each word of the others, it would come early.
+            # If every update from a peer drew a new time, the poll would come
+            # early.
             return
         self._has_random_due = True
         now = asyncio.get_running_loop().time()
@@ -126,15 +130,15 @@
             self._rescheduled.set()
 
     def note_resync(self, now: float, *, is_expected: bool = True) -> None:
-        """Notes that the source doesn't tell on from what is known.
+        """Records that the source cannot continue from the known revision.
 
-        All is asked for anew, at once. A source that lists all and then doesn't
-        tell on from there either, each time, is asked the more rarely: without
-        a pause each gateway would have a call there at any time.
+        A snapshot is requested, the first time at once. If the source returns
+        snapshots but cannot continue from them either, the delay grows: without
+        it each gateway would have a call at the source at any time.
 
         Args:
           now: Loop time.
-          is_expected: Whether that may happen to a sound source.
+          is_expected: Whether this may happen with a healthy source.
         """
         if not is_expected:
             self._resyncs = max(1, self._resyncs)
@@ -145,16 +149,17 @@
         self._resyncs = min(self._resyncs + 1, 10)
 
     def note_resumed(self) -> None:
-        """Notes that the source has told on from what was known."""
+        """Records that the source continued from the known revision."""
         self._resyncs = 0
 
     def note_answer(self, now: float) -> bool:
-        """Notes that the source has answered this gateway.
+        """Records that the source has answered this gateway.
 
         Returns:
-          Whether it was the only one, as far as it knows: the others wait for
-          its word. Of two whose calls overlap, the second to end hears of the
-          first and is silent, so that the first goes on.
+          Whether no peer was answered during the call, as far as this gateway
+            knows: the others wait for its update. Of two gateways whose calls
+            overlap, the one answered second has received the update of the
+            first; it stays silent, and the first goes on polling.
         """
         self._failures = 0
         is_only_poller = (
@@ -169,7 +174,7 @@
         return is_only_poller
 
     def note_failure(self, now: float) -> None:
-        """Notes that the source has not answered."""
+        """Records that the poll failed."""
         max_retry_s = RETRY_PER_GATEWAY_S * self._gateway_count()
         max_retry_s = max(MAX_RETRY_S, max_retry_s)
         max_retry_s = min(MAX_FLEET_RETRY_S, max_retry_s)
@@ -182,15 +187,16 @@
     def note_peer_answer(
         self, now: float, *, has_priority: bool = False
     ) -> None:
-        """Notes that another gateway was answered, and what it was told.
+        """Records that a peer was answered and has sent an update.
 
-        Of two that were answered at once each hears the other as it pauses
-        before it asks on. One of them has to: if both left the source to the
-        other, nobody would see a change until the next draw.
+        Two gateways answered at the same time each receive the update of the
+        other during the delay before the next poll. One of them has to go on:
+        if both left the source to the other, nobody would see a change until
+        the next random time.
 
         Args:
           now: Loop time.
-          has_priority: Whether this gateway goes before the other.
+          has_priority: Whether this gateway takes precedence over the peer.
         """
         self._peer_answer_s = now
         self._has_random_due = False
@@ -198,13 +204,14 @@
             return
         self._is_poller = False
         if self._failures:
-            # Put off each time, it would never notice that it is served again.
+            # If every update postponed the retry, the gateway would never
+            # notice that the source serves it again.
             self._due_s = self._updated_due_s
         else:
             self._due_s = now + self._random_delay_s()
 
     def _repoll_delay_s(self) -> float:
-        """Each answer goes to all, so that a large fleet takes in fewer."""
+        """Grows with the fleet, since each answer goes to all gateways."""
         return self._intervals.repoll_delay_s * max(
             1.0, self._gateway_count() / pace.NEAR
         )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/update.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/update.py
@@ -1,4 +1,4 @@
-"""What a gateway that was answered by a source tells the others of it."""
+"""Updates that a gateway sends to its peers after polling a source."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 __all__ = ['BEGINNING', 'ConfigurationUpdate', 'MembershipUpdate', 'Update']
 
-# Below every revision of a source.
+# Before every revision of a source.
 BEGINNING = revision_lib.NONE
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """The membership, as far as it changed between two revisions.
+    """The changes of the membership between two revisions.
 
     Attributes:
-      since: Revision behind which every change is told; `BEGINNING` if these
-        are all entries that there are.
-      revision: Revision up to which it is.
+      since: Revision after which every change is included; `BEGINNING` for a
+        snapshot of all entries.
+      revision: Revision up to which the update is complete.
       changes: The changes, in the order of their revisions.
-      grace_s: For how long yet an entry that is gone may come back, because
-        the source has been away; 0 if it has not.
-      is_repeat: Whether it was told before: it says nothing of who watches now.
-      sender: Name of the gateway that tells it, once it was sent.
+      grace_s: For how much longer a removed entry may reappear, since the
+        source has been unavailable; 0 if it has not.
+      is_repeat: Whether the update was sent before; a repeat does not show that
+        the sender is polling now.
+      sender: Name of the sending gateway; set on receipt.
     """
 
     since: revision_lib.Revision
@@ -37,7 +38,7 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether all entries are told."""
+        """Whether all entries are included."""
         return self.since == BEGINNING
 
 
@@ -46,16 +47,18 @@
     """The newest configuration.
 
     Attributes:
-      revision: Revision of the source up to which there is no newer one.
+      revision: Revision of the source up to which there is no newer
+        configuration.
       number: Number of the configuration.
-      patch: For a while after a change, what makes the document of the one
-        before it; empty if that is too much for a datagram.
-      drains: The operators' orders for availability zones, all of them.
-      is_repeat: Whether it was told before: it says nothing of who watches now.
+      patch: For a while after a change, a patch from the previous document;
+        empty if it does not fit a datagram.
+      drains: All drain orders for availability zones.
+      is_repeat: Whether the update was sent before; a repeat does not show that
+        the sender is polling now.
       mod_revision: Revision at which the configuration was written.
-      digest: Tells its document from another of the same number; empty if the
-        teller doesn't say.
-      sender: Name of the gateway that tells it, once it was sent.
+      digest: Distinguishes the document from another with the same number;
+        empty if the sender does not report it.
+      sender: Name of the sending gateway; set on receipt.
     """
 
     revision: revision_lib.Revision
