--- a/tests/quetzalsill_gateway/test_source.py
+++ b/tests/quetzalsill_gateway/test_source.py
@@ -14,9 +14,9 @@
     """Two tables of one store."""
 
     async def asyncSetUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.health = source.Health()
         self.upstreams = upstream.Upstreams()
         self.health.on_recovery(self.upstreams.regained)
--- a/tests/quetzalsill_gateway/watch/drill.py
+++ b/tests/quetzalsill_gateway/watch/drill.py
@@ -10,13 +10,13 @@
 from quetzalsill_dev.simulation import clock, watchers
 from quetzalsill_gateway import event
 
-__all__ = ['GATEWAYS', 'KNOWN_S', 'DrillTest']
+__all__ = ['GATEWAYS', 'RECOVERY_S', 'DrillTest']
 
 GATEWAYS = 24
 STEP_S = 0.01
 # The store is found again within this time of its return, by who is cut off
 # from the other gateways, too.
-KNOWN_S = 3.5
+RECOVERY_S = 3.5
 
 
 class DrillTest(unittest.TestCase):
@@ -25,18 +25,18 @@
     seed = 6
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, story, gateways=GATEWAYS, servers=20):
+    def simulate(self, scenario, gateways=GATEWAYS, servers=20):
         """Plays a story on a fleet of its own."""
 
         async def work():
             self.fleet = watchers.Fleet(gateways, servers, self.seed)
             await self.fleet.start()
             try:
-                await story()
+                await scenario()
             finally:
                 self.fleet.stop()
 
@@ -75,7 +75,7 @@
         while self.fleet.store.version <= until:
             self.fleet.store.enter(self.fleet.written[name])
 
-    def told(self, kind):
+    def events_of(self, kind):
         """Returns the events of a kind that were noted."""
         events = [call.args[0] for call in self.note.call_args_list]
         return [one for one in events if isinstance(one, kind)]
--- a/tests/quetzalsill_gateway/watch/test_active_document.py
+++ b/tests/quetzalsill_gateway/watch/test_active_document.py
@@ -35,9 +35,9 @@
     """Documents come in any order, and more than once."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
     def after(self, *found):
         """Returns what is in force after documents in an order."""
--- a/tests/quetzalsill_gateway/watch/test_deferred.py
+++ b/tests/quetzalsill_gateway/watch/test_deferred.py
@@ -16,51 +16,51 @@
 class DeferredAnnouncementTest(unittest.TestCase):
     """What is announced once every draw is over."""
 
-    def announced(self, story, gateways=2, wait_s=2 * deferred.JITTER_S):
+    def announced(self, scenario, gateways=2, wait_s=2 * deferred.JITTER_S):
         made = []
 
         async def work():
             one = deferred.DeferredAnnouncement(
                 lambda: gateways, random.Random(1)
             )
-            story(one, made)
+            scenario(one, made)
             await asyncio.sleep(wait_s)
 
         clock.run(work)
         return made
 
     def test_what_nobody_else_announces_is_announced_once(self):
-        def story(one, made):
+        def scenario(one, made):
             one.note_announced(FIRST)
             for _ in range(2):
                 one.schedule(SECOND, lambda: made.append(SECOND))
 
-        self.assertEqual(self.announced(story), [SECOND])
+        self.assertEqual(self.announced(scenario), [SECOND])
 
     def test_what_another_announces_meanwhile_is_not(self):
-        def story(one, made):
+        def scenario(one, made):
             one.schedule(SECOND, lambda: made.append(SECOND))
             one.note_announced(SECOND)
 
-        self.assertEqual(self.announced(story), [])
+        self.assertEqual(self.announced(scenario), [])
 
     def test_a_large_fleet_waits_for_announcements_on_their_way(self):
         """Each of many announces the same to hundreds, four times over."""
 
-        def story(one, made):
+        def scenario(one, made):
             one.schedule(SECOND, lambda: made.append(SECOND))
 
         arrive_s = pace.spread_s(300, is_urgent=True) / 2
-        self.assertEqual(self.announced(story, 300, arrive_s), [])
-        self.assertEqual(self.announced(story, 300, 4 * arrive_s), [SECOND])
+        self.assertEqual(self.announced(scenario, 300, arrive_s), [])
+        self.assertEqual(self.announced(scenario, 300, 4 * arrive_s), [SECOND])
 
     def test_a_false_revision_silences_nobody_for_good(self):
-        def story(one, made):
+        def scenario(one, made):
             one.note_announced(revision.Revision(0, 1_000_000))
             one.reset()
             one.schedule(SECOND, lambda: made.append(SECOND))
 
-        self.assertEqual(self.announced(story), [SECOND])
+        self.assertEqual(self.announced(scenario), [SECOND])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_drill.py
+++ b/tests/quetzalsill_gateway/watch/test_drill.py
@@ -3,7 +3,7 @@
 What was written there since is gone, its versions are given out again for other
 changes, and whoever had written something writes it again. Bounds are those of
 an outage as long: nobody is taken out for the drill, no order is lost, and all
-know within `KNOWN_S` of the return what the store says then.
+know within `RECOVERY_S` of the return what the store says then.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
         in it, and there is no failure to see.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             known = self.fleet.store.version + 50
             self.fill(known)
@@ -40,10 +40,10 @@
             self.fill(known + 50)
             self.fleet.store.treat = lambda _: Away.SERVES
             await self.within(
-                drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
+                drill.RECOVERY_S, lambda one: 'server-2' not in one.ids()
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_server_that_came_back_under_a_lower_version_serves(self):
         """A server leaves; after the drill it starts again, and gets nothing.
@@ -52,7 +52,7 @@
         the versions of others have passed that by the time anyone asks.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fill(self.fleet.store.version + 50)
             self.fleet.drop('server-3')
@@ -63,9 +63,9 @@
             self.fleet.add_server('server-3', incarnation=2)
             self.fill(known + 50)
             self.fleet.store.treat = lambda _: Away.SERVES
-            await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
+            await self.within(drill.RECOVERY_S, lambda one: one.ids() == LIVE)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_nobody_is_taken_out_because_a_copy_is_older(self):
         """Half of the servers have come since the copy was taken.
@@ -74,7 +74,7 @@
         then, they would leave the other half with all the work.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             new = {f'new-{n}' for n in range(20)}
             for name in new:
@@ -84,21 +84,21 @@
                 await self.fleet.drill(copy)
                 await asyncio.sleep(6.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_does_not_come_back_is_gone_after_the_grace(self):
         """A server has come since the copy, and dies in the drill."""
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fleet.add_server('new')
             await self.within(1.0, lambda one: 'new' in one.ids())
             await self.fleet.drill(copy, rewrite_s=0.0)
             await self.within(
-                drill.KNOWN_S + 2.5, lambda one: one.ids() == LIVE
+                drill.RECOVERY_S + 2.5, lambda one: one.ids() == LIVE
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_server_that_has_ended_gets_nothing_for_a_copy(self):
         """A server ends a second after the copy; the copy still has its entry.
@@ -107,7 +107,7 @@
         removed the entry does so again. One that lives enters itself again.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             lives = self.fleet.written['server-4']
             for name in ('server-3', 'server-4'):
@@ -124,12 +124,12 @@
                 await self.within(3.0, lambda one: one.ids() == alive)
                 await asyncio.sleep(3.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_two_drills_within_three_seconds(self):
         """The second comes while the servers still enter themselves again."""
 
-        async def story():
+        async def scenario():
             first = self.fleet.store.copy()
             for name in ('new-1', 'new-2'):
                 self.fleet.add_server(name)
@@ -147,12 +147,12 @@
             epochs = {one.epochs.newest for one in self.fleet.all}
             self.assertEqual(epochs, {2})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_third_is_cut_off_from_the_store(self):
         """Those that are served tell the rest, of which nobody asks itself."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.treat = lambda node: (
                 Away.SILENT if int(node[6:]) % 3 == 0 else Away.SERVES
             )
@@ -167,20 +167,20 @@
                 self.fleet.drain('server-2')
                 self.fill(known + 50)
                 await self.within(
-                    drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
+                    drill.RECOVERY_S, lambda one: 'server-2' not in one.ids()
                 )
                 self.fleet.add_server('late')
                 await self.within(2.0, lambda one: 'late' in one.ids())
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_who_was_cut_off_from_all_does_not_carry_the_old_order_on(self):
+    def test_a_partitioned_gateway_does_not_spread_its_old_state(self):
         """One gateway hears of the drill last, when others are far on.
 
         It holds what was lost; told to the others as newer, it would count.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fill(self.fleet.store.version + 200)
             self.fleet.drop('server-3')
@@ -194,15 +194,15 @@
             self.fleet.add_server('server-3', incarnation=2)
             others = [one for one in self.fleet.all if one.node != 'entry-3']
             await self.within(
-                drill.KNOWN_S, lambda one: one.ids() == LIVE, others
+                drill.RECOVERY_S, lambda one: one.ids() == LIVE, others
             )
             self.fleet.net.is_cut = lambda _, __: False
             self.fleet.store.treat = lambda _: Away.SERVES
-            await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
+            await self.within(drill.RECOVERY_S, lambda one: one.ids() == LIVE)
             await asyncio.sleep(5.0)
             self.assertTrue(all(one.ids() == LIVE for one in self.fleet.all))
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_drill_during_a_rolling_restart(self):
         """Gateways of the release before know versions only.
@@ -211,7 +211,7 @@
         must not be taken for newer by those that have been replaced.
         """
 
-        async def story():
+        async def scenario():
             for name in list(self.fleet.gateways):
                 self.fleet.kill(name)
                 self.fleet.add_gateway(name, is_plain=True)
@@ -229,13 +229,13 @@
                     self.fleet.configure(2)
                     self.fill(known + 50)
             await self.within(
-                drill.KNOWN_S,
+                drill.RECOVERY_S,
                 lambda one: (
                     one.ids() == LIVE - {'server-2'} and one.number == 2
                 ),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 class LoadTest(drill.DrillTest):
@@ -253,7 +253,7 @@
         costs = {}
         for epochs in (0, 1):
 
-            async def story(epochs=epochs):
+            async def scenario(epochs=epochs):
                 store = self.fleet.store
                 copy = store.copy()
                 before = sum(store.calls.values())
@@ -267,7 +267,7 @@
                 self.assertLess(most, 68)
                 costs[epochs] = sum(store.calls.values()) - before
 
-            self.play(story, 68)
+            self.simulate(scenario, 68)
         self.assertLess(costs[1] - costs[0], 3 * 68)
 
     def test_more_servers_than_a_datagram_holds(self):
@@ -277,7 +277,7 @@
         gateway's was newer than: five calls each at the most.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             alive = {f'server-{n}' for n in range(200)}
             before = sum(store.calls.values())
@@ -289,7 +289,7 @@
             calls = sum(store.calls.values()) - before
             self.assertLess(calls, 5 * 68 + 8 * 10)
 
-        self.play(story, 68, 200)
+        self.simulate(scenario, 68, 200)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_drill_operators.py
+++ b/tests/quetzalsill_gateway/watch/test_drill_operators.py
@@ -28,7 +28,7 @@
         for is_in_copy in (False, True):
             with self.subTest(is_in_copy):
 
-                async def story(is_in_copy=is_in_copy):
+                async def scenario(is_in_copy=is_in_copy):
                     copy = self.fleet.store.copy()
                     self.fleet.configure(5)
                     if is_in_copy:
@@ -38,7 +38,7 @@
                         await self.fleet.drill(copy)
                         await asyncio.sleep(6.0)
 
-                self.play(story)
+                self.simulate(scenario)
 
     def test_a_version_given_out_again_hides_no_configuration(self):
         """A key is withdrawn right after the drill, and goes on being taken.
@@ -47,7 +47,7 @@
         and versions are past what the gateways know when they ask.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             known = self.fleet.store.version + 50
             self.fill(known)
@@ -56,9 +56,9 @@
             await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
             self.fleet.configure(2)
             self.fill(known + 50)
-            await self.within(drill.KNOWN_S, lambda one: one.number == 2)
+            await self.within(drill.RECOVERY_S, lambda one: one.number == 2)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_after_the_drill_gets_the_newest(self):
         """The copy has an older configuration, and operators are slow.
@@ -68,7 +68,7 @@
         all the time, and the key that was withdrawn would be good there.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fleet.configure(5)
             await self.within(1.0, lambda one: one.number == 5)
@@ -83,9 +83,9 @@
             self.fleet.configure(6)
             await self.within(2.0, lambda one: one.number == 6)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_what_others_tell_in_vain_is_not_asked_for_on_and_on(self):
+    def test_an_unusable_configuration_is_requested_rarely(self):
         """A gateway cannot make the configuration that the others have.
 
         The store lacks it, and a document of a later release is none to it. It
@@ -93,7 +93,7 @@
         second they would do nothing else.
         """
 
-        async def story():
+        async def scenario():
             asked = []
             one = self.fleet.all[0]
             one.configuration.on_missing(lambda: asked.append(one.node))
@@ -107,7 +107,7 @@
                 await asyncio.sleep(0.01)
             self.assertIn(len(asked), (3, 4))
 
-        self.play(story, 2)
+        self.simulate(scenario, 2)
 
     def test_of_two_with_one_number_all_take_the_one_written_last(self):
         """Operators write version 5; the store loses it, and gets another 5.
@@ -119,7 +119,7 @@
         def document(name):
             return json.dumps({'version': 5, 'name': name}).encode()
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             copy = store.copy()
             store.configure(document('first'))
@@ -131,10 +131,10 @@
             await self.fleet.drill(copy, rewrite_s=0.0)
             store.configure(document('second'))
             await self.within(
-                drill.KNOWN_S,
+                drill.RECOVERY_S,
                 lambda one: one.configuration.active.data == document('second'),
             )
-            replaced = self.told(event.ConfigurationReplaced)
+            replaced = self.events_of(event.ConfigurationReplaced)
             self.assertEqual(len(replaced), drill.GATEWAYS)
             fresh = self.fleet.add_gateway('entry-99')
             await self.within(1.0, lambda one: one.number == 5, [fresh])
@@ -144,19 +144,19 @@
                     one.configuration.active.data, document('second')
                 )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_one_written_again_changes_nothing(self):
-        async def story():
+        async def scenario():
             self.fleet.configure(5)
             await self.within(1.0, lambda one: one.number == 5)
             await self.fleet.drill(self.fleet.store.copy())
             await asyncio.sleep(4.0)
-            self.assertEqual(self.told(event.ConfigurationReplaced), [])
-            installed = self.told(event.ConfigurationInstalled)
+            self.assertEqual(self.events_of(event.ConfigurationReplaced), [])
+            installed = self.events_of(event.ConfigurationInstalled)
             self.assertEqual(len(installed), 2 * drill.GATEWAYS)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 class ZoneTest(drill.DrillTest):
@@ -173,7 +173,7 @@
         for is_in_copy in (False, True):
             with self.subTest(is_in_copy):
 
-                async def story(is_in_copy=is_in_copy):
+                async def scenario(is_in_copy=is_in_copy):
                     copy = self.fleet.store.copy()
                     self.fleet.drain_zone(ZONE, is_on=True)
                     if is_in_copy:
@@ -185,12 +185,12 @@
                     self.fleet.drain_zone(ZONE, is_on=False)
                     await self.within(1.0, lambda one: not self.is_on(one))
 
-                self.play(story)
+                self.simulate(scenario)
 
     def test_an_order_that_nobody_writes_again_ends(self):
         """Kept for good, the zone would stand idle until it is drained anew."""
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fleet.drain_zone(ZONE, is_on=True)
             await self.within(1.0, self.is_on)
@@ -200,7 +200,7 @@
             await asyncio.sleep(3.0)
             self.assertFalse(self.is_on(fresh))
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_order_is_taken_back_under_a_lower_version(self):
         """A zone stands idle, although operators have taken it back.
@@ -209,7 +209,7 @@
         at a lower one.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.copy()
             self.fill(self.fleet.store.version + 200)
             self.fleet.drain_zone(ZONE, is_on=True)
@@ -220,7 +220,7 @@
             self.fleet.drain_zone(ZONE, is_on=False)
             await self.within(1.0, lambda one: not self.is_on(one))
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -38,7 +38,7 @@
         gateways would serve for ever what they knew that day.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.copy(), epochs=5)
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
@@ -47,7 +47,7 @@
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_epoch_that_jumps_for_one_answer(self):
         """One answer tells an epoch of a thousand; the next ones tell it not.
@@ -55,7 +55,7 @@
         Nothing is known anew meanwhile, but for a second or two.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             await self.fleet.drill(store.copy())
             await asyncio.sleep(3.0)
@@ -67,22 +67,22 @@
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_same_list_under_two_epochs(self):
         """The copy is of the last moment: nothing was lost, all is the same."""
 
-        async def story():
+        async def scenario():
             async with self.always(lambda one: one.ids() == LIVE):
                 for _ in range(3):
                     copy = self.fleet.store.copy()
                     await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
                     await asyncio.sleep(1.0)
-            self.assertEqual(self.told(event.UpstreamRemoved), [])
-            self.assertEqual(len(self.told(event.UpstreamAdded)), 20 * 24)
+            self.assertEqual(self.events_of(event.UpstreamRemoved), [])
+            self.assertEqual(len(self.events_of(event.UpstreamAdded)), 20 * 24)
             await self.is_up_to_date()
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_loop_of_lost_histories_is_bounded(self):
         """The store lists all and says 410 to every feed, in one epoch.
@@ -92,7 +92,7 @@
         quarters of that at the least; here that is two calls.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             store.is_past = lambda _: True
             await asyncio.sleep(5.0)
@@ -110,7 +110,7 @@
             self.fleet.configure(8)
             await self.within(2.0, lambda one: one.number == 8)
 
-        self.play(story, 1)
+        self.simulate(scenario, 1)
 
 
 class PeerTest(drill.DrillTest):
@@ -122,7 +122,7 @@
         Taken for good, neither the store nor anyone would be heard again.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.copy())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
@@ -148,7 +148,7 @@
                 lambda one: one.number == 7 and 'server-1' not in one.ids(),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_empty_list_of_a_peer_hides_nothing(self):
         """A gateway tells of a new epoch, with a list that has no entries.
@@ -157,7 +157,7 @@
         that has changed, it would hide a server that has gone in that epoch.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             store.restore(store.copy())
             self.fleet.drop('server-2')
@@ -169,10 +169,10 @@
             left = LIVE - {'server-2'}
             async with self.always(lambda one: left <= one.ids()):
                 await self.within(
-                    drill.KNOWN_S + 2.5, lambda one: one.ids() == left
+                    drill.RECOVERY_S + 2.5, lambda one: one.ids() == left
                 )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_faulty_order_of_a_peer_ends(self):
         """A zone is drained at an epoch that never was; it is not for good.
@@ -180,7 +180,7 @@
         Of the gateways that hear the others only and ask nobody, too.
         """
 
-        async def story():
+        async def scenario():
             before = dict(self.fleet.store.calls)
             await asyncio.sleep(3.0)
             calls = self.fleet.store.calls
@@ -195,7 +195,7 @@
                 20.0, lambda one: not one.upstreams.zones.is_drained('z')
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_faulty_order_makes_no_news_malformed(self):
         """One gateway holds it; told with its news, that would be left out.
@@ -203,7 +203,7 @@
         Nobody would hear of an edit from that gateway, whoever watches.
         """
 
-        async def story():
+        async def scenario():
             one = self.fleet.all[0]
             faulty = zones.Drain('z', FAR, True)
             one.configuration.handle_update(
@@ -214,7 +214,7 @@
             _, told = bulletin.decode(*frame.unpack(data))
             self.assertEqual(told.number, one.number)
 
-        self.play(story, 2)
+        self.simulate(scenario, 2)
 
     def test_a_faulty_epoch_takes_no_order_back(self):
         """A zone is drained; a datagram tells an epoch without that order."""
@@ -222,7 +222,7 @@
         def is_on(one):
             return one.upstreams.zones.is_drained('z')
 
-        async def story():
+        async def scenario():
             self.fleet.drain_zone('z', is_on=True)
             await self.within(1.0, is_on)
             async with self.always(is_on):
@@ -232,15 +232,15 @@
                     )
                 await asyncio.sleep(15.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
-class EpochsTest(unittest.TestCase):
+class EpochTrackerTest(unittest.TestCase):
     """Answers in any order."""
 
-    def play(self, story):
+    def simulate(self, scenario):
         async def work():
-            await story(epoch.EpochTracker())
+            await scenario(epoch.EpochTracker())
 
         clock.run(work)
 
@@ -250,7 +250,7 @@
         Believed, it would take the gateway back to what was lost.
         """
 
-        async def story(epochs):
+        async def scenario(epochs):
             epochs.observe('get', 1, 0)
             epochs.observe('get', 2, 1)
             for _ in range(100):
@@ -259,10 +259,10 @@
                     epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_one_answer_of_an_older_epoch_is_not_believed(self):
-        async def story(epochs):
+        async def scenario(epochs):
             epochs.observe('get', 2, 0)
             for _ in range(10):
                 with self.assertRaises(error.StaleAnswerError):
@@ -272,10 +272,10 @@
                 await asyncio.sleep(0.9)
             self.assertEqual(epochs.newest, 2)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_an_epoch_that_fell_counts_when_it_is_told_on_and_on(self):
-        async def story(epochs):
+    def test_a_lower_epoch_counts_once_it_is_reported_for_long(self):
+        async def scenario(epochs):
             epochs.observe('get', 7, 0)
             with self.assertRaises(error.StaleAnswerError):
                 epochs.observe('get', 1, 7)
@@ -283,10 +283,10 @@
             epochs.observe('get', 1, 7)
             self.assertEqual(epochs.newest, 1)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_whoever_follows_is_called_back_once_an_epoch(self):
-        async def story(epochs):
+    def test_callbacks_run_once_per_epoch(self):
+        async def scenario(epochs):
             seen = []
             epochs.on_change(lambda: seen.append(epochs.newest))
             for told in (3, 3, 4, 4, 9):
@@ -294,7 +294,7 @@
             # With the first there was none before it to end.
             self.assertEqual(seen, [4, 9])
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -27,18 +27,18 @@
     """Calls, and what every gateway knows when."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, story, gateways=24, servers=20, bound_s=BOUND_S):
+    def simulate(self, scenario, gateways=24, servers=20, bound_s=BOUND_S):
         """Plays a story on a fleet of its own."""
 
         async def work():
             self.fleet = watchers.Fleet(gateways, servers, SEED, bound_s)
             await self.fleet.start()
             try:
-                await story()
+                await scenario()
             finally:
                 self.fleet.stop()
 
@@ -71,23 +71,23 @@
         for gateways, most in ((5, 8.0), (26, 8.0), (68, 9.0)):
             with self.subTest(gateways):
 
-                async def story(most=most):
+                async def scenario(most=most):
                     self.assertLess(await self.calls_in(20.0), most)
 
-                self.play(story, gateways)
+                self.simulate(scenario, gateways)
 
     def test_edits_and_notices_are_known_soon(self):
-        async def story():
+        async def scenario():
             for number in range(2, 8):
                 await self.edit_is_known(number, 0.8)
                 await self.notice_is_known(f'server-{number}', 0.6)
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
     def test_an_edit_costs_the_store_one_call(self):
         """Read by each gateway, an edit is a call and a document for each."""
 
-        async def story():
+        async def scenario():
             rest = await self.calls_in(10.0)
             before = sum(self.fleet.store.calls.values())
             for number in range(2, 12):
@@ -97,7 +97,7 @@
             self.assertLess(calls - 10.0 * rest, 2 * 10)
             self.assertTrue(all(one.number == 11 for one in self.fleet.all))
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
     def test_a_store_that_turns_some_away_is_known_through_the_others(self):
         """A third of the gateways get refusals, for as long as it lasts.
@@ -110,7 +110,7 @@
             turned = int(node.removeprefix('entry-')) % 3 == 0
             return Away.REFUSES if turned else Away.SERVES
 
-        async def story():
+        async def scenario():
             self.fleet.store.treat = treat
             await asyncio.sleep(3.0)
             await self.edit_is_known(2)
@@ -118,10 +118,10 @@
             calls = await self.calls_in(10.0)
             self.assertLess(calls, 8.0 + 2 * 8)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_is_turned_away_notices_that_it_is_served_again(self):
-        async def story():
+        async def scenario():
             self.fleet.store.treat = lambda node: (
                 Away.REFUSES if node == 'entry-3' else Away.SERVES
             )
@@ -136,14 +136,14 @@
             await asyncio.sleep(3.0)
             self.assertFalse(one.health.is_down)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_store_that_is_away_for_all_is_found_again_by_all(self):
         """While it is away an edit and a notice come; then it is back."""
         for away in (Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS):
             with self.subTest(away):
 
-                async def story(away=away):
+                async def scenario(away=away):
                     self.fleet.store.treat = lambda _: away
                     await asyncio.sleep(5.0)
                     self.fleet.configure(2)
@@ -158,42 +158,42 @@
                         ),
                     )
 
-                self.play(story)
+                self.simulate(scenario)
 
     def test_bounds_hold_with_a_slow_store(self):
-        async def story():
+        async def scenario():
             self.fleet.store.answer_s = 0.24
             for number in (2, 3, 4):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_bounds_hold_where_a_third_of_all_datagrams_is_lost(self):
-        async def story():
+        async def scenario():
             self.fleet.net.loss = 0.33
             for number in (2, 3, 4, 5):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_gateway_that_hears_nobody_asks_itself(self):
         """Links between gateways are cut, the store serves."""
 
-        async def story():
+        async def scenario():
             self.fleet.net.is_cut = lambda _, __: True
             await asyncio.sleep(3.0)
             for number in (2, 3):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_one_that_watches_loses_its_connection(self):
         """Its calls fall silent; it does not know, and nobody else watches."""
 
-        async def story():
+        async def scenario():
             for number in (2, 3, 4):
                 before = dict(self.fleet.store.calls)
                 await asyncio.sleep(2.0)
@@ -208,12 +208,12 @@
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_whoever_tells_is_killed_before_it_has_told_all(self):
         """Half of the fleet has heard of an edit, and its teller is dead."""
 
-        async def story():
+        async def scenario():
             cut_off = {f'entry-{n}' for n in range(0, 24, 2)}
             for number in range(2, 8):
                 tellers = []
@@ -237,7 +237,7 @@
                     ),
                 )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_what_was_missed_is_asked_for(self):
         """A gateway hears nobody and gets no answer while a notice is told.
@@ -246,7 +246,7 @@
         hide the notice for good: the store is asked only for what is newer.
         """
 
-        async def story():
+        async def scenario():
             self.fleet.store.treat = lambda node: (
                 Away.REFUSES if node == 'entry-3' else Away.SERVES
             )
@@ -262,12 +262,12 @@
                 2.9, lambda one: not {'server-1', 'server-2'} & one.ids()
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_each_finds_the_store_again_where_nobody_tells(self):
         """The store is back after an outage, and no gateway hears another."""
 
-        async def story():
+        async def scenario():
             self.fleet.net.is_cut = lambda _, __: True
             self.fleet.store.treat = lambda _: Away.REFUSES
             await asyncio.sleep(12.0)
@@ -279,17 +279,17 @@
                 lambda one: one.number == 2 and 'server-1' not in one.ids(),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_forgotten_history_is_met_by_reading_anew(self):
-        async def story():
+        async def scenario():
             self.fleet.store.forget_history()
             await self.notice_is_known('server-3')
             self.fleet.store.forget_history()
             self.fleet.drop('server-4')
             await self.within(BOUND_S, lambda one: 'server-4' not in one.ids())
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_version_that_is_none_of_the_stores_does_no_harm_for_long(self):
         """A faulty datagram tells a version far above the store's.
@@ -298,7 +298,7 @@
         version would never tell anything.
         """
 
-        async def story():
+        async def scenario():
             for one in self.fleet.all:
                 far = revision.Revision(0, 2**52)
                 one.membership.handle_update(
@@ -311,12 +311,12 @@
             await self.edit_is_known(2)
             await self.notice_is_known('server-1')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_edit_never_steps_back(self):
         """Edits in quick succession, datagrams overtaken and lost."""
 
-        async def story():
+        async def scenario():
             self.fleet.net.loss = 0.2
             self.fleet.net.delay_s = (0.0005, 0.5)
             seen = dict.fromkeys(self.fleet.gateways, 0)
@@ -329,12 +329,12 @@
                         seen[one.node] = one.number
             await self.within(BOUND_S, lambda one: one.number == 29)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_entries_that_lapsed_in_an_outage_are_kept_by_all(self):
         """The store is away, lets an entry lapse, and it comes back."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.treat = lambda _: Away.REFUSES
             await asyncio.sleep(5.0)
             self.fleet.drop('server-5')
@@ -349,7 +349,7 @@
                 all('server-5' in one.ids() for one in self.fleet.all)
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_gateway_that_restarts_in_an_outage_serves(self):
         """The store is away, and a gateway is killed and starts again.
@@ -358,7 +358,7 @@
         beside it that know all it needs.
         """
 
-        async def story():
+        async def scenario():
             await self.edit_is_known(2)
             self.fleet.store.treat = lambda _: Away.REFUSES
             await asyncio.sleep(3.0)
@@ -376,19 +376,19 @@
                 lambda one: one.number == 3 and 'server-2' not in one.ids(),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_same_seed_gives_the_same_run(self):
         totals = []
         for _ in range(2):
 
-            async def story():
+            async def scenario():
                 await asyncio.sleep(5.0)
                 totals.append(
                     (self.fleet.store.calls, self.fleet.net.sent_bytes)
                 )
 
-            self.play(story)
+            self.simulate(scenario)
         self.assertEqual(*totals)
 
 
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -35,9 +35,9 @@
     """
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.calls = 0
         self.ended_s = []
         self.listed_s = []
@@ -55,14 +55,14 @@
             [], revision.Revision(1, version), after is None
         )
 
-    def play(self, follower):
+    def simulate(self, follower):
         for seed in SEEDS:
             with self.subTest(seed):
                 self.calls = 0
                 self.ended_s, self.listed_s = [], []
-                self.play_once(follower, random.Random(seed))
+                self.simulate_once(follower, random.Random(seed))
 
-    def play_once(self, follower, rng):
+    def simulate_once(self, follower, rng):
         async def work():
             task = asyncio.create_task(follower(rng).run())
             await asyncio.sleep(FOR_S)
@@ -81,7 +81,7 @@
             self.assertGreaterEqual(at_s - ended_s, least_s - CLOCK_S)
 
     def test_membership(self):
-        self.play(
+        self.simulate(
             lambda rng: membership.Membership(
                 self.ask,
                 upstream.Upstreams(),
@@ -93,7 +93,7 @@
         )
 
     def test_configuration(self):
-        self.play(
+        self.simulate(
             lambda rng: configuration.Configuration(
                 self.ask,
                 watchers._read,
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -41,12 +41,12 @@
     """A gateway hears of another's answer while its own call waits."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.announced = []
 
-    def play(self, follower, answers):
+    def simulate(self, follower, answers):
         """Plays two calls; another gateway tells the same during the second.
 
         Args:
@@ -106,17 +106,17 @@
             source.PollResult([LEAVING], AFTER, is_snapshot=False),
         )
 
-    def test_a_notice_that_nobody_else_tells(self):
+    def test_a_notice_that_nobody_else_announces(self):
         """Callers' work goes on to an engine that has said that it leaves.
 
         The one that was answered first told that nothing is new.
         """
-        self.play(self.membership, self.notice())
+        self.simulate(self.membership, self.notice())
         self.assertIn(LEAVING, [c for n in self.announced for c in n.changes])
 
-    def test_an_edit_that_nobody_else_tells(self):
+    def test_an_edit_that_nobody_else_announces(self):
         """An edit is in force late everywhere but here."""
-        self.play(
+        self.simulate(
             self.configuration,
             (
                 source.PollResult(
--- a/tests/quetzalsill_gateway/watch/test_patch.py
+++ b/tests/quetzalsill_gateway/watch/test_patch.py
@@ -52,7 +52,7 @@
             with self.assertRaises(error.PatchError):
                 patch.apply(b'base', found)
 
-    def test_an_edit_that_changes_all_is_not_told(self):
+    def test_an_edit_that_changes_everything_gives_no_patch(self):
         noise = bytes((n * n * 7919 >> 5) % 256 for n in range(60_000))
         self.assertIsNone(patch.make(b'', noise))
 
--- a/tests/quetzalsill_gateway/watch/test_random_drills.py
+++ b/tests/quetzalsill_gateway/watch/test_random_drills.py
@@ -25,7 +25,7 @@
 KNOWN_S = 3.0
 
 
-class Story:
+class Scenario:
     """One fleet and what happens to it."""
 
     def __init__(self, seed):
@@ -39,7 +39,7 @@
         self.servers = 12
         self.faults = []
 
-    async def play(self):
+    async def simulate(self):
         """Returns what was wrong in the end, or at any moment."""
         await self.fleet.start()
         self.fleet.net.loss = self.rng.choice((0.0, 0.0, 0.1, 0.3))
@@ -49,7 +49,7 @@
             self.rng.choice(STEPS)(self)
             await asyncio.sleep(self.rng.choice((0.0, 0.05, 0.5, 1.5)))
         await asyncio.gather(*self.drills)
-        self.heal()
+        self.recover()
         await asyncio.sleep(SETTLED_S)
         self.compare()
         self.configure()
@@ -141,7 +141,7 @@
         those = self.some()
         self.fleet.net.is_cut = lambda a, b: (a in those) != (b in those)
 
-    def turn_away(self):
+    def refuse_some(self):
         those = self.some()
         how = self.rng.choice((Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS))
         self.store.treat = lambda node: how if node in those else Away.SERVES
@@ -157,17 +157,23 @@
     def forget(self):
         self.store.forget_history()
 
-    def heal(self):
+    def recover(self):
         self.store.answer_s = 0.004
         self.store.treat = lambda _: Away.SERVES
         self.fleet.net.is_cut = lambda _, __: False
 
 
 STEPS = (
-    *(Story.drill, Story.drill, Story.copy, Story.copy),
-    *(Story.configure, Story.add, Story.drop, Story.leave, Story.order),
-    *(Story.cut, Story.turn_away, Story.restart, Story.slow),
-    *(Story.forget, Story.heal),
+    *(Scenario.drill, Scenario.drill, Scenario.copy, Scenario.copy),
+    *(
+        Scenario.configure,
+        Scenario.add,
+        Scenario.drop,
+        Scenario.leave,
+        Scenario.order,
+    ),
+    *(Scenario.cut, Scenario.refuse_some, Scenario.restart, Scenario.slow),
+    *(Scenario.forget, Scenario.recover),
 )
 
 
@@ -177,7 +183,7 @@
     def test_all_agree_in_the_end(self):
         for seed in SEEDS:
             with self.subTest(seed), mock.patch.object(event, 'note'):
-                self.assertEqual(clock.run(Story(seed).play), [])
+                self.assertEqual(clock.run(Scenario(seed).simulate), [])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -64,18 +64,18 @@
     """A gateway whose source has answered 410 and is away since."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, follower, story):
+    def simulate(self, follower, scenario):
         async def work():
             self.upstreams = upstream.Upstreams()
             one = follower()
             task = asyncio.create_task(one.run())
             try:
                 await asyncio.sleep(3.0)
-                await story(one)
+                await scenario(one)
             finally:
                 task.cancel()
 
@@ -123,7 +123,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertEqual(self.ids(), {STAYS.id})
             one.handle_update(
                 update.MembershipUpdate(
@@ -132,7 +132,7 @@
             )
             self.assertEqual(self.ids(), {STAYS.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_a_list_of_before_drops_no_server(self):
         """A server that lives gets no work, and its runs move away.
@@ -148,7 +148,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
             one.handle_update(
                 update.MembershipUpdate(
@@ -157,7 +157,7 @@
             )
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_a_list_of_the_epoch_before_brings_no_ended_server_back(self):
         """The same across a drill: the list of the new epoch lacks the server.
@@ -173,7 +173,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             one._epochs.observe('rows-feed', 8, 0)
             await asyncio.sleep(upstream.LAPSE_S)
             self.assertEqual(self.ids(), {STAYS.id})
@@ -185,9 +185,9 @@
             await asyncio.sleep(upstream.LAPSE_S + 0.1)
             self.assertEqual(self.ids(), {STAYS.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_whole_hides_no_order_that_was_taken_back(self):
+    def test_a_snapshot_hides_no_order_that_was_cancelled(self):
         """A zone stands idle, although operators have taken it back.
 
         The store loses its history and is away. Another gateway that has listed
@@ -203,7 +203,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             one.handle_update(
                 update.ConfigurationUpdate(
                     at(70),
@@ -218,9 +218,9 @@
             is_on = self.upstreams.zones.is_drained('z')
             self.assertFalse(is_on and one._revision == at(70))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_late_word_takes_no_order_back(self):
+    def test_a_late_update_cancels_no_order(self):
         """Work goes to a drained zone, while the store is away.
 
         Two gateways that were cut off before the order was written tell this
@@ -236,7 +236,7 @@
                 source.PollResult([stands], at(60), False),
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertTrue(self.upstreams.zones.is_drained('z'))
             for _ in range(2):
                 one.handle_update(
@@ -245,9 +245,9 @@
                 await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_word_of_the_epoch_before_takes_no_order_back(self):
+    def test_an_update_of_an_older_epoch_cancels_no_order(self):
         """The same, of gateways that are cut off since before a drill."""
         stands = zones.Drain('z', at(20, 8), True)
 
@@ -257,7 +257,7 @@
                 source.PollResult([document, stands], at(30, 8), True),
             )
 
-        async def story(one):
+        async def scenario(one):
             for _ in range(2):
                 one.handle_update(
                     update.ConfigurationUpdate(at(55), 5, sender='cut-off')
@@ -265,7 +265,7 @@
                 await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_of_two_with_one_number_the_older_does_not_come_again(self):
         """Keys that operators have withdrawn are good again.
@@ -282,7 +282,7 @@
                 source.PollResult([found], at(50), True), None
             )
 
-        async def story(one):
+        async def scenario(one):
             one.handle_update(
                 update.ConfigurationUpdate(
                     at(35),
@@ -295,7 +295,7 @@
             )
             self.assertEqual(one.active.data, DOCUMENT)
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
 
 class FallenEpochTest(drill.DrillTest):
@@ -309,7 +309,7 @@
         which is dropped as faulty some seconds later; nobody lists anew then.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.copy(), epochs=5)
             await asyncio.sleep(3.0)
             self.fleet.drain_zone('z', is_on=True)
@@ -318,7 +318,7 @@
                 await self.fleet.drill(self.fleet.store.copy(), epochs=-4)
                 await asyncio.sleep(20.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 class FaultyOrderTest(drill.DrillTest):
@@ -334,9 +334,11 @@
         for epochs in (0, 1):
             for is_on in (True, False):
                 with self.subTest(epochs=epochs, is_on=is_on):
-                    self.play(lambda e=epochs, o=is_on: self.story(e, o), 1)
+                    self.simulate(
+                        lambda e=epochs, o=is_on: self.scenario(e, o), 1
+                    )
 
-    async def story(self, epochs, is_on):
+    async def scenario(self, epochs, is_on):
         if epochs:
             await self.fleet.drill(self.fleet.store.copy())
             await asyncio.sleep(3.0)
@@ -349,7 +351,7 @@
         self.assertTrue(is_drained(one))
 
 
-class WrongWatcherTest(drill.DrillTest):
+class WrongEpochTest(drill.DrillTest):
     """One gateway is told another epoch than the others, for good."""
 
     def test_the_others_do_not_ask_all_the_time(self):
@@ -361,7 +363,7 @@
         ask as often as in a drill, three times each, and as usual otherwise.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             await self.fleet.drill(store.copy())
             await asyncio.sleep(5.0)
@@ -374,7 +376,7 @@
             found, _ = await self.calls(20.0)
             self.assertLess(found, 2 * usual + 3 * drill.GATEWAYS)
 
-        self.play(story)
+        self.simulate(scenario)
 
     async def calls(self, for_s):
         """Returns how many calls there are, and who makes the most."""
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -20,13 +20,13 @@
 
 SEED = 5
 # With these an engine's notice was known to 282 and 41 of 285 in time.
-SEEDS_OF_LATE_NEWS = (1, 3)
+LATE_NOTICE_SEEDS = (1, 3)
 STEP_S = 0.005
 # All in touch know within this time; what is allowed is five times as much.
 KNOWN_S = 1.0
 # Who is cut off from the store and hears nobody asks again within this time of
 # its return (`watch.schedule`).
-BACK_S = 3.5
+RECOVERY_S = 3.5
 ZONE = 'z'
 
 
@@ -34,16 +34,16 @@
     """What every gateway knows, and when."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, story, gateways=24, seed=SEED):
+    def simulate(self, scenario, gateways=24, seed=SEED):
         async def work():
             self.fleet = watchers.Fleet(gateways, 4, seed, 3.0)
             await self.fleet.start()
             try:
-                await story()
+                await scenario()
             finally:
                 self.fleet.stop()
 
@@ -66,15 +66,15 @@
         for gateways in (2, 24, 68):
             with self.subTest(gateways):
 
-                async def story():
+                async def scenario():
                     self.drain()
                     await self.within(KNOWN_S, True)
                     self.drain(False)
                     await self.within(KNOWN_S, False)
 
-                self.play(story, gateways)
+                self.simulate(scenario, gateways)
 
-    def test_rare_news_is_fast_in_a_large_fleet(self):
+    def test_rare_updates_are_fast_in_a_large_fleet(self):
         """300 gateways; a tenth of datagrams is lost, a twentieth are paused.
 
         News goes through others there. Whoever is not paused knows an order, a
@@ -82,7 +82,7 @@
         hundred, who missed it and hears the next.
         """
 
-        async def story():
+        async def scenario():
             fleet = self.fleet
             fleet.net.loss = 0.1
             paused = {f'entry-{n}' for n in range(0, 300, 20)}
@@ -108,24 +108,24 @@
                     self.assertGreaterEqual(known, 0.99 * len(awake))
                 await asyncio.sleep(1.0)
 
-        for seed in (SEED, *SEEDS_OF_LATE_NEWS):
+        for seed in (SEED, *LATE_NOTICE_SEEDS):
             with self.subTest(seed=seed):
-                self.play(story, 300, seed)
+                self.simulate(scenario, 300, seed)
 
     def test_datagrams_are_lost(self):
         """A fifth of all datagrams; who missed one hears the next."""
 
-        async def story():
+        async def scenario():
             self.fleet.net.loss = 0.2
             self.drain()
             await self.within(2 * KNOWN_S, True)
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
     def test_the_store_turns_a_third_away(self):
         """Those it serves tell the rest."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.treat = lambda node: (
                 Away.REFUSES if int(node[6:]) % 3 == 0 else Away.SERVES
             )
@@ -135,15 +135,15 @@
             self.drain(False)
             await self.within(KNOWN_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_store_forgets_its_history(self):
-        async def story():
+        async def scenario():
             self.drain()
             self.fleet.store.forget_history()
             await self.within(KNOWN_S, True)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_it_is_taken_back_while_a_gateway_is_cut_off(self):
         """Cut off from store and gateways, one keeps to what it knew.
@@ -152,7 +152,7 @@
         others of the one that it held.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             lost = self.fleet.gateways['entry-3']
@@ -168,11 +168,11 @@
             self.assertTrue(lost.upstreams.zones.is_drained(ZONE))
             self.fleet.net.is_cut = lambda _, __: False
             self.fleet.store.treat = lambda _: Away.SERVES
-            await self.within(BACK_S, False)
+            await self.within(RECOVERY_S, False)
             await asyncio.sleep(3.0)
             await self.within(STEP_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_knows_before_it_serves(self):
         """A gateway that starts reads both tables, and only then serves.
@@ -181,7 +181,7 @@
         requests would go to the zone.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             fresh = self.fleet.add_gateway('entry-99')
@@ -189,7 +189,7 @@
                 await asyncio.sleep(STEP_S)
             self.assertTrue(fresh.upstreams.zones.is_drained(ZONE))
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_hides_no_order_that_was_taken_back(self):
         """A zone stands idle, although operators have taken it back.
@@ -199,7 +199,7 @@
         came behind that, and the order was taken back before.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             before = dict(self.fleet.store.calls)
@@ -210,19 +210,19 @@
                 self.fleet.kill(watcher)
             self.drain(False)
             self.fleet.add_gateway('entry-99')
-            await self.within(BACK_S, False)
+            await self.within(RECOVERY_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_in_an_outage_is_told_by_others(self):
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             self.fleet.store.treat = lambda _: Away.REFUSES
             fresh = self.fleet.add_gateway('entry-99')
             await self.within(2.0, True, [fresh])
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_faulty_version_does_not_hold_for_good(self):
         """A datagram tells an order of a version that the store never had.
@@ -230,7 +230,7 @@
         Kept, the zone would stand idle until operators drained it again.
         """
 
-        async def story():
+        async def scenario():
             one = self.fleet.all[0]
             number = one.number
             far = revision.Revision(0, 2**40)
@@ -241,7 +241,7 @@
             self.assertTrue(one.upstreams.zones.is_drained(ZONE))
             await self.within(20.0, False)
 
-        self.play(story, 4)
+        self.simulate(scenario, 4)
 
 
 if __name__ == '__main__':
