--- a/tests/quetzalsill_gateway/watch/drill.py
+++ b/tests/quetzalsill_gateway/watch/drill.py
@@ -1,4 +1,4 @@
-"""A fleet before a store that comes back from an older copy."""
+"""Simulates a fleet whose store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 GATEWAYS = 24
 STEP_S = 0.01
-# The store is found again within this time of its return, by who is cut off
-# from the other gateways, too.
+# Time after the return of the store within which every gateway has reached it
+# again, also one that is partitioned off from its peers.
 RECOVERY_S = 3.5
 
 
 class DrillTest(unittest.TestCase):
-    """Plays stories on virtual time."""
+    """Runs scenarios on virtual time."""
 
     seed = 6
 
@@ -30,7 +30,7 @@
         self.addCleanup(patcher.stop)
 
     def simulate(self, scenario, gateways=GATEWAYS, servers=20):
-        """Plays a story on a fleet of its own."""
+        """Runs a scenario on a new fleet."""
 
         async def work():
             self.fleet = watchers.Fleet(gateways, servers, self.seed)
@@ -43,7 +43,7 @@
         clock.run(work)
 
     async def within(self, bound_s, condition, those=None):
-        """Waits until gateways agree; fails if that takes longer."""
+        """Waits until the condition holds on all; fails after `bound_s`."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
         while not all(condition(one) for one in those or self.fleet.all):
@@ -52,7 +52,7 @@
 
     @contextlib.asynccontextmanager
     async def always(self, condition):
-        """Fails if a gateway doesn't meet a condition at any moment."""
+        """Fails if the condition does not hold on some gateway at any time."""
         failed = []
 
         async def look():
@@ -70,12 +70,12 @@
         self.assertEqual(failed[:3], [], 'for a moment at least')
 
     def fill(self, until):
-        """Writes entries that say nothing new, past a version."""
+        """Writes unchanged entries until the store is past a version."""
         name = 'server-19'
         while self.fleet.store.version <= until:
             self.fleet.store.enter(self.fleet.written[name])
 
     def events_of(self, kind):
-        """Returns the events of a kind that were noted."""
+        """Returns the events of a kind that were logged."""
         events = [call.args[0] for call in self.note.call_args_list]
         return [one for one in events if isinstance(one, kind)]
--- a/tests/quetzalsill_gateway/watch/test_active_document.py
+++ b/tests/quetzalsill_gateway/watch/test_active_document.py
@@ -1,4 +1,4 @@
-"""Which document of the configuration is in force."""
+"""Tests of which configuration document is active."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read(data):
-    """Makes a routing table without routes of a document."""
+    """Builds a routing table without routes from a document."""
     try:
         version = json.loads(data)['version']
     except ValueError as exc:
@@ -26,13 +26,13 @@
 
 
 def document(number, name, epoch, version):
-    """Returns a document and where it was written."""
+    """Returns a document that was written at the given revision."""
     data = json.dumps({'version': number, 'name': name}).encode()
     return source.Document(data, revision.Revision(epoch, version))
 
 
 class ActiveDocumentTest(unittest.TestCase):
-    """Documents come in any order, and more than once."""
+    """Documents arrive in any order, and more than once."""
 
     def setUp(self):
         patcher = mock.patch.object(event, 'note')
@@ -40,7 +40,7 @@
         self.addCleanup(patcher.stop)
 
     def after(self, *found):
-        """Returns what is in force after documents in an order."""
+        """Returns the active document after documents in the given order."""
 
         async def work():
             held = active_document.ActiveDocument(
@@ -53,9 +53,10 @@
         return clock.run(work)
 
     def test_every_order_ends_with_the_same(self):
-        """Some gateways are told by the store, some by others, some late.
+        """Gateways receive documents from the store or from peers, some late.
 
-        Of two that bear one number each would keep what it heard first.
+        Without a rule for two documents with the same number, each gateway
+        would keep the one that it received first.
         """
         documents = [
             document(4, 'old', 2, 90),
@@ -80,9 +81,10 @@
         self.assertEqual(self.after(good, bad).data, good.data)
 
     def test_a_revision_that_never_was_does_not_count_for_good(self):
-        """A datagram tells the document in force as written far ahead.
+        """An update has a revision of the document far ahead of the source.
 
-        Another with that number would never count here, and does elsewhere.
+        A later document with the same number would then never become active
+        here, but would elsewhere.
         """
 
         async def work():
--- a/tests/quetzalsill_gateway/watch/test_deferred.py
+++ b/tests/quetzalsill_gateway/watch/test_deferred.py
@@ -14,7 +14,7 @@
 
 
 class DeferredAnnouncementTest(unittest.TestCase):
-    """What is announced once every draw is over."""
+    """What has been announced once all delays are over."""
 
     def announced(self, scenario, gateways=2, wait_s=2 * deferred.JITTER_S):
         made = []
@@ -45,7 +45,7 @@
         self.assertEqual(self.announced(scenario), [])
 
     def test_a_large_fleet_waits_for_announcements_on_their_way(self):
-        """Each of many announces the same to hundreds, four times over."""
+        """Otherwise each of many would announce the same, four times over."""
 
         def scenario(one, made):
             one.schedule(SECOND, lambda: made.append(SECOND))
--- a/tests/quetzalsill_gateway/watch/test_drill.py
+++ b/tests/quetzalsill_gateway/watch/test_drill.py
@@ -1,9 +1,10 @@
-"""The store is away for a moment, and comes back from an older copy.
+"""Tests of a store that is down briefly and is restored from an older copy.
 
-What was written there since is gone, its versions are given out again for other
-changes, and whoever had written something writes it again. Bounds are those of
-an outage as long: nobody is taken out for the drill, no order is lost, and all
-know within `RECOVERY_S` of the return what the store says then.
+What was written since the copy is lost, its versions are reused for other
+changes, and whoever had written something writes it again. The bounds are those
+of an outage of the same length: no upstream is removed because of the drill, no
+drain order is lost, and within `RECOVERY_S` of its return all gateways know the
+state of the store.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
     """Entries of servers."""
 
     def test_a_version_given_out_again_hides_no_notice(self):
-        """A server says that it leaves, and work goes to it all the same.
+        """Guards against work that goes to a server after its drain notice.
 
-        The store comes back, takes the notice, and gives out versions past
-        those that the gateways know. Read on from there, its feed has no notice
-        in it, and there is no failure to see.
+        The restored store takes the notice, and its versions pass those that
+        the gateways know. A feed read on from there has no notice in it, and no
+        call fails.
         """
 
         async def scenario():
@@ -46,10 +47,10 @@
         self.simulate(scenario)
 
     def test_a_server_that_came_back_under_a_lower_version_serves(self):
-        """A server leaves; after the drill it starts again, and gets nothing.
+        """Guards against a restarted server that gets no work.
 
-        Its new entry has a lower version than the notice that is known, and
-        the versions of others have passed that by the time anyone asks.
+        Its new entry has a lower version than the known notice, and by the time
+        a gateway polls, the versions of others have passed that.
         """
 
         async def scenario():
@@ -68,10 +69,11 @@
         self.simulate(scenario)
 
     def test_nobody_is_taken_out_because_a_copy_is_older(self):
-        """Half of the servers have come since the copy was taken.
+        """Guards against the removal of servers that the copy lacks.
 
-        They enter themselves again within two seconds. Taken for gone until
-        then, they would leave the other half with all the work.
+        Half of the servers have started since the copy was taken and enter
+        themselves again within two seconds. If they were removed until then,
+        the other half would get all the work.
         """
 
         async def scenario():
@@ -87,7 +89,7 @@
         self.simulate(scenario)
 
     def test_who_does_not_come_back_is_gone_after_the_grace(self):
-        """A server has come since the copy, and dies in the drill."""
+        """A server has started since the copy, and dies during the drill."""
 
         async def scenario():
             copy = self.fleet.store.copy()
@@ -101,10 +103,11 @@
         self.simulate(scenario)
 
     def test_a_server_that_has_ended_gets_nothing_for_a_copy(self):
-        """A server ends a second after the copy; the copy still has its entry.
+        """Guards against work for a server that ended a second after the copy.
 
-        Requests would go to an address where nobody answers, until whoever
-        removed the entry does so again. One that lives enters itself again.
+        The copy still has its entry, so requests would go to an address where
+        nothing answers until the entry is removed again. A running server
+        enters itself again.
         """
 
         async def scenario():
@@ -150,7 +153,7 @@
         self.simulate(scenario)
 
     def test_a_third_is_cut_off_from_the_store(self):
-        """Those that are served tell the rest, of which nobody asks itself."""
+        """The gateways that the store serves send updates to the rest."""
 
         async def scenario():
             self.fleet.store.treat = lambda node: (
@@ -175,9 +178,10 @@
         self.simulate(scenario)
 
     def test_a_partitioned_gateway_does_not_spread_its_old_state(self):
-        """One gateway hears of the drill last, when others are far on.
+        """One gateway learns of the drill last, long after the others.
 
-        It holds what was lost; told to the others as newer, it would count.
+        It holds lost entries; if the others took them for newer, they would
+        apply them.
         """
 
         async def scenario():
@@ -205,10 +209,10 @@
         self.simulate(scenario)
 
     def test_a_drill_during_a_rolling_restart(self):
-        """Gateways of the release before know versions only.
+        """Gateways of the previous release know versions only.
 
-        They are replaced one by one while the store comes back. What they tell
-        must not be taken for newer by those that have been replaced.
+        They are replaced one by one during the drill. The gateways that have
+        been replaced must not take their updates for newer.
         """
 
         async def scenario():
@@ -239,16 +243,16 @@
 
 
 class LoadTest(drill.DrillTest):
-    """Calls at the store, of all gateways together."""
+    """Calls to the store by the whole fleet."""
 
     def test_each_gateway_asks_a_few_times(self):
-        """68 gateways see the drill at the same moment.
+        """Guards against a burst of calls when 68 gateways see the drill.
 
-        Each lists both tables at once, the store would have 136 lists to answer
-        and refuse some, which ask again. Here one lists each, and the others
-        ask once whether it is so, drawn from a second. In any tenth of it there
-        are fewer calls than gateways; a drill costs each three beyond what an
-        outage as long does.
+        If each listed both tables at once, the store would get 136 list calls
+        and refuse some, which are retried. Instead one gateway lists each
+        table, and the others check once within a second. In any tenth of a
+        second there are fewer calls than gateways; a drill costs each at most
+        three calls more than an outage of the same length.
         """
         costs = {}
         for epochs in (0, 1):
@@ -271,10 +275,10 @@
         self.assertLess(costs[1] - costs[0], 3 * 68)
 
     def test_more_servers_than_a_datagram_holds(self):
-        """Nobody can be told the whole list; each lists the table once.
+        """The snapshot fits no datagram, so each gateway lists the table once.
 
-        A feed that is refused, a list of each table, and an answer that another
-        gateway's was newer than: five calls each at the most.
+        At most five calls each: a refused feed, a list of each table, and an
+        answer that was older than an update from a peer.
         """
 
         async def scenario():
--- a/tests/quetzalsill_gateway/watch/test_drill_operators.py
+++ b/tests/quetzalsill_gateway/watch/test_drill_operators.py
@@ -1,4 +1,4 @@
-"""What operators write, while the store comes back from an older copy."""
+"""Tests of what operators write while the store is restored from a copy."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     """Versions of the configuration."""
 
     def test_a_key_that_was_withdrawn_stays_withdrawn(self):
-        """Operators withdraw a key; whoever holds it is let in again.
+        """Guards against a withdrawn key that becomes valid again.
 
-        The copy was taken just before, or just after, and holds the older
-        configuration in the first case until operators write theirs again.
+        The copy was taken just before or just after the edit. In the first case
+        it holds the older configuration until operators write theirs again.
         """
         for is_in_copy in (False, True):
             with self.subTest(is_in_copy):
@@ -41,10 +41,11 @@
                 self.simulate(scenario)
 
     def test_a_version_given_out_again_hides_no_configuration(self):
-        """A key is withdrawn right after the drill, and goes on being taken.
+        """Guards against a key that stays valid although it was withdrawn.
 
-        The configuration without it has a version that was given out before,
-        and versions are past what the gateways know when they ask.
+        The key is withdrawn right after the drill. The new configuration has a
+        reused version, and by the time the gateways poll, versions are past
+        those that they know.
         """
 
         async def scenario():
@@ -52,7 +53,7 @@
             known = self.fleet.store.version + 50
             self.fill(known)
             await asyncio.sleep(1.0)
-            # No call fails, so that there is nothing else to see of it.
+            # No call fails, so the drill shows in nothing else.
             await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
             self.fleet.configure(2)
             self.fill(known + 50)
@@ -61,11 +62,13 @@
         self.simulate(scenario)
 
     def test_who_starts_after_the_drill_gets_the_newest(self):
-        """The copy has an older configuration, and operators are slow.
+        """Guards against a new gateway that stays on an older configuration.
 
-        A gateway that starts reads that. The others tell it of the newer one,
-        which the store doesn't have: asked for it, the store would be called
-        all the time, and the key that was withdrawn would be good there.
+        The copy has an older configuration, and operators have not written
+        theirs again. The new gateway reads the old one, while its peers
+        announce the newer one, which the store does not have. If it polled the
+        store for that, the store would be called all the time, and the
+        withdrawn key would be valid there.
         """
 
         async def scenario():
@@ -86,11 +89,12 @@
         self.simulate(scenario)
 
     def test_an_unusable_configuration_is_requested_rarely(self):
-        """A gateway cannot make the configuration that the others have.
+        """Guards against an endless exchange of requests between gateways.
 
-        The store lacks it, and a document of a later release is none to it. It
-        asks two others, and each answer would have it ask two again: within a
-        second they would do nothing else.
+        A gateway cannot apply the configuration that its peers announce: the
+        store lacks it, and it cannot parse a document of a later release. It
+        requests it from two peers, and each answer would cause two more
+        requests: within a second the gateways would do nothing else.
         """
 
         async def scenario():
@@ -110,10 +114,10 @@
         self.simulate(scenario, 2)
 
     def test_of_two_with_one_number_all_take_the_one_written_last(self):
-        """Operators write version 5; the store loses it, and gets another 5.
+        """Guards against gateways that serve different routes for good.
 
-        Gateways that took the first beside some that took the second would
-        serve other routes, each for good.
+        Operators write version 5, the store loses it and then gets another
+        version 5. Some gateways have applied the first, others the second.
         """
 
         def document(name):
@@ -166,7 +170,7 @@
         return one.upstreams.zones.is_drained(ZONE)
 
     def test_an_order_holds_through_the_drill(self):
-        """Operators empty a zone; in the drill new work goes there.
+        """Guards against new work in a drained zone during the drill.
 
         The copy has the order, or lacks it until it is written again.
         """
@@ -188,7 +192,7 @@
                 self.simulate(scenario)
 
     def test_an_order_that_nobody_writes_again_ends(self):
-        """Kept for good, the zone would stand idle until it is drained anew."""
+        """If it were kept, the zone would stay idle until drained again."""
 
         async def scenario():
             copy = self.fleet.store.copy()
@@ -203,10 +207,10 @@
         self.simulate(scenario)
 
     def test_an_order_is_taken_back_under_a_lower_version(self):
-        """A zone stands idle, although operators have taken it back.
+        """Guards against a zone that stays idle after its order was cancelled.
 
-        The order was written at a version that the store lost, and taken back
-        at a lower one.
+        The order was written at a version that the store lost, and cancelled at
+        a lower one.
         """
 
         async def scenario():
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -1,7 +1,7 @@
-"""Epochs that make no sense, of a store or of another gateway.
+"""Tests of invalid epochs reported by a store or by a peer.
 
-One faulty word must not make a gateway deaf to what is true afterwards, take
-anybody out, or have it call the store all the time.
+One faulty report must not make a gateway ignore correct ones afterwards, remove
+upstreams, or cause calls to the store all the time.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class StoreTest(drill.DrillTest):
-    """What the store tells."""
+    """Epochs reported by the store."""
 
     async def is_up_to_date(self):
-        """Checks that edits and notices are known in their time."""
+        """Checks that edits and notices are known in time."""
         self.fleet.configure(7)
         self.fleet.drain('server-1')
         await self.within(
@@ -32,10 +32,10 @@
         )
 
     def test_an_epoch_that_falls_for_good(self):
-        """Somebody sets the store up anew, and it counts from one again.
+        """The store is set up anew and counts epochs from one again.
 
-        All its answers are then older than what is known. Left out for good,
-        gateways would serve for ever what they knew that day.
+        All its answers are then older than the known epoch. If they were
+        discarded for good, gateways would serve an outdated state for ever.
         """
 
         async def scenario():
@@ -50,9 +50,9 @@
         self.simulate(scenario)
 
     def test_an_epoch_that_jumps_for_one_answer(self):
-        """One answer tells an epoch of a thousand; the next ones tell it not.
+        """One answer reports an epoch a thousand higher; the next ones do not.
 
-        Nothing is known anew meanwhile, but for a second or two.
+        Meanwhile no update is applied, for a second or two.
         """
 
         async def scenario():
@@ -70,7 +70,7 @@
         self.simulate(scenario)
 
     def test_the_same_list_under_two_epochs(self):
-        """The copy is of the last moment: nothing was lost, all is the same."""
+        """The copy is current, so that nothing was lost."""
 
         async def scenario():
             async with self.always(lambda one: one.ids() == LIVE):
@@ -85,11 +85,12 @@
         self.simulate(scenario)
 
     def test_a_loop_of_lost_histories_is_bounded(self):
-        """The store lists all and says 410 to every feed, in one epoch.
+        """The store answers list calls but refuses every feed with 410.
 
-        Listed at once each time, there would be a call there all the time. A
-        store that is away is asked every two seconds for each table, and three
-        quarters of that at the least; here that is two calls.
+        It stays in one epoch. If a list followed at once each time, there would
+        be a call to the store at any time. The allowed rate is that of a store
+        that is down: a poll every two seconds for each table, with at least
+        three quarters of that between two; here each poll is two calls.
         """
 
         async def scenario():
@@ -114,12 +115,12 @@
 
 
 class PeerTest(drill.DrillTest):
-    """What another gateway tells."""
+    """Updates from a peer."""
 
     def test_a_faulty_epoch_of_a_peer_does_no_harm_for_long(self):
-        """A datagram tells an epoch that never was, of all that it can.
+        """Every kind of datagram reports an epoch that never existed.
 
-        Taken for good, neither the store nor anyone would be heard again.
+        If it were kept, updates from the store and from peers would be ignored.
         """
 
         async def scenario():
@@ -151,10 +152,11 @@
         self.simulate(scenario)
 
     def test_an_empty_list_of_a_peer_hides_nothing(self):
-        """A gateway tells of a new epoch, with a list that has no entries.
+        """A peer announces a new epoch with an empty snapshot.
 
-        The list is not taken, for it would leave nobody to serve. Taken for all
-        that has changed, it would hide a server that has gone in that epoch.
+        The snapshot is not applied, since it would leave no upstream to serve.
+        If it were taken for an update without changes, it would hide the
+        removal of a server in that epoch.
         """
 
         async def scenario():
@@ -175,9 +177,9 @@
         self.simulate(scenario)
 
     def test_a_faulty_order_of_a_peer_ends(self):
-        """A zone is drained at an epoch that never was; it is not for good.
+        """A drain order has an epoch that never existed; it must not last.
 
-        Of the gateways that hear the others only and ask nobody, too.
+        The gateway that receives it only follows its peers and does not poll.
         """
 
         async def scenario():
@@ -197,10 +199,11 @@
 
         self.simulate(scenario)
 
-    def test_a_faulty_order_makes_no_news_malformed(self):
-        """One gateway holds it; told with its news, that would be left out.
+    def test_a_faulty_order_makes_no_update_malformed(self):
+        """Guards against a gateway whose updates all peers discard.
 
-        Nobody would hear of an edit from that gateway, whoever watches.
+        It holds a faulty drain order. If its updates contained it, they would
+        be malformed, and no peer would learn of an edit from it while it polls.
         """
 
         async def scenario():
@@ -216,8 +219,8 @@
 
         self.simulate(scenario, 2)
 
-    def test_a_faulty_epoch_takes_no_order_back(self):
-        """A zone is drained; a datagram tells an epoch without that order."""
+    def test_a_faulty_epoch_cancels_no_order(self):
+        """A zone is drained; an update with a faulty epoch lacks the order."""
 
         def is_on(one):
             return one.upstreams.zones.is_drained('z')
@@ -245,9 +248,9 @@
         clock.run(work)
 
     def test_a_late_answer_changes_nothing(self):
-        """A slow call was sent before the drill and is answered long after.
+        """A slow call was sent before the drill and is answered long after it.
 
-        Believed, it would take the gateway back to what was lost.
+        Its answer would take the gateway back to the lost state.
         """
 
         async def scenario(epochs):
@@ -291,7 +294,7 @@
             epochs.on_change(lambda: seen.append(epochs.newest))
             for told in (3, 3, 4, 4, 9):
                 epochs.observe('get', told, epochs.newest)
-            # With the first there was none before it to end.
+            # The first epoch ends none before it.
             self.assertEqual(seen, [4, 9])
 
         self.simulate(scenario)
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet that follows one store together, on virtual time.
+"""Tests of a fleet that follows one store together, on virtual time.
 
-Pattern: one watch in each gateway, and entries that change all the time, so
-that each watch returns at once: calls to the store grow with the fleet. At 68
-gateways they were its largest price. Bounds are those of the platforms served
-so far: two seconds for a change of the configuration and for a notice.
+If every gateway polled by itself while entries change all the time, each long
+poll would return at once, and calls to the store would grow with the fleet: at
+68 gateways they were its largest cost. The bounds are those of the platforms
+served so far: two seconds for a change of the configuration and for a notice.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Calls, and what every gateway knows when."""
+    """Calls to the store, and the time at which each gateway knows a change."""
 
     def setUp(self):
         patcher = mock.patch.object(event, 'note')
@@ -32,7 +32,7 @@
         self.addCleanup(patcher.stop)
 
     def simulate(self, scenario, gateways=24, servers=20, bound_s=BOUND_S):
-        """Plays a story on a fleet of its own."""
+        """Runs a scenario on a new fleet."""
 
         async def work():
             self.fleet = watchers.Fleet(gateways, servers, SEED, bound_s)
@@ -45,7 +45,7 @@
         clock.run(work)
 
     async def within(self, bound_s, condition):
-        """Waits until all gateways agree; fails if that takes longer."""
+        """Waits until the condition holds on all; fails after `bound_s`."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
         while not all(condition(one) for one in self.fleet.all):
@@ -61,13 +61,13 @@
         await self.within(bound_s, lambda one: name not in one.ids())
 
     async def calls_in(self, seconds):
-        """Returns the calls a second of the whole fleet, at rest."""
+        """Returns the calls per second of the whole fleet, at rest."""
         before = sum(self.fleet.store.calls.values())
         await asyncio.sleep(seconds)
         return (sum(self.fleet.store.calls.values()) - before) / seconds
 
     def test_calls_grow_little_with_the_fleet(self):
-        """Calls of each gateway's own: 1.3 a second for each of 68."""
+        """Separate polls took 1.3 calls a second for each of 68 gateways."""
         for gateways, most in ((5, 8.0), (26, 8.0), (68, 9.0)):
             with self.subTest(gateways):
 
@@ -85,7 +85,10 @@
         self.simulate(scenario, 68)
 
     def test_an_edit_costs_the_store_one_call(self):
-        """Read by each gateway, an edit is a call and a document for each."""
+        """Guards against an edit that each gateway reads from the store.
+
+        That would be one call and one document per gateway.
+        """
 
         async def scenario():
             rest = await self.calls_in(10.0)
@@ -100,10 +103,10 @@
         self.simulate(scenario, 68)
 
     def test_a_store_that_turns_some_away_is_known_through_the_others(self):
-        """A third of the gateways get refusals, for as long as it lasts.
+        """The store refuses a third of the gateways throughout.
 
-        They would send to servers that have left, and refuse keys that are
-        valid since.
+        They must not send to servers that have left, nor refuse keys that have
+        become valid meanwhile.
         """
 
         def treat(node):
@@ -127,7 +130,7 @@
             )
             one = self.fleet.gateways['entry-3']
             self.fleet.store.treat('entry-3')
-            # Nobody else asks meanwhile, so that it is its turn.
+            # It gets no updates meanwhile, so that it polls by itself.
             self.fleet.net.is_cut = lambda _, other: other == 'entry-3'
             await asyncio.sleep(3.0)
             self.assertTrue(one.health.is_down)
@@ -139,7 +142,7 @@
         self.simulate(scenario)
 
     def test_a_store_that_is_away_for_all_is_found_again_by_all(self):
-        """While it is away an edit and a notice come; then it is back."""
+        """An edit and a notice are written during an outage of the store."""
         for away in (Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS):
             with self.subTest(away):
 
@@ -179,7 +182,7 @@
         self.simulate(scenario)
 
     def test_a_gateway_that_hears_nobody_asks_itself(self):
-        """Links between gateways are cut, the store serves."""
+        """The links between gateways are down, while the store serves."""
 
         async def scenario():
             self.fleet.net.is_cut = lambda _, __: True
@@ -191,7 +194,7 @@
         self.simulate(scenario)
 
     def test_the_one_that_watches_loses_its_connection(self):
-        """Its calls fall silent; it does not know, and nobody else watches."""
+        """Calls of the polling gateway hang unnoticed; no other one polls."""
 
         async def scenario():
             for number in (2, 3, 4):
@@ -211,7 +214,7 @@
         self.simulate(scenario)
 
     def test_whoever_tells_is_killed_before_it_has_told_all(self):
-        """Half of the fleet has heard of an edit, and its teller is dead."""
+        """A gateway dies after announcing an edit to half of its peers."""
 
         async def scenario():
             cut_off = {f'entry-{n}' for n in range(0, 24, 2)}
@@ -240,10 +243,11 @@
         self.simulate(scenario)
 
     def test_what_was_missed_is_asked_for(self):
-        """A gateway hears nobody and gets no answer while a notice is told.
+        """A gateway misses a notice, as the store and its peers are cut off.
 
-        Later news reach it again. Taken for all that it lacks, they would
-        hide the notice for good: the store is asked only for what is newer.
+        Then it receives later updates. If it took them for complete, they would
+        hide the notice for good, since the store is only polled for newer
+        changes.
         """
 
         async def scenario():
@@ -265,7 +269,7 @@
         self.simulate(scenario)
 
     def test_each_finds_the_store_again_where_nobody_tells(self):
-        """The store is back after an outage, and no gateway hears another."""
+        """The store returns while the links between gateways are down."""
 
         async def scenario():
             self.fleet.net.is_cut = lambda _, __: True
@@ -292,10 +296,10 @@
         self.simulate(scenario)
 
     def test_a_version_that_is_none_of_the_stores_does_no_harm_for_long(self):
-        """A faulty datagram tells a version far above the store's.
+        """A faulty datagram has a version far above that of the store.
 
-        Taken for good, no later news would be newer, and a watch behind that
-        version would never tell anything.
+        If it were kept, no later update would be newer, and a poll from that
+        version would never return a change.
         """
 
         async def scenario():
@@ -314,7 +318,7 @@
         self.simulate(scenario)
 
     def test_an_edit_never_steps_back(self):
-        """Edits in quick succession, datagrams overtaken and lost."""
+        """Edits in quick succession, with datagrams lost and reordered."""
 
         async def scenario():
             self.fleet.net.loss = 0.2
@@ -332,7 +336,7 @@
         self.simulate(scenario)
 
     def test_entries_that_lapsed_in_an_outage_are_kept_by_all(self):
-        """The store is away, lets an entry lapse, and it comes back."""
+        """An entry expires during an outage and is written again later."""
 
         async def scenario():
             self.fleet.store.treat = lambda _: Away.REFUSES
@@ -352,10 +356,10 @@
         self.simulate(scenario)
 
     def test_a_gateway_that_restarts_in_an_outage_serves(self):
-        """The store is away, and a gateway is killed and starts again.
+        """A gateway is killed and restarted while the store is down.
 
-        It would refuse every caller until the store is back, with others
-        beside it that know all it needs.
+        Without the state of its peers it would refuse all callers until the
+        store returns.
         """
 
         async def scenario():
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -1,4 +1,4 @@
-"""A source whose feeds are behind its lists, in one epoch."""
+"""Tests of a source whose feeds are behind its snapshots, in one epoch."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 
 FOR_S = 15.0
 SEEDS = range(20)
-# As of a source that is away: doubled from 0.2 s up to every two seconds, three
-# quarters of that at the least.
+# The same as for a source that is down: doubled from 0.2 s up to two seconds,
+# and at least three quarters of that.
 LEAST_PAUSES_S = (0.15, 0.3, 0.6, 1.2, 1.5)
-# Calls at two at a time: at once, after each of the first pauses, and then.
+# Calls, two at a time: at once, after each of the first pauses, and then at the
+# longest pause.
 FIRST_S = sum(LEAST_PAUSES_S[:-1])
 MOST_CALLS = 2 * (len(LEAST_PAUSES_S) + (FOR_S - FIRST_S) / LEAST_PAUSES_S[-1])
 
-# The clock adds up what the loop slept.
+# The virtual clock sums the times that the loop slept.
 CLOCK_S = 1e-6
 
 
 class LowerVersionsTest(unittest.TestCase):
-    """One gateway before a source that lists 100 and tells on from 50.
+    """One gateway polls a source that lists version 100 but feeds from 50.
 
-    Lists and feeds come from two copies of a store. Each feed is answered at
-    once, what is known is dropped for it, and all is listed again: without a
-    pause there is a call at the source all the time.
+    Lists and feeds come from two replicas of a store. Each feed is answered at
+    once, the known revision is dropped for it, and all is listed again: without
+    a pause there would be a call to the source at any time.
     """
 
     def setUp(self):
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -1,4 +1,4 @@
-"""Answers to calls during which another gateway was answered."""
+"""Tests of answers to calls during which another gateway was answered."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 BOUND_S = 3.0
 CALL_S = 0.2
-# Less than the time in which another gateway asks.
+# Less than the time after which another gateway polls.
 SOON_S = 0.2
 BEFORE, AFTER = revision.Revision(0, 5), revision.Revision(0, 6)
 LEAVING = upstream.Change(
@@ -38,7 +38,7 @@
 
 
 class OverlappingCallsTest(unittest.TestCase):
-    """A gateway hears of another's answer while its own call waits."""
+    """A gateway receives an update from a peer while its own call waits."""
 
     def setUp(self):
         patcher = mock.patch.object(event, 'note')
@@ -47,11 +47,11 @@
         self.announced = []
 
     def simulate(self, follower, answers):
-        """Plays two calls; another gateway tells the same during the second.
+        """Runs two calls; a peer sends the same update during the second.
 
         Args:
-          follower: Makes the follower, of what answers its calls.
-          answers: What the source answers; nothing behind the last.
+          follower: Creates the follower, given the function that polls.
+          answers: Answers of the source; there is none after the last.
         """
         script = iter(answers)
 
@@ -63,12 +63,12 @@
             return found
 
         async def work():
-            # As if nothing had been heard for a while.
+            # As if no update had been received for a while.
             await asyncio.sleep(1.0)
             one = follower(ask)
             one.set_announcer(self.announced.append)
             task = asyncio.create_task(one.run())
-            # The first call; the second begins soon after it.
+            # The first call; the second starts soon after it.
             await asyncio.sleep(1.75 * CALL_S)
             (told,) = self.announced
             self.announced.clear()
@@ -96,7 +96,7 @@
         )
 
     def notice(self):
-        """A list of upstreams, and a notice in the answer that follows."""
+        """Returns a list of upstreams, and an answer with a drain notice."""
         found = upstream.Upstream(
             'server-1', 'engines', ('10.0.0.1', 1), 'z', incarnation=1
         )
@@ -107,15 +107,15 @@
         )
 
     def test_a_notice_that_nobody_else_announces(self):
-        """Callers' work goes on to an engine that has said that it leaves.
+        """Guards against work that goes to an engine after its drain notice.
 
-        The one that was answered first told that nothing is new.
+        The gateway that was answered first has announced that nothing is new.
         """
         self.simulate(self.membership, self.notice())
         self.assertIn(LEAVING, [c for n in self.announced for c in n.changes])
 
     def test_an_edit_that_nobody_else_announces(self):
-        """An edit is in force late everywhere but here."""
+        """Guards against an edit that all other gateways apply late."""
         self.simulate(
             self.configuration,
             (
--- a/tests/quetzalsill_gateway/watch/test_patch.py
+++ b/tests/quetzalsill_gateway/watch/test_patch.py
@@ -1,4 +1,4 @@
-"""Documents as differences."""
+"""Tests of patches between documents."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PatchTest(unittest.TestCase):
-    """What is told of an edit."""
+    """Patches for edits."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=300), st.binary(max_size=300))
@@ -27,7 +27,7 @@
         self.assertEqual(patch.apply(base, patch.make(base, found)), found)
 
     def test_an_edit_of_a_large_document_is_small(self):
-        """Some 1,500 routes, 60 KB: one is added, one dropped, one moved."""
+        """About 1,500 routes, 60 KB: one is added, removed or moved."""
         base = document(range(1500))
         for edit in (
             range(1501),
--- a/tests/quetzalsill_gateway/watch/test_random_drills.py
+++ b/tests/quetzalsill_gateway/watch/test_random_drills.py
@@ -1,7 +1,7 @@
-"""Drills, cuts, restarts and edits in any order, by seed.
+"""Drills, partitions, restarts and edits in random order, by seed.
 
-Whatever happened, once it is over all gateways agree with what operators and
-servers have written, go on hearing, and no configuration has stepped back.
+In the end all gateways agree with what operators and servers have written and
+still receive changes, and no gateway has gone back to an older configuration.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 ZONE = 'other'
 SEEDS = range(40)
-# Servers that stay, whatever else happens.
+# Servers that are never removed.
 LEAST_SERVERS = 4
-# An order of an epoch before ends 10 s after the return of the store, and who
-# has been cut off finds it again in 3.5 s; half as much again.
+# A drain order of an earlier epoch ends 10 s after the return of the store, and
+# a partitioned gateway reaches it again within 3.5 s; half as much again.
 SETTLED_S = 20.0
 KNOWN_S = 3.0
 
 
 class Scenario:
-    """One fleet and what happens to it."""
+    """One fleet and the events it goes through."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -40,7 +40,7 @@
         self.faults = []
 
     async def simulate(self):
-        """Returns what was wrong in the end, or at any moment."""
+        """Returns the faults found in the end or at any time."""
         await self.fleet.start()
         self.fleet.net.loss = self.rng.choice((0.0, 0.0, 0.1, 0.3))
         self.copies.append(self.store.copy())
@@ -62,7 +62,7 @@
         return self.faults
 
     async def watch(self):
-        """Notes configurations that step back, and loops that have ended."""
+        """Records configurations that go back, and tasks that have ended."""
         seen = {}
         while True:
             for one in self.fleet.all:
@@ -74,7 +74,7 @@
             await asyncio.sleep(0.02)
 
     def compare(self):
-        """Notes gateways that know anything else than what was written."""
+        """Records gateways whose state differs from what was written."""
         alive = {
             name
             for name, found in self.fleet.written.items()
--- a/tests/quetzalsill_gateway/watch/test_schedule.py
+++ b/tests/quetzalsill_gateway/watch/test_schedule.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to ask the source."""
+"""Tests of which gateway polls the source, and when."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     """Two gateways that were answered at the same time."""
 
     def test_two_that_are_answered_at_once_do_not_both_stop(self):
-        """Two calls end with the same change, and both tell of it.
+        """Two calls end with the same change, and both gateways announce it.
 
-        Each took the other's word for that of who watches from now on. Nobody
-        did, and the next edit was known half a second late or more.
+        Each took the update of the other for a sign that it goes on polling.
+        None did, and the next edit was known half a second late or more.
         """
 
         async def work():
@@ -47,10 +47,11 @@
         self.assertTrue(any(clock.run(work)))
 
     def test_one_of_two_watches_on_in_a_large_fleet(self):
-        """A notice is known late: both leave the source to the other.
+        """Guards against a late notice, as both leave the polling to the other.
 
-        Who watches a large fleet pauses between its calls. Each of two that
-        were answered at once hears the other in that pause.
+        In a large fleet the polling gateway pauses between its calls. Each of
+        two that were answered at the same time receives the update of the other
+        in that pause.
         """
 
         async def work():
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -1,7 +1,7 @@
-"""Word of the past, taken while a gateway has no feed to read on from.
+"""Tests of outdated updates that arrive while no feed can be resumed.
 
-The source has ended the feed, and the list that follows is refused: nothing is
-known up to any revision then, but all that was accepted still is.
+The source has ended the feed and refuses the list that follows: no revision is
+known then, but all that was applied before still is.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Script:
-    """Answers of a source, one after the other; refuses behind the last."""
+    """A source with scripted answers; it refuses calls after the last."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -54,14 +54,14 @@
         if not self.answers:
             raise error.SourceError('refused')
         answer = self.answers.pop(0)
-        # Every answer tells the epoch, before anything else is taken of it.
+        # Every answer has its epoch checked before its content is used.
         told = asked if answer is None else answer.revision.epoch
         self.epochs.observe('rows', told, asked)
         return answer
 
 
 class StaleUpdateTest(unittest.TestCase):
-    """A gateway whose source has answered 410 and is away since."""
+    """A gateway whose source has answered 410 and is down since."""
 
     def setUp(self):
         patcher = mock.patch.object(event, 'note')
@@ -108,11 +108,11 @@
         return {found.id for found in self.upstreams.of(SERVICE)}
 
     def test_a_list_of_before_brings_no_ended_server_back(self):
-        """A server that has ended gets new work again, for good.
+        """Guards against a server that has ended and gets new work for good.
 
-        The store's feed says that it is gone; then the store loses its history
-        and is away. Asked for all, a gateway that was cut off before answers
-        with its list, which still has the server.
+        The feed of the store reports the removal; then the store loses its
+        history and is down. A peer that was partitioned off before answers with
+        its snapshot, which still has the server.
         """
 
         def follower():
@@ -135,9 +135,10 @@
         self.simulate(follower, scenario)
 
     def test_a_list_of_before_drops_no_server(self):
-        """A server that lives gets no work, and its runs move away.
+        """Guards against a running server that gets no work and loses its runs.
 
-        It entered after the list that a gateway tells which was cut off since.
+        It started after the snapshot of a peer that has been partitioned off
+        since.
         """
         later = upstream.Change(ENDED.id, at(60), ENDED.upstream)
 
@@ -162,7 +163,7 @@
     def test_a_list_of_the_epoch_before_brings_no_ended_server_back(self):
         """The same across a drill: the list of the new epoch lacks the server.
 
-        A gateway that is cut off from the store tells that of the old one.
+        A gateway without a connection to the store sends that of the old one.
         """
 
         def follower():
@@ -188,11 +189,11 @@
         self.simulate(follower, scenario)
 
     def test_a_snapshot_hides_no_order_that_was_cancelled(self):
-        """A zone stands idle, although operators have taken it back.
+        """Guards against a zone that stays idle after its order was cancelled.
 
-        The store loses its history and is away. Another gateway that has listed
-        the orders since tells the configuration whole, without the order; taken
-        as all up to there, nobody asks what came before.
+        The store loses its history and is down. A peer that has listed the
+        orders since sends a snapshot of the configuration without the order; if
+        it were taken for complete, the cancellation would never be polled for.
         """
         stands = zones.Drain('z', at(20), True)
 
@@ -214,18 +215,19 @@
                     sender='started-since',
                 )
             )
-            # Either the order is gone, or the gateway is not up to there.
+            # Either the order is cancelled, or that revision is not yet
+            # reached.
             is_on = self.upstreams.zones.is_drained('z')
             self.assertFalse(is_on and one._revision == at(70))
 
         self.simulate(follower, scenario)
 
     def test_a_late_update_cancels_no_order(self):
-        """Work goes to a drained zone, while the store is away.
+        """Guards against work in a drained zone while the store is down.
 
-        Two gateways that were cut off before the order was written tell this
-        one what they know, more than five seconds apart. Neither is the source,
-        and neither says that the source has no such order.
+        Two peers that were partitioned off before the order was written send
+        what they know, more than five seconds apart. Neither is the source, and
+        neither shows that the source has no such order.
         """
         stands = zones.Drain('z', at(60), True)
 
@@ -248,7 +250,7 @@
         self.simulate(follower, scenario)
 
     def test_an_update_of_an_older_epoch_cancels_no_order(self):
-        """The same, of gateways that are cut off since before a drill."""
+        """The same with peers partitioned off since before a drill."""
         stands = zones.Drain('z', at(20, 8), True)
 
         def follower():
@@ -268,11 +270,11 @@
         self.simulate(follower, scenario)
 
     def test_of_two_with_one_number_the_older_does_not_come_again(self):
-        """Keys that operators have withdrawn are good again.
+        """Guards against withdrawn keys that become valid again.
 
-        They have written another document under the same number. The store
-        loses its history and is away; a gateway that was cut off since before
-        tells the document that it has.
+        Operators have written another document with the same number. The store
+        loses its history and is down; a peer that was partitioned off before
+        sends the document that it has.
         """
         first = json.dumps({'version': 5, 'name': 'first'}).encode()
 
@@ -299,14 +301,14 @@
 
 
 class FallenEpochTest(drill.DrillTest):
-    """The store tells an older epoch from now on."""
+    """The store reports an older epoch from now on."""
 
     def test_a_drained_zone_stays_drained(self):
-        """New work goes to a zone whose order always stood, on all gateways.
+        """Guards against work in a drained zone, on all gateways.
 
-        Somebody sets the store up anew from what it holds, and it counts from
-        one again. The order as listed is older than the one that is known,
-        which is dropped as faulty some seconds later; nobody lists anew then.
+        The store is set up anew from what it holds and counts epochs from one
+        again. The order as listed is older than the known one, which is dropped
+        as faulty some seconds later; no list follows then.
         """
 
         async def scenario():
@@ -322,14 +324,14 @@
 
 
 class FaultyOrderTest(drill.DrillTest):
-    """A datagram tells an order for a zone of a revision that never was."""
+    """A datagram has a drain order with a revision that never existed."""
 
     def test_the_order_that_stands_is_in_force_again(self):
-        """New work goes for good to a zone that operators have drained.
+        """Guards against work for good in a zone that operators have drained.
 
-        The faulty order takes the place of theirs. Dropped some seconds later
-        by an answer of the store, it leaves nothing, and the zone's own order
-        is not listed again.
+        The faulty order replaces theirs. When an answer of the store drops it
+        some seconds later, no order is left, and that of the zone is not listed
+        again.
         """
         for epochs in (0, 1):
             for is_on in (True, False):
@@ -352,15 +354,15 @@
 
 
 class WrongEpochTest(drill.DrillTest):
-    """One gateway is told another epoch than the others, for good."""
+    """One gateway gets another epoch than the others, for good."""
 
     def test_the_others_do_not_ask_all_the_time(self):
-        """The store has a dozen times as many calls, until somebody notices.
+        """Guards against a dozen times as many calls to the store.
 
-        A proxy before one gateway answers with an epoch that never was. Each
-        word of that gateway sends all others to the store within a second,
-        which has told them each time that it is in no such epoch. They are to
-        ask as often as in a drill, three times each, and as usual otherwise.
+        A proxy before one gateway answers with an epoch that never existed.
+        Each update of that gateway sends all others to the store within a
+        second, which has denied the epoch each time. They may poll as often as
+        in a drill, three times each, and as usual otherwise.
         """
 
         async def scenario():
@@ -379,7 +381,7 @@
         self.simulate(scenario)
 
     async def calls(self, for_s):
-        """Returns how many calls there are, and who makes the most."""
+        """Returns the number of calls, and the gateway that makes the most."""
         before = dict(self.fleet.store.calls)
         await asyncio.sleep(for_s)
         made = {
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -1,9 +1,9 @@
-"""A zone is drained before a fleet that follows one store together.
+"""Tests of draining a zone, in a fleet that follows one store together.
 
-Pattern: operators empty an availability zone, often while the store turns some
-gateways away or has forgotten its history, and take it back later. Whoever goes
-on sending there breaks what operators were promised; the bound is five seconds
-on the platform served so far, and gateways are to need one.
+Operators drain an availability zone, often while the store refuses some
+gateways or has lost its history, and cancel the order later. New work in a
+drained zone breaks what operators were promised; the bound is five seconds on
+the platform served so far, and gateways are to need one.
 """
 
 from __future__ import annotations
@@ -19,19 +19,21 @@
 from quetzalsill_gateway.watch import update
 
 SEED = 5
-# With these an engine's notice was known to 282 and 41 of 285 in time.
+# With these seeds a drain notice was known to 282 and 41 of 285 gateways in
+# time.
 LATE_NOTICE_SEEDS = (1, 3)
 STEP_S = 0.005
-# All in touch know within this time; what is allowed is five times as much.
+# Time within which all connected gateways know an order; the allowed time is
+# five times as much.
 KNOWN_S = 1.0
-# Who is cut off from the store and hears nobody asks again within this time of
-# its return (`watch.schedule`).
+# A gateway without connection to store and peers polls the store again within
+# this time of its return (`watch.schedule`).
 RECOVERY_S = 3.5
 ZONE = 'z'
 
 
 class ZoneDrainTest(unittest.TestCase):
-    """What every gateway knows, and when."""
+    """The time at which each gateway knows an order."""
 
     def setUp(self):
         patcher = mock.patch.object(event, 'note')
@@ -77,9 +79,9 @@
     def test_rare_updates_are_fast_in_a_large_fleet(self):
         """300 gateways; a tenth of datagrams is lost, a twentieth are paused.
 
-        News goes through others there. Whoever is not paused knows an order, a
-        notice and a configuration within half a second, but for one in a
-        hundred, who missed it and hears the next.
+        Updates are relayed there. Of the gateways that are not paused, 99 in a
+        hundred know an order, a notice and a configuration within half a
+        second; the rest missed the update and get the next one.
         """
 
         async def scenario():
@@ -113,7 +115,7 @@
                 self.simulate(scenario, 300, seed)
 
     def test_datagrams_are_lost(self):
-        """A fifth of all datagrams; who missed one hears the next."""
+        """A fifth of all datagrams is lost; the next update makes up for it."""
 
         async def scenario():
             self.fleet.net.loss = 0.2
@@ -123,7 +125,7 @@
         self.simulate(scenario, 68)
 
     def test_the_store_turns_a_third_away(self):
-        """Those it serves tell the rest."""
+        """The gateways that the store serves send updates to the rest."""
 
         async def scenario():
             self.fleet.store.treat = lambda node: (
@@ -146,10 +148,10 @@
         self.simulate(scenario)
 
     def test_it_is_taken_back_while_a_gateway_is_cut_off(self):
-        """Cut off from store and gateways, one keeps to what it knew.
+        """A gateway without store and peers keeps the order that it knows.
 
-        Back, it learns that the order was taken back, and does not tell the
-        others of the one that it held.
+        Once reconnected it learns that the order was cancelled, and does not
+        send its own to the others.
         """
 
         async def scenario():
@@ -175,10 +177,10 @@
         self.simulate(scenario)
 
     def test_who_starts_knows_before_it_serves(self):
-        """A gateway that starts reads both tables, and only then serves.
+        """A gateway that starts reads both tables before it serves.
 
-        With the configuration in force and the order unknown, its first
-        requests would go to the zone.
+        With an active configuration and the order unknown, its first requests
+        would go to the zone.
         """
 
         async def scenario():
@@ -192,11 +194,11 @@
         self.simulate(scenario)
 
     def test_who_starts_hides_no_order_that_was_taken_back(self):
-        """A zone stands idle, although operators have taken it back.
+        """Guards against a zone that stays idle after its order was cancelled.
 
-        The gateways that watch die, and one starts. It lists the orders that
-        stand and tells the others how far the store has come; they ask for what
-        came behind that, and the order was taken back before.
+        The polling gateways die, and one starts. It lists the current orders
+        and announces the revision of the source; the others poll for what came
+        after that, and the order was cancelled before.
         """
 
         async def scenario():
@@ -205,7 +207,7 @@
             before = dict(self.fleet.store.calls)
             await asyncio.sleep(2.0)
             calls = self.fleet.store.calls
-            # Of either table.
+            # The gateways that poll either table.
             for watcher in [one for one in calls if calls[one] > before[one]]:
                 self.fleet.kill(watcher)
             self.drain(False)
@@ -225,9 +227,10 @@
         self.simulate(scenario)
 
     def test_a_faulty_version_does_not_hold_for_good(self):
-        """A datagram tells an order of a version that the store never had.
+        """A datagram has an order with a version that the store never had.
 
-        Kept, the zone would stand idle until operators drained it again.
+        If it were kept, the zone would stay idle until operators drained it
+        again.
         """
 
         async def scenario():
