--- a/tests/quetzalsill_gateway/watch/drill.py
+++ b/tests/quetzalsill_gateway/watch/drill.py
@@ -42,11 +42,11 @@
 
         clock.run(work)
 
-    async def within(self, bound_s, condition, those=None):
+    async def within(self, bound_s, condition, gateways=None):
         """Waits until the condition holds on all; fails after `bound_s`."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
-        while not all(condition(one) for one in those or self.fleet.all):
+        while not all(condition(one) for one in gateways or self.fleet.all):
             self.assertLess(loop.time(), end_s, 'known too late')
             await asyncio.sleep(STEP_S)
 
--- a/tests/quetzalsill_gateway/watch/test_active_document.py
+++ b/tests/quetzalsill_gateway/watch/test_active_document.py
@@ -67,20 +67,20 @@
         for order in itertools.permutations(documents):
             self.assertEqual(self.after(*order).data, documents[2].data)
 
-    def test_what_is_written_again_is_the_same(self):
+    def test_a_document_written_again_is_the_same(self):
         first, again = document(5, 'a', 1, 7), document(5, 'a', 2, 3)
         held = self.after(first, again, first)
         self.assertEqual(held.mod_revision, again.mod_revision)
-        told = [call.args[0] for call in self.note.call_args_list]
-        kinds = [type(one) for one in told]
+        events = [call.args[0] for call in self.note.call_args_list]
+        kinds = [type(one) for one in events]
         self.assertEqual(kinds, [event.ConfigurationInstalled])
 
-    def test_one_that_cannot_be_read_counts_for_nothing(self):
+    def test_an_invalid_document_is_ignored(self):
         bad = source.Document(b'{', revision.Revision(9, 9))
         good = document(5, 'a', 1, 7)
         self.assertEqual(self.after(good, bad).data, good.data)
 
-    def test_a_revision_that_never_was_does_not_count_for_good(self):
+    def test_a_revision_that_never_existed_does_not_count_for_good(self):
         """An update has a revision of the document far ahead of the source.
 
         A later document with the same number would then never become active
@@ -93,8 +93,8 @@
             )
             held.install(document(5, 'first', 1, 7))
             far = revision.Revision(1, 2**50)
-            told = update.ConfigurationUpdate(far, 5, mod_revision=far)
-            self.assertFalse(held.is_superseded_by(told))
+            received = update.ConfigurationUpdate(far, 5, mod_revision=far)
+            self.assertFalse(held.is_superseded_by(received))
             held.cap_revision(revision.Revision(1, 20))
             held.install(document(5, 'second', 1, 21))
             return held.data
--- a/tests/quetzalsill_gateway/watch/test_drill.py
+++ b/tests/quetzalsill_gateway/watch/test_drill.py
@@ -22,7 +22,7 @@
 class MembershipTest(drill.DrillTest):
     """Entries of servers."""
 
-    def test_a_version_given_out_again_hides_no_notice(self):
+    def test_a_reused_version_hides_no_notice(self):
         """Guards against work that goes to a server after its drain notice.
 
         The restored store takes the notice, and its versions pass those that
@@ -68,7 +68,7 @@
 
         self.simulate(scenario)
 
-    def test_nobody_is_taken_out_because_a_copy_is_older(self):
+    def test_no_server_is_removed_because_a_copy_is_older(self):
         """Guards against the removal of servers that the copy lacks.
 
         Half of the servers have started since the copy was taken and enter
@@ -245,7 +245,7 @@
 class LoadTest(drill.DrillTest):
     """Calls to the store by the whole fleet."""
 
-    def test_each_gateway_asks_a_few_times(self):
+    def test_each_gateway_polls_a_few_times(self):
         """Guards against a burst of calls when 68 gateways see the drill.
 
         If each listed both tables at once, the store would get 136 list calls
--- a/tests/quetzalsill_gateway/watch/test_drill_operators.py
+++ b/tests/quetzalsill_gateway/watch/test_drill_operators.py
@@ -40,7 +40,7 @@
 
                 self.simulate(scenario)
 
-    def test_a_version_given_out_again_hides_no_configuration(self):
+    def test_a_reused_version_hides_no_configuration(self):
         """Guards against a key that stays valid although it was withdrawn.
 
         The key is withdrawn right after the drill. The new configuration has a
@@ -98,18 +98,18 @@
         """
 
         async def scenario():
-            asked = []
+            requests = []
             one = self.fleet.all[0]
-            one.configuration.on_missing(lambda: asked.append(one.node))
-            told = update.ConfigurationUpdate(
+            one.configuration.on_missing(lambda: requests.append(one.node))
+            received = update.ConfigurationUpdate(
                 revision.Revision(0, 1), 9, b'patch'
             )
-            one.configuration.handle_update(told)
+            one.configuration.handle_update(received)
             await asyncio.sleep(1.0)
             for _ in range(300):
-                one.configuration.handle_update(told)
+                one.configuration.handle_update(received)
                 await asyncio.sleep(0.01)
-            self.assertIn(len(asked), (3, 4))
+            self.assertIn(len(requests), (3, 4))
 
         self.simulate(scenario, 2)
 
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -31,7 +31,7 @@
             2.0, lambda one: one.number == 7 and 'server-1' not in one.ids()
         )
 
-    def test_an_epoch_that_falls_for_good(self):
+    def test_an_epoch_that_decreases_for_good(self):
         """The store is set up anew and counts epochs from one again.
 
         All its answers are then older than the known epoch. If they were
@@ -214,8 +214,8 @@
             )
             whole = one.configuration.snapshot()
             data = bulletin.encode(one.node, whole)
-            _, told = bulletin.decode(*frame.unpack(data))
-            self.assertEqual(told.number, one.number)
+            _, decoded = bulletin.decode(*frame.unpack(data))
+            self.assertEqual(decoded.number, one.number)
 
         self.simulate(scenario, 2)
 
@@ -292,8 +292,8 @@
         async def scenario(epochs):
             seen = []
             epochs.on_change(lambda: seen.append(epochs.newest))
-            for told in (3, 3, 4, 4, 9):
-                epochs.observe('get', told, epochs.newest)
+            for reported in (3, 3, 4, 4, 9):
+                epochs.observe('get', reported, epochs.newest)
             # The first epoch ends none before it.
             self.assertEqual(seen, [4, 9])
 
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -102,7 +102,7 @@
 
         self.simulate(scenario, 68)
 
-    def test_a_store_that_turns_some_away_is_known_through_the_others(self):
+    def test_gateways_that_the_store_refuses_get_updates_from_peers(self):
         """The store refuses a third of the gateways throughout.
 
         They must not send to servers that have left, nor refuse keys that have
@@ -123,7 +123,7 @@
 
         self.simulate(scenario)
 
-    def test_who_is_turned_away_notices_that_it_is_served_again(self):
+    def test_a_refused_gateway_notices_that_it_is_served_again(self):
         async def scenario():
             self.fleet.store.treat = lambda node: (
                 Away.REFUSES if node == 'entry-3' else Away.SERVES
@@ -181,7 +181,7 @@
 
         self.simulate(scenario)
 
-    def test_a_gateway_that_hears_nobody_asks_itself(self):
+    def test_a_gateway_without_updates_polls_by_itself(self):
         """The links between gateways are down, while the store serves."""
 
         async def scenario():
@@ -193,7 +193,7 @@
 
         self.simulate(scenario)
 
-    def test_the_one_that_watches_loses_its_connection(self):
+    def test_the_polling_gateway_loses_its_connection(self):
         """Calls of the polling gateway hang unnoticed; no other one polls."""
 
         async def scenario():
@@ -213,7 +213,7 @@
 
         self.simulate(scenario)
 
-    def test_whoever_tells_is_killed_before_it_has_told_all(self):
+    def test_the_announcing_gateway_is_killed_half_way(self):
         """A gateway dies after announcing an edit to half of its peers."""
 
         async def scenario():
@@ -242,7 +242,7 @@
 
         self.simulate(scenario)
 
-    def test_what_was_missed_is_asked_for(self):
+    def test_missed_changes_are_polled_for(self):
         """A gateway misses a notice, as the store and its peers are cut off.
 
         Then it receives later updates. If it took them for complete, they would
@@ -268,7 +268,7 @@
 
         self.simulate(scenario)
 
-    def test_each_finds_the_store_again_where_nobody_tells(self):
+    def test_each_reaches_the_store_again_without_updates(self):
         """The store returns while the links between gateways are down."""
 
         async def scenario():
@@ -285,7 +285,7 @@
 
         self.simulate(scenario)
 
-    def test_forgotten_history_is_met_by_reading_anew(self):
+    def test_a_lost_history_is_followed_by_a_new_list(self):
         async def scenario():
             self.fleet.store.forget_history()
             await self.notice_is_known('server-3')
@@ -295,7 +295,7 @@
 
         self.simulate(scenario)
 
-    def test_a_version_that_is_none_of_the_stores_does_no_harm_for_long(self):
+    def test_a_version_that_never_existed_does_no_harm_for_long(self):
         """A faulty datagram has a version far above that of the store.
 
         If it were kept, no later update would be newer, and a poll from that
@@ -317,7 +317,7 @@
 
         self.simulate(scenario)
 
-    def test_an_edit_never_steps_back(self):
+    def test_no_edit_is_reverted(self):
         """Edits in quick succession, with datagrams lost and reordered."""
 
         async def scenario():
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -43,7 +43,7 @@
         self.ended_s = []
         self.listed_s = []
 
-    async def ask(self, after, wait_s):
+    async def poll(self, after, wait_s):
         self.calls += 1
         loop = asyncio.get_running_loop()
         if after is None:
@@ -84,7 +84,7 @@
     def test_membership(self):
         self.simulate(
             lambda rng: membership.Membership(
-                self.ask,
+                self.poll,
                 upstream.Upstreams(),
                 source.Health(),
                 2.0,
@@ -96,7 +96,7 @@
     def test_configuration(self):
         self.simulate(
             lambda rng: configuration.Configuration(
-                self.ask,
+                self.poll,
                 watchers._read,
                 source.RoutingTableHolder(),
                 upstream.Upstreams().zones,
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -55,7 +55,7 @@
         """
         script = iter(answers)
 
-        async def ask(_, __):
+        async def poll(_, __):
             await asyncio.sleep(CALL_S)
             found = next(script, None)
             if found is None:
@@ -65,28 +65,28 @@
         async def work():
             # As if no update had been received for a while.
             await asyncio.sleep(1.0)
-            one = follower(ask)
+            one = follower(poll)
             one.set_announcer(self.announced.append)
             task = asyncio.create_task(one.run())
             # The first call; the second starts soon after it.
             await asyncio.sleep(1.75 * CALL_S)
-            (told,) = self.announced
+            (sent,) = self.announced
             self.announced.clear()
-            one.handle_update(dataclasses.replace(told, sender='entry-2'))
+            one.handle_update(dataclasses.replace(sent, sender='entry-2'))
             await asyncio.sleep(CALL_S + SOON_S)
             task.cancel()
 
         clock.run(work)
 
-    def membership(self, ask):
+    def membership(self, poll):
         return membership.Membership(
-            ask, upstream.Upstreams(), source.Health(), BOUND_S
+            poll, upstream.Upstreams(), source.Health(), BOUND_S
         )
 
-    def configuration(self, ask):
+    def configuration(self, poll):
         found = upstream.Upstreams()
         return configuration.Configuration(
-            ask,
+            poll,
             watchers._read,
             source.RoutingTableHolder(),
             found.zones,
@@ -127,7 +127,7 @@
                 ),
             ),
         )
-        self.assertIn(2, [told.number for told in self.announced])
+        self.assertIn(2, [sent.number for sent in self.announced])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_random_drills.py
+++ b/tests/quetzalsill_gateway/watch/test_random_drills.py
@@ -67,9 +67,9 @@
         while True:
             for one in self.fleet.all:
                 if one.number < seen.get(one, 0):
-                    self.faults.append((one.node, 'stepped back'))
+                    self.faults.append((one.node, 'configuration reverted'))
                 if any(task.done() for task in one.tasks):
-                    self.faults.append((one.node, 'ended'))
+                    self.faults.append((one.node, 'task ended'))
                 seen[one] = one.number
             await asyncio.sleep(0.02)
 
@@ -138,13 +138,13 @@
         self.drills.append(asyncio.create_task(work))
 
     def cut(self):
-        those = self.some()
-        self.fleet.net.is_cut = lambda a, b: (a in those) != (b in those)
+        names = self.some()
+        self.fleet.net.is_cut = lambda a, b: (a in names) != (b in names)
 
     def refuse_some(self):
-        those = self.some()
+        names = self.some()
         how = self.rng.choice((Away.REFUSES, Away.SILENT, Away.LOSES_ANSWERS))
-        self.store.treat = lambda node: how if node in those else Away.SERVES
+        self.store.treat = lambda node: how if node in names else Away.SERVES
 
     def restart(self):
         name = self.rng.choice(list(self.fleet.gateways))
--- a/tests/quetzalsill_gateway/watch/test_schedule.py
+++ b/tests/quetzalsill_gateway/watch/test_schedule.py
@@ -46,7 +46,7 @@
 
         self.assertTrue(any(clock.run(work)))
 
-    def test_one_of_two_watches_on_in_a_large_fleet(self):
+    def test_one_of_two_polls_on_in_a_large_fleet(self):
         """Guards against a late notice, as both leave the polling to the other.
 
         In a large fleet the polling gateway pauses between its calls. Each of
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -41,22 +41,22 @@
     return one.upstreams.zones.is_drained('z')
 
 
-class Script:
+class ScriptedSource:
     """A source with scripted answers; it refuses calls after the last."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
         self.epochs = epoch.EpochTracker()
 
-    async def ask(self, after, wait_s):
-        asked = self.epochs.newest
+    async def poll(self, after, wait_s):
+        newest_when_sent = self.epochs.newest
         await asyncio.sleep(0.01)
         if not self.answers:
             raise error.SourceError('refused')
         answer = self.answers.pop(0)
         # Every answer has its epoch checked before its content is used.
-        told = asked if answer is None else answer.revision.epoch
-        self.epochs.observe('rows', told, asked)
+        reported = newest_when_sent if answer is None else answer.revision.epoch
+        self.epochs.observe('rows', reported, newest_when_sent)
         return answer
 
 
@@ -82,9 +82,9 @@
         clock.run(work)
 
     def membership(self, *answers):
-        script = Script(*answers)
+        script = ScriptedSource(*answers)
         return membership.Membership(
-            script.ask,
+            script.poll,
             self.upstreams,
             source.Health(),
             BOUND_S,
@@ -92,9 +92,9 @@
         )
 
     def configuration(self, *answers):
-        script = Script(*answers)
+        script = ScriptedSource(*answers)
         return configuration.Configuration(
-            script.ask,
+            script.poll,
             watchers._read,
             source.RoutingTableHolder(),
             self.upstreams.zones,
@@ -300,7 +300,7 @@
         self.simulate(follower, scenario)
 
 
-class FallenEpochTest(drill.DrillTest):
+class LowerEpochTest(drill.DrillTest):
     """The store reports an older epoch from now on."""
 
     def test_a_drained_zone_stays_drained(self):
@@ -356,7 +356,7 @@
 class WrongEpochTest(drill.DrillTest):
     """One gateway gets another epoch than the others, for good."""
 
-    def test_the_others_do_not_ask_all_the_time(self):
+    def test_the_others_do_not_poll_all_the_time(self):
         """Guards against a dozen times as many calls to the store.
 
         A proxy before one gateway answers with an epoch that never existed.
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -51,12 +51,12 @@
 
         clock.run(work)
 
-    async def within(self, bound_s, is_on, those=None):
+    async def within(self, bound_s, is_on, gateways=None):
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
         while not all(
             one.upstreams.zones.is_drained(ZONE) == is_on
-            for one in (those or self.fleet.all)
+            for one in (gateways or self.fleet.all)
         ):
             self.assertLess(loop.time(), end_s, 'known too late')
             await asyncio.sleep(STEP_S)
@@ -124,7 +124,7 @@
 
         self.simulate(scenario, 68)
 
-    def test_the_store_turns_a_third_away(self):
+    def test_the_store_refuses_a_third(self):
         """The gateways that the store serves send updates to the rest."""
 
         async def scenario():
@@ -216,7 +216,7 @@
 
         self.simulate(scenario)
 
-    def test_who_starts_in_an_outage_is_told_by_others(self):
+    def test_who_starts_in_an_outage_gets_the_state_of_peers(self):
         async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
