--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -28,7 +28,8 @@
 # Minimum time between two log lines about discarded answers.
 LOG_EVERY_S = 60.0
 
-# Exported as `meter.epochs`. Defined here because `meter` imports this module.
+# Other modules use it as `meter.epochs`. It is defined here because `meter`
+# depends on `core`, which holds a source.
 epochs_total = metric.counter(
     'quetzalsill_gateway_store_epochs_total',
     'Epochs of the store: entered, tables listed for it, answers left out.',
