--- a/tests/quetzalsill_gateway/watch/__init__.py
+++ b/tests/quetzalsill_gateway/watch/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of how gateways keep up with their sources."""
+"""Tests of how gateways follow their sources."""
