--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -1,8 +1,8 @@
-"""Which epoch the source is in, as its answers to this gateway say.
+"""Tracks the epoch of the source, as its answers to this gateway report it.
 
-A source that loses its newest changes enters a new epoch (`fleet.revision`).
-Whichever call hears of it first speaks for all: every table is listed anew, and
-what the gateway has written there is written again.
+A source that loses its newest changes enters a new epoch (`fleet.revision`). As
+soon as any call reports it, all tables are listed again, and the entries that
+the gateway has written are written again.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 
 __all__ = ['DOWNGRADE_AFTER_S', 'EpochTracker', 'epochs_total']
 
-# A source that tells an older epoch for so long, and the newer not once in
-# between, is in the older: the other was a fault of one answer's.
+# If a source reports an older epoch for this long, and the newer one not once
+# in between, it is in the older: the newer one was a fault of one answer.
 DOWNGRADE_AFTER_S = 1.0
-# What another gateway tells of an epoch that the source has denied is left out
-# for so long: its word would send all others to the source, again and again.
+# Updates of an epoch that the source has denied are ignored for this long: each
+# would send all other gateways to the source again.
 REFUTED_S = 60.0
-# Least time between two log lines of answers that were left out.
+# Minimum time between two log lines about discarded answers.
 LOG_EVERY_S = 60.0
 
-# `meter.epochs` to all others; that looks at what holds a source.
+# Other modules use it as `meter.epochs`. It is defined here because `meter`
+# depends on `core`, which holds a source.
 epochs_total = metric.counter(
     'quetzalsill_gateway_store_epochs_total',
     'Epochs of the store: entered, tables listed for it, answers left out.',
@@ -36,48 +37,50 @@
 
 
 class EpochTracker:
-    """The newest epoch that the source has told.
+    """The newest epoch that the source has reported.
 
     Attributes:
-      newest: That epoch; 0 before any, and for a source that tells none.
+      newest: That epoch; 0 before any, and for a source that reports none.
     """
 
     def __init__(self) -> None:
         self.newest = 0
         self._is_known = False
-        self._told = 0
-        self._told_s = 0.0
+        self._peer_epoch = 0
+        self._peer_epoch_s = 0.0
         self._refuted = 0
         self._refuted_until_s = 0.0
-        self._behind_s: float | None = None
-        self._quiet_until_s = 0.0
-        self._on_new: list[Callable[[], None]] = []
+        self._downgrade_since_s: float | None = None
+        self._log_after_s = 0.0
+        self._on_change: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Calls back when the source has entered another epoch."""
-        self._on_new.append(callback)
+        """Registers a callback for when the source enters another epoch."""
+        self._on_change.append(callback)
 
-    def observe(self, call: str, told: int, asked: int) -> None:
-        """Takes the epoch of an answer, whatever else is in it.
+    def observe(self, call: str, epoch: int, newest_when_sent: int) -> None:
+        """Checks the epoch of an answer before its content is used.
 
         Args:
           call: Name of the call.
-          told: The epoch.
-          asked: `newest` as the call was sent.
+          epoch: Epoch of the answer.
+          newest_when_sent: `newest` when the call was sent.
 
         Raises:
-          error.StaleAnswerError: The answer is of an epoch that has ended; it
-            changes nothing.
+          error.StaleAnswerError: The answer is of an epoch that has ended and
+            must be discarded.
         """
-        if told < self.newest and not self._has_fallen(told, asked):
+        if epoch < self.newest and not self._is_downgrade(
+            epoch, newest_when_sent
+        ):
             epochs_total.inc({'what': 'stale'})
-            self._note_stale(call, told)
+            self._log_stale(call, epoch)
             raise error.StaleAnswerError(
-                f'{call}: epoch {told}, after {self.newest}'
+                f'{call}: epoch {epoch}, after {self.newest}'
             )
-        self._behind_s = None
-        if told != self.newest:
-            self._enter(call, told)
+        self._downgrade_since_s = None
+        if epoch != self.newest:
+            self._enter(call, epoch)
         self._is_known = True
         self._refute()
 
@@ -86,63 +89,68 @@
         table: str,
         peer: str,
         known: revision.Revision,
-        told: revision.Revision,
+        reported: revision.Revision,
     ) -> None:
-        """Notes what another gateway tells; one line for each new epoch.
+        """Logs a new epoch reported by a peer, once per epoch.
 
         Args:
-          table: Which table its news is of.
-          peer: Its name.
+          table: Table of the update.
+          peer: Name of the peer.
           known: Revision known here.
-          told: Revision that it tells.
+          reported: Revision in the update.
         """
-        if told.epoch > max(self.newest, self._told):
-            self._told = told.epoch
-            self._told_s = asyncio.get_running_loop().time()
-            event.note(event.EpochTold(table, peer, str(known), str(told)))
-
-    def is_refuted(self, told: int) -> bool:
-        """Whether the source has denied an epoch that other gateways tell."""
-        if told <= self.newest or told != self._refuted:
+        if reported.epoch > max(self.newest, self._peer_epoch):
+            self._peer_epoch = reported.epoch
+            self._peer_epoch_s = asyncio.get_running_loop().time()
+            event.note(event.EpochTold(table, peer, str(known), str(reported)))
+
+    def is_refuted(self, epoch: int) -> bool:
+        """Whether the source has denied an epoch that peers report."""
+        if epoch <= self.newest or epoch != self._refuted:
             return False
         return asyncio.get_running_loop().time() < self._refuted_until_s
 
     def _refute(self) -> None:
-        """Notes that the source, asked since, knows no epoch that was told."""
-        if self._told <= self.newest:
+        """Marks an epoch that peers reported as denied by the source.
+
+        The source must have answered some time after the report, with an older
+        epoch.
+        """
+        if self._peer_epoch <= self.newest:
             return
         now = asyncio.get_running_loop().time()
-        if now - self._told_s > DOWNGRADE_AFTER_S:
-            self._refuted = self._told
+        if now - self._peer_epoch_s > DOWNGRADE_AFTER_S:
+            self._refuted = self._peer_epoch
             self._refuted_until_s = now + REFUTED_S
-            self._told = 0
+            self._peer_epoch = 0
 
-    def _has_fallen(self, told: int, asked: int) -> bool:
-        """Whether the newer epoch that is known was a fault.
+    def _is_downgrade(self, epoch: int, newest_when_sent: int) -> bool:
+        """Whether the source is in an older epoch than the newest known one.
 
-        Held for good, one answer's fault would make the gateway deaf for all
-        later ones. Calls sent before it was known count for nothing: they are
-        late, as answers are that overtake each other.
+        If the newest epoch were kept for good, one faulty answer would make the
+        gateway discard all later ones. Calls sent before the newest epoch was
+        known do not count: their answers are late, since answers can overtake
+        each other.
         """
-        if asked != self.newest:
+        if newest_when_sent != self.newest:
             return False
         now = asyncio.get_running_loop().time()
-        if self._behind_s is None:
-            self._behind_s = now
-        return now - self._behind_s > DOWNGRADE_AFTER_S
+        if self._downgrade_since_s is None:
+            self._downgrade_since_s = now
+        return now - self._downgrade_since_s > DOWNGRADE_AFTER_S
 
-    def _enter(self, call: str, told: int) -> None:
-        before, self.newest = self.newest, told
-        self._told = 0
+    def _enter(self, call: str, epoch: int) -> None:
+        previous, self.newest = self.newest, epoch
+        self._peer_epoch = 0
         if not self._is_known:
             return
-        epochs_total.inc({'what': 'new' if told > before else 'fallen'})
-        event.note(event.EpochEntered(call, before, told))
-        for callback in self._on_new:
+        epochs_total.inc({'what': 'new' if epoch > previous else 'fallen'})
+        event.note(event.EpochEntered(call, previous, epoch))
+        for callback in self._on_change:
             callback()
 
-    def _note_stale(self, call: str, told: int) -> None:
+    def _log_stale(self, call: str, epoch: int) -> None:
         now = asyncio.get_running_loop().time()
-        if now >= self._quiet_until_s:
-            self._quiet_until_s = now + LOG_EVERY_S
-            event.note(event.AnswerStale(call, self.newest, told))
+        if now >= self._log_after_s:
+            self._log_after_s = now + LOG_EVERY_S
+            event.note(event.AnswerStale(call, self.newest, epoch))
--- a/tests/quetzalsill_gateway/watch/test_active_document.py
+++ b/tests/quetzalsill_gateway/watch/test_active_document.py
@@ -1,4 +1,4 @@
-"""Which document of the configuration is in force."""
+"""Tests of which configuration document is active."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read(data):
-    """Makes a routing table without routes of a document."""
+    """Builds a routing table without routes from a document."""
     try:
         version = json.loads(data)['version']
     except ValueError as exc:
@@ -26,21 +26,21 @@
 
 
 def document(number, name, epoch, version):
-    """Returns a document and where it was written."""
+    """Returns a document that was written at the given revision."""
     data = json.dumps({'version': number, 'name': name}).encode()
     return source.Document(data, revision.Revision(epoch, version))
 
 
 class ActiveDocumentTest(unittest.TestCase):
-    """Documents come in any order, and more than once."""
+    """Documents arrive in any order, and more than once."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
     def after(self, *found):
-        """Returns what is in force after documents in an order."""
+        """Returns the active document after documents in the given order."""
 
         async def work():
             held = active_document.ActiveDocument(
@@ -53,9 +53,10 @@
         return clock.run(work)
 
     def test_every_order_ends_with_the_same(self):
-        """Some gateways are told by the store, some by others, some late.
+        """Gateways receive documents from the store or from peers, some late.
 
-        Of two that bear one number each would keep what it heard first.
+        Without a rule for two documents with the same number, each gateway
+        would keep the one that it received first.
         """
         documents = [
             document(4, 'old', 2, 90),
@@ -66,23 +67,24 @@
         for order in itertools.permutations(documents):
             self.assertEqual(self.after(*order).data, documents[2].data)
 
-    def test_what_is_written_again_is_the_same(self):
+    def test_a_document_written_again_is_the_same(self):
         first, again = document(5, 'a', 1, 7), document(5, 'a', 2, 3)
         held = self.after(first, again, first)
         self.assertEqual(held.mod_revision, again.mod_revision)
-        told = [call.args[0] for call in self.note.call_args_list]
-        kinds = [type(one) for one in told]
+        events = [call.args[0] for call in self.note.call_args_list]
+        kinds = [type(one) for one in events]
         self.assertEqual(kinds, [event.ConfigurationInstalled])
 
-    def test_one_that_cannot_be_read_counts_for_nothing(self):
+    def test_an_invalid_document_is_ignored(self):
         bad = source.Document(b'{', revision.Revision(9, 9))
         good = document(5, 'a', 1, 7)
         self.assertEqual(self.after(good, bad).data, good.data)
 
-    def test_a_revision_that_never_was_does_not_count_for_good(self):
-        """A datagram tells the document in force as written far ahead.
+    def test_a_revision_that_never_existed_does_not_count_for_good(self):
+        """An update has a revision of the document far ahead of the source.
 
-        Another with that number would never count here, and does elsewhere.
+        A later document with the same number would then never become active
+        here, but would elsewhere.
         """
 
         async def work():
@@ -91,8 +93,8 @@
             )
             held.install(document(5, 'first', 1, 7))
             far = revision.Revision(1, 2**50)
-            told = update.ConfigurationUpdate(far, 5, mod_revision=far)
-            self.assertFalse(held.is_superseded_by(told))
+            received = update.ConfigurationUpdate(far, 5, mod_revision=far)
+            self.assertFalse(held.is_superseded_by(received))
             held.cap_revision(revision.Revision(1, 20))
             held.install(document(5, 'second', 1, 21))
             return held.data
--- a/tests/quetzalsill_gateway/watch/test_drill.py
+++ b/tests/quetzalsill_gateway/watch/test_drill.py
@@ -1,9 +1,10 @@
-"""The store is away for a moment, and comes back from an older copy.
+"""Tests of a store that is down briefly and is restored from an older copy.
 
-What was written there since is gone, its versions are given out again for other
-changes, and whoever had written something writes it again. Bounds are those of
-an outage as long: nobody is taken out for the drill, no order is lost, and all
-know within `KNOWN_S` of the return what the store says then.
+What was written since the copy is lost, its versions are reused for other
+changes, and whoever had written something writes it again. The bounds are those
+of an outage of the same length: no upstream is removed because of the drill, no
+drain order is lost, and within `RECOVERY_S` of its return all gateways know the
+state of the store.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 class MembershipTest(drill.DrillTest):
     """Entries of servers."""
 
-    def test_a_version_given_out_again_hides_no_notice(self):
-        """A server says that it leaves, and work goes to it all the same.
+    def test_a_reused_version_hides_no_notice(self):
+        """Guards against work that goes to a server after its drain notice.
 
-        The store comes back, takes the notice, and gives out versions past
-        those that the gateways know. Read on from there, its feed has no notice
-        in it, and there is no failure to see.
+        The restored store takes the notice, and its versions pass those that
+        the gateways know. A feed read on from there has no notice in it, and no
+        call fails.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             known = self.fleet.store.version + 50
             self.fill(known)
@@ -40,19 +41,19 @@
             self.fill(known + 50)
             self.fleet.store.mode_for = lambda _: StoreMode.SERVES
             await self.within(
-                drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
+                drill.RECOVERY_S, lambda one: 'server-2' not in one.ids()
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_server_that_came_back_under_a_lower_version_serves(self):
-        """A server leaves; after the drill it starts again, and gets nothing.
+        """Guards against a restarted server that gets no work.
 
-        Its new entry has a lower version than the notice that is known, and
-        the versions of others have passed that by the time anyone asks.
+        Its new entry has a lower version than the known notice, and by the time
+        a gateway polls, the versions of others have passed that.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             self.fill(self.fleet.store.version + 50)
             self.fleet.remove_server('server-3')
@@ -63,18 +64,19 @@
             self.fleet.add_server('server-3', incarnation=2)
             self.fill(known + 50)
             self.fleet.store.mode_for = lambda _: StoreMode.SERVES
-            await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
+            await self.within(drill.RECOVERY_S, lambda one: one.ids() == LIVE)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_nobody_is_taken_out_because_a_copy_is_older(self):
-        """Half of the servers have come since the copy was taken.
+    def test_no_server_is_removed_because_a_copy_is_older(self):
+        """Guards against the removal of servers that the copy lacks.
 
-        They enter themselves again within two seconds. Taken for gone until
-        then, they would leave the other half with all the work.
+        Half of the servers have started since the copy was taken and enter
+        themselves again within two seconds. If they were removed until then,
+        the other half would get all the work.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             new = {f'new-{n}' for n in range(20)}
             for name in new:
@@ -84,30 +86,31 @@
                 await self.fleet.drill(copy)
                 await asyncio.sleep(6.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_does_not_come_back_is_gone_after_the_grace(self):
-        """A server has come since the copy, and dies in the drill."""
+        """A server has started since the copy, and dies during the drill."""
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             self.fleet.add_server('new')
             await self.within(1.0, lambda one: 'new' in one.ids())
             await self.fleet.drill(copy, rewrite_s=0.0)
             await self.within(
-                drill.KNOWN_S + 2.5, lambda one: one.ids() == LIVE
+                drill.RECOVERY_S + 2.5, lambda one: one.ids() == LIVE
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_server_that_has_ended_gets_nothing_for_a_copy(self):
-        """A server ends a second after the copy; the copy still has its entry.
+        """Guards against work for a server that ended a second after the copy.
 
-        Requests would go to an address where nobody answers, until whoever
-        removed the entry does so again. One that lives enters itself again.
+        The copy still has its entry, so requests would go to an address where
+        nothing answers until the entry is removed again. A running server
+        enters itself again.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             lives = self.fleet.entries['server-4']
             for name in ('server-3', 'server-4'):
@@ -124,12 +127,12 @@
                 await self.within(3.0, lambda one: one.ids() == alive)
                 await asyncio.sleep(3.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_two_drills_within_three_seconds(self):
         """The second comes while the servers still enter themselves again."""
 
-        async def story():
+        async def scenario():
             first = self.fleet.store.snapshot()
             for name in ('new-1', 'new-2'):
                 self.fleet.add_server(name)
@@ -147,12 +150,12 @@
             epochs = {one.epochs.newest for one in self.fleet.all}
             self.assertEqual(epochs, {2})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_third_is_cut_off_from_the_store(self):
-        """Those that are served tell the rest, of which nobody asks itself."""
+        """The gateways that the store serves send updates to the rest."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.mode_for = lambda node: (
                 StoreMode.SILENT if int(node[6:]) % 3 == 0 else StoreMode.SERVES
             )
@@ -167,20 +170,21 @@
                 self.fleet.drain_server('server-2')
                 self.fill(known + 50)
                 await self.within(
-                    drill.KNOWN_S, lambda one: 'server-2' not in one.ids()
+                    drill.RECOVERY_S, lambda one: 'server-2' not in one.ids()
                 )
                 self.fleet.add_server('late')
                 await self.within(2.0, lambda one: 'late' in one.ids())
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_who_was_cut_off_from_all_does_not_carry_the_old_order_on(self):
-        """One gateway hears of the drill last, when others are far on.
+    def test_a_partitioned_gateway_does_not_spread_its_old_state(self):
+        """One gateway learns of the drill last, long after the others.
 
-        It holds what was lost; told to the others as newer, it would count.
+        It holds lost entries; if the others took them for newer, they would
+        apply them.
         """
 
-        async def story():
+        async def scenario():
             copy = self.fleet.store.snapshot()
             self.fill(self.fleet.store.version + 200)
             self.fleet.remove_server('server-3')
@@ -196,24 +200,24 @@
             self.fleet.add_server('server-3', incarnation=2)
             others = [one for one in self.fleet.all if one.node != 'entry-3']
             await self.within(
-                drill.KNOWN_S, lambda one: one.ids() == LIVE, others
+                drill.RECOVERY_S, lambda one: one.ids() == LIVE, others
             )
             self.fleet.network.is_partitioned = lambda _, __: False
             self.fleet.store.mode_for = lambda _: StoreMode.SERVES
-            await self.within(drill.KNOWN_S, lambda one: one.ids() == LIVE)
+            await self.within(drill.RECOVERY_S, lambda one: one.ids() == LIVE)
             await asyncio.sleep(5.0)
             self.assertTrue(all(one.ids() == LIVE for one in self.fleet.all))
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_drill_during_a_rolling_restart(self):
-        """Gateways of the release before know versions only.
+        """Gateways of the previous release know versions only.
 
-        They are replaced one by one while the store comes back. What they tell
-        must not be taken for newer by those that have been replaced.
+        They are replaced one by one during the drill. The gateways that have
+        been replaced must not take their updates for newer.
         """
 
-        async def story():
+        async def scenario():
             for name in list(self.fleet.gateways):
                 self.fleet.kill(name)
                 self.fleet.add_gateway(name, is_legacy=True)
@@ -231,31 +235,31 @@
                     self.fleet.configure(2)
                     self.fill(known + 50)
             await self.within(
-                drill.KNOWN_S,
+                drill.RECOVERY_S,
                 lambda one: (
                     one.ids() == LIVE - {'server-2'} and one.config_version == 2
                 ),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 class LoadTest(drill.DrillTest):
-    """Calls at the store, of all gateways together."""
+    """Calls to the store by the whole fleet."""
 
-    def test_each_gateway_asks_a_few_times(self):
-        """68 gateways see the drill at the same moment.
+    def test_each_gateway_polls_a_few_times(self):
+        """Guards against a burst of calls when 68 gateways see the drill.
 
-        Each lists both tables at once, the store would have 136 lists to answer
-        and refuse some, which ask again. Here one lists each, and the others
-        ask once whether it is so, drawn from a second. In any tenth of it there
-        are fewer calls than gateways; a drill costs each three beyond what an
-        outage as long does.
+        If each listed both tables at once, the store would get 136 list calls
+        and refuse some, which are retried. Instead one gateway lists each
+        table, and the others check once within a second. In any tenth of a
+        second there are fewer calls than gateways; a drill costs each at most
+        three calls more than an outage of the same length.
         """
         costs = {}
         for epochs in (0, 1):
 
-            async def story(epochs=epochs):
+            async def scenario(epochs=epochs):
                 store = self.fleet.store
                 copy = store.snapshot()
                 before = sum(store.calls.values())
@@ -269,17 +273,17 @@
                 self.assertLess(most, 68)
                 costs[epochs] = sum(store.calls.values()) - before
 
-            self.play(story, 68)
+            self.simulate(scenario, 68)
         self.assertLess(costs[1] - costs[0], 3 * 68)
 
     def test_more_servers_than_a_datagram_holds(self):
-        """Nobody can be told the whole list; each lists the table once.
+        """The snapshot fits no datagram, so each gateway lists the table once.
 
-        A feed that is refused, a list of each table, and an answer that another
-        gateway's was newer than: five calls each at the most.
+        At most five calls each: a refused feed, a list of each table, and an
+        answer that was older than an update from a peer.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             alive = {f'server-{n}' for n in range(200)}
             before = sum(store.calls.values())
@@ -291,7 +295,7 @@
             calls = sum(store.calls.values()) - before
             self.assertLess(calls, 5 * 68 + 8 * 10)
 
-        self.play(story, 68, 200)
+        self.simulate(scenario, 68, 200)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_fleet.py
+++ b/tests/quetzalsill_gateway/watch/test_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet that follows one store together, on virtual time.
+"""Tests of a fleet that follows one store together, on virtual time.
 
-Pattern: one watch in each gateway, and entries that change all the time, so
-that each watch returns at once: calls to the store grow with the fleet. At 68
-gateways they were its largest price. Bounds are those of the platforms served
-so far: two seconds for a change of the configuration and for a notice.
+If every gateway polled by itself while entries change all the time, each long
+poll would return at once, and calls to the store would grow with the fleet: at
+68 gateways they were its largest cost. The bounds are those of the platforms
+served so far: two seconds for a change of the configuration and for a notice.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Calls, and what every gateway knows when."""
+    """Calls to the store, and the time at which each gateway knows a change."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, story, gateways=24, servers=20, bound_s=BOUND_S):
-        """Plays a story on a fleet of its own."""
+    def simulate(self, scenario, gateways=24, servers=20, bound_s=BOUND_S):
+        """Runs a scenario on a new fleet."""
 
         async def work():
             self.fleet = watchers.Fleet(gateways, servers, SEED, bound_s)
             await self.fleet.start()
             try:
-                await story()
+                await scenario()
             finally:
                 self.fleet.stop()
 
         clock.run(work)
 
     async def within(self, bound_s, condition):
-        """Waits until all gateways agree; fails if that takes longer."""
+        """Waits until the condition holds on all; fails after `bound_s`."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
         while not all(condition(one) for one in self.fleet.all):
@@ -61,33 +61,36 @@
         await self.within(bound_s, lambda one: name not in one.ids())
 
     async def calls_in(self, seconds):
-        """Returns the calls a second of the whole fleet, at rest."""
+        """Returns the calls per second of the whole fleet, at rest."""
         before = sum(self.fleet.store.calls.values())
         await asyncio.sleep(seconds)
         return (sum(self.fleet.store.calls.values()) - before) / seconds
 
     def test_calls_grow_little_with_the_fleet(self):
-        """Calls of each gateway's own: 1.3 a second for each of 68."""
+        """Separate polls took 1.3 calls a second for each of 68 gateways."""
         for gateways, most in ((5, 8.0), (26, 8.0), (68, 9.0)):
             with self.subTest(gateways):
 
-                async def story(most=most):
+                async def scenario(most=most):
                     self.assertLess(await self.calls_in(20.0), most)
 
-                self.play(story, gateways)
+                self.simulate(scenario, gateways)
 
     def test_edits_and_notices_are_known_soon(self):
-        async def story():
+        async def scenario():
             for number in range(2, 8):
                 await self.edit_is_known(number, 0.8)
                 await self.notice_is_known(f'server-{number}', 0.6)
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
     def test_an_edit_costs_the_store_one_call(self):
-        """Read by each gateway, an edit is a call and a document for each."""
+        """Guards against an edit that each gateway reads from the store.
 
-        async def story():
+        That would be one call and one document per gateway.
+        """
+
+        async def scenario():
             rest = await self.calls_in(10.0)
             before = sum(self.fleet.store.calls.values())
             for number in range(2, 12):
@@ -99,20 +102,20 @@
                 all(one.config_version == 11 for one in self.fleet.all)
             )
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
-    def test_a_store_that_turns_some_away_is_known_through_the_others(self):
-        """A third of the gateways get refusals, for as long as it lasts.
+    def test_gateways_that_the_store_refuses_get_updates_from_peers(self):
+        """The store refuses a third of the gateways throughout.
 
-        They would send to servers that have left, and refuse keys that are
-        valid since.
+        They must not send to servers that have left, nor refuse keys that have
+        become valid meanwhile.
         """
 
         def treat(node):
             turned = int(node.removeprefix('entry-')) % 3 == 0
             return StoreMode.REFUSES if turned else StoreMode.SERVES
 
-        async def story():
+        async def scenario():
             self.fleet.store.mode_for = treat
             await asyncio.sleep(3.0)
             await self.edit_is_known(2)
@@ -120,16 +123,16 @@
             calls = await self.calls_in(10.0)
             self.assertLess(calls, 8.0 + 2 * 8)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_who_is_turned_away_notices_that_it_is_served_again(self):
-        async def story():
+    def test_a_refused_gateway_notices_that_it_is_served_again(self):
+        async def scenario():
             self.fleet.store.mode_for = lambda node: (
                 StoreMode.REFUSES if node == 'entry-3' else StoreMode.SERVES
             )
             one = self.fleet.gateways['entry-3']
             self.fleet.store.mode_for('entry-3')
-            # Nobody else asks meanwhile, so that it is its turn.
+            # It gets no updates meanwhile, so that it polls by itself.
             self.fleet.network.is_partitioned = lambda _, other: (
                 other == 'entry-3'
             )
@@ -140,10 +143,10 @@
             await asyncio.sleep(3.0)
             self.assertFalse(one.health.is_down)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_store_that_is_away_for_all_is_found_again_by_all(self):
-        """While it is away an edit and a notice come; then it is back."""
+        """An edit and a notice are written during an outage of the store."""
         for away in (
             StoreMode.REFUSES,
             StoreMode.SILENT,
@@ -151,7 +154,7 @@
         ):
             with self.subTest(away):
 
-                async def story(away=away):
+                async def scenario(away=away):
                     self.fleet.store.mode_for = lambda _: away
                     await asyncio.sleep(5.0)
                     self.fleet.configure(2)
@@ -167,42 +170,42 @@
                         ),
                     )
 
-                self.play(story)
+                self.simulate(scenario)
 
     def test_bounds_hold_with_a_slow_store(self):
-        async def story():
+        async def scenario():
             self.fleet.store.response_time_s = 0.24
             for number in (2, 3, 4):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_bounds_hold_where_a_third_of_all_datagrams_is_lost(self):
-        async def story():
+        async def scenario():
             self.fleet.network.loss = 0.33
             for number in (2, 3, 4, 5):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_a_gateway_that_hears_nobody_asks_itself(self):
-        """Links between gateways are cut, the store serves."""
+    def test_a_gateway_without_updates_polls_by_itself(self):
+        """The links between gateways are down, while the store serves."""
 
-        async def story():
+        async def scenario():
             self.fleet.network.is_partitioned = lambda _, __: True
             await asyncio.sleep(3.0)
             for number in (2, 3):
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_the_one_that_watches_loses_its_connection(self):
-        """Its calls fall silent; it does not know, and nobody else watches."""
+    def test_the_polling_gateway_loses_its_connection(self):
+        """Calls of the polling gateway hang unnoticed; no other one polls."""
 
-        async def story():
+        async def scenario():
             for number in (2, 3, 4):
                 before = dict(self.fleet.store.calls)
                 await asyncio.sleep(2.0)
@@ -217,12 +220,12 @@
                 await self.edit_is_known(number)
                 await self.notice_is_known(f'server-{number}')
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_whoever_tells_is_killed_before_it_has_told_all(self):
-        """Half of the fleet has heard of an edit, and its teller is dead."""
+    def test_the_announcing_gateway_is_killed_half_way(self):
+        """A gateway dies after announcing an edit to half of its peers."""
 
-        async def story():
+        async def scenario():
             cut_off = {f'entry-{n}' for n in range(0, 24, 2)}
             for number in range(2, 8):
                 tellers = []
@@ -246,16 +249,17 @@
                     ),
                 )
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_what_was_missed_is_asked_for(self):
-        """A gateway hears nobody and gets no answer while a notice is told.
+    def test_missed_changes_are_polled_for(self):
+        """A gateway misses a notice, as the store and its peers are cut off.
 
-        Later news reach it again. Taken for all that it lacks, they would
-        hide the notice for good: the store is asked only for what is newer.
+        Then it receives later updates. If it took them for complete, they would
+        hide the notice for good, since the store is only polled for newer
+        changes.
         """
 
-        async def story():
+        async def scenario():
             self.fleet.store.mode_for = lambda node: (
                 StoreMode.REFUSES if node == 'entry-3' else StoreMode.SERVES
             )
@@ -273,12 +277,12 @@
                 2.9, lambda one: not {'server-1', 'server-2'} & one.ids()
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_each_finds_the_store_again_where_nobody_tells(self):
-        """The store is back after an outage, and no gateway hears another."""
+    def test_each_reaches_the_store_again_without_updates(self):
+        """The store returns while the links between gateways are down."""
 
-        async def story():
+        async def scenario():
             self.fleet.network.is_partitioned = lambda _, __: True
             self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(12.0)
@@ -292,26 +296,26 @@
                 ),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_forgotten_history_is_met_by_reading_anew(self):
-        async def story():
+    def test_a_lost_history_is_followed_by_a_new_list(self):
+        async def scenario():
             self.fleet.store.compact()
             await self.notice_is_known('server-3')
             self.fleet.store.compact()
             self.fleet.remove_server('server-4')
             await self.within(BOUND_S, lambda one: 'server-4' not in one.ids())
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_a_version_that_is_none_of_the_stores_does_no_harm_for_long(self):
-        """A faulty datagram tells a version far above the store's.
+    def test_a_version_that_never_existed_does_no_harm_for_long(self):
+        """A faulty datagram has a version far above that of the store.
 
-        Taken for good, no later news would be newer, and a watch behind that
-        version would never tell anything.
+        If it were kept, no later update would be newer, and a poll from that
+        version would never return a change.
         """
 
-        async def story():
+        async def scenario():
             for one in self.fleet.all:
                 far = revision.Revision(0, 2**52)
                 one.membership.handle_update(
@@ -324,12 +328,12 @@
             await self.edit_is_known(2)
             await self.notice_is_known('server-1')
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_an_edit_never_steps_back(self):
-        """Edits in quick succession, datagrams overtaken and lost."""
+    def test_no_edit_is_reverted(self):
+        """Edits in quick succession, with datagrams lost and reordered."""
 
-        async def story():
+        async def scenario():
             self.fleet.network.loss = 0.2
             self.fleet.network.delay_s = (0.0005, 0.5)
             seen = dict.fromkeys(self.fleet.gateways, 0)
@@ -344,12 +348,12 @@
                         seen[one.node] = one.config_version
             await self.within(BOUND_S, lambda one: one.config_version == 29)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_entries_that_lapsed_in_an_outage_are_kept_by_all(self):
-        """The store is away, lets an entry lapse, and it comes back."""
+        """An entry expires during an outage and is written again later."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(5.0)
             self.fleet.remove_server('server-5')
@@ -364,16 +368,16 @@
                 all('server-5' in one.ids() for one in self.fleet.all)
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_gateway_that_restarts_in_an_outage_serves(self):
-        """The store is away, and a gateway is killed and starts again.
+        """A gateway is killed and restarted while the store is down.
 
-        It would refuse every caller until the store is back, with others
-        beside it that know all it needs.
+        Without the state of its peers it would refuse all callers until the
+        store returns.
         """
 
-        async def story():
+        async def scenario():
             await self.edit_is_known(2)
             self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             await asyncio.sleep(3.0)
@@ -393,19 +397,19 @@
                 ),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_same_seed_gives_the_same_run(self):
         totals = []
         for _ in range(2):
 
-            async def story():
+            async def scenario():
                 await asyncio.sleep(5.0)
                 totals.append(
                     (self.fleet.store.calls, self.fleet.network.sent_bytes)
                 )
 
-            self.play(story)
+            self.simulate(scenario)
         self.assertEqual(*totals)
 
 
--- a/tests/quetzalsill_gateway/watch/test_random_drills.py
+++ b/tests/quetzalsill_gateway/watch/test_random_drills.py
@@ -1,7 +1,7 @@
-"""Drills, cuts, restarts and edits in any order, by seed.
+"""Drills, partitions, restarts and edits in random order, by seed.
 
-Whatever happened, once it is over all gateways agree with what operators and
-servers have written, go on hearing, and no configuration has stepped back.
+In the end all gateways agree with what operators and servers have written and
+still receive changes, and no gateway has gone back to an older configuration.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 ZONE = 'other'
 SEEDS = range(40)
-# Servers that stay, whatever else happens.
+# Servers that are never removed.
 LEAST_SERVERS = 4
-# An order of an epoch before ends 10 s after the return of the store, and who
-# has been cut off finds it again in 3.5 s; half as much again.
+# A drain order of an earlier epoch ends 10 s after the return of the store, and
+# a partitioned gateway reaches it again within 3.5 s; half as much again.
 SETTLED_S = 20.0
 KNOWN_S = 3.0
 
 
-class Story:
-    """One fleet and what happens to it."""
+class Scenario:
+    """One fleet and the events it goes through."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -39,8 +39,8 @@
         self.servers = 12
         self.faults = []
 
-    async def play(self):
-        """Returns what was wrong in the end, or at any moment."""
+    async def simulate(self):
+        """Returns the faults found in the end or at any time."""
         await self.fleet.start()
         self.fleet.network.loss = self.rng.choice((0.0, 0.0, 0.1, 0.3))
         self.copies.append(self.store.snapshot())
@@ -49,7 +49,7 @@
             self.rng.choice(STEPS)(self)
             await asyncio.sleep(self.rng.choice((0.0, 0.05, 0.5, 1.5)))
         await asyncio.gather(*self.drills)
-        self.heal()
+        self.recover()
         await asyncio.sleep(SETTLED_S)
         self.compare()
         self.configure()
@@ -62,19 +62,19 @@
         return self.faults
 
     async def watch(self):
-        """Notes configurations that step back, and loops that have ended."""
+        """Records configurations that go back, and tasks that have ended."""
         seen = {}
         while True:
             for one in self.fleet.all:
                 if one.config_version < seen.get(one, 0):
-                    self.faults.append((one.node, 'stepped back'))
+                    self.faults.append((one.node, 'configuration reverted'))
                 if any(task.done() for task in one.tasks):
-                    self.faults.append((one.node, 'ended'))
+                    self.faults.append((one.node, 'task ended'))
                 seen[one] = one.config_version
             await asyncio.sleep(0.02)
 
     def compare(self):
-        """Notes gateways that know anything else than what was written."""
+        """Records gateways whose state differs from what was written."""
         alive = {
             name
             for name, found in self.fleet.entries.items()
@@ -138,18 +138,18 @@
         self.drills.append(asyncio.create_task(work))
 
     def cut(self):
-        those = self.some()
+        names = self.some()
         self.fleet.network.is_partitioned = lambda a, b: (
-            (a in those) != (b in those)
+            (a in names) != (b in names)
         )
 
-    def turn_away(self):
-        those = self.some()
+    def refuse_some(self):
+        names = self.some()
         how = self.rng.choice(
             (StoreMode.REFUSES, StoreMode.SILENT, StoreMode.LOSES_RESPONSES)
         )
         self.store.mode_for = lambda node: (
-            how if node in those else StoreMode.SERVES
+            how if node in names else StoreMode.SERVES
         )
 
     def restart(self):
@@ -163,17 +163,23 @@
     def forget(self):
         self.store.compact()
 
-    def heal(self):
+    def recover(self):
         self.store.response_time_s = 0.004
         self.store.mode_for = lambda _: StoreMode.SERVES
         self.fleet.network.is_partitioned = lambda _, __: False
 
 
 STEPS = (
-    *(Story.drill, Story.drill, Story.copy, Story.copy),
-    *(Story.configure, Story.add, Story.drop, Story.leave, Story.order),
-    *(Story.cut, Story.turn_away, Story.restart, Story.slow),
-    *(Story.forget, Story.heal),
+    *(Scenario.drill, Scenario.drill, Scenario.copy, Scenario.copy),
+    *(
+        Scenario.configure,
+        Scenario.add,
+        Scenario.drop,
+        Scenario.leave,
+        Scenario.order,
+    ),
+    *(Scenario.cut, Scenario.refuse_some, Scenario.restart, Scenario.slow),
+    *(Scenario.forget, Scenario.recover),
 )
 
 
@@ -183,7 +189,7 @@
     def test_all_agree_in_the_end(self):
         for seed in SEEDS:
             with self.subTest(seed), mock.patch.object(event, 'note'):
-                self.assertEqual(clock.run(Story(seed).play), [])
+                self.assertEqual(clock.run(Scenario(seed).simulate), [])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_schedule.py
+++ b/tests/quetzalsill_gateway/watch/test_schedule.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to ask the source."""
+"""Tests of which gateway polls the source, and when."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
     """Two gateways that were answered at the same time."""
 
     def test_two_that_are_answered_at_once_do_not_both_stop(self):
-        """Two calls end with the same change, and both tell of it.
+        """Two calls end with the same change, and both gateways announce it.
 
-        Each took the other's word for that of who watches from now on. Nobody
-        did, and the next edit was known half a second late or more.
+        Each took the update of the other for a sign that it goes on polling.
+        None did, and the next edit was known half a second late or more.
         """
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = schedule.PollIntervals(1.5, 0.75, configuration.ASK_ON_S)
+            intervals = schedule.PollIntervals(
+                1.5, 0.75, configuration.REPOLL_DELAY_S
+            )
             both = [
-                schedule.PollSchedule(pace, lambda: 2, random.Random(n))
+                schedule.PollSchedule(intervals, lambda: 2, random.Random(n))
                 for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
@@ -44,18 +46,21 @@
 
         self.assertTrue(any(clock.run(work)))
 
-    def test_one_of_two_watches_on_in_a_large_fleet(self):
-        """A notice is known late: both leave the source to the other.
+    def test_one_of_two_polls_on_in_a_large_fleet(self):
+        """Guards against a late notice, as both leave the polling to the other.
 
-        Who watches a large fleet pauses between its calls. Each of two that
-        were answered at once hears the other in that pause.
+        In a large fleet the polling gateway pauses between its calls. Each of
+        two that were answered at the same time receives the update of the other
+        in that pause.
         """
 
         async def work():
             loop = asyncio.get_running_loop()
-            pace = schedule.PollIntervals(LEAST_S, 0.4, membership.ASK_ON_S)
+            intervals = schedule.PollIntervals(
+                LEAST_S, 0.4, membership.REPOLL_DELAY_S
+            )
             both = [
-                schedule.PollSchedule(pace, lambda: 300, random.Random(n))
+                schedule.PollSchedule(intervals, lambda: 300, random.Random(n))
                 for n in (1, 2)
             ]
             await asyncio.sleep(1.0)
@@ -63,8 +68,8 @@
                 await one.wait()
                 self.assertTrue(one.note_answer(loop.time()))
             await asyncio.sleep(NEAR_S)
-            for one, is_first in zip(both, (True, False), strict=True):
-                one.note_peer_answer(loop.time(), is_first=is_first)
+            for one, has_priority in zip(both, (True, False), strict=True):
+                one.note_peer_answer(loop.time(), has_priority=has_priority)
             waits = [asyncio.create_task(one.wait()) for one in both]
             await asyncio.sleep(LEAST_S / 2)
             return [wait.done() for wait in waits]
