--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway knows of the fleet: upstreams, zones, other gateways."""
+"""A gateway's view of its fleet: upstreams, zones and other gateways."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/members.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/members.py
@@ -1,8 +1,8 @@
-"""Which gateways send to the same upstreams.
+"""The gateways that share the capacity of the same upstreams.
 
-What an upstream can take from all gateways together is given out in shares. A
-share must hold also while gateways do not hear each other, so one that has
-fallen silent keeps its share for a while: it may be cut off, and at work.
+The capacity of an upstream is divided among all gateways. The division has to
+hold while gateways cannot reach each other too: a silent gateway may only be
+partitioned and still sending, so it keeps its share for a while.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 __all__ = ['Members']
 
-# How long the share of a gateway that is not heard is kept. Cuts between
-# gateways are mended sooner; a host that was removed needs no share after it.
+# How long a silent gateway keeps its share. Partitions between gateways heal
+# sooner, and a host that was removed needs no share after it.
 MEMBER_TTL_S = 60.0
-# Gateways kept; several times the largest fleet planned for.
+# Several times the size of the largest fleet planned for.
 MAX_MEMBERS = 2000
 
 
 class Members:
-    """The gateways that were heard or listed of late."""
+    """The gateways that were seen or listed recently."""
 
     def __init__(self, node: str) -> None:
-        """Knows of one gateway, this one, called `node`."""
+        """Starts with this gateway only, which is called `node`."""
         self.node = node
         self._last_seen_s: dict[str, float] = {}
         self._names: tuple[str, ...] = (node,)
@@ -31,19 +31,19 @@
 
     @property
     def is_directory_read(self) -> bool:
-        """Whether the directory has been read, which lists all of them.
+        """Whether the directory, which lists all gateways, has been read.
 
-        Who has only heard some may be cut off from the others.
+        Until then, a gateway may know only those on its side of a partition.
         """
         return self._is_directory_read
 
     def add_listed(self, names: Iterable[str], now: float) -> None:
-        """Notes the gateways that stand in the directory."""
+        """Adds the gateways that the directory lists."""
         self._is_directory_read = True
         self.mark_seen(names, now)
 
     def mark_seen(self, names: Iterable[str], now: float) -> None:
-        """Notes gateways that were heard."""
+        """Records that gateways were seen at loop time `now`."""
         self._oldest_s = min(self._oldest_s, now)
         for name in names:
             if name == self.node:
@@ -55,7 +55,7 @@
                 self._names = ()
 
     def names(self, now: float) -> tuple[str, ...]:
-        """Returns the names of all of them, this one included, in order."""
+        """Returns the sorted names of all members, including this gateway."""
         self._remove_expired(now)
         if not self._names:
             self._names = tuple(sorted((self.node, *self._last_seen_s)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
@@ -1,14 +1,16 @@
-"""What this gateway may send to an upstream now.
-
-An upstream takes so many connections from all gateways together, and resets
-those beyond them with whatever was sent; while it is cold it takes so many
-requests a second, and crashes well above that. Each gateway sees its own only,
-so each keeps to a share.
-
-Of the rate of a cold upstream some gateways have a share, and the others none:
-drawn by rendezvous hashing, so that all who know the same gateways agree. They
-are as many as may each send one request in the same moment without breaking
-the bound, and each may send again at the rate divided by their number.
+"""Limits what this gateway may send to an upstream now.
+
+An upstream accepts a limited number of connections from all gateways together;
+it resets further ones, and whatever was sent on them is lost. While it is cold
+it also accepts a limited number of requests a second, and crashes well above
+that. A gateway counts only its own connections and requests, so each keeps to a
+share of both limits.
+
+The rate of a cold upstream is shared by some of the gateways only. They are
+chosen by rendezvous hashing, so gateways that know the same members choose the
+same ones. Their number is such that all of them may send a request at the same
+moment without exceeding the limit, and the rate at which each may send again
+is divided by it.
 """
 
 from __future__ import annotations
@@ -27,23 +29,23 @@
 
 __all__ = ['Connections', 'Quota', 'Warmup', 'rate_owners']
 
-# Share of the connections to an upstream that gateways use, and the share that
-# they keep idle of all. Hosts that lose power say nothing: what they had open
-# stays with the upstream for seconds, and has to leave places for the same
-# gateways when they are back. Their callers all come back at once then.
+# Shares of an upstream's connections that all gateways may use and keep idle. A
+# host that loses power closes nothing: its connections stay open at the
+# upstream for seconds. The rest leaves room for the same gateways to reconnect
+# meanwhile, when all of their callers come back at once.
 USED_SHARE = 0.7
 IDLE_SHARE = 0.2
-# Share of what a cold upstream stands in one second that is given out. The rest
-# covers gateways that are new, lost or cut off, so that not all draw among the
-# same for a while: then some four tenths more are sent at the worst.
+# Share of a cold upstream's limit for one second that is given out. The rest
+# covers gateways that start, are lost or are partitioned: for a while, not all
+# choose from the same members, and at worst four tenths more is sent.
 SAFE_SHARE = 0.7
-# Share of that which may be sent in the same moment, by as many gateways; an
-# upstream that has just come is of use to few callers if few may send there.
+# Share of that which may be sent at the same moment, and so the number of
+# gateways that have a share. Few callers could use an upstream that has just
+# started if only a few gateways could send to it.
 BURST_SHARE = 0.5
-# What goes on coming stays below the rate that the upstream names.
+# Keeps the sustained rate below the rate that the upstream announces.
 RATE_SHARE = 0.9
-# Cold upstreams whose rate is kept; one that was not asked for longest makes
-# way.
+# Cold upstreams whose rate is tracked; the least recently renewed is evicted.
 MAX_BUCKETS = 4096
 
 
@@ -52,8 +54,8 @@
     """By how much the rate of a cold upstream may be exceeded.
 
     Attributes:
-      overage: Multiple of its rate that it takes in one second.
-      allowance: Requests besides.
+      overage: Multiple of its rate that it accepts within one second.
+      allowance: Number of requests that it accepts in addition.
     """
 
     overage: float = 1.0
@@ -66,7 +68,7 @@
 
     Attributes:
       count: All of them.
-      idle: Those that carry no call.
+      idle: Those without a call in progress.
     """
 
     count: int
@@ -75,27 +77,27 @@
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
-    """Requests that this gateway may send to one cold upstream.
+    """Token bucket for the requests to one cold upstream.
 
     Attributes:
-      names: Gateways for which the share was worked out.
-      per_s: Rate at which they come.
-      most: How many are kept.
-      left: How many there are, as of `at_s`.
-      at_s: Loop time.
+      names: Gateways for which the share was computed.
+      rate_per_s: Rate at which tokens are added.
+      capacity: Maximum number of tokens.
+      tokens: Number of tokens as of `updated_s`.
+      updated_s: Loop time.
     """
 
     names: tuple[str, ...]
-    per_s: float
-    most: float
-    left: float
-    at_s: float
+    rate_per_s: float
+    capacity: float
+    tokens: float
+    updated_s: float
 
     def refill(self, now: float) -> None:
-        """Adds what has come since."""
-        self.left += (now - self.at_s) * self.per_s
-        self.left = min(self.most, self.left)
-        self.at_s = now
+        """Adds the tokens since the last update."""
+        self.tokens += (now - self.updated_s) * self.rate_per_s
+        self.tokens = min(self.capacity, self.tokens)
+        self.updated_s = now
 
 
 class Quota:
@@ -109,14 +111,15 @@
         connections: Callable[[tuple[str, int]], Connections],
         min_gateways: int = 1,
     ) -> None:
-        """Works out shares.
+        """Creates the quota of one gateway.
 
         Args:
-          holder: Configuration, with the bounds of each service.
-          members: Gateways that share.
+          holder: Configuration, which has the limits of each service.
+          members: Gateways among which the limits are divided.
           warmup: By how much cold upstreams may exceed their rate.
-          connections: Returns those to an address.
-          min_gateways: How many are taken to share while none is known.
+          connections: Returns the connections to an address.
+          min_gateways: Number of gateways assumed at least, until the
+            directory has been read.
         """
         self._holder = holder
         self._members = members
@@ -127,20 +130,20 @@
 
     def allows(self, upstream: upstream_lib.Upstream) -> bool:
         """Whether a request may be sent to an upstream now."""
-        return self._has_connection(upstream) and self._is_warm_enough(upstream)
+        return self._has_connection(upstream) and self._has_rate(upstream)
 
     def consume(self, upstream: upstream_lib.Upstream) -> None:
-        """Notes that a request goes to an upstream."""
+        """Counts a request that is sent to an upstream."""
         if self._is_cold(upstream):
             bucket = self._bucket(upstream)
-            bucket.left -= 1.0
+            bucket.tokens -= 1.0
 
     def max_connections(self, upstream: upstream_lib.Upstream) -> int | None:
-        """Returns the share of its connections; None for no bound."""
+        """Returns this gateway's share of connections; None for no limit."""
         return self._share_of(upstream, USED_SHARE)
 
     def max_idle(self, upstream: upstream_lib.Upstream) -> int | None:
-        """Returns how many of them may be kept idle; None for no bound."""
+        """Returns how many of them may be kept idle; None for no limit."""
         return self._share_of(upstream, IDLE_SHARE)
 
     def _share_of(
@@ -155,18 +158,18 @@
         return max(1, int(share * service.most_connections / gateways))
 
     def _has_connection(self, upstream: upstream_lib.Upstream) -> bool:
-        most = self.max_connections(upstream)
-        if most is None:
+        limit = self.max_connections(upstream)
+        if limit is None:
             return True
         found = self._connections(upstream.address)
-        return found.count < most or found.idle > 0
+        return found.count < limit or found.idle > 0
 
-    def _is_warm_enough(self, upstream: upstream_lib.Upstream) -> bool:
+    def _has_rate(self, upstream: upstream_lib.Upstream) -> bool:
         if not self._is_cold(upstream):
             return True
         if not self._members.is_directory_read:
             return False
-        return self._bucket(upstream).left >= 1.0
+        return self._bucket(upstream).tokens >= 1.0
 
     def _is_cold(self, upstream: upstream_lib.Upstream) -> bool:
         if upstream.cold_until_s <= _now():
@@ -185,34 +188,34 @@
         names = self._members.names(now)
         found = self._buckets.get(upstream.key)
         if found is None or found.names is not names:
-            left = None if found is None else found.left
-            found = self._share(upstream, names, now)
-            if left is not None:
-                # What was sent before the others changed has been sent.
-                found.left = min(found.left, left)
-            self._keep(upstream.key, found)
+            tokens = None if found is None else found.tokens
+            found = self._new_bucket(upstream, names, now)
+            if tokens is not None:
+                # Requests sent under the previous membership still count.
+                found.tokens = min(found.tokens, tokens)
+            self._store(upstream.key, found)
         found.refill(now)
         return found
 
-    def _share(
+    def _new_bucket(
         self,
         upstream: upstream_lib.Upstream,
         names: tuple[str, ...],
         now: float,
     ) -> _Bucket:
         per_s = self._service(upstream).cold_per_s
-        bound = self._warmup.overage * per_s + self._warmup.allowance
-        burst = max(1, int(BURST_SHARE * SAFE_SHARE * bound))
-        chosen = rate_owners(upstream.key, names, burst)
-        if self._members.node not in chosen:
+        limit = self._warmup.overage * per_s + self._warmup.allowance
+        burst = max(1, int(BURST_SHARE * SAFE_SHARE * limit))
+        owners = rate_owners(upstream.key, names, burst)
+        if self._members.node not in owners:
             return _Bucket(names, 0.0, 0.0, 0.0, now)
-        most = max(1, burst // len(chosen))
-        all_per_s = SAFE_SHARE * bound - most * len(chosen)
-        all_per_s = max(0.0, min(RATE_SHARE * per_s, all_per_s))
-        own_per_s = all_per_s / len(chosen)
-        return _Bucket(names, own_per_s, most, most, now)
+        capacity = max(1, burst // len(owners))
+        total_per_s = SAFE_SHARE * limit - capacity * len(owners)
+        total_per_s = max(0.0, min(RATE_SHARE * per_s, total_per_s))
+        own_per_s = total_per_s / len(owners)
+        return _Bucket(names, own_per_s, capacity, capacity, now)
 
-    def _keep(self, key: str, bucket: _Bucket) -> None:
+    def _store(self, key: str, bucket: _Bucket) -> None:
         self._buckets.pop(key, None)
         if len(self._buckets) >= MAX_BUCKETS:
             del self._buckets[next(iter(self._buckets))]
@@ -220,17 +223,17 @@
 
 
 def rate_owners(key: str, names: tuple[str, ...], count: int) -> list[str]:
-    """Returns the gateways that have a share of an upstream's rate.
+    """Returns the gateways that share the rate of a cold upstream.
 
     Args:
       key: Key of the upstream.
-      names: Gateways known.
-      count: How many of them have one at most.
+      names: Known gateways.
+      count: Maximum number of owners.
     """
-    return sorted(names, key=lambda name: _drawn(key, name))[:count]
+    return sorted(names, key=lambda name: _weight(key, name))[:count]
 
 
-def _drawn(key: str, name: str) -> int:
+def _weight(key: str, name: str) -> int:
     return xxhash.xxh32_intdigest(f'{key}/{name}'.encode())
 
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/revision.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/revision.py
@@ -1,9 +1,9 @@
-"""How new it is what a gateway knows of its source.
+"""Revisions that order everything a gateway learns from its sources.
 
-A store counts its changes, and may lose the newest: it comes back from an older
-copy, and the counts that it had given since are given out again, for other
-changes. Each time it enters a new epoch. So a count alone doesn't order what is
-known; epoch and count together do.
+A store numbers its changes. If it is restored from an older backup, it loses
+the newest changes and assigns their version numbers again to other changes.
+Each restore starts a new epoch, so only epoch and version together give an
+order.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 __all__ = ['MAX', 'NONE', 'Revision']
 
-# No epoch and no version comes near it; a greater one is a fault of whoever
-# tells it.
+# Upper bound of epochs and versions. No source gets near it, so a larger value
+# comes from a faulty sender.
 MAX = 2**53
 
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Revision:
-    """A moment in the history of a source; later ones compare greater.
+    """A point in the history of a source; later ones compare greater.
 
     Attributes:
-      epoch: How often the source has come back from an older copy; 0 for a
-        source that doesn't say.
-      version: Count of changes within the epoch, from that of the copy on.
+      epoch: Number of times the source was restored from an older copy; 0 for
+        a source that doesn't report epochs.
+      version: Number of changes, continuing from that of the restored copy.
     """
 
     epoch: int
     version: int
 
     def __str__(self) -> str:
-        """Returns its form in log lines."""
+        """Returns the form used in log lines."""
         return (
             f'{self.epoch}/{self.version}' if self.epoch else f'{self.version}'
         )
 
 
-# Before every moment of a source.
+# Lower than every revision of a source.
 NONE = Revision(0, 0)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
@@ -1,4 +1,4 @@
-"""The upstreams that a gateway knows of, by service."""
+"""The upstreams that a gateway knows, by service."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 
 __all__ = ['Change', 'Upstream', 'Upstreams', 'bounded_warmup_s']
 
-# While its store is away a source may let the entries of upstreams lapse that
-# live. They are entered again within two seconds of its return; acted on at
-# once, the lapse would take away every upstream.
+# A source whose store is unavailable may let the entries of live upstreams
+# lapse. They register again within two seconds of its return; applied at once,
+# the lapse would remove every upstream.
 LAPSE_GRACE_S = 2.2
-# Other gateways are told of a removed upstream for this long: more than their
-# own pause between two looks at the source.
+# Removed upstreams are published to other gateways for this long, which is
+# longer than the interval at which those query the source.
 REMOVED_PUBLISH_S = 4.0
-# No upstream stays cold for longer; a greater figure is a fault of its
-# writer's, and the next entry corrects it.
+# Upper bound of the time an upstream stays cold. A larger value is a fault of
+# its writer, which the next entry corrects.
 MAX_WARMUP_S = 60.0
-# With nothing told for this long the source is away for all gateways: a call
-# that waits for a change is answered sooner.
+# A source that has confirmed nothing for this long is unavailable to all
+# gateways: a query that waits for a change is answered sooner.
 SOURCE_SILENT_S = 0.8
-# A copy from which the source comes back is seconds old, and it was away for
-# some; an upstream whose entry went so long ago may stand in it yet.
+# The copy from which a source is restored is seconds old, and the source was
+# unavailable for some seconds; it may still list an upstream whose entry was
+# removed within this time.
 ENDED_RETENTION_S = 60.0
 MAX_ENDED = 4096
-# Engines are taken away every few seconds; the rate is that of so long.
+# Window over which the rate of departures is measured. Engines are taken away
+# every few seconds.
 DEPARTURE_WINDOW_S = 8.0
 MAX_DEPARTURES = 4096
-# Stands in no id that a platform gives.
+# Occurs in no id that a platform assigns.
 KEY_SEPARATOR = '\n'
 
 
@@ -42,16 +44,18 @@
     """One incarnation of an upstream process.
 
     Attributes:
-      id: Its name; one that starts again may have the same.
-      service: Service that it answers for.
-      address: IP number and port.
-      availability_zone: Where it runs.
-      slots: Requests that it works on at once.
-      leaving: Takes no new work.
-      removed: No longer known; what still runs there is at its end.
-      incarnation: Grows with each start under the same id; 0 if not told.
-      warmup_s: For how long it stays cold, as its entry said, in seconds.
-      cold_until_s: Loop time at which it is warm; set when the entry is taken.
+      id: Its name, which it may keep when it restarts.
+      service: Service that it serves.
+      address: IP address and port.
+      availability_zone: Zone in which it runs.
+      slots: Number of requests that it processes concurrently.
+      leaving: Whether it accepts no new work.
+      removed: Whether it is no longer known; what still runs there is about to
+        end.
+      incarnation: Grows with each start under the same id; 0 if unknown.
+      warmup_s: For how long it stays cold, as its entry says, in seconds.
+      cold_until_s: Loop time at which it is warm; set when the entry is
+        applied.
     """
 
     id: str
@@ -67,10 +71,10 @@
 
     @property
     def key(self) -> str:
-        """Names this incarnation, in memory and to other gateways.
+        """Identifies this incarnation, in memory and to other gateways.
 
-        What is held, learned or told of one incarnation says nothing of the
-        next, which holds and knows nothing of before.
+        What one incarnation holds, and what was learned or received about it,
+        doesn't apply to the next, which starts empty.
         """
         if not self.incarnation:
             return self.id
@@ -78,11 +82,11 @@
 
     @property
     def address_text(self) -> str:
-        """IP number and port with a colon."""
+        """IP address and port, separated by a colon."""
         return f'{self.address[0]}:{self.address[1]}'
 
     def has_same_content(self, other: Upstream) -> bool:
-        """Whether an entry read as this one and another tell the same."""
+        """Whether the entry of another upstream has the same content."""
         return (
             self.key == other.key
             and self.service == other.service
@@ -96,14 +100,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Change:
-    """One entry of the membership that was written or dropped.
+    """A membership entry that was written or removed.
 
     Attributes:
       id: Id of the upstream.
-      revision: Revision of the source at which it was.
-      upstream: What the entry says, never changed afterwards; None if it was
-        dropped, or names no upstream to use.
-      may_have_lapsed: Whether a dropped entry may have lapsed in an outage of
+      revision: Revision of the source at which it changed.
+      upstream: Content of the entry, which is never modified; None if it was
+        removed, or describes no usable upstream.
+      may_have_lapsed: Whether a removed entry may have lapsed in an outage of
         the source.
     """
 
@@ -114,16 +118,16 @@
 
 
 class Upstreams:
-    """Keeps what the membership source tells, and tells of upstreams leaving.
+    """Tracks the membership, and notifies of upstreams that are leaving.
 
     Attributes:
-      revision: Revision of the newest change taken in.
-      gateway_count: Gateways that share what they know, this one included.
-      zones: Which availability zones operators drain.
+      revision: Revision of the newest change applied.
+      gateway_count: Number of gateways that share upstreams, this one included.
+      zones: Availability zones that operators drain.
     """
 
     def __init__(self, regions: Mapping[str, str] | None = None) -> None:
-        """Knows no upstream yet.
+        """Starts without upstreams.
 
         Args:
           regions: Region of each availability zone.
@@ -142,7 +146,7 @@
         self._ended: collections.deque[tuple[float, str]] = collections.deque(
             maxlen=MAX_ENDED
         )
-        # Until when each is doubted, by key.
+        # Loop time until which an upstream gets no new work, by key.
         self._suspected: dict[str, float] = {}
         self._lapsed: dict[str, revision_lib.Revision] = {}
         self._lapse_grace_until_s = 0.0
@@ -152,24 +156,24 @@
 
     @property
     def age_s(self) -> float:
-        """Time since the source last said that this is all."""
+        """Time since the source last confirmed the membership."""
         return asyncio.get_running_loop().time() - self._confirmed_s
 
     def mark_confirmed(self) -> None:
-        """Notes that the source answered."""
+        """Records that the source has responded."""
         self._confirmed_s = asyncio.get_running_loop().time()
 
     @property
     def lapse_grace_left_s(self) -> float:
-        """For how long entries that are gone are kept yet, in seconds."""
+        """For how much longer removed entries are kept, in seconds."""
         now = asyncio.get_running_loop().time()
         return max(0.0, self._lapse_grace_until_s - now)
 
     def start_lapse_grace(self, for_s: float = LAPSE_GRACE_S) -> None:
-        """Keeps entries that are gone for a while: their source was away.
+        """Keeps removed entries for a while after an outage of their source.
 
         Args:
-          for_s: How long; no longer than `LAPSE_GRACE_S` counts.
+          for_s: For how long, limited to `LAPSE_GRACE_S`.
         """
         loop = asyncio.get_running_loop()
         for_s = min(for_s, LAPSE_GRACE_S)
@@ -180,18 +184,18 @@
         loop.call_later(for_s, self._drop_lapsed)
 
     def mark_source_recovered(self, lost_s: float) -> None:
-        """Notes that the source answers again.
+        """Records that the source responds to this gateway again.
 
         Args:
-          lost_s: Loop time at which it fell silent here. Where other gateways
-            were served meanwhile and told what changed, it was not away, and
-            an entry that is gone has not lapsed.
+          lost_s: Loop time at which it stopped responding here. If other
+            gateways still reached it and published its changes, there was no
+            outage, and no removed entry has lapsed.
         """
         if self._confirmed_s <= lost_s:
             self.start_lapse_grace()
 
     def on_leaving(self, callback: Callable[[Upstream], None]) -> None:
-        """Calls back with each upstream that starts to leave or is gone."""
+        """Registers a callback for upstreams that start to leave."""
         self._on_leaving.append(callback)
 
     def available(
@@ -201,7 +205,7 @@
 
         Args:
           service: Name of the service.
-          regions: Those in which it may be done; None for any.
+          regions: Regions in which the work may run; None for any.
         """
         return [
             upstream
@@ -226,38 +230,39 @@
         return self._regions.get(upstream.availability_zone)
 
     def get(self, upstream_id: str) -> Upstream | None:
-        """Returns an upstream by its id, None if it is not known."""
+        """Returns an upstream by its id, or None if it is unknown."""
         return self._by_id.get(upstream_id)
 
     def all(self) -> list[Upstream]:
-        """Returns every upstream known."""
+        """Returns all known upstreams."""
         return list(self._by_id.values())
 
     def replace(
         self, found: Iterable[Change], revision: revision_lib.Revision
     ) -> None:
-        """Takes all entries; upstreams that are not among them are gone."""
+        """Applies the complete membership and removes all other upstreams."""
         listed = {change.id: change for change in found}
         for missing in self._by_id.keys() - listed.keys():
             self.remove(missing, revision)
         for change in listed.values():
             self.apply(change)
-        # Also if it is less: what was known was then a faulty sender's.
+        # Set even if it is lower: a higher one came from a faulty sender.
         self.revision = revision
 
     def suspect_ended(self, found: Iterable[Change]) -> None:
-        """Doubts the entries of a copy whose upstreams have ended since.
+        """Gives no new work to restored entries of upstreams that have ended.
 
-        An upstream has ended and its entry went; the copy is from before. Sent
-        there, requests would wait for nobody. Whoever removed the entry does so
-        again, in the time that it takes others to enter themselves again; what
-        stands there still is that of one that lives.
+        A source that was restored from a copy may list an upstream whose entry
+        was removed after the copy was taken; requests sent there would never
+        be answered. Whoever removed the entry removes it again, in the time
+        in which others register again. An entry that is still there afterwards
+        belongs to a live upstream.
         """
         now = asyncio.get_running_loop().time()
         ended = {
             key for at_s, key in self._ended if at_s > now - ENDED_RETENTION_S
         }
-        # A further copy begins a further wait for whoever removes entries.
+        # Another copy restarts the wait for entries to be removed again.
         keys = {
             change.upstream.key
             for change in found
@@ -275,7 +280,7 @@
         } | dict.fromkeys(keys, now + LAPSE_GRACE_S)
 
     def apply(self, change: Change) -> None:
-        """Takes one entry, written or dropped."""
+        """Applies an entry that was written or removed."""
         if change.upstream is None:
             self.remove(
                 change.id,
@@ -283,25 +288,25 @@
                 may_have_lapsed=change.may_have_lapsed,
             )
         else:
-            # Changed later on here, by others' notices; the entry is not.
+            # Peers' notices modify the upstream later; the entry stays.
             found = dataclasses.replace(change.upstream)
             self.put(found, change.revision)
 
     def put(self, found: Upstream, revision: revision_lib.Revision) -> None:
-        """Takes one entry, new or changed."""
+        """Applies an entry that is new or has changed."""
         self.revision = max(self.revision, revision)
         self._lapsed.pop(found.id, None)
         known = self._by_id.get(found.id)
         if known is not None and known.incarnation and not found.incarnation:
-            # Of another writer than the server, which has told its start.
+            # Not written by the server, which reports its incarnation.
             event.note(event.UpstreamStale(found.id, str(revision)))
             self.remove(found.id, revision, may_have_lapsed=False)
             return
         if known is not None and found.incarnation < known.incarnation:
-            # Told late, of a start before the one that is known.
+            # A late entry of an earlier incarnation.
             event.note(event.UpstreamStale(found.id, str(revision)))
             return
-        if known is None or _is_another(known, found):
+        if known is None or _is_another_process(known, found):
             if known is not None:
                 self.remove(found.id, revision, may_have_lapsed=False)
             found.cold_until_s = _cold_until_s(found)
@@ -318,14 +323,19 @@
             )
             return
         if found.warmup_s != known.warmup_s:
-            # An entry that was read again says nothing that is new.
+            # Reading the same entry again must not restart the warm-up.
             known.warmup_s = found.warmup_s
             known.cold_until_s = _cold_until_s(found)
         if found.leaving:
             self.mark_leaving(known, 'membership')
 
     def mark_leaving(self, upstream: Upstream, source: str) -> None:
-        """Notes that an upstream takes no new work, whoever said so."""
+        """Records that an upstream accepts no new work.
+
+        Args:
+          upstream: The upstream.
+          source: Where the information comes from, for the log.
+        """
         if upstream.leaving:
             return
         upstream.leaving = True
@@ -339,14 +349,14 @@
 
     @property
     def can_grow(self) -> bool:
-        """Whether upstreams can enter: the source tells, to any gateway."""
+        """Whether upstreams can join: some gateway reaches the source."""
         return self.age_s < SOURCE_SILENT_S
 
     def departures_per_s(self, service: str) -> float:
-        """Returns how many upstreams of a service have gone a second, of late.
+        """Returns the recent rate at which upstreams of a service leave.
 
-        While the source tells, others come in their place. While it does not,
-        nobody can enter, and the engines that are taken away go on leaving.
+        While the source is available, others replace them. During an outage,
+        none can join, but engines continue to be taken away.
         """
         since_s = asyncio.get_running_loop().time() - DEPARTURE_WINDOW_S
         left = sum(
@@ -356,10 +366,10 @@
         return left / DEPARTURE_WINDOW_S
 
     def leaving_keys(self) -> tuple[str, ...]:
-        """Returns the keys of upstreams that leave, or were removed just now.
+        """Returns the keys of upstreams that leave or were recently removed.
 
-        Some never say that they leave: their entry is removed, and they serve
-        on for a while.
+        Some never announce that they leave: their entry is removed, and they
+        continue to serve for a while.
         """
         oldest_s = asyncio.get_running_loop().time() - REMOVED_PUBLISH_S
         while self._removed and self._removed[0][0] < oldest_s:
@@ -368,10 +378,10 @@
         return (*leaving, *(removed for _, removed in self._removed))
 
     def receive_leaving(self, keys: Iterable[str], node: str) -> None:
-        """Takes what another gateway knows of upstreams leaving.
+        """Marks the upstreams that another gateway reports as leaving.
 
-        The store turns some machines away and serves others; those it serves
-        hear a notice for all.
+        The store may refuse some hosts and serve others; those that it serves
+        pass its notices on to the rest.
         """
         for key in keys:
             upstream = self._by_id.get(key.partition(KEY_SEPARATOR)[0])
@@ -385,13 +395,13 @@
         *,
         may_have_lapsed: bool = True,
     ) -> None:
-        """Forgets an upstream whose entry is gone.
+        """Removes an upstream whose entry was removed.
 
         Args:
           upstream_id: Its id.
           revision: Revision of the membership.
           may_have_lapsed: Whether the entry may have lapsed in an outage; not
-            if something else is known to stand in its place.
+            if it is known to have been replaced.
         """
         self.revision = max(self.revision, revision)
         now = asyncio.get_running_loop().time()
@@ -410,23 +420,24 @@
         self._ended.append((now, upstream.key))
         event.note(event.UpstreamRemoved(upstream_id, str(revision)))
 
-    def verify_incarnation(self, upstream: Upstream, told: int) -> bool:
-        """Takes which start of an upstream has answered a question.
+    def verify_incarnation(self, upstream: Upstream, reported: int) -> bool:
+        """Checks which incarnation of an upstream has responded.
 
-        Where it has started again, what it says is not of the one that was
-        asked for, which is gone; its new entry comes by the membership.
+        If the upstream has restarted, the response is not from the incarnation
+        that was asked, which is removed; the membership source will list the
+        new one.
 
         Returns:
-          Whether the answer is of the start that is known.
+          Whether the response is from the known incarnation.
         """
-        if not told or not upstream.incarnation:
+        if not reported or not upstream.incarnation:
             return True
-        if told > upstream.incarnation and not upstream.removed:
+        if reported > upstream.incarnation and not upstream.removed:
             self.remove(upstream.id, self.revision, may_have_lapsed=False)
-        return told == upstream.incarnation
+        return reported == upstream.incarnation
 
     def _drop_lapsed(self) -> None:
-        # A further outage has begun a further wait.
+        # Another outage has started a grace period of its own.
         if asyncio.get_running_loop().time() < self._lapse_grace_until_s - 0.01:
             return
         self._lapse_grace_until_s = 0.0
@@ -435,9 +446,9 @@
             self.remove(upstream_id, revision)
 
 
-def bounded_warmup_s(told_s: float) -> float:
-    """Returns a time to stay cold, within what is possible."""
-    return min(MAX_WARMUP_S, max(0.0, float(told_s)))
+def bounded_warmup_s(reported_s: float) -> float:
+    """Returns a reported warm-up time, limited to the valid range."""
+    return min(MAX_WARMUP_S, max(0.0, float(reported_s)))
 
 
 def _cold_until_s(found: Upstream) -> float:
@@ -446,8 +457,8 @@
     return asyncio.get_running_loop().time() + found.warmup_s
 
 
-def _is_another(known: Upstream, found: Upstream) -> bool:
-    """Whether an entry is of another process than the one that is known."""
+def _is_another_process(known: Upstream, found: Upstream) -> bool:
+    """Whether an entry belongs to another process than the known one."""
     return (known.incarnation, known.service, known.address) != (
         found.incarnation,
         found.service,
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/usage.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/usage.py
@@ -1,4 +1,4 @@
-"""What the generations of one gateway hold and wait for."""
+"""Engine capacity that the generations of one gateway use or wait for."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 __all__ = ['NO_USAGE', 'Usage', 'WaitingTokens']
 
-# Tokens that wait for engines, by service and rank.
+# Tokens of requests that wait for an engine, by service and rank.
 WaitingTokens = dict[str, dict[int, int]]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Usage:
-    """What the generations of one gateway hold at one engine.
+    """What the generations of one gateway use at one engine.
 
     Attributes:
-      memory_tokens: Memory that they are expected to need at their ends.
-      prefill_tokens: Prompt tokens that are not read yet.
-      runs: How many they are.
-      backup_tokens: Memory that backups are expected to need.
-      failures: Failures of its calls of late.
+      memory_tokens: Memory that they are expected to need when they end.
+      prefill_tokens: Prompt tokens that are not processed yet.
+      runs: Number of generations.
+      backup_tokens: Memory that their backups are expected to need.
+      failures: Recent failures of calls to the engine.
     """
 
     memory_tokens: int
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/zones.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/zones.py
@@ -1,11 +1,10 @@
 """Availability zones that operators drain.
 
-Operators take a zone out for a while: nothing new may go to its upstreams until
-they take it back. What runs there goes on. The order for one zone is written
-and dropped like any entry of the source, so that each is known by the revision
-of the source at which it last changed; the newest of them counts, whoever tells
-it. An order that was taken back cannot come again by an answer or a datagram
-that was overtaken, and one that stands cannot be lost by it.
+While a zone is drained, its upstreams get no new work; running work continues.
+The drain order for a zone is an entry of the source like any other, so each
+order carries the revision of the source at which it last changed. The newest
+order wins, whichever gateway sends it: a late response or datagram can neither
+restore an order that was withdrawn nor remove one that is in force.
 """
 
 from __future__ import annotations
@@ -19,30 +18,31 @@
 
 __all__ = ['MAX_NAME_LENGTH', 'Drain', 'Zones']
 
-# Orders kept; several times the zones of the largest fleet planned for.
+# Several times the number of zones in the largest fleet planned for.
 MAX_DRAINS = 256
-# Characters in the name of a zone; longer ones are no names.
+# Characters; a longer zone name is invalid.
 MAX_NAME_LENGTH = 200
-# A copy from which the source has come back may lack an order, which operators
-# write again. Kept for so long, an order that they have taken back leaves a
-# zone idle for a few seconds; dropped sooner, work would go where they have
-# been promised that none does.
+# A source that is restored from a copy may lack an order until operators write
+# it again, so the order is kept for this long. If it had been withdrawn, a zone
+# is idle for a few seconds; dropped sooner, work would go to a zone of which
+# operators were promised that it gets none.
 LAPSE_GRACE_S = 10.0
-# A run whose memory has been copied to a zone may still go on there for this
-# long after its drain was learned: stopped at its source, it would be lost.
-# With the time to learn of it this is well within what operators allow.
+# A run that was stopped to move to a zone, where its memory has been copied,
+# may continue there for this long after the zone's drain became known, as it
+# would be lost otherwise. Together with the time until the drain is known, this
+# is well within what operators allow.
 CONTINUE_GRACE_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Drain:
-    """An operators' order for one zone.
+    """A drain order for one zone.
 
     Attributes:
       zone: Name of the availability zone.
       revision: Revision of the source at which the order was written or
-        dropped.
-      is_on: Whether it stands.
+        withdrawn.
+      is_on: Whether it is in force.
     """
 
     zone: str
@@ -61,29 +61,29 @@
 
     @property
     def drains(self) -> tuple[Drain, ...]:
-        """Returns every order known, those that were taken back included."""
+        """Returns all known orders, including withdrawn ones."""
         return tuple(self._drains.values())
 
     @property
     def newest(self) -> revision_lib.Revision:
         """Revision of the newest order; `NONE` if there is none."""
-        found = (one.revision for one in self._drains.values())
+        found = (drain.revision for drain in self._drains.values())
         return max(found, default=revision_lib.NONE)
 
     def is_drained(self, zone: str) -> bool:
-        """Whether nothing new may go to a zone."""
+        """Whether a zone gets no new work."""
         return zone in self._since_s
 
     def accepts_runs(self, zone: str) -> bool:
-        """Whether a run that has been stopped to move there may go on there."""
+        """Whether a run that was stopped to move there may continue there."""
         since_s = self._since_s.get(zone)
         return since_s is None or _now() - since_s < CONTINUE_GRACE_S
 
     def enter_epoch(self, revision: revision_lib.Revision) -> None:
-        """Notes at which revision the source is.
+        """Records the current revision of the source.
 
-        Orders of the epochs before stand for a while, and then no longer: what
-        the source says of all zones is of this one.
+        Orders of previous epochs stay in force for a grace period and are then
+        dropped, as what the source lists belongs to the new epoch.
         """
         if revision.epoch == self._epoch:
             return
@@ -94,7 +94,7 @@
         )
 
     def _drop_lapsed(self, revision: revision_lib.Revision) -> None:
-        # A further epoch has begun a further wait.
+        # A newer epoch has started a grace period of its own.
         if revision.epoch != self._epoch:
             return
         for drain in self.drains:
@@ -102,12 +102,15 @@
                 self._set(Drain(drain.zone, revision, is_on=False))
 
     def _has_lapsed(self, drain: Drain) -> bool:
-        """Whether an order can only be told late: its epoch is long over."""
+        """Whether the grace period of an order's epoch is over.
+
+        Such an order can only arrive late.
+        """
         is_over = _now() >= self._lapse_at_s
         return is_over and drain.revision.epoch < self._epoch
 
     def apply_newer(self, found: Iterable[Drain]) -> None:
-        """Takes each order that is newer than the one known."""
+        """Applies each order that is newer than the known one."""
         for drain in found:
             if self._has_lapsed(drain):
                 continue
@@ -118,10 +121,10 @@
     def replace(
         self, found: Iterable[Drain], revision: revision_lib.Revision
     ) -> None:
-        """Takes all orders that stand as of a revision of the source.
+        """Applies the complete list of orders in force at a revision.
 
-        What is known and not among them was taken back, unless it is newer, or
-        of an epoch before and has not lapsed yet.
+        A known order that is not listed was withdrawn, unless it is newer, or
+        belongs to a previous epoch that has not lapsed yet.
         """
         listed = {drain.zone: drain for drain in found}
         self.apply_newer(listed.values())
@@ -133,14 +136,14 @@
                 self._set(Drain(drain.zone, revision, is_on=False))
 
     def has_unlisted_drain(
-        self, told: Iterable[Drain], revision: revision_lib.Revision
+        self, listed: Iterable[Drain], revision: revision_lib.Revision
     ) -> bool:
-        """Whether an order stands here that is not among all of a revision.
+        """Whether an order in force here is missing from a peer's full list.
 
-        It was taken back by then. Whoever tells has listed the orders since and
-        knows nothing of those that no longer stood.
+        It was withdrawn by `revision`. The peer has listed the orders after
+        that, so it doesn't know the withdrawn ones and doesn't name them.
         """
-        named = {drain.zone for drain in told}
+        named = {drain.zone for drain in listed}
         return any(
             drain.is_on
             and drain.zone not in named
@@ -152,11 +155,11 @@
     def override_newer(
         self, found: Iterable[Drain], revision: revision_lib.Revision
     ) -> None:
-        """Takes all orders as listed, in place of those above a revision.
+        """Replaces orders above a revision by the listed ones.
 
-        The source has not come to these: they can only come from a faulty
-        sender, and nothing that the source says of their zones would count
-        until it has come so far. A zone whose order stands stays drained.
+        The source has not reached those revisions, so the orders come from a
+        faulty sender; they would override everything the source says of their
+        zones until it gets there. A zone with a listed order stays drained.
         """
         listed = {drain.zone: drain for drain in found}
         for drain in self.drains:
@@ -183,13 +186,16 @@
         )
 
     def _make_room(self, drain: Drain) -> bool:
-        """Returns whether there is a place for an order of a further zone."""
+        """Returns whether an order for another zone can be stored.
+
+        Evicts the oldest withdrawn order if needed.
+        """
         if len(self._drains) < MAX_DRAINS:
             return True
-        ended = [one for one in self._drains.values() if not one.is_on]
-        if not drain.is_on or not ended:
+        withdrawn = [one for one in self._drains.values() if not one.is_on]
+        if not drain.is_on or not withdrawn:
             return False
-        oldest = min(ended, key=lambda one: one.revision)
+        oldest = min(withdrawn, key=lambda one: one.revision)
         del self._drains[oldest.zone]
         return True
 
