--- a/tests/quetzalsill_gateway/fleet/test_publish_timing.py
+++ b/tests/quetzalsill_gateway/fleet/test_publish_timing.py
@@ -10,7 +10,7 @@
 class PublishTimingTest(unittest.TestCase):
     """Small fleets tell at once; large ones take in no more than they."""
 
-    def test_small_fleets_tell_at_once(self):
+    def test_small_fleets_publish_immediately(self):
         for gateways in (1, 4, 24, 68):
             self.assertEqual(publish_timing.min_interval_s(gateways), 0.0)
             self.assertEqual(
@@ -25,7 +25,7 @@
                 publish_timing.candidate_count(gateways, 30, 2.0), 30
             )
 
-    def test_what_is_taken_in_stays_flat(self):
+    def test_received_datagrams_stay_constant(self):
         """300 gateways that each tell all others fill the thin links."""
         for gateways in (100, 200, 300):
             each_per_s = 1 / publish_timing.min_interval_s(gateways)
@@ -37,7 +37,7 @@
             3 * publish_timing.SMALL_FLEET,
         )
 
-    def test_one_that_tells_is_not_taken_for_silent(self):
+    def test_publishing_gateway_does_not_time_out(self):
         for gateways in (1, 70, 71, 150, 300, 2000):
             told_s = max(
                 publish_timing.keepalive_s(gateways),
@@ -50,13 +50,13 @@
                 publish_timing.full_state_s(gateways), told_s
             )
 
-    def test_a_flood_of_names_does_not_silence_the_fleet(self):
+    def test_flood_of_names_does_not_silence_the_fleet(self):
         self.assertEqual(
             publish_timing.min_interval_s(100_000),
             publish_timing.MAX_INTERVAL_S,
         )
 
-    def test_choices_on_old_figures_spread(self):
+    def test_choices_from_stale_state_spread(self):
         """All choose the emptiest engine until it is known to be full."""
         count = publish_timing.candidate_count(300, 135, 0.45)
         self.assertGreaterEqual(count, publish_timing.MIN_CANDIDATES)
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -129,7 +129,7 @@
         clock.run(work)
         self.assertLessEqual(self.fleet.most_in_a_second(), bound(per_s))
 
-    def test_it_is_used_and_not_exceeded(self):
+    def test_rate_is_used_and_not_exceeded(self):
         for gateways in (1, 2, 24, 68):
             for per_s in (2.0, 35.0):
                 with self.subTest((gateways, per_s)):
@@ -140,7 +140,7 @@
                     self.play(story, gateways, per_s)
                     self.assertGreater(len(self.fleet.sent_s) / 10.0, per_s / 2)
 
-    def test_gateways_are_lost_cut_paused_and_new(self):
+    def test_gateways_lost_partitioned_paused_and_new(self):
         """Half hear nothing of the others, some are gone, some are new.
 
         Each half would take the whole rate for its own, and so would a
@@ -172,7 +172,7 @@
                 with self.subTest((gateways, per_s)):
                     self.play(story, gateways, per_s)
 
-    def test_who_knows_nobody_sends_nothing(self):
+    def test_gateway_without_directory_sends_nothing(self):
         """It has started in an outage: it hears some, and may be cut off."""
 
         async def story():
@@ -182,7 +182,7 @@
 
         self.play(story, 2, 35.0)
 
-    def test_it_is_shared_by_many(self):
+    def test_rate_is_shared_by_many(self):
         """One that alone may send would serve its own callers only."""
 
         async def story():
@@ -191,7 +191,7 @@
 
         self.play(story, 24, 35.0)
 
-    def test_one_that_is_warm_gets_what_there_is(self):
+    def test_warm_upstream_is_not_limited(self):
         async def story():
             now = asyncio.get_running_loop().time()
             self.fleet.target.cold_until_s = now
@@ -218,7 +218,7 @@
             holder(most_connections=most), known, WARMUP, lambda _: found
         )
 
-    async def test_all_together_stay_within_it(self):
+    async def test_sum_of_shares_stays_within_the_limit(self):
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         for gateways in (1, 2, 24, 68):
             for most in (470, 200, 100, 66):
@@ -228,7 +228,7 @@
                     if gateways <= most:
                         self.assertLessEqual(share * gateways, most)
 
-    async def test_what_hosts_without_power_leave_behind_has_room(self):
+    async def test_room_for_connections_of_hosts_that_lost_power(self):
         """An upstream holds what dead gateways had idle, and they come back."""
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         for gateways in (1, 4, 24, 40):
@@ -237,7 +237,7 @@
             idle = shares.max_idle(target)
             self.assertLessEqual(gateways * (used + idle), 200)
 
-    async def test_one_that_hangs_gets_nothing_more(self):
+    async def test_hanging_upstream_gets_no_more_requests(self):
         """Calls hang on all connections that this gateway may have.
 
         Each further one would be reset, with an order on it whose caller may
@@ -249,7 +249,7 @@
         resting = quota.Connections(7, 1)
         self.assertTrue(self.quota(24, 200, resting).allows(target))
 
-    async def test_no_bound_where_none_is_told(self):
+    async def test_no_limit_unless_configured(self):
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         self.assertIsNone(self.quota(24, 0).max_connections(target))
         other = upstream.Upstream('u', 'unlisted', ('10.0.0.1', 1), 'z')
@@ -259,7 +259,7 @@
 class MembersTest(unittest.TestCase):
     """Whose share is kept."""
 
-    def test_a_silent_one_keeps_its_share_for_a_while(self):
+    def test_silent_member_keeps_its_share_for_a_while(self):
         found = members.Members('b')
         found.mark_seen(['a', 'c'], 10.0)
         found.mark_seen(['a'], 40.0)
@@ -267,7 +267,7 @@
         self.assertEqual(found.names(71.0), ('a', 'b'))
         self.assertEqual(found.names(200.0), ('b',))
 
-    def test_names_stay_bounded(self):
+    def test_number_of_members_is_bounded(self):
         found = members.Members('b')
         found.mark_seen((str(n) for n in range(10_000)), 1.0)
         self.assertEqual(len(found.names(2.0)), members.MAX_MEMBERS + 1)
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -35,7 +35,7 @@
     def ids(self):
         return [found.id for found in self.upstreams.available('s')]
 
-    async def test_leaving_is_told_once_and_never_taken_back(self):
+    async def test_leaving_is_notified_once_and_is_final(self):
         self.upstreams.put(entry(), at(1))
         self.upstreams.put(entry(leaving=True), at(2))
         self.upstreams.put(entry(leaving=True), at(3))
@@ -44,12 +44,12 @@
         self.upstreams.remove('u-1', at(5))
         self.assertEqual(self.left, ['u-1'])
 
-    async def test_a_whole_list_drops_what_is_not_in_it(self):
+    async def test_full_list_removes_unlisted_upstreams(self):
         self.upstreams.replace(written(entry('u-1'), entry('u-2', 81)), at(1))
         self.upstreams.replace(written(entry('u-2', 81)), at(2))
         self.assertEqual((self.ids(), self.left), (['u-2'], ['u-1']))
 
-    async def test_an_entry_that_is_read_again_makes_no_upstream_cold(self):
+    async def test_reading_an_entry_again_does_not_restart_warmup(self):
         """A table is listed anew, with the entry of a server that is warm now.
 
         Counted from then, the warm-up that it tells would begin a second time.
@@ -70,7 +70,7 @@
         self.assertTrue(old.removed)
         self.assertEqual(self.upstreams.available('s')[0].address[1], 81)
 
-    async def test_one_that_starts_again_is_another_upstream(self):
+    async def test_restarted_upstream_is_another_upstream(self):
         """An engine crashes and starts again under its id and address.
 
         What was held, learned or told of it before is not true of it now: its
@@ -90,7 +90,7 @@
         self.upstreams.receive_leaving((new.key,), 'entry-2')
         self.assertTrue(new.leaving)
 
-    async def test_an_answer_of_another_start_is_not_taken(self):
+    async def test_response_of_another_incarnation_is_rejected(self):
         """The store is away; an engine that is asked has started again."""
         self.upstreams.put(entry(incarnation=20), at(1))
         known = self.upstreams.get('u-1')
@@ -103,14 +103,14 @@
         self.assertTrue(known.removed)
         self.assertEqual(self.ids(), [])
 
-    async def test_an_older_start_told_late_changes_nothing(self):
+    async def test_late_entry_of_an_older_incarnation_changes_nothing(self):
         self.upstreams.put(entry(incarnation=20), at(2))
         new = self.upstreams.get('u-1')
         self.upstreams.put(entry(incarnation=10, leaving=True), at(3))
         self.assertIs(self.upstreams.get('u-1'), new)
         self.assertFalse(new.leaving)
 
-    async def test_an_entry_without_a_start_is_not_the_servers(self):
+    async def test_entry_without_incarnation_is_not_the_servers(self):
         """A server that tells its starts has an entry that tells none."""
         self.upstreams.put(entry(incarnation=20), at(1))
         self.upstreams.put(entry(), at(2))
@@ -126,7 +126,7 @@
         self.assertEqual(self.ids(), [])
         self.assertEqual(self.upstreams.available('t'), [other])
 
-    async def test_a_notice_of_a_peer_counts(self):
+    async def test_notice_of_a_peer_is_applied(self):
         """The store turns this machine away, and serves another.
 
         An upstream's notice reaches only the other machine, which tells it.
@@ -135,7 +135,7 @@
         self.upstreams.receive_leaving(['u-1', 'u-unknown'], 'entry-2')
         self.assertEqual((self.ids(), self.left), ([], ['u-1']))
 
-    async def test_entries_that_lapsed_in_an_outage_wait(self):
+    async def test_lapsed_entries_are_kept_for_the_grace_period(self):
         self.upstreams.put(entry(), at(1))
         self.upstreams.start_lapse_grace()
         self.upstreams.remove('u-1', at(2))
@@ -147,7 +147,7 @@
         self.assertEqual(self.ids(), [])
 
 
-class DoubtTest(unittest.TestCase):
+class SuspectEndedTest(unittest.TestCase):
     """Entries of a copy whose upstreams have ended."""
 
     def ids(self, upstreams):
@@ -178,7 +178,7 @@
 
         clock.run(work)
 
-    def test_a_further_drill_begins_a_further_doubt(self):
+    def test_second_drill_extends_the_suspicion(self):
         """Requests go to a server that has ended, and wait for nobody.
 
         Two drills come within three seconds. Whoever removes entries begins
@@ -186,7 +186,7 @@
         """
         self.play(lambda _: None)
 
-    def test_the_end_of_a_doubt_is_not_that_of_the_next(self):
+    def test_end_of_one_suspicion_does_not_end_the_next(self):
         """The same, though the entry was removed between the two drills."""
         self.play(
             lambda found: found.remove('u-1', at(3), may_have_lapsed=False)
--- a/tests/quetzalsill_gateway/fleet/test_zones.py
+++ b/tests/quetzalsill_gateway/fleet/test_zones.py
@@ -33,7 +33,7 @@
         self.addCleanup(quiet.stop)
         self.zones = zones.Zones()
 
-    async def test_an_order_that_was_taken_back_does_not_come_again(self):
+    async def test_withdrawn_order_is_not_restored(self):
         """Operators take a zone back; a datagram from before arrives after.
 
         Taken in, it would keep a third of the upstreams idle for good.
@@ -44,7 +44,7 @@
         self.zones.apply_newer([on])
         self.assertFalse(self.zones.is_drained('a'))
 
-    async def test_an_order_that_stands_is_not_lost_by_an_old_answer(self):
+    async def test_order_in_force_is_not_removed_by_a_stale_response(self):
         """A read of all orders was sent before one, and is answered after.
 
         The order isn't in it. Forgotten, the zone would get new work.
@@ -55,7 +55,7 @@
         self.zones.replace([], at(9))
         self.assertFalse(self.zones.is_drained('a'))
 
-    async def test_a_run_may_still_go_on_where_it_was_copied_to(self):
+    async def test_run_may_continue_where_it_was_copied_to(self):
         """A run has been stopped to move to a zone, and that zone is drained.
 
         Sent nowhere, it would be lost, though its memory is there already.
@@ -70,7 +70,7 @@
             self.assertFalse(self.zones.accepts_runs('a'))
         self.assertTrue(self.zones.accepts_runs('b'))
 
-    async def test_orders_stay_bounded(self):
+    async def test_number_of_orders_is_bounded(self):
         """A writer leaves orders for ten thousand names."""
         for number in range(10_000):
             self.zones.apply_newer(
@@ -82,14 +82,14 @@
         self.assertTrue(self.zones.is_drained('a'))
         self.assertEqual(len(self.zones.drains), zones.MAX_DRAINS)
 
-    async def test_a_version_that_never_was_can_be_dropped(self):
+    async def test_order_of_an_impossible_version_can_be_dropped(self):
         self.zones.apply_newer([zones.Drain('a', at(2**50), True)])
         self.zones.override_newer((), at(10))
         self.assertFalse(self.zones.is_drained('a'))
         self.zones.apply_newer([zones.Drain('a', at(11), True)])
         self.assertTrue(self.zones.is_drained('a'))
 
-    async def test_an_order_of_an_epoch_that_is_over_is_told_late(self):
+    async def test_late_order_of_a_past_epoch_is_ignored(self):
         """A gateway that was cut off for long tells of an order it still holds.
 
         The source has come back without it, and all others know that it is off;
@@ -113,7 +113,7 @@
             )
             self.assertTrue(self.zones.is_drained('b'))
 
-    async def test_an_order_of_a_later_epoch_counts_though_its_version_is_less(
+    async def test_later_epoch_wins_over_higher_version(
         self,
     ):
         self.zones.apply_newer(
@@ -128,7 +128,7 @@
         )
         self.assertFalse(self.zones.is_drained('a'))
 
-    async def test_it_is_logged_once_a_change(self):
+    async def test_each_change_is_logged_once(self):
         for _ in range(3):
             self.zones.apply_newer([zones.Drain('a', at(5), True)])
         self.zones.apply_newer([zones.Drain('a', at(6), True)])
@@ -138,7 +138,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(HISTORY, st.randoms(use_true_random=False), st.data())
-    def test_whatever_the_order_the_newest_counts(self, history, rng, data):
+    def test_newest_order_wins_in_any_sequence(self, history, rng, data):
         """Each change by datagram or by a whole read, shuffled, some lost.
 
         What the last change says is told in the end, as each gateway does.
@@ -182,7 +182,7 @@
     def ids(self, regions=None):
         return [found.id for found in self.upstreams.available('s', regions)]
 
-    async def test_a_drained_zone_gets_nothing_until_it_is_taken_back(self):
+    async def test_drained_zone_gets_no_work_until_withdrawal(self):
         self.upstreams.zones.apply_newer([zones.Drain('a', at(2), True)])
         self.assertEqual(self.ids(), ['u-2'])
         self.upstreams.zones.apply_newer([zones.Drain('b', at(3), True)])
@@ -190,7 +190,7 @@
         self.upstreams.zones.apply_newer([zones.Drain('a', at(4), False)])
         self.assertEqual(self.ids(), ['u-0', 'u-1'])
 
-    async def test_work_that_is_bound_to_regions_stays_there(self):
+    async def test_work_stays_in_its_regions(self):
         self.assertEqual(self.ids(frozenset(('south',))), ['u-2'])
         self.assertEqual(self.ids(frozenset(('west',))), [])
         stray = upstream.Upstream('u-9', 's', ('10.0.0.9', 1), 'unlisted')
@@ -198,7 +198,7 @@
         self.assertNotIn('u-9', self.ids(frozenset(('north', 'south'))))
         self.assertIn('u-9', self.ids())
 
-    async def test_an_upstream_is_cold_for_as_long_as_it_says(self):
+    async def test_upstream_is_cold_for_its_warmup_time(self):
         """It starts, and may grow cold again at any moment."""
 
         def entry(warmup_s):
@@ -239,7 +239,7 @@
         quiet.start()
         self.addCleanup(quiet.stop)
 
-    def test_a_further_drill_begins_a_further_wait(self):
+    def test_second_drill_extends_the_grace_period(self):
         """New work goes to a drained zone five seconds after a second drill.
 
         The wait of the first drill ends, and operators have not written their
@@ -260,7 +260,7 @@
 
         clock.run(work)
 
-    def test_an_order_of_the_epoch_before_is_not_missing(self):
+    def test_order_of_the_previous_epoch_is_not_unlisted(self):
         """It stands for a while, and whoever has the new list is followed.
 
         Left out, the news of all others would have each gateway ask itself.
--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -31,7 +31,7 @@
         self.tracker = delta.DeltaTracker('entry-1', 7)
         self.first = self.tracker.next_state(5.0, current(a=1, b=2), FEW)
 
-    def test_the_whole_comes_first_and_then_at_intervals(self):
+    def test_full_state_comes_first_and_then_at_intervals(self):
         self.assertTrue(self.first.is_full)
         self.assertIsNone(self.tracker.next_state(5.1, current(a=1, b=2), FEW))
         again = self.tracker.next_state(
@@ -40,14 +40,14 @@
         self.assertTrue(again.is_full)
         self.assertEqual(again.usage, self.first.usage)
 
-    def test_a_change_tells_only_what_is_new(self):
+    def test_delta_contains_only_changes(self):
         told = self.tracker.next_state(5.1, current(a=1, b=3, c=4), FEW)
         self.assertFalse(told.is_full)
         self.assertEqual(set(told.usage), {'b', 'c'})
         told = self.tracker.next_state(5.2, current(a=1, c=4), FEW)
         self.assertEqual(told.usage, {'b': usage_lib.NO_USAGE})
 
-    def test_who_leaves_is_told_once_and_with_the_whole(self):
+    def test_leaving_keys_are_sent_once_and_with_each_full_state(self):
         """Two dozen engines leave, and each has a name of 27 letters.
 
         In every datagram to 300 gateways they were most of what a thin link
@@ -65,14 +65,14 @@
         )
         self.assertEqual(whole.leaving, ('x', 'y', 'z'))
 
-    def test_numbers_grow_with_all_that_is_told(self):
+    def test_sequence_numbers_increase(self):
         numbers = [self.first.sequence]
         numbers.append(self.tracker.full_state().sequence)
         numbers.append(self.tracker.next_state(5.1, current(a=9), FEW).sequence)
         numbers.append(self.tracker.full_state().sequence)
         self.assertEqual(numbers, sorted(set(numbers)))
 
-    def test_who_hears_every_change_knows_the_whole(self):
+    def test_receiver_state_matches_after_each_full_state(self):
         """Runs begin and end at random; some datagrams are lost.
 
         With every whole, at the latest, the hearer knows what the teller holds.
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -128,18 +128,18 @@
 
     @settings(derandomize=True, deadline=None)
     @given(STATES)
-    def test_what_is_told_is_what_is_heard(self, told):
+    def test_state_round_trip(self, told):
         self.assertEqual(told_again(state.encode(told)), told)
 
     @settings(derandomize=True, deadline=None)
     @given(NEWS)
-    def test_news_are_heard_as_they_are_told(self, told):
+    def test_update_round_trip(self, told):
         node, heard = told_again(update_codec.encode('entry-1', told))
         self.assertEqual((node, plain(heard)), ('entry-1', plain(told)))
 
     @settings(derandomize=True, deadline=None, max_examples=400)
     @given(st.binary(max_size=40))
-    def test_any_other_bytes_are_a_typed_failure(self, data):
+    def test_arbitrary_bytes_raise_peer_error(self, data):
         with self.assertRaises(error.PeerError):
             told_again(data)
 
@@ -151,7 +151,7 @@
         ),
         st.data(),
     )
-    def test_a_damaged_datagram_never_breaks_the_hearer(self, told, data):
+    def test_corrupted_datagram_decodes_or_raises_peer_error(self, told, data):
         raw = bytearray(told)
         raw[data.draw(st.integers(0, len(raw) - 1))] ^= data.draw(
             st.integers(1, 255)
@@ -216,7 +216,7 @@
     def heard(self, gateway):
         return gateway.core.pages._page('u-1').reserved_tokens
 
-    async def test_all_hear_what_each_holds_and_gives_back(self):
+    async def test_usage_reaches_all_gateways(self):
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         self.hold(self.gateways[0], 100)
         self.hold(self.gateways[1], 20)
@@ -228,7 +228,7 @@
             lambda: [self.heard(g) for g in self.gateways] == [20] * 3
         )
 
-    async def test_a_notice_reaches_all_at_once(self):
+    async def test_leaving_notice_reaches_all_immediately(self):
         """One gateway hears that an engine leaves, the others pause.
 
         Told with the next change of what is held, or after a second, the
@@ -257,7 +257,7 @@
                 )
             )
 
-    async def test_a_generation_is_told_as_it_begins(self):
+    async def test_generation_is_published_when_it_starts(self):
         """Many gateways choose the same engine within a tenth of a second.
 
         Each sees room there and has not heard of the others; the engine
@@ -274,7 +274,7 @@
                 lambda: [self.heard(g) for g in self.gateways] == [100] * 3
             )
 
-    async def test_a_silent_gateway_is_forgotten(self):
+    async def test_silent_gateway_is_removed(self):
         """A gateway is killed; what it held is free again at the engines.
 
         Counted on, it would keep work away from engines that are idle.
@@ -285,7 +285,7 @@
             task.cancel()
         await self.until(lambda: self.heard(self.gateways[2]) == 0)
 
-    async def test_who_was_paused_forgets_nobody(self):
+    async def test_paused_gateway_removes_no_peers(self):
         """After a pause, runs go to engines that other gateways have filled."""
         first, second, _ = self.gateways
         self.hold(second, 100)
@@ -306,7 +306,7 @@
         self.assertNotIn('entry-2', [one.peer for one in lost])
         self.assertEqual(self.heard(first), 100)
 
-    async def test_a_restarted_gateway_is_heard_at_once(self):
+    async def test_restarted_gateway_is_accepted_immediately(self):
         """A gateway restarts at its address; its datagrams count from 1 anew.
 
         Taken for old ones, they would be left out for as long as its first
@@ -321,7 +321,7 @@
         self.hold(first, 77)
         await self.until(lambda: self.heard(self.gateways[1]) == 77)
 
-    async def test_an_overtaken_datagram_is_left_out(self):
+    async def test_stale_datagram_is_dropped(self):
         hearer = self.gateways[1]
         held = {'u-1': Usage(5, 0, 1)}
         for number, tokens in ((7, 50), (6, 40)):
@@ -332,7 +332,7 @@
         self.assertEqual(self.heard(hearer), 50)
         self.assertIn('u-1', held)
 
-    async def test_an_outage_of_the_store_is_told(self):
+    async def test_store_outage_is_published(self):
         """The store is away while an engine gets its notice.
 
         Each gateway sees that at the end of its own watch, up to two seconds
@@ -347,7 +347,7 @@
         down = second._core.health._down
         await self.until(lambda: not down.is_set())
 
-    async def test_an_engine_that_one_has_found_is_known_to_all(self):
+    async def test_new_engine_reaches_other_gateways(self):
         """An engine has come; one gateway has looked, the others wait.
 
         Requests wait there for room that is to be had already.
@@ -366,7 +366,7 @@
         )
         await self.until(lambda: second._core.upstreams.available('s'))
 
-    async def test_runs_to_move_are_told(self):
+    async def test_pending_moves_are_published(self):
         first, second, _ = self.gateways
         first._core.link_queue.add('u-1', 'r-1', 10)
         second._core.link_queue.add('u-1', 'r-2', 20)
@@ -375,7 +375,7 @@
         first._core.link_queue.remove('u-1', 'r-1')
         await self.until(lambda: queue.is_next('u-1', 'r-2', 0.0, 9.0))
 
-    async def test_news_is_passed_on_for_those_that_are_heard_only(self):
+    async def test_relay_only_for_and_to_known_peers(self):
         """A stranger asks a gateway to send what it likes to whom it likes.
 
         Obeyed, any host could make the fleet flood any other.
@@ -396,7 +396,7 @@
         await self.until(lambda: heard)
         self.assertEqual(heard, [told])
 
-    async def test_a_directory_that_is_away_is_asked_again(self):
+    async def test_unavailable_directory_is_retried(self):
         self.down = True
         late = await self.start('entry-4')
         await asyncio.sleep(0.1)
@@ -404,7 +404,7 @@
         self.down = False
         await self.until(lambda: late.peer_count == 3)
 
-    async def test_its_entry_is_written_again_in_a_new_epoch(self):
+    async def test_directory_entry_is_rewritten_in_a_new_epoch(self):
         """The source comes back from a copy that lacks a gateway's entry.
 
         Trusted to last, it would be missing for as long as the gateway runs,
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -97,10 +97,10 @@
             page.reservations = {book.Reservation(10, tokens)}
 
 
-class ThinLinkTest(unittest.TestCase):
+class SlowLinkTest(unittest.TestCase):
     """What one gateway of a large fleet tells."""
 
-    def test_nothing_of_a_state_is_lost(self):
+    def test_no_datagram_of_a_state_is_lost(self):
         """A thin gateway among 300 has its runs at forty engines.
 
         Told to all at once, its state is longer than the queue of its link:
@@ -129,7 +129,7 @@
             gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
             self.assertLess(max(gaps), publish_timing.peer_timeout_s(300) / 2)
 
-    def test_what_others_wait_for_is_out_soon(self):
+    def test_urgent_state_is_sent_quickly(self):
         async def play():
             gateway = Gateway(299)
             gateway.hear_all()
@@ -166,14 +166,14 @@
         clock.run(play)
         return sent
 
-    def test_a_small_fleet_is_told_at_once(self):
+    def test_small_fleet_is_sent_to_immediately(self):
         async def work(found):
             found.send(b'a', addresses(3), publish_timing.spread_s(4))
 
         sent = self.play(work)
         self.assertEqual([at for at, *_ in sent], [0.0] * 3)
 
-    def test_each_hears_in_the_order_in_which_it_is_told(self):
+    def test_datagrams_to_one_address_stay_in_order(self):
         """A second state is told while the first is still going out.
 
         Each says only what has changed. Overtaken, the first is left out by
@@ -191,7 +191,7 @@
             self.assertEqual(heard, [b'a', b'b'])
         self.assertLess(max(at for at, *_ in sent), 0.7)
 
-    def test_what_waits_is_bounded(self):
+    def test_queue_is_bounded(self):
         async def work(found):
             for number in range(1000):
                 found.send(b'%d' % number, addresses(100), 1.0)
@@ -200,7 +200,7 @@
         self.assertLessEqual(len(sent), 100 * (outbox.MAX_QUEUED + 1))
         self.assertEqual(sent[-1][1], b'999')
 
-    def test_a_closed_one_sends_no_more(self):
+    def test_closed_outbox_sends_nothing(self):
         async def work(found):
             found.send(b'a', addresses(100), 1.0)
             found.close()
--- a/tests/quetzalsill_gateway/peers/test_peer_table.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -37,12 +37,12 @@
     def take(self, found, now=0.0, address=HERE):
         return self.table.accept(found, address, now)
 
-    def test_a_number_is_taken_once_and_never_after_a_newer(self):
+    def test_sequence_number_is_accepted_once_and_never_after_a_newer_one(self):
         numbers = (1, 1, 3, 2, 3, 4)
         taken = [self.take(told(number)) for number in numbers]
         self.assertEqual(taken, [True, False, True, False, False, True])
 
-    def test_a_process_that_has_ended_is_not_heard_again(self):
+    def test_ended_incarnation_is_not_accepted_again(self):
         """A gateway restarts; an hour later a datagram of before arrives.
 
         Taken in, it would bring back what was held by runs that are long over.
@@ -52,14 +52,14 @@
         self.assertFalse(self.take(told(901, incarnation=1), now=3600.0))
         self.assertTrue(self.take(told(2, incarnation=2), now=3600.0))
 
-    def test_a_name_that_sends_from_many_addresses_is_heard_from_one(self):
+    def test_name_with_several_addresses_is_accepted_from_one(self):
         self.assertTrue(self.take(told(1)))
         self.assertFalse(self.take(told(2), 0.1, THERE))
         self.assertTrue(self.take(told(3), 0.2))
         self.assertTrue(self.take(told(4), 5.0, THERE), 'it has moved')
         self.assertEqual(self.table.addresses, [THERE])
 
-    def test_names_without_end_take_no_memory_without_end(self):
+    def test_number_of_peers_is_bounded(self):
         for number in range(peer_table.MAX_PEERS + 50):
             self.take(told(1, node=f'n-{number}'))
         self.assertEqual(len(self.table), peer_table.MAX_PEERS)
@@ -67,7 +67,7 @@
             len(self.table.remove_expired(9.0)), peer_table.MAX_PEERS
         )
 
-    def test_a_sender_is_complained_about_once_in_a_while(self):
+    def test_fault_logging_is_rate_limited_per_sender(self):
         times = (0.0, 1.0, 59.0, 61.0)
         told_of = [self.table.should_log_fault('a', now) for now in times]
         self.assertEqual(told_of, [True, False, False, True])
@@ -98,7 +98,7 @@
         self.hearer = exchange.Exchange(core, 'entry-9', None)
         self.hearer._transport = mock.Mock()
 
-    async def test_it_stays_bounded_whatever_comes(self):
+    async def test_flood_keeps_memory_and_log_bounded(self):
         rng = random.Random(1)
         with mock.patch.object(event, 'note') as note:
             for number in range(3000):
@@ -115,7 +115,7 @@
         ]
         self.assertEqual(len(malformed), 1)
 
-    async def test_only_a_gateway_that_is_heard_is_told_all(self):
+    async def test_only_known_peers_get_a_snapshot(self):
         """Whoever asks for the configuration would get the callers' keys."""
         self.hearer.on_snapshot_request(
             lambda: news.ConfigurationNews(revision.Revision(0, 7), 3, b'keys')
@@ -131,7 +131,7 @@
         self.assertIn(b'keys', sent.args[0])
         self.assertEqual(sent.args[1], HERE)
 
-    async def test_another_version_is_left_out(self):
+    async def test_other_protocol_version_is_dropped(self):
         good = state.encode(told(1))
         with mock.patch.object(frame, 'VERSION', frame.VERSION + 1):
             other = state.encode(told(2))
@@ -141,7 +141,7 @@
             self.hearer.datagram_received(good, HERE)
         self.assertEqual(self.hearer.peer_count, 1)
 
-    def test_figures_that_cannot_be_are_bounded(self):
+    def test_impossible_values_are_clamped(self):
         held = {'u': Usage(2**63, -5, 2**60, failures=1e9)}
         raw = state.encode(state.State('a', 1, 1, held))
         _, fields = frame.unpack(raw)
@@ -164,7 +164,7 @@
             max_size=30,
         )
     )
-    def test_any_order_of_states_leaves_the_sums_right(self, states):
+    def test_sums_are_right_for_any_order_of_states(self, states):
         """What is summed up for each engine is what each gateway told last."""
 
         async def play():
--- a/tests/quetzalsill_gateway/peers/test_relay.py
+++ b/tests/quetzalsill_gateway/peers/test_relay.py
@@ -42,7 +42,7 @@
                 most = max(most, len(addresses))
         return got, most
 
-    def test_everybody_gets_it_once(self):
+    def test_each_address_gets_it_once(self):
         for count in (0, 1, 3, 67, 69, 70, 71, 299, 479, 5000):
             with self.subTest(count):
                 got, most = self.fan_out(count)
@@ -51,7 +51,7 @@
                 if count in (299, 479):
                     self.assertLess(most, 25)
 
-    def test_small_fleets_are_told_straight(self):
+    def test_small_fleets_are_sent_to_directly(self):
         told = list(
             relay.fan_out(b'news', fleet(publish_timing.SMALL_FLEET - 1))
         )
@@ -59,7 +59,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.lists(PLAIN, max_size=3))
-    def test_whatever_comes_is_typed_or_bounded(self, fields):
+    def test_arbitrary_fields_are_decoded_or_raise_peer_error(self, fields):
         try:
             data, addresses = relay.decode(fields)
         except error.PeerError:
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -39,7 +39,7 @@
 class UpdateCodecTest(unittest.TestCase):
     """Fields of news."""
 
-    def test_epochs_are_told(self):
+    def test_epochs_round_trip(self):
         told = heard(update_codec.encode('entry-1', CONFIGURATION))
         self.assertEqual(told, CONFIGURATION)
         self.assertEqual(told.teller, 'entry-1')
@@ -48,7 +48,7 @@
         revisions = [one.revision for one in told.changes]
         self.assertEqual(revisions, [AT, revision.Revision(3, 6)])
 
-    def test_news_of_the_release_before_is_of_no_epoch(self):
+    def test_legacy_update_has_epoch_zero(self):
         """A gateway that knows no epochs tells bare versions.
 
         Misread as of the newest epoch, they would hide what is newer there.
@@ -60,7 +60,7 @@
         self.assertEqual(told.changes[0].upstream.address, ENGINE.address)
         self.assertEqual(told.lapses_s, 1.5)
 
-    def test_its_configuration_is_told_all_the_same(self):
+    def test_legacy_configuration_is_decoded(self):
         plain_news = news.ConfigurationNews(
             revision.Revision(0, 8),
             9,
@@ -71,7 +71,7 @@
             heard(plain.flatten('entry-1', plain_news)), plain_news
         )
 
-    def test_it_leaves_out_what_it_would_misread(self):
+    def test_legacy_gateway_drops_new_kinds(self):
         """To it, the kinds of this release are none that it knows.
 
         In the form that it knows, a lower version of a later epoch would be
@@ -83,7 +83,7 @@
             self.assertNotIn(int(kind), known)
         self.assertEqual(frame.VERSION, 8)
 
-    def test_figures_that_make_no_sense_are_a_failure_or_bounded(self):
+    def test_impossible_values_are_rejected_or_clamped(self):
         def configuration(at, drains=(), written=(0, 0), digest=b''):
             fields = ('e', at, 1, b'', drains, False, written, digest)
             return frame.pack(frame.Kind.CONFIGURATION, fields)
