--- a/tests/quetzalsill_gateway/fleet/__init__.py
+++ b/tests/quetzalsill_gateway/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what a gateway knows of the fleet."""
+"""Tests of the gateway's view of its fleet."""
--- a/tests/quetzalsill_gateway/fleet/test_publish_timing.py
+++ b/tests/quetzalsill_gateway/fleet/test_publish_timing.py
@@ -1,4 +1,4 @@
-"""How often gateways tell each other, by how many they are."""
+"""How often gateways publish their state, by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PublishTimingTest(unittest.TestCase):
-    """Small fleets tell at once; large ones take in no more than they."""
+    """Large fleets receive no more datagrams than small ones."""
 
     def test_small_fleets_publish_immediately(self):
         for gateways in (1, 4, 24, 68):
@@ -26,7 +26,7 @@
             )
 
     def test_received_datagrams_stay_constant(self):
-        """300 gateways that each tell all others fill the thin links."""
+        """Without batching, the states of 300 gateways fill slow links."""
         for gateways in (100, 200, 300):
             each_per_s = 1 / publish_timing.min_interval_s(gateways)
             self.assertLess(
@@ -39,15 +39,15 @@
 
     def test_publishing_gateway_does_not_time_out(self):
         for gateways in (1, 70, 71, 150, 300, 2000):
-            told_s = max(
+            interval_s = max(
                 publish_timing.keepalive_s(gateways),
                 publish_timing.min_interval_s(gateways),
             )
             self.assertGreaterEqual(
-                publish_timing.peer_timeout_s(gateways), 3 * told_s
+                publish_timing.peer_timeout_s(gateways), 3 * interval_s
             )
             self.assertGreaterEqual(
-                publish_timing.full_state_s(gateways), told_s
+                publish_timing.full_state_s(gateways), interval_s
             )
 
     def test_flood_of_names_does_not_silence_the_fleet(self):
@@ -57,7 +57,7 @@
         )
 
     def test_choices_from_stale_state_spread(self):
-        """All choose the emptiest engine until it is known to be full."""
+        """Otherwise all choose the emptiest engine until it is known full."""
         count = publish_timing.candidate_count(300, 135, 0.45)
         self.assertGreaterEqual(count, publish_timing.MIN_CANDIDATES)
         self.assertLess(count, 135 / 10)
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -1,9 +1,9 @@
 """What all gateways together send to one upstream.
 
-Patterns: engines come back cold, each in front of gateways that all see it
-empty, and crash if they get more than a few requests a second; and a plain
-server hangs, so that calls pile up on connections of which it takes so many
-from all gateways, and resets the rest with the orders on them.
+Guards against two failures. Engines return cold, all gateways see them empty,
+and more than a few requests a second crash them. A plain server hangs, calls
+pile up on its connections, and it resets those above its limit together with
+the requests on them.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 SEED = 3
 NONE_OPEN = quota.Connections(0, 0)
-# As the platforms served so far have it: one and a half times the rate, and
-# five requests.
+# The platforms served so far allow one and a half times the rate, and five
+# requests.
 WARMUP = quota.Warmup(1.5, 5.0)
-# A gateway tells the others of itself at least so often.
-TOLD_S = 1.0
+# Maximum time between two states that a gateway publishes.
+PUBLISH_INTERVAL_S = 1.0
 
 
-def bound(per_s):
-    """Returns the requests that a cold upstream stands in one second."""
+def limit(per_s):
+    """Returns the requests that a cold upstream accepts in one second."""
     return per_s * WARMUP.overage + WARMUP.allowance
 
 
 def table(per_s=0.0, most_connections=0):
-    """Returns what stands for a configuration with one service."""
+    """Returns a stand-in for a configuration with one service."""
     service = types.SimpleNamespace(
         cold_per_s=per_s, most_connections=most_connections
     )
@@ -47,16 +47,16 @@
 
 
 class Fleet:
-    """Gateways that all want to send to one cold upstream all the time."""
+    """Gateways that always have requests for one cold upstream."""
 
     def __init__(self, gateways, per_s):
         self.rng = random.Random(SEED)
         self.holder = holder(per_s=per_s)
         self.names = [f'entry-{n}' for n in range(gateways)]
-        self.is_cut = lambda one, other: False
+        self.is_partitioned = lambda one, other: False
         self.paused = set()
         self.sent_s = []
-        self.by = collections.Counter()
+        self.sent_by = collections.Counter()
         self.members = {}
         self.tasks = []
         self.target = upstream.Upstream(
@@ -71,24 +71,24 @@
             found.add_listed(self.names, now)
 
     def add(self, name):
-        """Starts a gateway, which knows nobody yet."""
+        """Starts a gateway that knows no others yet."""
         self.members[name] = members.Members(name)
         loop = asyncio.get_running_loop()
-        for work in (self.tell(name), self.send(name)):
+        for work in (self.publish(name), self.send(name)):
             self.tasks.append(loop.create_task(work))
 
-    async def tell(self, name):
+    async def publish(self, name):
         loop = asyncio.get_running_loop()
         while name in self.members:
-            await asyncio.sleep(TOLD_S * self.rng.uniform(0.5, 1.0))
+            await asyncio.sleep(PUBLISH_INTERVAL_S * self.rng.uniform(0.5, 1.0))
             if name in self.paused:
                 continue
             for other, found in self.members.items():
-                if other != name and not self.is_cut(name, other):
+                if other != name and not self.is_partitioned(name, other):
                     found.mark_seen((name,), loop.time())
 
     async def send(self, name):
-        """Sends whenever it may, which is more than callers ever ask."""
+        """Sends whenever it may, which is more than callers ever request."""
         found = quota.Quota(
             self.holder, self.members[name], WARMUP, lambda _: NONE_OPEN
         )
@@ -98,24 +98,24 @@
             if name not in self.paused and found.allows(self.target):
                 found.consume(self.target)
                 self.sent_s.append(loop.time())
-                self.by[name] += 1
+                self.sent_by[name] += 1
 
     def stop(self):
         for task in self.tasks:
             task.cancel()
 
-    def most_in_a_second(self):
-        """Returns the most requests in any second, wherever it begins."""
-        most, first = 0, 0
+    def max_in_a_second(self):
+        """Returns the maximum number of requests in any sliding second."""
+        highest, first = 0, 0
         for last, sent_s in enumerate(self.sent_s):
             while sent_s - self.sent_s[first] >= 1.0:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            highest = max(highest, last - first + 1)
+        return highest
 
 
 class ColdTest(unittest.TestCase):
-    """The rate of one cold upstream over a fleet, in each sliding second."""
+    """The rate at which a fleet sends to one cold upstream."""
 
     def play(self, story, gateways, per_s):
         async def work():
@@ -127,7 +127,7 @@
                 self.fleet.stop()
 
         clock.run(work)
-        self.assertLessEqual(self.fleet.most_in_a_second(), bound(per_s))
+        self.assertLessEqual(self.fleet.max_in_a_second(), limit(per_s))
 
     def test_rate_is_used_and_not_exceeded(self):
         for gateways in (1, 2, 24, 68):
@@ -141,17 +141,19 @@
                     self.assertGreater(len(self.fleet.sent_s) / 10.0, per_s / 2)
 
     def test_gateways_lost_partitioned_paused_and_new(self):
-        """Half hear nothing of the others, some are gone, some are new.
+        """A partition halves the fleet, and gateways stop, pause and start.
 
-        Each half would take the whole rate for its own, and so would a
-        gateway that has just started and knows nobody.
+        Each half, and a gateway that has just started and knows no others,
+        could use the whole rate for itself.
         """
 
         async def story():
             fleet = self.fleet
             await asyncio.sleep(3.0)
             half = set(fleet.names[::2])
-            fleet.is_cut = lambda one, other: (one in half) != (other in half)
+            fleet.is_partitioned = lambda one, other: (
+                (one in half) != (other in half)
+            )
             fleet.paused = set(fleet.names[:5])
             await asyncio.sleep(6.0)
             fleet.paused = set()
@@ -164,7 +166,7 @@
                     fleet.members, asyncio.get_running_loop().time()
                 )
             await asyncio.sleep(6.0)
-            fleet.is_cut = lambda one, other: False
+            fleet.is_partitioned = lambda one, other: False
             await asyncio.sleep(6.0)
 
         for gateways in (24, 68):
@@ -173,21 +175,21 @@
                     self.play(story, gateways, per_s)
 
     def test_gateway_without_directory_sends_nothing(self):
-        """It has started in an outage: it hears some, and may be cut off."""
+        """It started in an outage and may be partitioned from the others."""
 
         async def story():
             self.fleet.add('fresh')
             await asyncio.sleep(5.0)
-            self.assertEqual(self.fleet.by['fresh'], 0)
+            self.assertEqual(self.fleet.sent_by['fresh'], 0)
 
         self.play(story, 2, 35.0)
 
     def test_rate_is_shared_by_many(self):
-        """One that alone may send would serve its own callers only."""
+        """A single owner of the rate would only serve its own callers."""
 
         async def story():
             await asyncio.sleep(10.0)
-            self.assertGreaterEqual(len(self.fleet.by), 24 / 3)
+            self.assertGreaterEqual(len(self.fleet.sent_by), 24 / 3)
 
         self.play(story, 24, 35.0)
 
@@ -208,28 +210,28 @@
 
 
 class ConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    """Shares of the connections that an upstream takes."""
+    """Shares of the connections that an upstream accepts."""
 
-    def quota(self, gateways, most, found=NONE_OPEN):
+    def quota(self, gateways, total, found=NONE_OPEN):
         known = members.Members('entry-0')
         now = asyncio.get_running_loop().time()
         known.add_listed([f'entry-{n}' for n in range(gateways)], now)
         return quota.Quota(
-            holder(most_connections=most), known, WARMUP, lambda _: found
+            holder(most_connections=total), known, WARMUP, lambda _: found
         )
 
     async def test_sum_of_shares_stays_within_the_limit(self):
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         for gateways in (1, 2, 24, 68):
-            for most in (470, 200, 100, 66):
-                with self.subTest((gateways, most)):
-                    share = self.quota(gateways, most).max_connections(target)
+            for total in (470, 200, 100, 66):
+                with self.subTest((gateways, total)):
+                    share = self.quota(gateways, total).max_connections(target)
                     self.assertGreaterEqual(share, 1)
-                    if gateways <= most:
-                        self.assertLessEqual(share * gateways, most)
+                    if gateways <= total:
+                        self.assertLessEqual(share * gateways, total)
 
     async def test_room_for_connections_of_hosts_that_lost_power(self):
-        """An upstream holds what dead gateways had idle, and they come back."""
+        """Idle connections of dead gateways stay open while they reconnect."""
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         for gateways in (1, 4, 24, 40):
             shares = self.quota(gateways, 200)
@@ -238,10 +240,10 @@
             self.assertLessEqual(gateways * (used + idle), 200)
 
     async def test_hanging_upstream_gets_no_more_requests(self):
-        """Calls hang on all connections that this gateway may have.
+        """Calls hang on all connections that this gateway may open.
 
-        Each further one would be reset, with an order on it whose caller may
-        not ask again.
+        The upstream would reset any further one, and with it a request that
+        the caller may not be able to repeat.
         """
         target = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         busy = quota.Connections(7, 0)
@@ -257,7 +259,7 @@
 
 
 class MembersTest(unittest.TestCase):
-    """Whose share is kept."""
+    """Which gateways count as members."""
 
     def test_silent_member_keeps_its_share_for_a_while(self):
         found = members.Members('b')
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -1,4 +1,4 @@
-"""What membership means for new work."""
+"""Membership changes and which upstreams get new work."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def at(version):
-    """Returns a revision of a source that tells no epochs."""
+    """Returns a revision of a source that reports no epochs."""
     return revision.Revision(0, version)
 
 
@@ -20,12 +20,12 @@
 
 
 def written(*found):
-    """Returns the changes by which entries were written."""
+    """Returns the changes that wrote the given entries."""
     return [upstream.Change(one.id, at(1), one) for one in found]
 
 
 class UpstreamsTest(unittest.IsolatedAsyncioTestCase):
-    """Entries come, change and go."""
+    """Entries are added, changed and removed."""
 
     async def asyncSetUp(self):
         self.upstreams = upstream.Upstreams()
@@ -50,9 +50,9 @@
         self.assertEqual((self.ids(), self.left), (['u-2'], ['u-1']))
 
     async def test_reading_an_entry_again_does_not_restart_warmup(self):
-        """A table is listed anew, with the entry of a server that is warm now.
+        """The membership is listed again after a server has warmed up.
 
-        Counted from then, the warm-up that it tells would begin a second time.
+        The warm-up time in its entry must not start a second time.
         """
         self.upstreams.put(entry(warmup_s=5.0), at(1))
         known = self.upstreams.get('u-1')
@@ -71,10 +71,10 @@
         self.assertEqual(self.upstreams.available('s')[0].address[1], 81)
 
     async def test_restarted_upstream_is_another_upstream(self):
-        """An engine crashes and starts again under its id and address.
+        """An engine crashes and restarts with the same id and address.
 
-        What was held, learned or told of it before is not true of it now: its
-        memory is empty, and a notice that it leaves was of the one before.
+        Its memory is empty, so nothing recorded about the previous incarnation
+        applies, including a notice that it is leaving.
         """
         self.upstreams.put(entry(incarnation=10), at(1))
         old = self.upstreams.get('u-1')
@@ -91,11 +91,11 @@
         self.assertTrue(new.leaving)
 
     async def test_response_of_another_incarnation_is_rejected(self):
-        """The store is away; an engine that is asked has started again."""
+        """An engine has restarted during an outage of the store."""
         self.upstreams.put(entry(incarnation=20), at(1))
         known = self.upstreams.get('u-1')
         confirm = self.upstreams.verify_incarnation
-        self.assertTrue(confirm(known, 0), 'one that tells none')
+        self.assertTrue(confirm(known, 0), 'incarnation not reported')
         self.assertTrue(confirm(known, 20))
         self.assertFalse(confirm(known, 10))
         self.assertFalse(known.removed)
@@ -111,7 +111,7 @@
         self.assertFalse(new.leaving)
 
     async def test_entry_without_incarnation_is_not_the_servers(self):
-        """A server that tells its starts has an entry that tells none."""
+        """An entry lacks the incarnation that its server reports."""
         self.upstreams.put(entry(incarnation=20), at(1))
         self.upstreams.put(entry(), at(2))
         self.assertEqual(self.ids(), [])
@@ -127,9 +127,9 @@
         self.assertEqual(self.upstreams.available('t'), [other])
 
     async def test_notice_of_a_peer_is_applied(self):
-        """The store turns this machine away, and serves another.
+        """The store refuses this host and serves another.
 
-        An upstream's notice reaches only the other machine, which tells it.
+        Only the other host receives an upstream's notice and publishes it.
         """
         self.upstreams.put(entry(), at(1))
         self.upstreams.receive_leaving(['u-1', 'u-unknown'], 'entry-2')
@@ -148,16 +148,16 @@
 
 
 class SuspectEndedTest(unittest.TestCase):
-    """Entries of a copy whose upstreams have ended."""
+    """A restored copy lists entries of upstreams that have ended."""
 
     def ids(self, upstreams):
         return [found.id for found in upstreams.available('s')]
 
-    def play(self, second):
-        """Plays two drills, two seconds apart; their copies have the entry.
+    def play(self, between):
+        """Restores the same copy twice, two seconds apart.
 
         Args:
-          second: Called between the two, with the upstreams.
+          between: Called with the upstreams between the two.
         """
 
         async def work():
@@ -169,7 +169,7 @@
             upstreams.replace(copy, revision.Revision(1, 1))
             self.assertEqual(self.ids(upstreams), [])
             await asyncio.sleep(1.0)
-            second(upstreams)
+            between(upstreams)
             await asyncio.sleep(1.0)
             upstreams.suspect_ended(copy)
             upstreams.replace(copy, revision.Revision(2, 1))
@@ -179,15 +179,15 @@
         clock.run(work)
 
     def test_second_drill_extends_the_suspicion(self):
-        """Requests go to a server that has ended, and wait for nobody.
+        """Requests must not go to a server that has ended.
 
-        Two drills come within three seconds. Whoever removes entries begins
-        anew with the second, and the doubt ends with the grace of the first.
+        Two drills come within three seconds. The second restarts the removal
+        of old entries, so the grace period of the first is too short.
         """
         self.play(lambda _: None)
 
     def test_end_of_one_suspicion_does_not_end_the_next(self):
-        """The same, though the entry was removed between the two drills."""
+        """The same, with the entry removed between the two drills."""
         self.play(
             lambda found: found.remove('u-1', at(3), may_have_lapsed=False)
         )
--- a/tests/quetzalsill_gateway/fleet/test_zones.py
+++ b/tests/quetzalsill_gateway/fleet/test_zones.py
@@ -20,23 +20,23 @@
 
 
 def at(version):
-    """Returns a revision of a source that tells no epochs."""
+    """Returns a revision of a source that reports no epochs."""
     return revision.Revision(0, version)
 
 
 class ZonesTest(unittest.IsolatedAsyncioTestCase):
-    """Orders come late, twice, and out of order."""
+    """Orders that arrive late, twice or out of sequence."""
 
     async def asyncSetUp(self):
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
         self.zones = zones.Zones()
 
     async def test_withdrawn_order_is_not_restored(self):
-        """Operators take a zone back; a datagram from before arrives after.
+        """A stale datagram arrives after an order was withdrawn.
 
-        Taken in, it would keep a third of the upstreams idle for good.
+        Applied, it would keep a third of the upstreams idle permanently.
         """
         on, off = zones.Drain('a', at(5), True), zones.Drain('a', at(9), False)
         self.zones.apply_newer([on])
@@ -45,9 +45,9 @@
         self.assertFalse(self.zones.is_drained('a'))
 
     async def test_order_in_force_is_not_removed_by_a_stale_response(self):
-        """A read of all orders was sent before one, and is answered after.
+        """The response to a read that was sent before an order arrives late.
 
-        The order isn't in it. Forgotten, the zone would get new work.
+        It lacks the order; if that were dropped, the zone would get new work.
         """
         self.zones.apply_newer([zones.Drain('a', at(9), True)])
         self.zones.replace([], at(7))
@@ -56,9 +56,10 @@
         self.assertFalse(self.zones.is_drained('a'))
 
     async def test_run_may_continue_where_it_was_copied_to(self):
-        """A run has been stopped to move to a zone, and that zone is drained.
+        """A zone is drained after a run was stopped to move there.
 
-        Sent nowhere, it would be lost, though its memory is there already.
+        If it could not continue there, the run would be lost, although its
+        memory has been copied.
         """
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, 'time') as time:
@@ -71,7 +72,7 @@
         self.assertTrue(self.zones.accepts_runs('b'))
 
     async def test_number_of_orders_is_bounded(self):
-        """A writer leaves orders for ten thousand names."""
+        """A faulty writer creates orders for ten thousand zones."""
         for number in range(10_000):
             self.zones.apply_newer(
                 [zones.Drain(f'z{number}', at(number + 1), True)]
@@ -90,10 +91,10 @@
         self.assertTrue(self.zones.is_drained('a'))
 
     async def test_late_order_of_a_past_epoch_is_ignored(self):
-        """A gateway that was cut off for long tells of an order it still holds.
+        """A gateway sends an old order after a long partition.
 
-        The source has come back without it, and all others know that it is off;
-        one that has started since would take it for news.
+        The source was restored without it and all others have dropped it; a
+        gateway that has started since would apply it as new.
         """
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, 'time') as time:
@@ -102,7 +103,9 @@
             self.zones.apply_newer(
                 [zones.Drain('a', revision.Revision(1, 90), True)]
             )
-            self.assertTrue(self.zones.is_drained('a'), 'it may be written yet')
+            self.assertTrue(
+                self.zones.is_drained('a'), 'it may be written again'
+            )
             time.return_value += zones.LAPSE_GRACE_S
             self.zones.apply_newer(
                 [zones.Drain('b', revision.Revision(1, 91), True)]
@@ -133,45 +136,45 @@
             self.zones.apply_newer([zones.Drain('a', at(5), True)])
         self.zones.apply_newer([zones.Drain('a', at(6), True)])
         self.zones.replace([], at(7))
-        told = [call.args[0] for call in self.note.call_args_list]
-        self.assertEqual([one.is_on for one in told], [True, False])
+        logged = [call.args[0] for call in self.note.call_args_list]
+        self.assertEqual([one.is_on for one in logged], [True, False])
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(HISTORY, st.randoms(use_true_random=False), st.data())
     def test_newest_order_wins_in_any_sequence(self, history, rng, data):
-        """Each change by datagram or by a whole read, shuffled, some lost.
+        """Changes arrive by datagram or full read, shuffled, some lost.
 
-        What the last change says is told in the end, as each gateway does.
+        The newest orders arrive last, as every gateway publishes them.
         """
         steps = [
             zones.Drain(name, at(version), is_on)
             for version, (name, is_on) in enumerate(history, 1)
         ]
-        told = [data.draw(st.sampled_from(steps)) for _ in range(8)]
-        rng.shuffle(told)
+        published = [data.draw(st.sampled_from(steps)) for _ in range(8)]
+        rng.shuffle(published)
 
         async def work():
             known = zones.Zones()
-            for step in told:
+            for step in published:
                 if data.draw(st.booleans()):
                     known.apply_newer([step])
                 else:
-                    orders = stands(steps, step.revision.version)
+                    orders = in_force(steps, step.revision.version)
                     known.replace(orders, step.revision)
             known.apply_newer(newest(steps, len(steps)))
             return {name for name in NAMES if known.is_drained(name)}
 
-        wanted = {step.zone for step in stands(steps, len(steps))}
+        wanted = {step.zone for step in in_force(steps, len(steps))}
         self.assertEqual(clock.run(work), wanted)
 
 
 class UpstreamsOfZonesTest(unittest.IsolatedAsyncioTestCase):
-    """Upstreams in two zones of two regions."""
+    """Upstreams in two zones, each in a region of its own."""
 
     async def asyncSetUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.upstreams = upstream.Upstreams({'a': 'north', 'b': 'south'})
         for number, zone in enumerate('aab'):
             found = upstream.Upstream(
@@ -199,7 +202,7 @@
         self.assertIn('u-9', self.ids())
 
     async def test_upstream_is_cold_for_its_warmup_time(self):
-        """It starts, and may grow cold again at any moment."""
+        """It starts cold, and may become cold again at any time."""
 
         def entry(warmup_s):
             address = ('10.0.0.1', 1)
@@ -220,8 +223,8 @@
             self.assertLess(known.cold_until_s, 102.0)
 
 
-def stands(steps, version):
-    """Returns the orders that stand at a version."""
+def in_force(steps, version):
+    """Returns the orders in force at a version."""
     return [step for step in newest(steps, version) if step.is_on]
 
 
@@ -232,18 +235,19 @@
 
 
 class DrillTest(unittest.TestCase):
-    """Orders of an epoch that has ended."""
+    """Orders of a past epoch."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
     def test_second_drill_extends_the_grace_period(self):
-        """New work goes to a drained zone five seconds after a second drill.
+        """No new work may go to a drained zone soon after a second drill.
 
-        The wait of the first drill ends, and operators have not written their
-        order again yet, which the second copy lacks too.
+        Five seconds after the second drill, the grace period of the first
+        ends, and operators have not written their order again yet, which the
+        second copy lacks too.
         """
 
         async def work():
@@ -261,9 +265,10 @@
         clock.run(work)
 
     def test_order_of_the_previous_epoch_is_not_unlisted(self):
-        """It stands for a while, and whoever has the new list is followed.
+        """It stays in force for a while, although the new list lacks it.
 
-        Left out, the news of all others would have each gateway ask itself.
+        Counted as unlisted, it would make every gateway query the source after
+        each update of the others.
         """
 
         async def work():
