--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways tell each other what they hold at engines."""
+"""State and source updates that gateways exchange by datagrams."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/frame.py
@@ -1,4 +1,4 @@
-"""The form that all datagrams between gateways have."""
+"""The frame that all datagrams between gateways share."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 ]
 
 VERSION = 8
-# No count that is told comes near it; a greater one is a fault of its sender's.
+# No count that is sent gets near it, so a larger one comes from a faulty
+# sender.
 MAX_COUNT = revision_lib.MAX
-# What reading fields of unexpected number, type or size raises.
+# Raised by decoding fields of an unexpected number, type or size.
 DECODE_ERRORS = (
     ValueError,
     TypeError,
@@ -34,11 +35,11 @@
 
 
 class Kind(enum.IntEnum):
-    """What a datagram tells.
+    """Kind of a datagram.
 
-    News of a kind with `PLAIN` tells versions without epochs. Gateways of the
-    release before send them, in a rolling restart, and leave out the kinds that
-    they don't know; the others are alike in both.
+    The `LEGACY` kinds are updates that have versions without epochs. Gateways
+    of the previous release send them during a rolling restart, and drop the
+    kinds that they don't know. The other kinds are the same in both releases.
     """
 
     STATE = 1
@@ -51,31 +52,34 @@
 
 
 def pack(kind: Kind, fields: tuple[Any, ...]) -> bytes:
-    """Returns a datagram."""
+    """Returns the datagram for a kind and its fields."""
     return msgpack.packb((VERSION, int(kind), *fields))
 
 
 def unpack(data: bytes) -> tuple[Kind, list[Any]]:
-    """Returns kind and fields of a datagram.
+    """Returns the kind and the fields of a datagram.
 
     Raises:
-      error.PeerError: It is none, or of another version.
+      error.PeerError: The data is no datagram of a gateway, or of another
+        protocol version.
     """
     try:
         version, kind, *fields = msgpack.unpackb(data, strict_map_key=False)
         if version != VERSION:
-            raise error.PeerError(f'version {version}, not {VERSION}')
+            raise error.PeerError(
+                f'protocol version {version}, expected {VERSION}'
+            )
         return Kind(kind), fields
     except DECODE_ERRORS as exc:
-        raise error.PeerError(f'no datagram of a gateway: {exc!r}') from exc
+        raise error.PeerError(f'malformed datagram: {exc!r}') from exc
 
 
-def bounded_count(figure: Any) -> int:
-    """Returns a figure that is told, within what is possible."""
-    return min(MAX_COUNT, max(0, int(figure)))
+def bounded_count(value: Any) -> int:
+    """Returns a received count, limited to the valid range."""
+    return min(MAX_COUNT, max(0, int(value)))
 
 
-def bounded_revision(figures: Any) -> revision_lib.Revision:
-    """Returns a revision that is told, within what is possible."""
-    epoch, version = figures
+def bounded_revision(pair: Any) -> revision_lib.Revision:
+    """Returns a received revision, limited to the valid range."""
+    epoch, version = pair
     return revision_lib.Revision(bounded_count(epoch), bounded_count(version))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/outbox.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/outbox.py
@@ -1,9 +1,10 @@
-"""What goes to all other gateways, at a pace that a thin link bears.
+"""Paces the datagrams that go to all other gateways.
 
-In a fleet of hundreds one state told to all at once is longer than the queue of
-a thin link. The end of it is lost each time, for the same gateways: they forget
-one that is well, and callers' answers wait behind the rest. So in a large fleet
-it goes out bit by bit until the next is due, in an order drawn anew.
+In a fleet of hundreds, one state sent to all at once is larger than the queue
+of a slow link. The link then drops the end of it each time, for the same
+gateways: these time out a healthy peer, and responses to callers wait behind
+the rest. So in a large fleet a state is sent in small batches until the next
+one is due, in a new random order each time.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 Address = tuple[str, int]
 
-STEP_S = 0.01
-# For one gateway. Of what is told much sooner than it goes out, the oldest is
-# left out; the whole, which follows, makes it good.
+BATCH_INTERVAL_S = 0.01
+# Datagrams queued for one gateway. If they are queued much faster than they are
+# sent, the oldest is dropped; the next full state makes up for it.
 MAX_QUEUED = 4
 
 
 class Outbox:
-    """Datagrams of one gateway that are still to be sent to the others."""
+    """Datagrams of this gateway that are still to be sent to the others."""
 
     def __init__(
         self,
@@ -36,13 +37,13 @@
         """Starts with nothing to send.
 
         Args:
-          send: Sends a datagram.
+          send: Sends a datagram to an address.
           rng: Draws the order of addresses.
         """
         self._send = send
         self._rng = rng or random.Random()
         self._queued: dict[Address, collections.deque[bytes]] = {}
-        self._size = 0
+        self._batch_size = 0
         self._timer: asyncio.TimerHandle | None = None
 
     def send(
@@ -50,13 +51,13 @@
     ) -> None:
         """Sends a datagram to all addresses.
 
-        Whatever is told to one address arrives in order: what is overtaken is
-        left out by its receiver, and may have said what the next does not.
+        Datagrams to one address stay in order: a receiver drops one that comes
+        after a newer one, though the newer one may lack some of its changes.
 
         Args:
           data: The datagram.
-          addresses: Where to.
-          spread_s: Time in which it goes out, in seconds; 0 for at once.
+          addresses: Addresses to send it to.
+          spread_s: Time over which to send it, in seconds; 0 for at once.
         """
         if not spread_s and not self._queued:
             for address in addresses:
@@ -67,20 +68,20 @@
                 address, collections.deque(maxlen=MAX_QUEUED)
             )
             queue.append(data)
-        steps = max(1, math.ceil(spread_s / STEP_S))
-        self._size = math.ceil(len(self._queued) / steps)
+        steps = max(1, math.ceil(spread_s / BATCH_INTERVAL_S))
+        self._batch_size = math.ceil(len(self._queued) / steps)
         if self._timer is None or steps == 1:
-            self._step()
+            self._send_batch()
 
     def close(self) -> None:
-        """Sends no more."""
+        """Stops sending and drops what is queued."""
         self._queued.clear()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _step(self) -> None:
-        for address in list(itertools.islice(self._queued, self._size)):
+    def _send_batch(self) -> None:
+        for address in list(itertools.islice(self._queued, self._batch_size)):
             for data in self._queued.pop(address):
                 self._send(data, address)
         if self._timer is not None:
@@ -88,4 +89,4 @@
             self._timer = None
         if self._queued:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(STEP_S, self._step)
+            self._timer = loop.call_later(BATCH_INTERVAL_S, self._send_batch)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/peer_table.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/peer_table.py
@@ -1,7 +1,7 @@
-"""Which other gateways are heard, and what of theirs is taken in.
+"""Known peers, and which of their datagrams are accepted.
 
-A datagram may come late, twice, from a process that has ended since, or from a
-faulty sender. None of it takes more than a bounded amount of memory or of log.
+A datagram may be late or duplicated, and may come from a process that has ended
+or from a faulty sender. In all cases memory and log output stay bounded.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 
 Address = tuple[str, int]
 
-# Gateways that are listened to; several times the largest fleet planned for.
+# Several times the size of the largest fleet planned for.
 MAX_PEERS = 2000
-# Processes of a name that have ended, whose datagrams may still be on the way.
+# Ended processes remembered per name, whose datagrams may still be in transit.
 MAX_ENDED_INCARNATIONS = 8
-# A process keeps its address. One whose name comes from another sooner than
-# this after it was heard has a double, and is not answered at each.
+# A process keeps its address. If its name is seen at another address sooner
+# than this after its last datagram, a second process uses the same name. The
+# new address is rejected then, so that not every such address gets answers.
 ADDRESS_CHANGE_S = 1.0
-# Complaints about one sender.
+# Faults of one sender are logged once in this time.
 FAULT_LOG_INTERVAL_S = 60.0
 MAX_LOGGED_SENDERS = 1000
 
@@ -36,11 +37,11 @@
     """Another gateway.
 
     Attributes:
-      address: Where its datagrams come from.
-      last_seen_s: Loop time of the newest.
-      incarnation: Process that sent it.
-      sequence: Its sequence.
-      ended_incarnations: Processes of that name before.
+      address: Address from which it sends.
+      last_seen_s: Loop time of its newest accepted datagram.
+      incarnation: Process that sent that datagram.
+      sequence: Sequence number of that datagram.
+      ended_incarnations: Earlier processes with the same name.
     """
 
     address: Address
@@ -53,68 +54,68 @@
 
 
 class PeerTable:
-    """The gateways that are heard."""
+    """The peers of this gateway."""
 
     def __init__(self) -> None:
         self._peers: dict[str, Peer] = {}
         self._logged_s: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Returns how many are heard."""
+        """Returns the number of peers."""
         return len(self._peers)
 
     @property
     def addresses(self) -> list[Address]:
-        """Where they are."""
+        """Addresses of all peers."""
         return [peer.address for peer in self._peers.values()]
 
     def accept(
-        self, told: state_lib.State, address: Address, now: float
+        self, state: state_lib.State, address: Address, now: float
     ) -> bool:
-        """Returns whether to take a state in; notes that its sender is heard.
+        """Returns whether to apply a state, and records its sender if so.
 
-        Left out are one that was overtaken by a newer one, one of a process
-        that has ended since, and those of a gateway too many.
+        A state is rejected if a newer one was accepted, if the process that
+        sent it has ended, or if there are too many peers.
         """
-        peer = self._peers.get(told.node)
+        peer = self._peers.get(state.node)
         if peer is None:
             if len(self._peers) >= MAX_PEERS:
                 return False
-            peer = Peer(address, now, told.incarnation)
-            self._peers[told.node] = peer
-        if told.incarnation in peer.ended_incarnations:
+            peer = Peer(address, now, state.incarnation)
+            self._peers[state.node] = peer
+        if state.incarnation in peer.ended_incarnations:
             return False
-        if told.incarnation != peer.incarnation:
+        if state.incarnation != peer.incarnation:
             peer.ended_incarnations.append(peer.incarnation)
-            peer.incarnation, peer.sequence = told.incarnation, -1
+            peer.incarnation, peer.sequence = state.incarnation, -1
             peer.address = address
-        if told.sequence <= peer.sequence:
+        if state.sequence <= peer.sequence:
             return False
         if peer.address != address:
             if now - peer.last_seen_s < ADDRESS_CHANGE_S:
                 return False
             peer.address = address
-        peer.last_seen_s, peer.sequence = now, told.sequence
+        peer.last_seen_s, peer.sequence = now, state.sequence
         return True
 
     def is_known(self, node: str) -> bool:
-        """Whether a gateway is heard."""
+        """Whether a gateway is a peer."""
         return node in self._peers
 
     def remove_expired(self, now: float) -> list[str]:
-        """Drops gateways that have fallen silent; returns their names."""
-        silent = [
+        """Removes peers that have timed out, and returns their names."""
+        expired = [
             node
             for node, peer in self._peers.items()
             if now - peer.last_seen_s
             > publish_timing.peer_timeout_s(1 + len(self._peers))
         ]
-        for node in silent:
+        for node in expired:
             del self._peers[node]
-        return silent
+        return expired
 
     def should_log_fault(self, sender: str, now: float) -> bool:
-        """Whether a fault of a sender should be logged: once in a while."""
+        """Whether to log a fault of a sender; limits the rate per sender."""
         last_s = self._logged_s.get(sender)
         if last_s is not None and now - last_s < FAULT_LOG_INTERVAL_S:
             return False
