--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
@@ -1,10 +1,11 @@
-"""News for a large fleet, passed on by others.
-
-Whoever is answered by a source tells all others. In a fleet of hundreds that
-is more than a thin link carries before the next answer. So it goes to some,
-each of which passes it on to a group: with groups of the square root of all,
-nobody sends more than twice that. The groups are drawn anew each time, so that
-those of a gateway that has just died hear the next.
+"""Relays updates through other gateways in a large fleet.
+
+A gateway that gets a response from a source sends the update to all others. In
+a fleet of hundreds, a slow link cannot carry that many datagrams before the
+next response. So the update goes to some gateways, each of which forwards it to
+a group. With groups of the square root of the fleet's size, no gateway sends
+more than twice that. The groups are drawn again each time, so that the group of
+a gateway that has just died gets the next update.
 """
 
 from __future__ import annotations
@@ -26,17 +27,18 @@
 
 Address = tuple[str, int]
 
-# Gateways in one group, whoever asks: that of the largest fleet planned for,
-# and some.
+# Upper bound of a group, whoever sends it; somewhat above what the largest
+# fleet planned for needs.
 MAX_GROUP_SIZE = 64
 PORTS = range(1, 65536)
-# When news is told again. A datagram in ten may be lost on each of two legs,
-# and a gateway in twenty be paused: one telling misses a quarter of all.
+# Delays after which an update is sent again. Each of the two hops may lose one
+# datagram in ten, and one gateway in twenty may be paused, so that a single
+# send misses a quarter of the fleet.
 RESEND_DELAYS_S = (0.15, 0.3, 0.4)
 
 
 class Broadcast:
-    """Tells all other gateways the news of one."""
+    """Sends the updates of one gateway to all others."""
 
     def __init__(
         self,
@@ -45,36 +47,36 @@
         send: Callable[[bytes, Address], None],
         rng: random.Random | None = None,
     ) -> None:
-        """Prepares to tell.
+        """Starts without updates.
 
         Args:
-          node: Name of the gateway that tells.
-          addresses: Returns where the others are.
-          send: Sends a datagram.
-          rng: Draws groups.
+          node: Name of this gateway.
+          addresses: Returns the addresses of the others.
+          send: Sends a datagram to an address.
+          rng: Draws the groups.
         """
         self._node = node
         self._addresses = addresses
         self._send = send
         self._rng = rng
         self._newest: dict[type, object] = {}
-        self._repeats: dict[type, list[asyncio.TimerHandle]] = {}
+        self._resends: dict[type, list[asyncio.TimerHandle]] = {}
 
-    def announce(self, told: news_lib.News) -> None:
-        """Tells news; in a large fleet a few times, if it is new."""
-        self._fan_out(update_codec.encode(self._node, told))
-        content = _content(told)
-        if self._newest.get(type(told)) == content:
+    def announce(self, update: news_lib.News) -> None:
+        """Sends an update; in a large fleet a few times, if it is new."""
+        self._fan_out(update_codec.encode(self._node, update))
+        content = _content(update)
+        if self._newest.get(type(update)) == content:
             return
-        self._newest[type(told)] = content
-        # What is told now says what was told just before, too.
-        for repeat in self._repeats.pop(type(told), ()):
-            repeat.cancel()
+        self._newest[type(update)] = content
+        # The new update includes the content of the previous one.
+        for resend in self._resends.pop(type(update), ()):
+            resend.cancel()
         if len(self._addresses()) >= publish_timing.SMALL_FLEET:
-            echo = dataclasses.replace(told, is_echo=True)
-            data = update_codec.encode(self._node, echo)
+            repeated = dataclasses.replace(update, is_echo=True)
+            data = update_codec.encode(self._node, repeated)
             loop = asyncio.get_running_loop()
-            self._repeats[type(told)] = [
+            self._resends[type(update)] = [
                 loop.call_later(delay_s, self._fan_out, data)
                 for delay_s in RESEND_DELAYS_S
             ]
@@ -84,11 +86,11 @@
             self._send(datagram, address)
 
 
-def _content(told: news_lib.News) -> object:
-    """Returns what counts of news, without how far the source has come."""
-    if isinstance(told, news_lib.MembershipNews):
-        return told.changes, told.lapses_s > 0
-    return told.configuration, told.drains
+def _content(update: news_lib.News) -> object:
+    """Returns what an update changes, without the source's revision."""
+    if isinstance(update, news_lib.MembershipNews):
+        return update.changes, update.lapses_s > 0
+    return update.configuration, update.drains
 
 
 def fan_out(
@@ -96,7 +98,7 @@
     addresses: list[Address],
     rng: random.Random | None = None,
 ) -> Iterator[tuple[Address, bytes]]:
-    """Yields datagrams by which every address gets `data`."""
+    """Yields the datagrams by which every address gets `data`."""
     if len(addresses) < publish_timing.SMALL_FLEET:
         yield from ((address, data) for address in addresses)
         return
@@ -104,26 +106,26 @@
     size = min(MAX_GROUP_SIZE, 1 + math.isqrt(len(drawn)))
     for first in range(0, len(drawn), size):
         head, *group = drawn[first : first + size]
-        told = [(socket.inet_aton(host), port) for host, port in group]
-        yield head, frame.pack(frame.Kind.RELAY, (data, told))
+        targets = [(socket.inet_aton(host), port) for host, port in group]
+        yield head, frame.pack(frame.Kind.RELAY, (data, targets))
 
 
 def decode(fields: list[Any]) -> tuple[bytes, list[Address]]:
-    """Returns what to pass on, and to whom.
+    """Returns the datagram to forward and the addresses to send it to.
 
     Raises:
-      error.PeerError: The fields hold none.
+      error.PeerError: The fields are malformed.
     """
     try:
         data, group = fields
         if not isinstance(data, bytes) or len(group) > MAX_GROUP_SIZE:
-            raise ValueError('no datagram to pass on')
+            raise ValueError('no datagram or too many addresses')
         return data, [_address(*one) for one in group]
     except (*frame.DECODE_ERRORS, OSError) as exc:
-        raise error.PeerError(f'no relay: {exc!r}') from exc
+        raise error.PeerError(f'malformed relay: {exc!r}') from exc
 
 
 def _address(host: bytes, port: int) -> Address:
     if port not in PORTS:
-        raise ValueError(f'port {port!r}')
+        raise ValueError(f'invalid port {port!r}')
     return socket.inet_ntoa(host), port
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
@@ -1,4 +1,4 @@
-"""What one gateway tells the others of itself, and its form in a datagram."""
+"""The state that a gateway publishes, and its encoding in a datagram."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 __all__ = ['State', 'decode', 'encode']
 
-# A greater figure is a fault of its sender's.
+# A larger value comes from a faulty sender.
 MAX_FAILURES = 1000.0
-# Names in one datagram; more than a gateway works with.
+# Names in one datagram; more than one gateway works with.
 MAX_NAMES = 4096
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class State:
-    """What a gateway tells: all of it, or what has changed.
+    """The state of a gateway: in full, or what has changed.
 
     Attributes:
       node: Name of the gateway.
-      incarnation: Drawn by each process anew.
+      incarnation: Drawn at random by each process.
       sequence: Grows with each datagram of a process.
-      usage: By upstream id.
-      leaving: Ids of upstreams that it knows to leave; if it is not whole,
-      those
-        that it did not tell of before.
-      waiting: Tokens that wait there, by service and rank.
-      moving: Runs of leaving engines that it has still to move.
-      is_store_unavailable: Whether the store does not answer it.
-      is_full: Whether an upstream that `usage` does not name holds nothing of
-        it; else it holds what was told before. The rest is always whole.
+      usage: Usage of engines by this gateway, by key of the upstream.
+      leaving: Keys of upstreams that it knows to be leaving; in a delta, those
+        that it has not sent before.
+      waiting: Tokens that wait at this gateway, by service and rank.
+      moving: Runs that it still has to move away from leaving engines.
+      is_store_unavailable: Whether the store doesn't respond to it.
+      is_full: Whether upstreams missing from `usage` are unused. In a delta,
+        their usage is unchanged instead; all other attributes but `leaving`
+        are always complete.
     """
 
     node: str
@@ -51,7 +51,7 @@
 
 
 def encode(state: State) -> bytes:
-    """Returns the datagram of a state."""
+    """Returns the datagram for a state."""
     usage = {
         upstream: (
             entry.memory_tokens,
@@ -82,7 +82,7 @@
     """Returns the state in the fields of a datagram.
 
     Raises:
-      error.PeerError: They hold none.
+      error.PeerError: The fields are malformed.
     """
     try:
         node, incarnation, sequence, usage, leaving, waiting, *rest = fields
@@ -101,16 +101,16 @@
             bool(is_full),
         )
     except frame.DECODE_ERRORS as exc:
-        raise error.PeerError(f'no state: {exc!r}') from exc
+        raise error.PeerError(f'malformed state: {exc!r}') from exc
 
 
 def _usage(entry: list[Any]) -> usage_lib.Usage:
     *counts, failures = entry
-    memory, reading, runs, copied = (
-        frame.bounded_count(figure) for figure in counts
+    memory, prefill, runs, backup = (
+        frame.bounded_count(count) for count in counts
     )
     failures = min(MAX_FAILURES, max(0.0, float(failures)))
-    return usage_lib.Usage(memory, reading, runs, copied, failures)
+    return usage_lib.Usage(memory, prefill, runs, backup, failures)
 
 
 def _sizes(entry: dict[str, Any]) -> dict[str, int]:
