--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -1,8 +1,8 @@
-"""News of the sources, and its form in a datagram.
+"""Encodes and decodes updates of the sources in datagrams.
 
-Revisions go as epoch and version. Gateways of the release before tell bare
-versions; they are of epoch 0, so that in a later one their news is older than
-all that is known.
+A revision is sent as epoch and version. Gateways of the previous release send
+versions only, which get epoch 0, so that in any later epoch their updates are
+older than everything known.
 """
 
 from __future__ import annotations
@@ -19,56 +19,57 @@
 
 PORTS = range(1, 65536)
 MAX_LAPSE_S = 60.0
-# Of a document, in bytes; longer ones are none.
+# A longer digest of a document is invalid.
 MAX_DIGEST_BYTES = 16
 
 
-def encode(node: str, told: news_lib.News) -> bytes:
-    """Returns the datagram in which a gateway tells news."""
-    if isinstance(told, news_lib.ConfigurationNews):
+def encode(node: str, update: news_lib.News) -> bytes:
+    """Returns the datagram for an update of the gateway `node`."""
+    if isinstance(update, news_lib.ConfigurationNews):
         drains = [
-            (one.zone, _pair(one.revision), one.is_on) for one in told.drains
+            (drain.zone, _pair(drain.revision), drain.is_on)
+            for drain in update.drains
         ]
         fields = (
             node,
-            _pair(told.revision),
-            told.configuration,
-            told.patch,
+            _pair(update.revision),
+            update.configuration,
+            update.patch,
             drains,
-            told.is_echo,
-            _pair(told.written),
-            told.digest,
+            update.is_echo,
+            _pair(update.written),
+            update.digest,
         )
         return frame.pack(frame.Kind.CONFIGURATION, fields)
-    changes = [_fields(change) for change in told.changes]
+    changes = [_fields(change) for change in update.changes]
     fields = (
         node,
-        _pair(told.since),
-        _pair(told.revision),
-        told.lapses_s,
+        _pair(update.since),
+        _pair(update.revision),
+        update.lapses_s,
         changes,
-        told.is_echo,
+        update.is_echo,
     )
     return frame.pack(frame.Kind.MEMBERSHIP, fields)
 
 
 def decode(kind: frame.Kind, fields: list[Any]) -> tuple[str, news_lib.News]:
-    """Returns the gateway that tells, and its news.
+    """Returns the sending gateway and its update.
 
     Raises:
-      error.PeerError: The fields hold none.
+      error.PeerError: The fields are malformed.
     """
     try:
         if kind is frame.Kind.LEGACY_CONFIGURATION:
-            found = _plain_configuration(*fields)
+            found = _legacy_configuration(*fields)
         elif kind is frame.Kind.CONFIGURATION:
             found = _configuration(*fields)
         elif kind is frame.Kind.LEGACY_MEMBERSHIP:
-            found = _plain_membership(*fields)
+            found = _legacy_membership(*fields)
         else:
             found = _membership(*fields)
     except frame.DECODE_ERRORS as exc:
-        raise error.PeerError(f'no news: {exc!r}') from exc
+        raise error.PeerError(f'malformed update: {exc!r}') from exc
     return found.teller, found
 
 
@@ -84,9 +85,9 @@
 ) -> news_lib.ConfigurationNews:
     newest = frame.bounded_revision(revision)
     if not isinstance(patch, bytes):
-        raise TypeError(f'patch {type(patch)}')
+        raise TypeError(f'invalid patch: {type(patch)}')
     if not isinstance(digest, bytes) or len(digest) > MAX_DIGEST_BYTES:
-        raise TypeError(f'digest {type(digest)}')
+        raise TypeError(f'invalid digest: {type(digest)}')
     return news_lib.ConfigurationNews(
         newest,
         frame.bounded_count(number),
@@ -117,7 +118,7 @@
     )
 
 
-def _plain_configuration(
+def _legacy_configuration(
     node: Any,
     version: Any,
     number: Any,
@@ -125,11 +126,11 @@
     drains: Any,
     is_echo: Any,
 ) -> news_lib.ConfigurationNews:
-    orders = [(zone, (0, told), is_on) for zone, told, is_on in drains]
+    orders = [(zone, (0, at), is_on) for zone, at, is_on in drains]
     return _configuration(node, (0, version), number, patch, orders, is_echo)
 
 
-def _plain_membership(
+def _legacy_membership(
     node: Any,
     since: Any,
     version: Any,
@@ -137,7 +138,7 @@
     changes: Any,
     is_echo: Any,
 ) -> news_lib.MembershipNews:
-    entries = [(name, (0, told), *rest) for name, told, *rest in changes]
+    entries = [(name, (0, at), *rest) for name, at, *rest in changes]
     return _membership(
         node, (0, since), (0, version), lapses_s, entries, is_echo
     )
@@ -148,13 +149,13 @@
 
 
 def _drain(
-    newest: revision_lib.Revision, zone: Any, told: Any, is_on: Any
+    newest: revision_lib.Revision, zone: Any, at: Any, is_on: Any
 ) -> zones.Drain:
-    name, revision = str(zone), frame.bounded_revision(told)
+    name, revision = str(zone), frame.bounded_revision(at)
     if revision > newest:
-        raise ValueError(f'drain at {revision}, news at {newest}')
+        raise ValueError(f'drain at {revision}, update at {newest}')
     if not name or len(name) > zones.MAX_NAME_LENGTH:
-        raise ValueError('no name of a zone')
+        raise ValueError('invalid zone name')
     return zones.Drain(name, revision, bool(is_on))
 
 
@@ -175,14 +176,14 @@
     )
 
 
-def _change(name: Any, told: Any, *rest: Any) -> upstream.Change:
-    revision = frame.bounded_revision(told)
+def _change(name: Any, at: Any, *rest: Any) -> upstream.Change:
+    revision = frame.bounded_revision(at)
     if len(rest) == 1:
         [may_have_lapsed] = rest
         return upstream.Change(str(name), revision, None, bool(may_have_lapsed))
     service, host, port, zone, slots, leaving, incarnation, warmup_s = rest
     if port not in PORTS:
-        raise ValueError(f'port {port!r}')
+        raise ValueError(f'invalid port {port!r}')
     found = upstream.Upstream(
         id=str(name),
         service=str(service),
