--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -49,7 +49,7 @@
 MECHANISMS: dict[str, Edit] = {
     'watching-together': _gateway(
         'peers/exchange.py',
-        'if hear is not None and node',
+        'if handler is not None and node',
         'if False and node',
     ),
     'backups': _gateway(
@@ -92,8 +92,8 @@
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
-        'told = self._deltas.next_state(now, self._current(), gateways)',
-        'told = None',
+        'state = self._deltas.next_state(now, self._current(), gateways)',
+        'state = None',
     ),
     'holding-for-memory': _gateway(
         'balance/admission.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -1,13 +1,14 @@
-"""Datagrams between gateways.
+"""Exchanges datagrams with the other gateways.
 
-Each gateway sees only its own generations, and many share an engine. Without
-word of the others' each would fill the engine that looks empty to itself. So
-each tells what it holds (`peers.delta` says how much of it, `peers.peer_table`
-whose word is taken), and a gateway that falls silent is forgotten. By the same
-way go news of configuration and membership (`watch`).
+A gateway sees only its own generations, but many gateways share an engine.
+Without the state of the others, each would fill the engine that looks empty to
+it. So each publishes its usage (`peers.delta` decides how much of it) and
+applies the states that `peers.peer_table` accepts. Peers that stay silent are
+removed. Updates of configuration and membership (`watch`) use the same
+datagrams.
 
-A gateway finds the others once, at its start, in a directory; whoever hears a
-new one answers it from then on.
+A gateway finds the others in a directory when it starts. The others send their
+state to every new gateway that they receive a datagram from.
 """
 
 from __future__ import annotations
@@ -39,30 +40,32 @@
 __all__ = ['Exchange', 'Join']
 
 Address = peer_table.Address
-# Enters this gateway's address in the directory and returns those of the others
-# by name.
+# Registers this gateway's name and address in the directory, and returns the
+# addresses of the others by name.
 Join = Callable[[str, str], Awaitable[dict[str, str]]]
 
-# What is given back is told this soon after one another: known late, it only
-# leaves room unused for a moment.
+# Interval of checks for changes such as released capacity. Published late, that
+# only leaves capacity unused for a moment.
 PUBLISH_INTERVAL_S = 0.1
-# How many others a gateway asks that knows nothing: one may not hear it.
+# Number of peers from which a gateway requests a snapshot, as one may not
+# receive the request.
 SNAPSHOT_REQUESTS = 2
-# Members of a directory that has aged are asked this often until they answer.
+# The directory may be outdated. Listed gateways that don't answer are contacted
+# this often.
 JOIN_ATTEMPTS = 5
 JOIN_RETRY_S = 1.0
-# All gateways see a new epoch of the source at about the same moment. Spread
-# out over this, their entries are no load, and who starts meanwhile finds those
-# that are entered already.
+# All gateways detect a new epoch of the source at about the same moment. Spread
+# over this time, their registrations are no load, and a gateway that starts
+# meanwhile finds those that are registered already.
 REJOIN_SPREAD_S = 5.0
 
 
 class Exchange(asyncio.DatagramProtocol):
-    """Tells the other gateways, and hears them.
+    """Publishes the state of this gateway and receives that of the others.
 
     Attributes:
-      taken: States of others that were taken in.
-      left_out: Datagrams that were malformed, or of no use any more.
+      accepted: Number of states that were applied.
+      dropped: Number of datagrams that were malformed or outdated.
     """
 
     def __init__(
@@ -81,153 +84,155 @@
         self._peers = peer_table.PeerTable()
         self._transport: asyncio.DatagramTransport | None = None
         self._deltas = delta.DeltaTracker(node, random.getrandbits(32))
-        self._is_telling = False
+        self._is_publishing = False
         self.accepted = 0
         self.dropped = 0
-        self._hearers: dict[
+        self._update_handlers: dict[
             type[news_lib.News], Callable[[news_lib.News], None]
         ] = {}
-        self._wholes: list[Callable[[], news_lib.News | None]] = []
-        self._told_s = 0.0
+        self._snapshot_providers: list[Callable[[], news_lib.News | None]] = []
+        self._published_s = 0.0
         self._broadcast = relay.Broadcast(
             node, lambda: self._peers.addresses, self._send
         )
         self._outbox = outbox.Outbox(self._send)
-        core.live.on_changed(self._tell_soon)
+        core.live.on_changed(self._publish_soon)
 
     def on_update(
         self,
         kind: type[news_lib.News],
-        hear: Callable[[news_lib.News], None],
+        handler: Callable[[news_lib.News], None],
     ) -> None:
-        """Sets what takes the other gateways' news of a source."""
-        self._hearers[kind] = hear
+        """Sets the handler of the other gateways' updates of one type."""
+        self._update_handlers[kind] = handler
 
     def on_snapshot_request(
-        self, whole: Callable[[], news_lib.News | None]
+        self, provider: Callable[[], news_lib.News | None]
     ) -> None:
-        """Adds what answers a gateway that knows nothing of a source."""
-        self._wholes.append(whole)
+        """Adds a provider of a source's snapshot, for gateways without one."""
+        self._snapshot_providers.append(provider)
 
     def request_snapshot(self) -> None:
-        """Asks some others for all that they know of the sources.
+        """Requests a snapshot of the sources from some peers.
 
-        A gateway that restarts while the source is away would refuse every
-        caller for as long as that lasts, beside others that serve. Others tell
-        it of themselves at its address, so that it knows of them by then.
+        Otherwise, a gateway that restarts during an outage of the source would
+        refuse every caller until it ends, while other gateways serve. It knows
+        peers by then, as they send their state to its address.
         """
-        found = self._peers.addresses
+        addresses = self._peers.addresses
         data = frame.pack(frame.Kind.SNAPSHOT_REQUEST, (self._node,))
-        for address in random.sample(found, min(SNAPSHOT_REQUESTS, len(found))):
+        for address in random.sample(
+            addresses, min(SNAPSHOT_REQUESTS, len(addresses))
+        ):
             self._transport.sendto(data, address)
 
-    def announce(self, told: news_lib.News) -> None:
-        """Tells the others news of a source."""
+    def announce(self, update: news_lib.News) -> None:
+        """Sends an update of a source to the others."""
         if self._transport is None or self._transport.is_closing():
             return
-        self._broadcast.announce(told)
+        self._broadcast.announce(update)
 
     @property
     def peer_count(self) -> int:
-        """How many others are heard."""
+        """Number of peers."""
         return len(self._peers)
 
     @property
     def port(self) -> int:
-        """Port listened at."""
+        """Local port."""
         return self._transport.get_extra_info('sockname')[1]
 
     async def open(self, address: Address) -> None:
-        """Listens; port 0 lets the kernel choose."""
+        """Opens the socket; port 0 lets the kernel choose."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=address
         )
 
     def close(self) -> None:
-        """Listens no more."""
+        """Closes the socket."""
         self._outbox.close()
         if self._transport is not None:
             self._transport.close()
 
     async def join_directory(self) -> None:
-        """Enters this gateway in the directory, and greets those listed there.
+        """Registers in the directory and contacts the gateways listed there.
 
-        Again in each epoch of the source: its copy may lack the entry, so that
-        a gateway that starts would not find this one.
+        Repeated in each epoch of the source: the copy it was restored from may
+        lack the entry, and a gateway that starts would not find this one.
         """
         while True:
             self._is_lost.clear()
-            await self._greet_listed(await self._listed())
+            await self._contact_listed(await self._register())
             await self._is_lost.wait()
             await asyncio.sleep(random.uniform(0.0, REJOIN_SPREAD_S))
 
-    async def _greet_listed(self, found: dict[str, str]) -> None:
+    async def _contact_listed(self, listed: dict[str, str]) -> None:
         for _ in range(JOIN_ATTEMPTS):
-            heard = set(self._peers.addresses)
-            for text in found.values():
+            known = set(self._peers.addresses)
+            for text in listed.values():
                 host, _, port = text.rpartition(':')
                 address = (host, int(port))
-                if address not in heard:
-                    self._greet(address)
+                if address not in known:
+                    self._send_full_state(address)
             await asyncio.sleep(JOIN_RETRY_S)
 
-    async def _listed(self) -> dict[str, str]:
+    async def _register(self) -> dict[str, str]:
         host, port = self._transport.get_extra_info('sockname')[:2]
         while True:
             try:
-                found = await self._join(self._node, f'{host}:{port}')
+                listed = await self._join(self._node, f'{host}:{port}')
             except error.SourceError as exc:
                 event.note(event.DirectoryUnreachable(str(exc)))
                 await asyncio.sleep(JOIN_RETRY_S)
                 continue
             now = asyncio.get_running_loop().time()
-            self._core.members.add_listed(found, now)
-            event.note(event.PeersListed(len(found)))
-            return found
+            self._core.members.add_listed(listed, now)
+            event.note(event.PeersListed(len(listed)))
+            return listed
 
     async def publish_changes(self) -> None:
         """Publishes changes; runs until cancelled."""
         loop = asyncio.get_running_loop()
-        turns = ticker.Ticker()
+        ticks = ticker.Ticker()
         while True:
-            if await turns.wait(PUBLISH_INTERVAL_S):
-                self._forget_silent(loop.time())
+            if await ticks.wait(PUBLISH_INTERVAL_S):
+                self._remove_expired(loop.time())
             gateways = 1 + len(self._peers)
             self._core.upstreams.gateway_count = gateways
             self._core.budget.share_among(gateways)
-            if loop.time() - self._told_s >= self._gap_s():
-                self._tell_news()
+            if loop.time() - self._published_s >= self._min_interval_s():
+                self._publish()
 
-    def _tell_soon(self, is_urgent: bool) -> None:
-        """Tells of a generation that begins as soon as it has begun.
+    def _publish_soon(self, is_urgent: bool) -> None:
+        """Publishes a generation as soon as it has started.
 
-        All gateways look for the engine with the most room. Those that choose
-        before they hear of each other's choices choose the same one, and each
-        finds it full. In a large fleet that is told later, but
-        for what others wait for (`fleet.publish_timing`).
+        All gateways look for the engine with the most free capacity. Those that
+        choose before they receive each other's choices choose the same one, and
+        fill it together. In a large fleet only urgent changes are published
+        immediately, others later (`fleet.publish_timing`).
         """
-        if self._is_telling or self._transport is None:
+        if self._is_publishing or self._transport is None:
             return
-        if is_urgent or not self._gap_s():
-            self._is_telling = True
+        if is_urgent or not self._min_interval_s():
+            self._is_publishing = True
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._tell_news, is_urgent)
+            loop.call_soon(self._publish, is_urgent)
 
-    def _gap_s(self) -> float:
+    def _min_interval_s(self) -> float:
         return publish_timing.min_interval_s(1 + len(self._peers))
 
-    def _tell_news(self, is_urgent: bool = False) -> None:
-        self._is_telling = False
+    def _publish(self, is_urgent: bool = False) -> None:
+        self._is_publishing = False
         if self._transport.is_closing():
             return
         now = asyncio.get_running_loop().time()
         gateways = 1 + len(self._peers)
-        told = self._deltas.next_state(now, self._current(), gateways)
-        if told is not None:
-            self._told_s = now
+        state = self._deltas.next_state(now, self._current(), gateways)
+        if state is not None:
+            self._published_s = now
             self._outbox.send(
-                state_lib.encode(told),
+                state_lib.encode(state),
                 self._peers.addresses,
                 publish_timing.spread_s(gateways, is_urgent=is_urgent),
             )
@@ -246,35 +251,35 @@
         )
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Takes what another gateway tells."""
+        """Handles a datagram of another gateway."""
         try:
             kind, fields = frame.unpack(data)
             if kind is frame.Kind.STATE:
-                self._hear_state(state_lib.decode(fields), addr)
+                self._receive_state(state_lib.decode(fields), addr)
             elif kind is frame.Kind.SNAPSHOT_REQUEST:
-                self._answer_whole(addr)
+                self._send_snapshots(addr)
             elif kind is frame.Kind.RELAY:
                 self._relay(*relay.decode(fields), addr)
             else:
-                self._hear_news(*update_codec.decode(kind, fields))
+                self._receive_update(*update_codec.decode(kind, fields))
         except error.PeerError as exc:
             self._drop(addr, str(exc))
 
     def _relay(
         self, data: bytes, addresses: list[Address], sender: Address
     ) -> None:
-        """Takes news, and sends it on to the gateways that are named.
+        """Handles an update and forwards it to the listed gateways.
 
-        Only for a gateway that is heard, and only to such.
+        Only on behalf of known peers, and only to known peers.
         """
         known = set(self._peers.addresses)
         if sender not in known:
-            raise error.PeerError('relay for a stranger')
+            raise error.PeerError('relay requested by an unknown gateway')
         for address in addresses:
             if address in known:
                 self._transport.sendto(data, address)
         kind, fields = frame.unpack(data)
-        self._hear_news(*update_codec.decode(kind, fields))
+        self._receive_update(*update_codec.decode(kind, fields))
 
     def _drop(self, addr: Address, reason: str) -> None:
         self.dropped += 1
@@ -282,74 +287,74 @@
         if self._peers.should_log_fault(addr[0], now):
             event.note(event.DatagramMalformed(addr[0], reason))
 
-    def _answer_whole(self, addr: Address) -> None:
-        # To nobody but a gateway: it holds the keys of callers.
+    def _send_snapshots(self, addr: Address) -> None:
+        # Only to known peers, as the configuration contains callers' keys.
         if addr not in self._peers.addresses:
             return
-        for whole in self._wholes:
-            told = whole()
-            if told is not None:
-                data = update_codec.encode(self._node, told)
+        for provider in self._snapshot_providers:
+            snapshot = provider()
+            if snapshot is not None:
+                data = update_codec.encode(self._node, snapshot)
                 self._transport.sendto(data, addr)
 
-    def _hear_news(self, node: str, told: news_lib.News) -> None:
-        hear = self._hearers.get(type(told))
-        if hear is not None and node != self._node:
-            hear(told)
+    def _receive_update(self, node: str, update: news_lib.News) -> None:
+        handler = self._update_handlers.get(type(update))
+        if handler is not None and node != self._node:
+            handler(update)
 
-    def _hear_state(self, told: state_lib.State, addr: Address) -> None:
-        node = told.node
+    def _receive_state(self, state: state_lib.State, addr: Address) -> None:
+        node = state.node
         if node == self._node:
             return
         is_new = not self._peers.is_known(node)
         now = asyncio.get_running_loop().time()
-        if not self._peers.accept(told, addr, now):
+        if not self._peers.accept(state, addr, now):
             self.dropped += 1
             return
         self.accepted += 1
         if is_new:
             event.note(event.PeerFound(node, len(self._peers)))
-            self._greet(addr)
+            self._send_full_state(addr)
         core = self._core
         core.members.mark_seen((node,), now)
-        if told.is_full:
-            core.pages.hear(node, told.usage)
+        if state.is_full:
+            core.pages.hear(node, state.usage)
         else:
-            core.pages.hear_changes(node, told.usage)
-        core.pages.hear_waiting(node, told.waiting)
-        core.link_queue.hear(node, told.moving)
-        core.health.hear(node, is_down=told.is_store_unavailable)
-        core.upstreams.receive_leaving(told.leaving, node)
+            core.pages.hear_changes(node, state.usage)
+        core.pages.hear_waiting(node, state.waiting)
+        core.link_queue.hear(node, state.moving)
+        core.health.hear(node, is_down=state.is_store_unavailable)
+        core.upstreams.receive_leaving(state.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
-        """Notes what the kernel tells of a datagram; silence decides."""
+        """Logs an error from the kernel; only silence removes a peer."""
         event.note(event.DatagramFailed(str(exc)))
 
-    def _greet(self, address: Address) -> None:
-        """Tells one gateway everything."""
-        whole = self._deltas.full_state()
-        self._transport.sendto(state_lib.encode(whole), address)
+    def _send_full_state(self, address: Address) -> None:
+        """Sends the full state to one gateway."""
+        state = self._deltas.full_state()
+        self._transport.sendto(state_lib.encode(state), address)
 
     def _send(self, data: bytes, address: Address) -> None:
         if not self._transport.is_closing():
             self._transport.sendto(data, address)
 
     def _usage(self) -> dict[str, usage_lib.Usage]:
-        held = {}
+        usage = {}
         now = asyncio.get_running_loop().time()
         for key, page in self._core.pages.items():
             failures = page.shown_failures(now)
             if page.reservations or page.copies or failures:
-                held[key] = usage_lib.Usage(
+                usage[key] = usage_lib.Usage(
                     page.own_tokens,
                     page.own_reading,
                     len(page.reservations),
                     page.own_copied,
                     failures,
                 )
-        return held
+        return usage
 
-    def _forget_silent(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         core = self._core
         for node in self._peers.remove_expired(now):
             core.pages.hear(node, {})
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -299,7 +299,7 @@
         ):
             await asyncio.sleep(0.3)
             for other in self.gateways:
-                second._greet(('127.0.0.1', other.port))
+                second._send_full_state(('127.0.0.1', other.port))
             pause.pause(1.0)
             await asyncio.sleep(0.3)
         lost = [one for one in notes if isinstance(one, event.PeerLost)]
@@ -315,7 +315,7 @@
         first = self.gateways[0]
         await self.until(lambda: first.peer_count == 2)
         for _ in range(50):
-            first._greet(('127.0.0.1', self.gateways[1].port))
+            first._send_full_state(('127.0.0.1', self.gateways[1].port))
         await asyncio.sleep(0.05)
         first._deltas = delta.DeltaTracker('entry-1', 1)
         self.hold(first, 77)
