--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -1,4 +1,4 @@
-"""What is told: the whole, what has changed, or nothing."""
+"""When the full state, a delta or nothing is published."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 FEW = 4
 
 
-def current(**held):
-    """Returns a state in which so many tokens are held at engines."""
+def current(**usage):
+    """Returns a state with the given tokens in use at each engine."""
     return state.State(
         'entry-1',
         0,
         0,
-        {key: usage_lib.Usage(tokens, 0, 1) for key, tokens in held.items()},
+        {key: usage_lib.Usage(tokens, 0, 1) for key, tokens in usage.items()},
     )
 
 
 class DeltaTrackerTest(unittest.TestCase):
-    """One process that tells, and one that hears."""
+    """States that one process publishes."""
 
     def setUp(self):
         self.tracker = delta.DeltaTracker('entry-1', 7)
@@ -41,21 +41,21 @@
         self.assertEqual(again.usage, self.first.usage)
 
     def test_delta_contains_only_changes(self):
-        told = self.tracker.next_state(5.1, current(a=1, b=3, c=4), FEW)
-        self.assertFalse(told.is_full)
-        self.assertEqual(set(told.usage), {'b', 'c'})
-        told = self.tracker.next_state(5.2, current(a=1, c=4), FEW)
-        self.assertEqual(told.usage, {'b': usage_lib.NO_USAGE})
+        published = self.tracker.next_state(5.1, current(a=1, b=3, c=4), FEW)
+        self.assertFalse(published.is_full)
+        self.assertEqual(set(published.usage), {'b', 'c'})
+        published = self.tracker.next_state(5.2, current(a=1, c=4), FEW)
+        self.assertEqual(published.usage, {'b': usage_lib.NO_USAGE})
 
     def test_leaving_keys_are_sent_once_and_with_each_full_state(self):
-        """Two dozen engines leave, and each has a name of 27 letters.
+        """Two dozen engines leave, each with a name of 27 characters.
 
-        In every datagram to 300 gateways they were most of what a thin link
-        took in.
+        Repeated in every datagram to 300 gateways, the names were most of the
+        traffic that a slow link received.
         """
         leaving = dataclasses.replace(current(a=1), leaving=('x', 'y'))
-        told = self.tracker.next_state(5.1, leaving, FEW)
-        self.assertEqual(told.leaving, ('x', 'y'))
+        published = self.tracker.next_state(5.1, leaving, FEW)
+        self.assertEqual(published.leaving, ('x', 'y'))
         more = dataclasses.replace(current(a=2), leaving=('x', 'y', 'z'))
         self.assertEqual(
             self.tracker.next_state(5.2, more, FEW).leaving, ('z',)
@@ -73,30 +73,33 @@
         self.assertEqual(numbers, sorted(set(numbers)))
 
     def test_receiver_state_matches_after_each_full_state(self):
-        """Runs begin and end at random; some datagrams are lost.
+        """Runs start and end at random, and some deltas are lost.
 
-        With every whole, at the latest, the hearer knows what the teller holds.
+        After each full state, the receiver has the sender's usage.
         """
         rng = random.Random(3)
-        heard = book.Book()
-        held = {}
+        received = book.Book()
+        usage = {}
         now = 5.0
         for _ in range(400):
             now += 0.05
             key = rng.choice('abcdef')
-            held[key] = rng.randrange(0, 5)
-            there = {name: tokens for name, tokens in held.items() if tokens}
-            told = self.tracker.next_state(now, current(**there), FEW)
-            if told is None or (not told.is_full and rng.random() < 0.2):
+            usage[key] = rng.randrange(0, 5)
+            in_use = {name: tokens for name, tokens in usage.items() if tokens}
+            published = self.tracker.next_state(now, current(**in_use), FEW)
+            if published is None or (
+                not published.is_full and rng.random() < 0.2
+            ):
                 continue
-            if told.is_full:
-                heard.hear('entry-1', told.usage)
+            if published.is_full:
+                received.hear('entry-1', published.usage)
                 for name in 'abcdef':
                     self.assertEqual(
-                        heard._page(name).reserved_tokens, there.get(name, 0)
+                        received._page(name).reserved_tokens,
+                        in_use.get(name, 0),
                     )
             else:
-                heard.hear_changes('entry-1', told.usage)
+                received.hear_changes('entry-1', published.usage)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -1,4 +1,4 @@
-"""What goes to all others, behind a thin link."""
+"""Sending to all other gateways over a slow link."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from quetzalsill_gateway.stream import link_queue, live
 from tests.quetzalsill_gateway import quotas
 
-# A link of 10 Mbit/s whose queue holds 50 ms of it.
+# A link of 10 Mbit/s with a queue of 50 ms.
 LINK_BYTES_PER_S = 1_250_000
 QUEUE_BYTES = 62_500
 HEADERS_BYTES = 28
-# Rare news is to be known to all within this time.
-NEWS_S = 0.5
+# Urgent changes have to reach all gateways within this time.
+URGENT_S = 0.5
 
 
 class Link:
-    """A thin link to the others, in place of a socket.
+    """A slow link to the others, in place of a socket.
 
     Attributes:
-      lost: Datagrams for which there was no room.
-      sent: Datagrams that went out, by address: their loop times.
+      lost: Number of datagrams that did not fit into the queue.
+      sent: Loop times of the datagrams sent, by address.
     """
 
     def __init__(self):
@@ -37,31 +37,31 @@
         self._free_s = 0.0
 
     def is_closing(self):
-        """It never is."""
+        """Returns False: it is never closed."""
         return False
 
     def close(self):
         """Does nothing."""
 
     def sendto(self, data, address):
-        """Sends a datagram, unless the queue is full."""
+        """Sends a datagram unless the queue is full."""
         now = asyncio.get_running_loop().time()
-        begins_s = max(now, self._free_s)
+        starts_s = max(now, self._free_s)
         size = len(data) + HEADERS_BYTES
-        if (begins_s - now) * LINK_BYTES_PER_S + size > QUEUE_BYTES:
+        if (starts_s - now) * LINK_BYTES_PER_S + size > QUEUE_BYTES:
             self.lost += 1
             return
-        self._free_s = begins_s + size / LINK_BYTES_PER_S
+        self._free_s = starts_s + size / LINK_BYTES_PER_S
         self.sent.setdefault(address, []).append(self._free_s)
 
 
 def addresses(count):
-    """Returns where other gateways are."""
+    """Returns the addresses of other gateways."""
     return [(f'10.1.{n // 256}.{n % 256}', 7000) for n in range(count)]
 
 
 class Gateway:
-    """One gateway that hears others, and holds something at many engines."""
+    """A gateway with peers that uses many engines."""
 
     def __init__(self, others):
         core = types.SimpleNamespace(
@@ -81,42 +81,42 @@
         self.exchange = exchange.Exchange(core, 'entry-a', None)
         self.exchange._transport = self.link
         self._others = others
-        self._number = 0
+        self._sequence = 0
 
-    def hear_all(self):
-        """Takes a state of each of the others."""
-        self._number += 1
+    def receive_all(self):
+        """Receives a state from each of the others."""
+        self._sequence += 1
         for number, address in enumerate(addresses(self._others)):
-            told = state.State(f'entry-{number}', 1, self._number, {})
-            self.exchange.datagram_received(state.encode(told), address)
+            peer = state.State(f'entry-{number}', 1, self._sequence, {})
+            self.exchange.datagram_received(state.encode(peer), address)
 
     def hold(self, engines, tokens):
-        """Holds so many tokens at each of so many engines."""
+        """Uses the given tokens at each of the given number of engines."""
         for number in range(engines):
             page = self.core.pages._page(f'i-{number:010x}')
             page.reservations = {book.Reservation(10, tokens)}
 
 
 class SlowLinkTest(unittest.TestCase):
-    """What one gateway of a large fleet tells."""
+    """What one gateway of a large fleet sends."""
 
     def test_no_datagram_of_a_state_is_lost(self):
-        """A thin gateway among 300 has its runs at forty engines.
+        """One of 300 gateways has a slow link and uses forty engines.
 
-        Told to all at once, its state is longer than the queue of its link:
-        the same gateways never hear it, forget it after some seconds, and give
-        out the room that its runs take. Callers' answers wait behind the rest.
+        Sent to all at once, its state is larger than the queue of its link.
+        The same gateways never receive it, time the gateway out, and allocate
+        the capacity that it uses; responses to callers wait behind the rest.
         """
 
         async def play():
             gateway = Gateway(299)
-            gateway.hear_all()
+            gateway.receive_all()
             await asyncio.sleep(1.0)
             gateway.link.lost = 0
             gateway.link.sent.clear()
             task = asyncio.create_task(gateway.exchange.publish_changes())
             for tokens in range(10):
-                gateway.hear_all()
+                gateway.receive_all()
                 gateway.hold(40, 1000 + tokens)
                 await asyncio.sleep(1.0)
             task.cancel()
@@ -132,26 +132,26 @@
     def test_urgent_state_is_sent_quickly(self):
         async def play():
             gateway = Gateway(299)
-            gateway.hear_all()
+            gateway.receive_all()
             await asyncio.sleep(1.0)
             gateway.hold(5, 1000)
             gateway.link.sent.clear()
-            begun_s = asyncio.get_running_loop().time()
+            start_s = asyncio.get_running_loop().time()
             gateway.core.live.changed(is_urgent=True)
             await asyncio.sleep(1.0)
-            return begun_s, gateway.link.sent
+            return start_s, gateway.link.sent
 
-        begun_s, sent = clock.run(play)
+        start_s, sent = clock.run(play)
         self.assertEqual(len(sent), 299)
         last_s = max(max(times) for times in sent.values())
-        self.assertLess(last_s - begun_s, NEWS_S)
+        self.assertLess(last_s - start_s, URGENT_S)
 
 
 class OutboxTest(unittest.TestCase):
-    """In which order and when datagrams go out."""
+    """Order and times at which datagrams are sent."""
 
     def play(self, work):
-        """Returns what was sent: loop time, datagram and address."""
+        """Returns the loop time, datagram and address of each send."""
         sent = []
 
         async def play():
@@ -174,10 +174,10 @@
         self.assertEqual([at for at, *_ in sent], [0.0] * 3)
 
     def test_datagrams_to_one_address_stay_in_order(self):
-        """A second state is told while the first is still going out.
+        """A second delta is queued while the first is still being sent.
 
-        Each says only what has changed. Overtaken, the first is left out by
-        whoever hears it, with what only it says.
+        A receiver drops a delta that comes after a newer one, and would miss
+        the changes that only the first contains.
         """
 
         async def work(found):
@@ -187,8 +187,8 @@
 
         sent = self.play(work)
         for address in addresses(100):
-            heard = [data for _, data, to in sent if to == address]
-            self.assertEqual(heard, [b'a', b'b'])
+            received = [data for _, data, to in sent if to == address]
+            self.assertEqual(received, [b'a', b'b'])
         self.assertLess(max(at for at, *_ in sent), 0.7)
 
     def test_queue_is_bounded(self):
--- a/tests/quetzalsill_gateway/peers/test_relay.py
+++ b/tests/quetzalsill_gateway/peers/test_relay.py
@@ -1,4 +1,4 @@
-"""News that others pass on."""
+"""Updates that other gateways relay."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.peers import frame, relay
 
-PLAIN = st.recursive(
+VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-9, 2**63) | st.binary(max_size=9),
     lambda inner: st.lists(inner, max_size=4),
     max_leaves=12,
@@ -24,41 +24,41 @@
 
 
 class FanOutTest(unittest.TestCase):
-    """Everybody gets it, and nobody sends much."""
+    """Every address gets the update, and no gateway sends much."""
 
     def fan_out(self, count):
-        """Returns how often each gets it, and the most that anybody sends."""
-        got = collections.Counter()
+        """Returns how often each address gets it, and the most one sends."""
+        received = collections.Counter()
         first = list(relay.fan_out(b'news', fleet(count)))
-        most = len(first)
+        max_sent = len(first)
         for address, data in first:
-            got[address] += 1
+            received[address] += 1
             if data != b'news':
                 kind, fields = frame.unpack(data)
                 self.assertIs(kind, frame.Kind.RELAY)
-                passed, addresses = relay.decode(fields)
-                self.assertEqual(passed, b'news')
-                got.update(addresses)
-                most = max(most, len(addresses))
-        return got, most
+                forwarded, addresses = relay.decode(fields)
+                self.assertEqual(forwarded, b'news')
+                received.update(addresses)
+                max_sent = max(max_sent, len(addresses))
+        return received, max_sent
 
     def test_each_address_gets_it_once(self):
         for count in (0, 1, 3, 67, 69, 70, 71, 299, 479, 5000):
             with self.subTest(count):
-                got, most = self.fan_out(count)
-                self.assertEqual(set(got), set(fleet(count)))
-                self.assertLessEqual(max(got.values(), default=1), 1)
+                received, max_sent = self.fan_out(count)
+                self.assertEqual(set(received), set(fleet(count)))
+                self.assertLessEqual(max(received.values(), default=1), 1)
                 if count in (299, 479):
-                    self.assertLess(most, 25)
+                    self.assertLess(max_sent, 25)
 
     def test_small_fleets_are_sent_to_directly(self):
-        told = list(
+        sent = list(
             relay.fan_out(b'news', fleet(publish_timing.SMALL_FLEET - 1))
         )
-        self.assertEqual({data for _, data in told}, {b'news'})
+        self.assertEqual({data for _, data in sent}, {b'news'})
 
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(st.lists(PLAIN, max_size=3))
+    @given(st.lists(VALUES, max_size=3))
     def test_arbitrary_fields_are_decoded_or_raise_peer_error(self, fields):
         try:
             data, addresses = relay.decode(fields)
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -1,4 +1,4 @@
-"""News in datagrams, of gateways of this release and of the one before."""
+"""Updates in datagrams of this release and of the previous one."""
 
 from __future__ import annotations
 
@@ -31,55 +31,58 @@
 )
 
 
-def heard(data):
-    """Returns the news of a datagram."""
+def decode_update(data):
+    """Returns the update in a datagram."""
     return update_codec.decode(*frame.unpack(data))[1]
 
 
 class UpdateCodecTest(unittest.TestCase):
-    """Fields of news."""
+    """Fields of updates."""
 
     def test_epochs_round_trip(self):
-        told = heard(update_codec.encode('entry-1', CONFIGURATION))
-        self.assertEqual(told, CONFIGURATION)
-        self.assertEqual(told.teller, 'entry-1')
-        told = heard(update_codec.encode('entry-1', MEMBERSHIP))
-        self.assertEqual((told.since, told.revision), (MEMBERSHIP.since, AT))
-        revisions = [one.revision for one in told.changes]
+        update = decode_update(update_codec.encode('entry-1', CONFIGURATION))
+        self.assertEqual(update, CONFIGURATION)
+        self.assertEqual(update.teller, 'entry-1')
+        update = decode_update(update_codec.encode('entry-1', MEMBERSHIP))
+        self.assertEqual(
+            (update.since, update.revision), (MEMBERSHIP.since, AT)
+        )
+        revisions = [one.revision for one in update.changes]
         self.assertEqual(revisions, [AT, revision.Revision(3, 6)])
 
     def test_legacy_update_has_epoch_zero(self):
-        """A gateway that knows no epochs tells bare versions.
+        """A gateway of the previous release sends versions without epochs.
 
-        Misread as of the newest epoch, they would hide what is newer there.
+        Decoded as of the newest epoch, they would hide what is newer there.
         """
-        told = heard(plain.flatten('entry-1', MEMBERSHIP))
-        self.assertEqual(told.since, revision.Revision(0, 5))
-        self.assertEqual(told.revision, revision.Revision(0, 7))
-        self.assertEqual(told.changes[1].revision, revision.Revision(0, 6))
-        self.assertEqual(told.changes[0].upstream.address, ENGINE.address)
-        self.assertEqual(told.lapses_s, 1.5)
+        update = decode_update(plain.flatten('entry-1', MEMBERSHIP))
+        self.assertEqual(update.since, revision.Revision(0, 5))
+        self.assertEqual(update.revision, revision.Revision(0, 7))
+        self.assertEqual(update.changes[1].revision, revision.Revision(0, 6))
+        self.assertEqual(update.changes[0].upstream.address, ENGINE.address)
+        self.assertEqual(update.lapses_s, 1.5)
 
     def test_legacy_configuration_is_decoded(self):
-        plain_news = news.ConfigurationNews(
+        legacy_update = news.ConfigurationNews(
             revision.Revision(0, 8),
             9,
             b'patch',
             (zones.Drain('z', revision.Revision(0, 6), True),),
         )
         self.assertEqual(
-            heard(plain.flatten('entry-1', plain_news)), plain_news
+            decode_update(plain.flatten('entry-1', legacy_update)),
+            legacy_update,
         )
 
     def test_legacy_gateway_drops_new_kinds(self):
-        """To it, the kinds of this release are none that it knows.
+        """A gateway of the previous release doesn't know the new kinds.
 
-        In the form that it knows, a lower version of a later epoch would be
-        older to it than what is lost, and a higher one hide what it lacks.
+        Without the epoch, it would take a lower version of a later epoch for
+        older than what was lost, and a higher one would hide what it lacks.
         """
         known = {1, 2, 3, 4, 5}
-        for told in (MEMBERSHIP, CONFIGURATION):
-            kind, _ = frame.unpack(update_codec.encode('entry-1', told))
+        for update in (MEMBERSHIP, CONFIGURATION):
+            kind, _ = frame.unpack(update_codec.encode('entry-1', update))
             self.assertNotIn(int(kind), known)
         self.assertEqual(frame.VERSION, 8)
 
@@ -88,10 +91,10 @@
             fields = ('e', at, 1, b'', drains, False, written, digest)
             return frame.pack(frame.Kind.CONFIGURATION, fields)
 
-        told = heard(configuration((2**60, -4)))
-        self.assertEqual(told.revision, revision.Revision(revision.MAX, 0))
-        told = heard(configuration((1, 5), written=(9, 9)))
-        self.assertEqual(told.written, revision.Revision(1, 5))
+        update = decode_update(configuration((2**60, -4)))
+        self.assertEqual(update.revision, revision.Revision(revision.MAX, 0))
+        update = decode_update(configuration((1, 5), written=(9, 9)))
+        self.assertEqual(update.written, revision.Revision(1, 5))
         wrong = (
             configuration(7),
             configuration((1,)),
@@ -104,7 +107,7 @@
         )
         for data in wrong:
             with self.assertRaises(error.PeerError):
-                heard(data)
+                decode_update(data)
 
 
 if __name__ == '__main__':
