--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other what they hold."""
+"""Gateways that exchange their states and updates."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 BOUND_S = 10.0
 COUNT = st.integers(0, 2**40)
-WORD = st.text(max_size=8)
+NAME = st.text(max_size=8)
 STATES = st.builds(
     state.State,
     st.text(max_size=10),
@@ -56,16 +56,16 @@
 )
 UPSTREAMS = st.builds(
     upstream.Upstream,
-    WORD,
-    WORD,
-    st.tuples(WORD, st.integers(1, 65535)),
-    WORD,
+    NAME,
+    NAME,
+    st.tuples(NAME, st.integers(1, 65535)),
+    NAME,
     st.integers(1, 100),
     st.booleans(),
     incarnation=COUNT,
 )
 REVISIONS = st.builds(revision.Revision, COUNT, COUNT)
-NEWS = st.one_of(
+UPDATES = st.one_of(
     st.builds(news.ConfigurationNews, REVISIONS, COUNT, st.binary(max_size=20)),
     st.builds(
         news.MembershipNews,
@@ -81,7 +81,7 @@
                     REVISIONS,
                 ),
                 st.builds(
-                    upstream.Change, WORD, REVISIONS, st.none(), st.booleans()
+                    upstream.Change, NAME, REVISIONS, st.none(), st.booleans()
                 ),
             ),
             max_size=3,
@@ -91,22 +91,22 @@
 )
 
 
-def told_again(data):
-    """Returns what a datagram holds, whatever it is."""
+def decode_datagram(data):
+    """Returns the content of a datagram of any kind."""
     kind, fields = frame.unpack(data)
     if kind is frame.Kind.STATE:
         return state.decode(fields)
     return update_codec.decode(kind, fields)
 
 
-def plain(told):
-    """Returns news with its upstreams as comparable values."""
-    if isinstance(told, news.ConfigurationNews):
-        return told
+def comparable(update):
+    """Returns an update with its upstreams as comparable values."""
+    if isinstance(update, news.ConfigurationNews):
+        return update
     return (
-        told.since,
-        told.revision,
-        told.lapses_s,
+        update.since,
+        update.revision,
+        update.lapses_s,
         [
             (
                 one.id,
@@ -118,46 +118,50 @@
                     for name in upstream.Upstream.__slots__
                 ],
             )
-            for one in told.changes
+            for one in update.changes
         ],
     )
 
 
 class StateTest(unittest.TestCase):
-    """The form of a datagram."""
+    """Encoding of datagrams."""
 
     @settings(derandomize=True, deadline=None)
     @given(STATES)
-    def test_state_round_trip(self, told):
-        self.assertEqual(told_again(state.encode(told)), told)
+    def test_state_round_trip(self, sent):
+        self.assertEqual(decode_datagram(state.encode(sent)), sent)
 
     @settings(derandomize=True, deadline=None)
-    @given(NEWS)
-    def test_update_round_trip(self, told):
-        node, heard = told_again(update_codec.encode('entry-1', told))
-        self.assertEqual((node, plain(heard)), ('entry-1', plain(told)))
+    @given(UPDATES)
+    def test_update_round_trip(self, update):
+        node, decoded = decode_datagram(update_codec.encode('entry-1', update))
+        self.assertEqual(
+            (node, comparable(decoded)), ('entry-1', comparable(update))
+        )
 
     @settings(derandomize=True, deadline=None, max_examples=400)
     @given(st.binary(max_size=40))
     def test_arbitrary_bytes_raise_peer_error(self, data):
         with self.assertRaises(error.PeerError):
-            told_again(data)
+            decode_datagram(data)
 
     @settings(derandomize=True, deadline=None)
     @given(
         st.one_of(
             STATES.map(state.encode),
-            NEWS.map(lambda told: update_codec.encode('entry-1', told)),
+            UPDATES.map(lambda update: update_codec.encode('entry-1', update)),
         ),
         st.data(),
     )
-    def test_corrupted_datagram_decodes_or_raises_peer_error(self, told, data):
-        raw = bytearray(told)
+    def test_corrupted_datagram_decodes_or_raises_peer_error(
+        self, datagram, data
+    ):
+        raw = bytearray(datagram)
         raw[data.draw(st.integers(0, len(raw) - 1))] ^= data.draw(
             st.integers(1, 255)
         )
         try:
-            found = told_again(bytes(raw))
+            found = decode_datagram(bytes(raw))
         except error.PeerError:
             return
         self.assertIsInstance(found, state.State | tuple)
@@ -168,7 +172,7 @@
 
     async def asyncSetUp(self):
         self.directory = {}
-        self.down = False
+        self.is_directory_down = False
         self.gateways = [await self.start(f'entry-{n}') for n in (1, 2, 3)]
 
     async def start(self, node):
@@ -198,7 +202,7 @@
         return found
 
     async def join(self, node, address):
-        if self.down:
+        if self.is_directory_down:
             raise error.SourceError('down')
         others = {n: a for n, a in self.directory.items() if n != node}
         self.directory[node] = address
@@ -209,31 +213,31 @@
             while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-    def hold(self, gateway, tokens):
+    def use(self, gateway, tokens):
         page = gateway.core.pages._page('u-1')
         page.reservations = {book.Reservation(10, tokens)}
 
-    def heard(self, gateway):
+    def reserved(self, gateway):
         return gateway.core.pages._page('u-1').reserved_tokens
 
     async def test_usage_reaches_all_gateways(self):
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
-        self.hold(self.gateways[0], 100)
-        self.hold(self.gateways[1], 20)
+        self.use(self.gateways[0], 100)
+        self.use(self.gateways[1], 20)
         await self.until(
-            lambda: [self.heard(g) for g in self.gateways] == [120] * 3
+            lambda: [self.reserved(g) for g in self.gateways] == [120] * 3
         )
         self.gateways[0].core.pages._page('u-1').reservations = set()
         await self.until(
-            lambda: [self.heard(g) for g in self.gateways] == [20] * 3
+            lambda: [self.reserved(g) for g in self.gateways] == [20] * 3
         )
 
     async def test_leaving_notice_reaches_all_immediately(self):
-        """One gateway hears that an engine leaves, the others pause.
+        """One gateway learns that an engine is leaving between others' polls.
 
-        Told with the next change of what is held, or after a second, the
-        notice would come when the engine is nearly gone. Some engines say
-        nothing before their entry is removed.
+        Published only with the next change of usage, or after a second, the
+        notice would arrive when the engine has almost stopped. Some engines
+        give no notice before their entry is removed.
         """
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         for gateway in self.gateways:
@@ -241,7 +245,7 @@
                 address = ('10.0.0.1', number)
                 found = upstream.Upstream(f'u-{number}', 's', address, 'z')
                 gateway.core.upstreams.put(found, revision.Revision(0, 1))
-        # Greetings that are on their way would carry the notice too.
+        # Full states still in transit would contain the notice too.
         await asyncio.sleep(0.5)
         first, *others = (g.core.upstreams for g in self.gateways)
         with mock.patch.multiple(
@@ -260,36 +264,36 @@
     async def test_generation_is_published_when_it_starts(self):
         """Many gateways choose the same engine within a tenth of a second.
 
-        Each sees room there and has not heard of the others; the engine
-        pushes off what does not fit, and its prompts are read twice.
+        Without each other's choices, each sees free capacity there. The engine
+        preempts what doesn't fit, whose prompts are then processed twice.
         """
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
         stream = live.Stream(None, None, book.Reservation(10, 100))
         with mock.patch.object(exchange, 'PUBLISH_INTERVAL_S', 1000.0):
-            # Loops that wait already would tell it with the next change.
+            # Loops that already wait would publish it at the next interval.
             await asyncio.sleep(0.2)
             self.gateways[0].core.live.place(stream, found)
             await self.until(
-                lambda: [self.heard(g) for g in self.gateways] == [100] * 3
+                lambda: [self.reserved(g) for g in self.gateways] == [100] * 3
             )
 
     async def test_silent_gateway_is_removed(self):
-        """A gateway is killed; what it held is free again at the engines.
+        """A gateway is killed, and the capacity that it used is free again.
 
-        Counted on, it would keep work away from engines that are idle.
+        If it still counted, idle engines would get no work.
         """
-        self.hold(self.gateways[0], 100)
-        await self.until(lambda: self.heard(self.gateways[2]) == 100)
+        self.use(self.gateways[0], 100)
+        await self.until(lambda: self.reserved(self.gateways[2]) == 100)
         for task in self.gateways[0].tasks:
             task.cancel()
-        await self.until(lambda: self.heard(self.gateways[2]) == 0)
+        await self.until(lambda: self.reserved(self.gateways[2]) == 0)
 
     async def test_paused_gateway_removes_no_peers(self):
-        """After a pause, runs go to engines that other gateways have filled."""
+        """Otherwise, runs go to engines that other gateways have filled."""
         first, second, _ = self.gateways
-        self.hold(second, 100)
-        await self.until(lambda: self.heard(first) == 100)
+        self.use(second, 100)
+        await self.until(lambda: self.reserved(first) == 100)
         notes = []
         with (
             mock.patch.multiple(
@@ -304,13 +308,13 @@
             await asyncio.sleep(0.3)
         lost = [one for one in notes if isinstance(one, event.PeerLost)]
         self.assertNotIn('entry-2', [one.peer for one in lost])
-        self.assertEqual(self.heard(first), 100)
+        self.assertEqual(self.reserved(first), 100)
 
     async def test_restarted_gateway_is_accepted_immediately(self):
-        """A gateway restarts at its address; its datagrams count from 1 anew.
+        """A gateway restarts, and its sequence numbers start at 1 again.
 
-        Taken for old ones, they would be left out for as long as its first
-        process lived.
+        Taken for stale, its datagrams would be dropped for as long as its
+        previous process had been running.
         """
         first = self.gateways[0]
         await self.until(lambda: first.peer_count == 2)
@@ -318,39 +322,43 @@
             first._send_full_state(('127.0.0.1', self.gateways[1].port))
         await asyncio.sleep(0.05)
         first._deltas = delta.DeltaTracker('entry-1', 1)
-        self.hold(first, 77)
-        await self.until(lambda: self.heard(self.gateways[1]) == 77)
+        self.use(first, 77)
+        await self.until(lambda: self.reserved(self.gateways[1]) == 77)
 
     async def test_stale_datagram_is_dropped(self):
-        hearer = self.gateways[1]
-        held = {'u-1': Usage(5, 0, 1)}
+        receiver = self.gateways[1]
+        usage = {'u-1': Usage(5, 0, 1)}
         for number, tokens in ((7, 50), (6, 40)):
-            told = state.State(
+            found = state.State(
                 'entry-9', 1, number, {'u-1': Usage(tokens, 0, 1)}
             )
-            hearer.datagram_received(state.encode(told), ('127.0.0.1', 9))
-        self.assertEqual(self.heard(hearer), 50)
-        self.assertIn('u-1', held)
+            receiver.datagram_received(state.encode(found), ('127.0.0.1', 9))
+        self.assertEqual(self.reserved(receiver), 50)
+        self.assertIn('u-1', usage)
 
     async def test_store_outage_is_published(self):
-        """The store is away while an engine gets its notice.
+        """An engine gets its notice to leave while the store is unavailable.
 
-        Each gateway sees that at the end of its own watch, up to two seconds
-        later; the notice is over by then. Whoever sees it first tells all.
+        Each gateway detects the outage when its own poll ends, up to two
+        seconds later, when the notice is over. The first to detect it
+        publishes it to all.
         """
         first, second, _ = self.gateways
         first._core.health.lose('servers', 'silent')
         async with asyncio.timeout(BOUND_S):
             await second._core.health.until_down()
-        self.assertFalse(second._core.health.is_down, 'its own store answers')
+        self.assertFalse(
+            second._core.health.is_down, 'the store responds to it'
+        )
         first._core.health.regain('servers')
         down = second._core.health._down
         await self.until(lambda: not down.is_set())
 
     async def test_new_engine_reaches_other_gateways(self):
-        """An engine has come; one gateway has looked, the others wait.
+        """One gateway has found a new engine, the others wait to poll.
 
-        Requests wait there for room that is to be had already.
+        Until the update arrives, their requests wait although there is free
+        capacity.
         """
         first, second, _ = self.gateways
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
@@ -360,9 +368,9 @@
         found._revision = revision.Revision(0, 7)
         second.on_update(news.MembershipNews, found.hear)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-        told = upstream.Change('u-1', revision.Revision(0, 8), engine)
+        change = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
-            news.MembershipNews(found._revision, told.revision, (told,))
+            news.MembershipNews(found._revision, change.revision, (change,))
         )
         await self.until(lambda: second._core.upstreams.available('s'))
 
@@ -376,39 +384,39 @@
         await self.until(lambda: queue.is_next('u-1', 'r-2', 0.0, 9.0))
 
     async def test_relay_only_for_and_to_known_peers(self):
-        """A stranger asks a gateway to send what it likes to whom it likes.
+        """An unknown host asks a gateway to forward a datagram.
 
-        Obeyed, any host could make the fleet flood any other.
+        If that were allowed, any host could make the fleet flood another.
         """
         one, two = await self.start('entry-1'), await self.start('entry-2')
         await self.until(lambda: one.peer_count == two.peer_count == 1)
-        heard = []
-        two.on_update(news.ConfigurationNews, heard.append)
-        told = news.ConfigurationNews(revision.Revision(0, 5), 7)
-        data = update_codec.encode('entry-3', told)
-        here = ('127.0.0.1', two.port)
-        group = [(socket.inet_aton(here[0]), here[1])]
+        received = []
+        two.on_update(news.ConfigurationNews, received.append)
+        update = news.ConfigurationNews(revision.Revision(0, 5), 7)
+        data = update_codec.encode('entry-3', update)
+        known = ('127.0.0.1', two.port)
+        group = [(socket.inet_aton(known[0]), known[1])]
         relayed = frame.pack(frame.Kind.RELAY, (data, group))
         before = one.dropped
         one.datagram_received(relayed, ('127.0.0.1', 9))
         self.assertEqual(one.dropped, before + 1)
-        one.datagram_received(relayed, here)
-        await self.until(lambda: heard)
-        self.assertEqual(heard, [told])
+        one.datagram_received(relayed, known)
+        await self.until(lambda: received)
+        self.assertEqual(received, [update])
 
     async def test_unavailable_directory_is_retried(self):
-        self.down = True
+        self.is_directory_down = True
         late = await self.start('entry-4')
         await asyncio.sleep(0.1)
         self.assertEqual(late.peer_count, 0)
-        self.down = False
+        self.is_directory_down = False
         await self.until(lambda: late.peer_count == 3)
 
     async def test_directory_entry_is_rewritten_in_a_new_epoch(self):
-        """The source comes back from a copy that lacks a gateway's entry.
+        """The source is restored from a copy that lacks a gateway's entry.
 
-        Trusted to last, it would be missing for as long as the gateway runs,
-        and one that starts would not find it.
+        Unless it is written again, gateways that start would not find this one
+        for as long as it runs.
         """
         with (
             mock.patch.object(exchange, 'JOIN_RETRY_S', 0.01),
--- a/tests/quetzalsill_gateway/peers/test_peer_table.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -1,4 +1,4 @@
-"""Datagrams that are late, doubled, of another process or of a fault."""
+"""Datagrams that are late, duplicated, outdated or malformed."""
 
 from __future__ import annotations
 
@@ -20,48 +20,51 @@
 from quetzalsill_gateway.watch import news
 from tests.quetzalsill_gateway import quotas
 
-HERE = ('10.0.0.1', 7000)
-THERE = ('10.0.0.2', 7000)
+ADDRESS = ('10.0.0.1', 7000)
+OTHER_ADDRESS = ('10.0.0.2', 7000)
 
 
-def told(number, incarnation=1, node='entry-1'):
+def state_of(number, incarnation=1, node='entry-1'):
     return state.State(node, incarnation, number, {})
 
 
 class PeerTableTest(unittest.TestCase):
-    """Which states are taken in."""
+    """Which states are accepted."""
 
     def setUp(self):
         self.table = peer_table.PeerTable()
 
-    def take(self, found, now=0.0, address=HERE):
+    def accept(self, found, now=0.0, address=ADDRESS):
         return self.table.accept(found, address, now)
 
     def test_sequence_number_is_accepted_once_and_never_after_a_newer_one(self):
         numbers = (1, 1, 3, 2, 3, 4)
-        taken = [self.take(told(number)) for number in numbers]
-        self.assertEqual(taken, [True, False, True, False, False, True])
+        accepted = [self.accept(state_of(number)) for number in numbers]
+        self.assertEqual(accepted, [True, False, True, False, False, True])
 
     def test_ended_incarnation_is_not_accepted_again(self):
-        """A gateway restarts; an hour later a datagram of before arrives.
+        """A gateway restarts; an hour later an older datagram arrives.
 
-        Taken in, it would bring back what was held by runs that are long over.
+        Accepted, it would restore the usage of runs that ended long ago.
         """
-        self.assertTrue(self.take(told(900, incarnation=1)))
-        self.assertTrue(self.take(told(1, incarnation=2), now=1.0))
-        self.assertFalse(self.take(told(901, incarnation=1), now=3600.0))
-        self.assertTrue(self.take(told(2, incarnation=2), now=3600.0))
+        self.assertTrue(self.accept(state_of(900, incarnation=1)))
+        self.assertTrue(self.accept(state_of(1, incarnation=2), now=1.0))
+        self.assertFalse(self.accept(state_of(901, incarnation=1), now=3600.0))
+        self.assertTrue(self.accept(state_of(2, incarnation=2), now=3600.0))
 
     def test_name_with_several_addresses_is_accepted_from_one(self):
-        self.assertTrue(self.take(told(1)))
-        self.assertFalse(self.take(told(2), 0.1, THERE))
-        self.assertTrue(self.take(told(3), 0.2))
-        self.assertTrue(self.take(told(4), 5.0, THERE), 'it has moved')
-        self.assertEqual(self.table.addresses, [THERE])
+        self.assertTrue(self.accept(state_of(1)))
+        self.assertFalse(self.accept(state_of(2), 0.1, OTHER_ADDRESS))
+        self.assertTrue(self.accept(state_of(3), 0.2))
+        self.assertTrue(
+            self.accept(state_of(4), 5.0, OTHER_ADDRESS),
+            'the address has changed',
+        )
+        self.assertEqual(self.table.addresses, [OTHER_ADDRESS])
 
     def test_number_of_peers_is_bounded(self):
         for number in range(peer_table.MAX_PEERS + 50):
-            self.take(told(1, node=f'n-{number}'))
+            self.accept(state_of(1, node=f'n-{number}'))
         self.assertEqual(len(self.table), peer_table.MAX_PEERS)
         self.assertEqual(
             len(self.table.remove_expired(9.0)), peer_table.MAX_PEERS
@@ -69,8 +72,8 @@
 
     def test_fault_logging_is_rate_limited_per_sender(self):
         times = (0.0, 1.0, 59.0, 61.0)
-        told_of = [self.table.should_log_fault('a', now) for now in times]
-        self.assertEqual(told_of, [True, False, False, True])
+        is_logged = [self.table.should_log_fault('a', now) for now in times]
+        self.assertEqual(is_logged, [True, False, False, True])
         for number in range(3 * peer_table.MAX_LOGGED_SENDERS):
             self.table.should_log_fault(f's-{number}', 0.0)
         self.assertLessEqual(
@@ -79,7 +82,7 @@
 
 
 class FloodTest(unittest.IsolatedAsyncioTestCase):
-    """A gateway that gets what no gateway sends."""
+    """A gateway that receives invalid datagrams."""
 
     async def asyncSetUp(self):
         core = types.SimpleNamespace(
@@ -95,18 +98,22 @@
             core.upstreams, core.pages, 'z', quotas.unbounded()
         )
         self.core = core
-        self.hearer = exchange.Exchange(core, 'entry-9', None)
-        self.hearer._transport = mock.Mock()
+        self.receiver = exchange.Exchange(core, 'entry-9', None)
+        self.receiver._transport = mock.Mock()
 
     async def test_flood_keeps_memory_and_log_bounded(self):
         rng = random.Random(1)
         with mock.patch.object(event, 'note') as note:
             for number in range(3000):
                 data = rng.randbytes(rng.choice((1, 20, 65_000)))
-                self.hearer.datagram_received(data, HERE)
-                held = {f'u-{number}-{n}': Usage(2**60, 1, 1) for n in range(4)}
-                flood = state.State(f'g-{number % 7}', 1, number, held)
-                self.hearer.datagram_received(state.encode(flood), THERE)
+                self.receiver.datagram_received(data, ADDRESS)
+                usage = {
+                    f'u-{number}-{n}': Usage(2**60, 1, 1) for n in range(4)
+                }
+                flood = state.State(f'g-{number % 7}', 1, number, usage)
+                self.receiver.datagram_received(
+                    state.encode(flood), OTHER_ADDRESS
+                )
         self.assertLessEqual(len(self.core.pages.items()), book.MOST_PAGES)
         malformed = [
             call
@@ -116,34 +123,34 @@
         self.assertEqual(len(malformed), 1)
 
     async def test_only_known_peers_get_a_snapshot(self):
-        """Whoever asks for the configuration would get the callers' keys."""
-        self.hearer.on_snapshot_request(
+        """The configuration contains callers' keys."""
+        self.receiver.on_snapshot_request(
             lambda: news.ConfigurationNews(revision.Revision(0, 7), 3, b'keys')
         )
-        asked = frame.pack(frame.Kind.SNAPSHOT_REQUEST, ('stranger',))
+        request = frame.pack(frame.Kind.SNAPSHOT_REQUEST, ('stranger',))
         with mock.patch.object(event, 'note'):
-            self.hearer.datagram_received(asked, THERE)
-            self.hearer._transport.sendto.assert_not_called()
-            self.hearer.datagram_received(state.encode(told(1)), HERE)
-        self.hearer._transport.reset_mock()
-        self.hearer.datagram_received(asked, HERE)
-        [sent] = self.hearer._transport.sendto.call_args_list
+            self.receiver.datagram_received(request, OTHER_ADDRESS)
+            self.receiver._transport.sendto.assert_not_called()
+            self.receiver.datagram_received(state.encode(state_of(1)), ADDRESS)
+        self.receiver._transport.reset_mock()
+        self.receiver.datagram_received(request, ADDRESS)
+        [sent] = self.receiver._transport.sendto.call_args_list
         self.assertIn(b'keys', sent.args[0])
-        self.assertEqual(sent.args[1], HERE)
+        self.assertEqual(sent.args[1], ADDRESS)
 
     async def test_other_protocol_version_is_dropped(self):
-        good = state.encode(told(1))
+        good = state.encode(state_of(1))
         with mock.patch.object(frame, 'VERSION', frame.VERSION + 1):
-            other = state.encode(told(2))
+            other = state.encode(state_of(2))
         with mock.patch.object(event, 'note'):
-            self.hearer.datagram_received(other, HERE)
-            self.assertEqual(self.hearer.peer_count, 0)
-            self.hearer.datagram_received(good, HERE)
-        self.assertEqual(self.hearer.peer_count, 1)
+            self.receiver.datagram_received(other, ADDRESS)
+            self.assertEqual(self.receiver.peer_count, 0)
+            self.receiver.datagram_received(good, ADDRESS)
+        self.assertEqual(self.receiver.peer_count, 1)
 
     def test_impossible_values_are_clamped(self):
-        held = {'u': Usage(2**63, -5, 2**60, failures=1e9)}
-        raw = state.encode(state.State('a', 1, 1, held))
+        usage = {'u': Usage(2**63, -5, 2**60, failures=1e9)}
+        raw = state.encode(state.State('a', 1, 1, usage))
         _, fields = frame.unpack(raw)
         found = state.decode(fields).usage['u']
         self.assertEqual(found.memory_tokens, frame.MAX_COUNT)
@@ -165,17 +172,17 @@
         )
     )
     def test_sums_are_right_for_any_order_of_states(self, states):
-        """What is summed up for each engine is what each gateway told last."""
+        """Each engine's sum is that of the newest states of all gateways."""
 
         async def play():
             await self.asyncSetUp()
             pages = self.core.pages
             for node, incarnation, number, tokens, is_full in states:
-                held = {key: Usage(n, n, n) for key, n in tokens.items()}
+                usage = {key: Usage(n, n, n) for key, n in tokens.items()}
                 one = state.State(
-                    node, incarnation, number, held, is_full=is_full
+                    node, incarnation, number, usage, is_full=is_full
                 )
-                self.hearer.datagram_received(state.encode(one), HERE)
+                self.receiver.datagram_received(state.encode(one), ADDRESS)
             for _, page in pages.items():
                 total = sum(told.memory_tokens for told in page._told.values())
                 self.assertEqual(page.reserved_tokens, total)
