--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/plain.py
@@ -17,9 +17,9 @@
 }
 
 
-def flatten(node: str, told: news_lib.News) -> bytes:
+def flatten(node: str, update: news_lib.News) -> bytes:
     """Returns the datagram in which such a gateway tells news."""
-    kind, fields = frame.unpack(update_codec.encode(node, told))
+    kind, fields = frame.unpack(update_codec.encode(node, update))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
         orders = [(zone, _version(at), is_on) for zone, at, is_on in drains]
