--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/upstream.py
@@ -195,7 +195,7 @@
             self.start_lapse_grace()
 
     def on_leaving(self, callback: Callable[[Upstream], None]) -> None:
-        """Registers a callback for upstreams that start to leave."""
+        """Registers a callback for upstreams that leave or are removed."""
         self._on_leaving.append(callback)
 
     def available(
@@ -288,7 +288,7 @@
                 may_have_lapsed=change.may_have_lapsed,
             )
         else:
-            # Peers' notices modify the upstream later; the entry stays.
+            # Peers' notices modify the upstream later, but not the entry.
             found = dataclasses.replace(change.upstream)
             self.put(found, change.revision)
 
--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -60,10 +60,10 @@
         self.assertEqual(
             self.tracker.next_state(5.2, more, FEW).leaving, ('z',)
         )
-        whole = self.tracker.next_state(
+        full = self.tracker.next_state(
             5.2 + publish_timing.FULL_STATE_S, more, FEW
         )
-        self.assertEqual(whole.leaving, ('x', 'y', 'z'))
+        self.assertEqual(full.leaving, ('x', 'y', 'z'))
 
     def test_sequence_numbers_increase(self):
         numbers = [self.first.sequence]
