--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
     from quetzalsill_gateway.watch import epoch
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Exchange', 'Join']
 
@@ -73,12 +73,12 @@
         core: core_lib.Core,
         node: str,
         join: Join,
-        epochs: epoch.Epochs | None = None,
+        epochs: epoch.EpochTracker | None = None,
     ) -> None:
         self._core = core
         self._is_lost = asyncio.Event()
         if epochs is not None:
-            epochs.on_new(self._is_lost.set)
+            epochs.on_change(self._is_lost.set)
         self._node = node
         self._join = join
         self._peers = peer_table.PeerTable()
@@ -88,9 +88,9 @@
         self.accepted = 0
         self.dropped = 0
         self._update_handlers: dict[
-            type[news_lib.News], Callable[[news_lib.News], None]
+            type[update_lib.Update], Callable[[update_lib.Update], None]
         ] = {}
-        self._snapshot_providers: list[Callable[[], news_lib.News | None]] = []
+        self._snapshot_providers: list[Callable[[], update_lib.Update | None]] = []
         self._published_s = 0.0
         self._broadcast = relay.Broadcast(
             node, lambda: self._peers.addresses, self._send
@@ -100,14 +100,14 @@
 
     def on_update(
         self,
-        kind: type[news_lib.News],
-        handler: Callable[[news_lib.News], None],
+        kind: type[update_lib.Update],
+        handler: Callable[[update_lib.Update], None],
     ) -> None:
         """Sets the handler of the other gateways' updates of one type."""
         self._update_handlers[kind] = handler
 
     def on_snapshot_request(
-        self, provider: Callable[[], news_lib.News | None]
+        self, provider: Callable[[], update_lib.Update | None]
     ) -> None:
         """Adds a provider of a source's snapshot, for gateways without one."""
         self._snapshot_providers.append(provider)
@@ -126,7 +126,7 @@
         ):
             self._transport.sendto(data, address)
 
-    def announce(self, update: news_lib.News) -> None:
+    def announce(self, update: update_lib.Update) -> None:
         """Sends an update of a source to the others."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -245,8 +245,8 @@
             0,
             self._usage(),
             core.upstreams.leaving_keys(),
-            core.admission.waiting(),
-            core.link_queue.own(),
+            core.admission.waiting_tokens(),
+            core.link_queue.own_moves(),
             core.health.is_down,
         )
 
@@ -297,7 +297,7 @@
                 data = update_codec.encode(self._node, snapshot)
                 self._transport.sendto(data, addr)
 
-    def _receive_update(self, node: str, update: news_lib.News) -> None:
+    def _receive_update(self, node: str, update: update_lib.Update) -> None:
         handler = self._update_handlers.get(type(update))
         if handler is not None and node != self._node:
             handler(update)
@@ -318,12 +318,12 @@
         core = self._core
         core.members.mark_seen((node,), now)
         if state.is_full:
-            core.pages.hear(node, state.usage)
+            core.stats_table.replace_peer_loads(node, state.usage)
         else:
-            core.pages.hear_changes(node, state.usage)
-        core.pages.hear_waiting(node, state.waiting)
-        core.link_queue.hear(node, state.moving)
-        core.health.hear(node, is_down=state.is_store_unavailable)
+            core.stats_table.update_peer_loads(node, state.usage)
+        core.stats_table.set_peer_waiting(node, state.waiting)
+        core.link_queue.receive(node, state.moving)
+        core.health.update_peer(node, is_down=state.is_store_unavailable)
         core.upstreams.receive_leaving(state.leaving, node)
 
     def error_received(self, exc: OSError) -> None:
@@ -342,14 +342,14 @@
     def _usage(self) -> dict[str, usage_lib.Usage]:
         usage = {}
         now = asyncio.get_running_loop().time()
-        for key, page in self._core.pages.items():
-            failures = page.shown_failures(now)
-            if page.reservations or page.copies or failures:
+        for key, stats in self._core.stats_table.items():
+            failures = stats.published_failures(now)
+            if stats.reservations or stats.backup_reservations or failures:
                 usage[key] = usage_lib.Usage(
-                    page.own_tokens,
-                    page.own_reading,
-                    len(page.reservations),
-                    page.own_copied,
+                    stats.own_tokens,
+                    stats.own_prefill_tokens,
+                    len(stats.reservations),
+                    stats.own_backup_tokens,
                     failures,
                 )
         return usage
@@ -357,8 +357,8 @@
     def _remove_expired(self, now: float) -> None:
         core = self._core
         for node in self._peers.remove_expired(now):
-            core.pages.hear(node, {})
-            core.pages.hear_waiting(node, {})
-            core.link_queue.hear(node, {})
-            core.health.hear(node, is_down=False)
+            core.stats_table.replace_peer_loads(node, {})
+            core.stats_table.set_peer_waiting(node, {})
+            core.link_queue.receive(node, {})
+            core.health.update_peer(node, is_down=False)
             event.note(event.PeerLost(node, len(self._peers)))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/relay.py
@@ -21,7 +21,7 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.peers import frame, update_codec
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Broadcast', 'decode', 'fan_out']
 
@@ -62,7 +62,7 @@
         self._newest: dict[type, object] = {}
         self._resends: dict[type, list[asyncio.TimerHandle]] = {}
 
-    def announce(self, update: news_lib.News) -> None:
+    def announce(self, update: update_lib.Update) -> None:
         """Sends an update; in a large fleet a few times, if it is new."""
         self._fan_out(update_codec.encode(self._node, update))
         content = _content(update)
@@ -73,7 +73,7 @@
         for resend in self._resends.pop(type(update), ()):
             resend.cancel()
         if len(self._addresses()) >= publish_timing.SMALL_FLEET:
-            repeated = dataclasses.replace(update, is_echo=True)
+            repeated = dataclasses.replace(update, is_repeat=True)
             data = update_codec.encode(self._node, repeated)
             loop = asyncio.get_running_loop()
             self._resends[type(update)] = [
@@ -86,11 +86,11 @@
             self._send(datagram, address)
 
 
-def _content(update: news_lib.News) -> object:
+def _content(update: update_lib.Update) -> object:
     """Returns what an update changes, without the source's revision."""
-    if isinstance(update, news_lib.MembershipNews):
-        return update.changes, update.lapses_s > 0
-    return update.configuration, update.drains
+    if isinstance(update, update_lib.MembershipUpdate):
+        return update.changes, update.grace_s > 0
+    return update.number, update.drains
 
 
 def fan_out(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/state.py
@@ -45,7 +45,7 @@
     usage: dict[str, usage_lib.Usage]
     leaving: tuple[str, ...] = ()
     waiting: usage_lib.WaitingTokens = dataclasses.field(default_factory=dict)
-    moving: link_queue.Moving = dataclasses.field(default_factory=dict)
+    moving: link_queue.PendingMoves = dataclasses.field(default_factory=dict)
     is_store_unavailable: bool = False
     is_full: bool = True
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway.fleet import revision as revision_lib
 from quetzalsill_gateway.fleet import upstream, zones
 from quetzalsill_gateway.peers import frame
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['decode', 'encode']
 
@@ -23,9 +23,9 @@
 MAX_DIGEST_BYTES = 16
 
 
-def encode(node: str, update: news_lib.News) -> bytes:
+def encode(node: str, update: update_lib.Update) -> bytes:
     """Returns the datagram for an update of the gateway `node`."""
-    if isinstance(update, news_lib.ConfigurationNews):
+    if isinstance(update, update_lib.ConfigurationUpdate):
         drains = [
             (drain.zone, _pair(drain.revision), drain.is_on)
             for drain in update.drains
@@ -33,11 +33,11 @@
         fields = (
             node,
             _pair(update.revision),
-            update.configuration,
+            update.number,
             update.patch,
             drains,
-            update.is_echo,
-            _pair(update.written),
+            update.is_repeat,
+            _pair(update.mod_revision),
             update.digest,
         )
         return frame.pack(frame.Kind.CONFIGURATION, fields)
@@ -46,14 +46,16 @@
         node,
         _pair(update.since),
         _pair(update.revision),
-        update.lapses_s,
+        update.grace_s,
         changes,
-        update.is_echo,
+        update.is_repeat,
     )
     return frame.pack(frame.Kind.MEMBERSHIP, fields)
 
 
-def decode(kind: frame.Kind, fields: list[Any]) -> tuple[str, news_lib.News]:
+def decode(
+    kind: frame.Kind, fields: list[Any]
+) -> tuple[str, update_lib.Update]:
     """Returns the sending gateway and its update.
 
     Raises:
@@ -70,7 +72,7 @@
             found = _membership(*fields)
     except frame.DECODE_ERRORS as exc:
         raise error.PeerError(f'malformed update: {exc!r}') from exc
-    return found.teller, found
+    return found.sender, found
 
 
 def _configuration(
@@ -82,13 +84,13 @@
     is_echo: Any,
     written: Any = (0, 0),
     digest: Any = b'',
-) -> news_lib.ConfigurationNews:
+) -> update_lib.ConfigurationUpdate:
     newest = frame.bounded_revision(revision)
     if not isinstance(patch, bytes):
         raise TypeError(f'invalid patch: {type(patch)}')
     if not isinstance(digest, bytes) or len(digest) > MAX_DIGEST_BYTES:
         raise TypeError(f'invalid digest: {type(digest)}')
-    return news_lib.ConfigurationNews(
+    return update_lib.ConfigurationUpdate(
         newest,
         frame.bounded_count(number),
         patch,
@@ -107,8 +109,8 @@
     lapses_s: Any,
     changes: Any,
     is_echo: Any,
-) -> news_lib.MembershipNews:
-    return news_lib.MembershipNews(
+) -> update_lib.MembershipUpdate:
+    return update_lib.MembershipUpdate(
         frame.bounded_revision(since),
         frame.bounded_revision(revision),
         tuple(_change(*change) for change in changes),
@@ -125,7 +127,7 @@
     patch: Any,
     drains: Any,
     is_echo: Any,
-) -> news_lib.ConfigurationNews:
+) -> update_lib.ConfigurationUpdate:
     orders = [(zone, (0, at), is_on) for zone, at, is_on in drains]
     return _configuration(node, (0, version), number, patch, orders, is_echo)
 
@@ -137,7 +139,7 @@
     lapses_s: Any,
     changes: Any,
     is_echo: Any,
-) -> news_lib.MembershipNews:
+) -> update_lib.MembershipUpdate:
     entries = [(name, (0, at), *rest) for name, at, *rest in changes]
     return _membership(
         node, (0, since), (0, version), lapses_s, entries, is_echo
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -20,12 +20,12 @@
     source,
 )
 from quetzalsill_gateway import settings as settings_lib
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import members, quota, revision, upstream
 from quetzalsill_gateway.http import listener, pool
 from quetzalsill_gateway.peers import exchange as peer_exchange
-from quetzalsill_gateway.stream import live, lookout
-from quetzalsill_gateway.watch import configuration, membership, news
+from quetzalsill_gateway.stream import engine_poll, live
+from quetzalsill_gateway.watch import configuration, membership, update
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import deployment as deployment_lib
@@ -52,8 +52,8 @@
     ) -> None:
         self._settings = settings
         conns = pool.Pool()
-        pages = book.Book()
-        holder = source.Holder()
+        stats_table = upstream_stats.StatsTable()
+        holder = source.RoutingTableHolder()
         gateways = members.Members(settings.node.name)
         if not settings.peers:
             gateways.add_listed((), 0.0)
@@ -64,10 +64,10 @@
             holder=holder,
             health=source.Health(),
             upstreams=upstream.Upstreams(settings.regions),
-            pages=pages,
+            stats_table=stats_table,
             conns=conns,
             budget=_budget(settings.retry),
-            live=live.Live(pages),
+            live=live.LiveStreams(stats_table),
             members=gateways,
             quota=quota.Quota(
                 holder,
@@ -79,11 +79,11 @@
                 settings.retry.gateways,
             ),
         )
-        self.core.health.on_regained(self.core.upstreams.mark_source_recovered)
+        self.core.health.on_recovery(self.core.upstreams.mark_source_recovered)
         sources = deployment.sources(settings, conns)
         self.epochs = sources.epochs
         self.membership = membership.Membership(
-            sources.ask_membership,
+            sources.poll_membership,
             self.core.upstreams,
             self.core.health,
             settings.watch.leaving_ms / MS_PER_S,
@@ -91,8 +91,8 @@
             node=settings.node.name,
         )
         self.configuration = configuration.Configuration(
-            sources.ask_configuration,
-            sources.read_configuration,
+            sources.poll_configuration,
+            sources.parse_configuration,
             self.core.holder,
             self.core.upstreams.zones,
             self.core.health,
@@ -112,14 +112,14 @@
             self.core, settings.node.name, sources.join, self.epochs
         )
         kinds = {
-            news.MembershipNews: self.membership,
-            news.ConfigurationNews: self.configuration,
+            update.MembershipUpdate: self.membership,
+            update.ConfigurationUpdate: self.configuration,
         }
         for kind, follower in kinds.items():
-            follower.on_look(self.peers.announce)
-            follower.on_lack(self.peers.request_snapshot)
-            self.peers.on_update(kind, follower.hear)
-            self.peers.on_snapshot_request(follower.whole)
+            follower.set_announcer(self.peers.announce)
+            follower.on_missing(self.peers.request_snapshot)
+            self.peers.on_update(kind, follower.handle_update)
+            self.peers.on_snapshot_request(follower.snapshot)
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
@@ -145,7 +145,7 @@
             'membership': self.membership.run,
             'callers': self.callers.watch,
             'readiness': self.asked.watch,
-            'lookout': lambda: lookout.watch(self.core),
+            'lookout': lambda: engine_poll.run(self.core),
         }
         if self._settings.peers:
             await self.peers.open(settings_lib.address(self._settings.peers))
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -1,14 +1,15 @@
-"""Moves the runs of an engine that leaves to others, with their memory.
+"""Live migration of runs, with their KV caches, off engines that shut down.
 
-An engine that is taken away serves on for a second or two after its notice,
-and runs last longer. One run after another is copied while it goes on, then
-stopped, the little that is new is copied, and it goes on at its destination;
-`stream.link_queue` gives the order. A run that cannot be through before the
-engine goes is left alone: its copy would only hold up others.
+An engine keeps serving for 1 to 2 s after its shutdown notice, and many runs
+take longer than that. Runs are moved one at a time: the KV cache is copied
+while the run continues, the run is stopped, the tokens generated since are
+copied, and the run resumes at its destination. `stream.link_queue` defines the
+order. A run that cannot be moved before the engine shuts down is skipped,
+because its copy would only delay the others.
 
-Runs whose memory is kept at a second engine anyway go on from there when their
-engine goes (`balance.backup`). Streams that may be resumed are left where they
-are: they are short, and whatever breaks off is sent again.
+Runs with a backup at a second engine resume from it after the shutdown
+(`balance.backup`). Resumable streams are not moved: they are short, and one
+that is interrupted is sent again.
 """
 
 from __future__ import annotations
@@ -18,10 +19,9 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill_gateway import attempt, event, meter
-from quetzalsill_gateway.balance import book, choose
+from quetzalsill_gateway.balance import choose, upstream_stats
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import departure as departure_lib
-from quetzalsill_gateway.stream import live
+from quetzalsill_gateway.stream import leaving_engine, live
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -31,44 +31,44 @@
 
 __all__ = ['Migration']
 
-# How long after its notice an engine is searched for runs to move.
-SEARCH_S = 2.5
-SEARCH_EVERY_S = 0.05
-REPORT_S = 0.3
-# A notice is in an engine's report this long after it was given.
-NOTICE_S = book.REPORT_AGE_S + 0.05
-# A move that takes this much longer than reckoned holds nobody up any longer.
-PATIENCE_S = 0.15
-# Gateways learn of a leaving engine, and of each other's runs there, within a
+# Time after the notice during which new runs on the engine are looked for.
+SEARCH_DURATION_S = 2.5
+SEARCH_INTERVAL_S = 0.05
+REPORT_TIMEOUT_S = 0.3
+# Delay until an engine's report includes a notice that was just given.
+NOTICE_DELAY_S = upstream_stats.MAX_REPORT_AGE_S + 0.05
+# A move that exceeds its estimated duration by this no longer blocks others.
+MOVE_SLACK_S = 0.15
+# Gateways learn of a leaving engine, and of each other's runs on it, within a
 # few round trips.
-SETTLE_S = 0.02
-# How often a run asks whether it is its turn: small against a copy.
-TURN_EVERY_S = 0.005
-RETRY_S = 0.08
-DESTINATIONS = 3
+PROPAGATION_S = 0.02
+# Short compared with the duration of a copy.
+TURN_POLL_INTERVAL_S = 0.005
+RETRY_DELAY_S = 0.08
+MAX_DESTINATIONS = 3
 
 
 class Migration:
-    """Moves runs away from engines that leave."""
+    """Moves runs off engines that are about to shut down."""
 
     def __init__(self, core: core_lib.Core) -> None:
         self._core = core
-        self._running: set[str] = set()
+        self._migrating: set[str] = set()
         self._moving: set[live.Stream] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         core.live.on_placed_while_leaving(self.start)
 
     def start(self, source: upstream_lib.Upstream) -> None:
-        """Starts to move the runs of an engine, unless that goes on already."""
-        engine = self._engine(source)
-        if engine is None or not engine.moves or source.key in self._running:
+        """Starts moving the runs of an engine, unless this is in progress."""
+        spec = self._engine_spec(source)
+        if spec is None or not spec.moves or source.key in self._migrating:
             return
         if not self._core.live.of(source):
             return
-        self._running.add(source.key)
-        self._spawn(self._migrate(source, engine))
+        self._migrating.add(source.key)
+        self._spawn(self._migrate(source, spec))
 
-    def _engine(
+    def _engine_spec(
         self, source: upstream_lib.Upstream
     ) -> routing_table.Engine | None:
         table = self._core.holder.current
@@ -81,48 +81,48 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _migrate(
-        self, source: upstream_lib.Upstream, engine: routing_table.Engine
+        self, source: upstream_lib.Upstream, spec: routing_table.Engine
     ) -> None:
-        begun_s = attempt.now()
+        started_s = attempt.now()
         try:
-            report = await self._report(source)
+            report = await self._fetch_report(source)
             runs = report.runs if report else ()
             tokens = {run.request_id: run.tokens for run in runs}
-            page = self._core.pages.page(source)
-            departure = departure_lib.Departure(
-                source, engine, begun_s, page, tokens
+            stats = self._core.stats_table.of(source)
+            leaving = leaving_engine.LeavingEngine(
+                source, spec, started_s, stats, tokens
             )
-            self._note_start(departure)
-            self._spawn(self._ask_again(source))
-            while attempt.now() < begun_s + SEARCH_S:
+            self._log_start(leaving)
+            self._spawn(self._refresh_report(source))
+            while attempt.now() < started_s + SEARCH_DURATION_S:
                 for stream in self._unprotected(source):
                     self._moving.add(stream)
-                    self._spawn(self._move(stream, departure))
-                await asyncio.sleep(SEARCH_EVERY_S)
+                    self._spawn(self._move(stream, leaving))
+                await asyncio.sleep(SEARCH_INTERVAL_S)
                 if not self._core.live.of(source):
                     return
         finally:
-            self._running.discard(source.key)
+            self._migrating.discard(source.key)
             self._core.link_queue.forget(source.key)
 
-    def _note_start(self, departure: departure_lib.Departure) -> None:
-        left_s = departure.leaves_at_s - departure.begun_s
-        source = departure.source
+    def _log_start(self, leaving: leaving_engine.LeavingEngine) -> None:
+        remaining_s = leaving.leaves_at_s - leaving.noticed_at_s
+        source = leaving.upstream
         event.note(
             event.MigrationStarted(
                 upstream=source.id,
-                runs=len(departure.tokens),
+                runs=len(leaving.reported_tokens),
                 own=len(self._core.live.of(source)),
                 unprotected=len(self._unprotected(source)),
-                left_ms=round(left_s * 1000, 1),
+                left_ms=round(remaining_s * 1000, 1),
             )
         )
 
     def _unprotected(self, source: upstream_lib.Upstream) -> list[live.Stream]:
-        """Returns the runs that are lost unless they are moved.
+        """Returns the runs that would be lost if they were not moved.
 
-        What has made no event yet may still wait to be admitted, and has no
-        memory to move.
+        A run without any event may still be queued for admission, and has no
+        KV cache to move.
         """
         return [
             stream
@@ -133,16 +133,16 @@
             and (stream.backup is None or stream.backup.leaving)
         ]
 
-    async def _ask_again(self, source: upstream_lib.Upstream) -> None:
-        """Asks when the engine goes, once its report has caught up."""
-        await asyncio.sleep(NOTICE_S)
-        await self._report(source)
+    async def _refresh_report(self, source: upstream_lib.Upstream) -> None:
+        """Updates the shutdown time once the report includes the notice."""
+        await asyncio.sleep(NOTICE_DELAY_S)
+        await self._fetch_report(source)
 
-    async def _report(
+    async def _fetch_report(
         self, source: upstream_lib.Upstream
     ) -> dialect_lib.Report | None:
         try:
-            async with asyncio.timeout(REPORT_S):
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 report = await self._core.calls.report(source)
         except (error.CallError, TimeoutError) as exc:
             event.note(event.ReportFailed(source.id, repr(exc)))
@@ -150,131 +150,139 @@
         upstreams = self._core.upstreams
         if not upstreams.verify_incarnation(source, report.incarnation):
             return None
-        self._core.pages.page(source).note_leaving(report.leaves_s)
+        self._core.stats_table.of(source).record_time_left(report.leaves_s)
         return report
 
     async def _move(
-        self, stream: live.Stream, departure: departure_lib.Departure
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> None:
-        """Moves a run when its turn comes, if there is time for it."""
-        source, request = departure.source, stream.exchange.id_text
+        """Moves a run when its turn comes, if there is enough time left."""
+        source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
-        queue.add(source.key, request, departure.held(stream))
-        self._core.live.changed(is_urgent=True)
+        queue.add(source.key, request, leaving.memory_tokens(stream))
+        self._core.live.notify_changed(is_urgent=True)
         try:
-            if not await self._turn(stream, departure):
+            if not await self._wait_for_turn(stream, leaving):
                 return
-            queue.begin(source.key, request)
-            self._core.live.changed(is_urgent=True)
-            target = await self._copy(stream, departure)
+            queue.start(source.key, request)
+            self._core.live.notify_changed(is_urgent=True)
+            target = await self._precopy(stream, leaving)
             if target is not None:
-                await self._stop(stream, source, target)
+                await self._stop_at_source(stream, source, target)
         finally:
             queue.remove(source.key, request)
-            self._core.live.changed(is_urgent=True)
-            # Full destinations may have room a little later.
-            await asyncio.sleep(RETRY_S)
+            self._core.live.notify_changed(is_urgent=True)
+            # Destinations that are full now may have room on the next attempt.
+            await asyncio.sleep(RETRY_DELAY_S)
             self._moving.discard(stream)
 
-    async def _turn(
-        self, stream: live.Stream, departure: departure_lib.Departure
+    async def _wait_for_turn(
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> bool:
-        """Waits for a run's turn; returns whether to move it."""
-        source, request = departure.source, stream.exchange.id_text
+        """Waits for a run's turn; returns whether it still has to be moved."""
+        source, request = leaving.upstream, stream.exchange.id_text
         queue = self._core.link_queue
-        patience_s = departure.move_s(stream) + PATIENCE_S
-        await asyncio.sleep(SETTLE_S)
-        while not queue.is_next(source.key, request, attempt.now(), patience_s):
-            if self._is_elsewhere(stream, source):
+        timeout_s = leaving.move_s(stream) + MOVE_SLACK_S
+        await asyncio.sleep(PROPAGATION_S)
+        while not queue.is_next(source.key, request, attempt.now(), timeout_s):
+            if self._has_moved(stream, source):
                 return False
-            if attempt.now() > departure.leaves_at_s:
+            if attempt.now() > leaving.leaves_at_s:
                 return False
-            await asyncio.sleep(TURN_EVERY_S)
-        return not self._is_elsewhere(stream, source)
+            await asyncio.sleep(TURN_POLL_INTERVAL_S)
+        return not self._has_moved(stream, source)
 
-    def _is_elsewhere(
+    def _has_moved(
         self, stream: live.Stream, source: upstream_lib.Upstream
     ) -> bool:
         return stream.ended or stream.upstream is not source
 
-    def _targets(
-        self, stream: live.Stream, departure: departure_lib.Departure
+    def _destinations(
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> list[upstream_lib.Upstream]:
-        """Returns destinations to which a run can be moved in time."""
-        source = departure.source
+        """Returns destinations that a move can reach before the shutdown."""
+        source = leaving.upstream
         upstreams = self._core.upstreams.available(
             source.service, stream.exchange.regions
         )
-        found = choose.destinations(
+        candidates = choose.rank_destinations(
             filter(self._core.quota.allows, upstreams),
-            self._core.pages,
+            self._core.stats_table,
             source,
-            departure.engine,
+            leaving.spec,
             stream.exchange.request_id,
             stream.reservation.memory_tokens,
         )
-        left_s = departure.leaves_at_s - attempt.now()
+        remaining_s = leaving.leaves_at_s - attempt.now()
         zone = source.availability_zone
         return [
             target
-            for target in found[:DESTINATIONS]
-            if left_s
-            >= departure.move_s(
-                stream, crossing=target.availability_zone != zone
+            for target in candidates[:MAX_DESTINATIONS]
+            if remaining_s
+            >= leaving.move_s(
+                stream, cross_zone=target.availability_zone != zone
             )
         ]
 
-    async def _copy(
-        self, stream: live.Stream, departure: departure_lib.Departure
+    async def _precopy(
+        self, stream: live.Stream, leaving: leaving_engine.LeavingEngine
     ) -> upstream_lib.Upstream | None:
-        """Copies a run while it goes on; returns where it is now."""
-        source = departure.source
-        for target in self._targets(stream, departure):
-            if self._is_elsewhere(stream, source):
+        """Copies a run while it continues; returns the engine with the copy."""
+        source = leaving.upstream
+        for target in self._destinations(stream, leaving):
+            if self._has_moved(stream, source):
                 return None
             self._core.quota.consume(target)
             self._core.live.hold(stream, target)
-            move = await self._order(stream, source, target, last=False)
+            move = await self._request_move(stream, source, target, last=False)
             if move is not None and move.copied:
-                stream.copied = live.Switch(source, target, move.handle)
+                stream.precopy = live.ResumePoint(source, target, move.handle)
                 return target
             self._core.live.release(stream, target)
             if move is None or move.unknown_run:
                 return None
         return None
 
-    async def _stop(
+    async def _stop_at_source(
         self,
         stream: live.Stream,
         source: upstream_lib.Upstream,
         target: upstream_lib.Upstream,
     ) -> None:
-        """Stops a run at its source so that it goes on at the target."""
-        if self._is_elsewhere(stream, source):
+        """Stops a run at its source so that it can resume at the target."""
+        if self._has_moved(stream, source):
             self._core.live.release(stream, target)
-            copied, stream.copied = stream.copied, None
-            if copied is not None:
-                await self._free(source, copied.handle)
+            precopy, stream.precopy = stream.precopy, None
+            if precopy is not None:
+                await self._release_copy(source, precopy.handle)
             return
-        switched = asyncio.get_running_loop().create_future()
-        stream.switch = switched
-        move = await self._order(stream, source, target, last=True)
-        result = _outcome(source, target, move)
-        if not switched.done():
-            switched.set_result(result)
-        if result is live.NoSwitch.NOT_STOPPED and stream.switch is switched:
-            stream.switch = None
-        goes_there = isinstance(result, live.Switch) and result.target is target
-        if not goes_there or stream.ended:
+        pending_stop = asyncio.get_running_loop().create_future()
+        stream.pending_stop = pending_stop
+        move = await self._request_move(stream, source, target, last=True)
+        result = _stop_outcome(source, target, move)
+        if not pending_stop.done():
+            pending_stop.set_result(result)
+        if (
+            result is live.StopFailure.NOT_STOPPED
+            and stream.pending_stop is pending_stop
+        ):
+            stream.pending_stop = None
+        resumes_at_target = (
+            isinstance(result, live.ResumePoint) and result.target is target
+        )
+        if not resumes_at_target or stream.ended:
             self._core.live.release(stream, target)
-        if stream.ended and isinstance(result, live.Switch):
-            # Its caller has left meanwhile, and nobody goes on from the copy.
-            await self._free(source, result.handle)
+        if stream.ended and isinstance(result, live.ResumePoint):
+            # The caller disconnected meanwhile, so the copy will not be used.
+            await self._release_copy(source, result.handle)
 
-    async def _free(self, engine: upstream_lib.Upstream, handle: str) -> None:
-        """Frees a copy that nobody will go on from.
+    async def _release_copy(
+        self, engine: upstream_lib.Upstream, handle: str
+    ) -> None:
+        """Releases a copy that will not be used.
 
-        Left alone, it holds memory at its destination for some seconds.
+        Otherwise it occupies memory at its destination until it expires
+        several seconds later.
         """
         if not handle:
             return
@@ -283,7 +291,7 @@
         except error.CallError as exc:
             event.note(event.CopyNotFreed(engine.id, handle, exc.code))
 
-    async def _order(
+    async def _request_move(
         self,
         stream: live.Stream,
         source: upstream_lib.Upstream,
@@ -291,7 +299,7 @@
         *,
         last: bool,
     ) -> dialect_lib.Move | None:
-        begun_s = attempt.now()
+        started_s = attempt.now()
         request = stream.exchange.id_text
         move = None
         failure = ''
@@ -299,8 +307,8 @@
             move = await self._core.calls.move(source, request, target, last)
         except error.CallError as exc:
             failure = exc.code
-        took_s = attempt.now() - begun_s
-        meter.moves.observe({'last': str(last).lower()}, took_s)
+        duration_s = attempt.now() - started_s
+        meter.moves.observe({'last': str(last).lower()}, duration_s)
         event.note(
             event.RunOrdered(
                 request=request,
@@ -312,21 +320,21 @@
                 events=move.events if move else 0,
                 last_event=stream.last_id,
                 answer=failure or (move.code if move else ''),
-                took_ms=round(took_s * 1000, 1),
+                took_ms=round(duration_s * 1000, 1),
             )
         )
         return move
 
 
-def _outcome(
+def _stop_outcome(
     source: upstream_lib.Upstream,
     target: upstream_lib.Upstream,
     move: dialect_lib.Move | None,
-) -> live.Ordered:
-    """Returns what an order to stop a run at its source came to."""
+) -> live.StopOutcome:
+    """Converts the response to a stop command, None if there was none."""
     if move is None:
-        return live.NoSwitch.NO_WORD
+        return live.StopFailure.NO_RESPONSE
     if not move.handle:
-        return live.NoSwitch.NOT_STOPPED
-    where = target if move.copied else source
-    return live.Switch(source, where, move.handle)
+        return live.StopFailure.NOT_STOPPED
+    resume_at = target if move.copied else source
+    return live.ResumePoint(source, resume_at, move.handle)
--- a/tests/quetzalsill_gateway/peers/test_delta.py
+++ b/tests/quetzalsill_gateway/peers/test_delta.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import publish_timing
 from quetzalsill_gateway.fleet import usage as usage_lib
 from quetzalsill_gateway.peers import delta, state
@@ -78,7 +78,7 @@
         After each full state, the receiver has the sender's usage.
         """
         rng = random.Random(3)
-        received = book.Book()
+        received = upstream_stats.StatsTable()
         usage = {}
         now = 5.0
         for _ in range(400):
@@ -92,14 +92,14 @@
             ):
                 continue
             if published.is_full:
-                received.hear('entry-1', published.usage)
+                received.replace_peer_loads('entry-1', published.usage)
                 for name in 'abcdef':
                     self.assertEqual(
-                        received._page(name).reserved_tokens,
+                        received._get_or_create(name).reserved_tokens,
                         in_use.get(name, 0),
                     )
             else:
-                received.hear_changes('entry-1', published.usage)
+                received.update_peer_loads('entry-1', published.usage)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -13,7 +13,7 @@
 
 from quetzalsill_dev.testing import pause
 from quetzalsill_gateway import error, event, retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import (
     members,
     publish_timing,
@@ -29,7 +29,7 @@
     update_codec,
 )
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import epoch, membership, news
+from quetzalsill_gateway.watch import epoch, membership, update
 from tests.quetzalsill_gateway import quotas
 
 BOUND_S = 10.0
@@ -66,9 +66,11 @@
 )
 REVISIONS = st.builds(revision.Revision, COUNT, COUNT)
 UPDATES = st.one_of(
-    st.builds(news.ConfigurationNews, REVISIONS, COUNT, st.binary(max_size=20)),
     st.builds(
-        news.MembershipNews,
+        update.ConfigurationUpdate, REVISIONS, COUNT, st.binary(max_size=20)
+    ),
+    st.builds(
+        update.MembershipUpdate,
         REVISIONS,
         REVISIONS,
         st.lists(
@@ -101,12 +103,12 @@
 
 def comparable(update):
     """Returns an update with its upstreams as comparable values."""
-    if isinstance(update, news.ConfigurationNews):
+    if isinstance(update, update.ConfigurationUpdate):
         return update
     return (
         update.since,
         update.revision,
-        update.lapses_s,
+        update.grace_s,
         [
             (
                 one.id,
@@ -177,18 +179,18 @@
 
     async def start(self, node):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
-        self.epochs = epoch.Epochs()
+        self.epochs = epoch.EpochTracker()
         found = exchange.Exchange(core, node, self.join, self.epochs)
         await found.open(('127.0.0.1', 0))
         tasks = [
@@ -214,11 +216,11 @@
                 await asyncio.sleep(0.01)
 
     def use(self, gateway, tokens):
-        page = gateway.core.pages._page('u-1')
-        page.reservations = {book.Reservation(10, tokens)}
+        stats = gateway.core.stats_table._get_or_create('u-1')
+        stats.reservations = {upstream_stats.Reservation(10, tokens)}
 
     def reserved(self, gateway):
-        return gateway.core.pages._page('u-1').reserved_tokens
+        return gateway.core.stats_table._get_or_create('u-1').reserved_tokens
 
     async def test_usage_reaches_all_gateways(self):
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
@@ -227,7 +229,9 @@
         await self.until(
             lambda: [self.reserved(g) for g in self.gateways] == [120] * 3
         )
-        self.gateways[0].core.pages._page('u-1').reservations = set()
+        self.gateways[0].core.stats_table._get_or_create(
+            'u-1'
+        ).reservations = set()
         await self.until(
             lambda: [self.reserved(g) for g in self.gateways] == [20] * 3
         )
@@ -269,7 +273,7 @@
         """
         await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
-        stream = live.Stream(None, None, book.Reservation(10, 100))
+        stream = live.Stream(None, None, upstream_stats.Reservation(10, 100))
         with mock.patch.object(exchange, 'PUBLISH_INTERVAL_S', 1000.0):
             # Loops that already wait would publish it at the next interval.
             await asyncio.sleep(0.2)
@@ -344,13 +348,13 @@
         publishes it to all.
         """
         first, second, _ = self.gateways
-        first._core.health.lose('servers', 'silent')
+        first._core.health.mark_down('servers', 'silent')
         async with asyncio.timeout(BOUND_S):
-            await second._core.health.until_down()
+            await second._core.health.wait_until_down()
         self.assertFalse(
             second._core.health.is_down, 'the store responds to it'
         )
-        first._core.health.regain('servers')
+        first._core.health.mark_up('servers')
         down = second._core.health._down
         await self.until(lambda: not down.is_set())
 
@@ -366,11 +370,11 @@
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_update(news.MembershipNews, found.hear)
+        second.on_update(update.MembershipUpdate, found.handle_update)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         change = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
-            news.MembershipNews(found._revision, change.revision, (change,))
+            update.MembershipUpdate(found._revision, change.revision, (change,))
         )
         await self.until(lambda: second._core.upstreams.available('s'))
 
@@ -391,8 +395,8 @@
         one, two = await self.start('entry-1'), await self.start('entry-2')
         await self.until(lambda: one.peer_count == two.peer_count == 1)
         received = []
-        two.on_update(news.ConfigurationNews, received.append)
-        update = news.ConfigurationNews(revision.Revision(0, 5), 7)
+        two.on_update(update.ConfigurationUpdate, received.append)
+        update = update.ConfigurationUpdate(revision.Revision(0, 5), 7)
         data = update_codec.encode('entry-3', update)
         known = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(known[0]), known[1])]
@@ -424,12 +428,12 @@
         ):
             late = await self.start('entry-4')
             epochs = self.epochs
-            epochs.answered('write', 1, 0)
+            epochs.observe('write', 1, 0)
             for number in (2, 3):
                 await self.until(lambda: 'entry-4' in self.directory)
                 await asyncio.sleep(0.1)
                 del self.directory['entry-4']
-                epochs.answered('write', number, epochs.newest)
+                epochs.observe('write', number, epochs.newest)
             await self.until(lambda: 'entry-4' in self.directory)
         self.assertEqual(self.directory['entry-4'], f'127.0.0.1:{late.port}')
 
--- a/tests/quetzalsill_gateway/peers/test_peer_table.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from quetzalsill_gateway import event, retry_budget, source
-from quetzalsill_gateway.balance import admission, book
+from quetzalsill_gateway.balance import admission, upstream_stats
 from quetzalsill_gateway.fleet import members, revision, upstream
 from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import exchange, frame, peer_table, state
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 from tests.quetzalsill_gateway import quotas
 
 ADDRESS = ('10.0.0.1', 7000)
@@ -86,16 +86,16 @@
 
     async def asyncSetUp(self):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
         self.core = core
         self.receiver = exchange.Exchange(core, 'entry-9', None)
@@ -114,7 +114,9 @@
                 self.receiver.datagram_received(
                     state.encode(flood), OTHER_ADDRESS
                 )
-        self.assertLessEqual(len(self.core.pages.items()), book.MOST_PAGES)
+        self.assertLessEqual(
+            len(self.core.stats_table.items()), upstream_stats.MAX_UPSTREAMS
+        )
         malformed = [
             call
             for call in note.call_args_list
@@ -125,7 +127,9 @@
     async def test_only_known_peers_get_a_snapshot(self):
         """The configuration contains callers' keys."""
         self.receiver.on_snapshot_request(
-            lambda: news.ConfigurationNews(revision.Revision(0, 7), 3, b'keys')
+            lambda: update.ConfigurationUpdate(
+                revision.Revision(0, 7), 3, b'keys'
+            )
         )
         request = frame.pack(frame.Kind.SNAPSHOT_REQUEST, ('stranger',))
         with mock.patch.object(event, 'note'):
@@ -176,19 +180,23 @@
 
         async def play():
             await self.asyncSetUp()
-            pages = self.core.pages
+            stats_table = self.core.stats_table
             for node, incarnation, number, tokens, is_full in states:
                 usage = {key: Usage(n, n, n) for key, n in tokens.items()}
                 one = state.State(
                     node, incarnation, number, usage, is_full=is_full
                 )
                 self.receiver.datagram_received(state.encode(one), ADDRESS)
-            for _, page in pages.items():
-                total = sum(told.memory_tokens for told in page._told.values())
-                self.assertEqual(page.reserved_tokens, total)
+            for _, stats in stats_table.items():
+                total = sum(
+                    told.memory_tokens for told in stats._load_by_peer.values()
+                )
+                self.assertEqual(stats.reserved_tokens, total)
             for node in 'abc':
-                pages.hear(node, {})
-            self.assertTrue(all(not page.runs for _, page in pages.items()))
+                stats_table.replace_peer_loads(node, {})
+            self.assertTrue(
+                all(not stats.runs for _, stats in stats_table.items())
+            )
 
         with mock.patch.object(event, 'note'):
             asyncio.run(play())
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -4,15 +4,15 @@
 
 import unittest
 
-from quetzalsill_dev.simulation import plain
+from quetzalsill_dev.simulation import legacy
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.peers import frame, update_codec
-from quetzalsill_gateway.watch import news
+from quetzalsill_gateway.watch import update
 
 AT = revision.Revision(3, 7)
 ENGINE = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-MEMBERSHIP = news.MembershipNews(
+MEMBERSHIP = update.MembershipUpdate(
     revision.Revision(3, 5),
     AT,
     (
@@ -21,12 +21,12 @@
     ),
     1.5,
 )
-CONFIGURATION = news.ConfigurationNews(
+CONFIGURATION = update.ConfigurationUpdate(
     AT,
     9,
     b'patch',
     (zones.Drain('z', revision.Revision(2, 90), True),),
-    written=revision.Revision(3, 2),
+    mod_revision=revision.Revision(3, 2),
     digest=b'12345678',
 )
 
@@ -42,7 +42,7 @@
     def test_epochs_round_trip(self):
         update = decode_update(update_codec.encode('entry-1', CONFIGURATION))
         self.assertEqual(update, CONFIGURATION)
-        self.assertEqual(update.teller, 'entry-1')
+        self.assertEqual(update.sender, 'entry-1')
         update = decode_update(update_codec.encode('entry-1', MEMBERSHIP))
         self.assertEqual(
             (update.since, update.revision), (MEMBERSHIP.since, AT)
@@ -55,22 +55,22 @@
 
         Decoded as of the newest epoch, they would hide what is newer there.
         """
-        update = decode_update(plain.flatten('entry-1', MEMBERSHIP))
+        update = decode_update(legacy.encode('entry-1', MEMBERSHIP))
         self.assertEqual(update.since, revision.Revision(0, 5))
         self.assertEqual(update.revision, revision.Revision(0, 7))
         self.assertEqual(update.changes[1].revision, revision.Revision(0, 6))
         self.assertEqual(update.changes[0].upstream.address, ENGINE.address)
-        self.assertEqual(update.lapses_s, 1.5)
+        self.assertEqual(update.grace_s, 1.5)
 
     def test_legacy_configuration_is_decoded(self):
-        legacy_update = news.ConfigurationNews(
+        legacy_update = update.ConfigurationUpdate(
             revision.Revision(0, 8),
             9,
             b'patch',
             (zones.Drain('z', revision.Revision(0, 6), True),),
         )
         self.assertEqual(
-            decode_update(plain.flatten('entry-1', legacy_update)),
+            decode_update(legacy.encode('entry-1', legacy_update)),
             legacy_update,
         )
 
@@ -94,7 +94,7 @@
         update = decode_update(configuration((2**60, -4)))
         self.assertEqual(update.revision, revision.Revision(revision.MAX, 0))
         update = decode_update(configuration((1, 5), written=(9, 9)))
-        self.assertEqual(update.written, revision.Revision(1, 5))
+        self.assertEqual(update.mod_revision, revision.Revision(1, 5))
         wrong = (
             configuration(7),
             configuration((1,)),
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -13,7 +13,7 @@
 from quetzalsill_gateway import error, event
 from quetzalsill_gateway.fleet import revision, zones
 from quetzalsill_gateway.peers import frame, update_codec
-from quetzalsill_gateway.watch import epoch, news
+from quetzalsill_gateway.watch import epoch, update
 from tests.quetzalsill_gateway.watch import drill
 
 LIVE = {f'server-{n}' for n in range(20)}
@@ -26,9 +26,10 @@
     async def is_up_to_date(self):
         """Checks that edits and notices are known in their time."""
         self.fleet.configure(7)
-        self.fleet.drain('server-1')
+        self.fleet.drain_server('server-1')
         await self.within(
-            2.0, lambda one: one.number == 7 and 'server-1' not in one.ids()
+            2.0,
+            lambda one: one.config_version == 7 and 'server-1' not in one.ids(),
         )
 
     def test_an_epoch_that_falls_for_good(self):
@@ -39,10 +40,10 @@
         """
 
         async def story():
-            await self.fleet.drill(self.fleet.store.copy(), epochs=5)
+            await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
-                await self.fleet.drill(self.fleet.store.copy(), epochs=-4)
+                await self.fleet.drill(self.fleet.store.snapshot(), epochs=-4)
                 await asyncio.sleep(6.0)
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
@@ -57,7 +58,7 @@
 
         async def story():
             store = self.fleet.store
-            await self.fleet.drill(store.copy())
+            await self.fleet.drill(store.snapshot())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
                 store.epoch += 1000
@@ -75,7 +76,7 @@
         async def story():
             async with self.always(lambda one: one.ids() == LIVE):
                 for _ in range(3):
-                    copy = self.fleet.store.copy()
+                    copy = self.fleet.store.snapshot()
                     await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
                     await asyncio.sleep(1.0)
             self.assertEqual(self.told(event.UpstreamRemoved), [])
@@ -94,21 +95,21 @@
 
         async def story():
             store = self.fleet.store
-            store.is_past = lambda _: True
+            store.reports_compacted = lambda _: True
             await asyncio.sleep(5.0)
             before = sum(store.calls.values())
             self.fleet.configure(7)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await asyncio.sleep(15.0)
             calls = sum(store.calls.values()) - before
             self.assertLess(calls, 2 * 2 * (1 + 15.0 / (0.75 * 2.0)))
             for one in self.fleet.all:
-                self.assertEqual(one.number, 7)
+                self.assertEqual(one.config_version, 7)
                 self.assertNotIn('server-1', one.ids())
-            store.is_past = lambda _: False
+            store.reports_compacted = lambda _: False
             await asyncio.sleep(4.0)
             self.fleet.configure(8)
-            await self.within(2.0, lambda one: one.number == 8)
+            await self.within(2.0, lambda one: one.config_version == 8)
 
         self.play(story, 1)
 
@@ -123,25 +124,31 @@
         """
 
         async def story():
-            await self.fleet.drill(self.fleet.store.copy())
+            await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
                 for one in self.fleet.all:
                     far = revision.Revision(1, 2**52)
-                    one.membership.hear(
-                        news.MembershipNews(news.EVERYTHING, far)
+                    one.membership.handle_update(
+                        update.MembershipUpdate(update.BEGINNING, far)
                     )
-                    one.membership.hear(news.MembershipNews(FAR, FAR))
-                    one.membership.hear(
-                        news.MembershipNews(news.EVERYTHING, FAR)
+                    one.membership.handle_update(
+                        update.MembershipUpdate(FAR, FAR)
+                    )
+                    one.membership.handle_update(
+                        update.MembershipUpdate(update.BEGINNING, FAR)
+                    )
+                    one.configuration.handle_update(
+                        update.ConfigurationUpdate(FAR, 1)
                     )
-                    one.configuration.hear(news.ConfigurationNews(FAR, 1))
                 await asyncio.sleep(3.0)
             self.fleet.configure(7)
-            self.fleet.drain('server-1')
+            self.fleet.drain_server('server-1')
             await self.within(
                 2.0,
-                lambda one: one.number == 7 and 'server-1' not in one.ids(),
+                lambda one: (
+                    one.config_version == 7 and 'server-1' not in one.ids()
+                ),
             )
 
         self.play(story)
@@ -155,11 +162,13 @@
 
         async def story():
             store = self.fleet.store
-            store.restore(store.copy())
-            self.fleet.drop('server-2')
+            store.restore(store.snapshot())
+            self.fleet.remove_server('server-2')
             at = revision.Revision(store.epoch, store.version)
             for one in self.fleet.all:
-                one.membership.hear(news.MembershipNews(news.EVERYTHING, at))
+                one.membership.handle_update(
+                    update.MembershipUpdate(update.BEGINNING, at)
+                )
             left = LIVE - {'server-2'}
             async with self.always(lambda one: left <= one.ids()):
                 await self.within(
@@ -181,8 +190,8 @@
             node = min(calls, key=lambda name: calls[name] - before[name])
             one = self.fleet.gateways[node]
             faulty = zones.Drain('z', FAR, True)
-            one.configuration.hear(
-                news.ConfigurationNews(FAR, 0, b'', (faulty,))
+            one.configuration.handle_update(
+                update.ConfigurationUpdate(FAR, 0, b'', (faulty,))
             )
             self.assertTrue(one.upstreams.zones.is_drained('z'))
             await self.within(
@@ -200,13 +209,13 @@
         async def story():
             one = self.fleet.all[0]
             faulty = zones.Drain('z', FAR, True)
-            one.configuration.hear(
-                news.ConfigurationNews(FAR, 0, b'', (faulty,))
+            one.configuration.handle_update(
+                update.ConfigurationUpdate(FAR, 0, b'', (faulty,))
             )
-            whole = one.configuration.whole()
+            whole = one.configuration.snapshot()
             data = update_codec.encode(one.node, whole)
             _, told = update_codec.decode(*frame.unpack(data))
-            self.assertEqual(told.configuration, one.number)
+            self.assertEqual(told.number, one.config_version)
 
         self.play(story, 2)
 
@@ -221,8 +230,8 @@
             await self.within(1.0, is_on)
             async with self.always(is_on):
                 for one in self.fleet.all:
-                    one.configuration.hear(
-                        news.ConfigurationNews(FAR, one.number)
+                    one.configuration.handle_update(
+                        update.ConfigurationUpdate(FAR, one.config_version)
                     )
                 await asyncio.sleep(15.0)
 
@@ -234,7 +243,7 @@
 
     def play(self, story):
         async def work():
-            await story(epoch.Epochs())
+            await story(epoch.EpochTracker())
 
         clock.run(work)
 
@@ -245,24 +254,24 @@
         """
 
         async def story(epochs):
-            epochs.answered('get', 1, 0)
-            epochs.answered('get', 2, 1)
+            epochs.observe('get', 1, 0)
+            epochs.observe('get', 2, 1)
             for _ in range(100):
                 await asyncio.sleep(0.1)
                 with self.assertRaises(error.StaleAnswerError):
-                    epochs.answered('feed', 1, 1)
+                    epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
         self.play(story)
 
     def test_one_answer_of_an_older_epoch_is_not_believed(self):
         async def story(epochs):
-            epochs.answered('get', 2, 0)
+            epochs.observe('get', 2, 0)
             for _ in range(10):
                 with self.assertRaises(error.StaleAnswerError):
-                    epochs.answered('get', 1, 2)
+                    epochs.observe('get', 1, 2)
                 await asyncio.sleep(0.9)
-                epochs.answered('get', 2, 2)
+                epochs.observe('get', 2, 2)
                 await asyncio.sleep(0.9)
             self.assertEqual(epochs.newest, 2)
 
@@ -270,11 +279,11 @@
 
     def test_an_epoch_that_fell_counts_when_it_is_told_on_and_on(self):
         async def story(epochs):
-            epochs.answered('get', 7, 0)
+            epochs.observe('get', 7, 0)
             with self.assertRaises(error.StaleAnswerError):
-                epochs.answered('get', 1, 7)
-            await asyncio.sleep(epoch.BEHIND_S + 0.1)
-            epochs.answered('get', 1, 7)
+                epochs.observe('get', 1, 7)
+            await asyncio.sleep(epoch.DOWNGRADE_AFTER_S + 0.1)
+            epochs.observe('get', 1, 7)
             self.assertEqual(epochs.newest, 1)
 
         self.play(story)
@@ -282,9 +291,9 @@
     def test_whoever_follows_is_called_back_once_an_epoch(self):
         async def story(epochs):
             seen = []
-            epochs.on_new(lambda: seen.append(epochs.newest))
+            epochs.on_change(lambda: seen.append(epochs.newest))
             for told in (3, 3, 4, 4, 9):
-                epochs.answered('get', told, epochs.newest)
+                epochs.observe('get', told, epochs.newest)
             # With the first there was none before it to end.
             self.assertEqual(seen, [4, 9])
 
