--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -90,7 +90,9 @@
         self._update_handlers: dict[
             type[update_lib.Update], Callable[[update_lib.Update], None]
         ] = {}
-        self._snapshot_providers: list[Callable[[], update_lib.Update | None]] = []
+        self._snapshot_providers: list[
+            Callable[[], update_lib.Update | None]
+        ] = []
         self._published_s = 0.0
         self._broadcast = relay.Broadcast(
             node, lambda: self._peers.addresses, self._send
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -18,7 +18,7 @@
 __all__ = ['decode', 'encode']
 
 PORTS = range(1, 65536)
-MAX_LAPSE_S = 60.0
+MAX_GRACE_S = 60.0
 # A longer digest of a document is invalid.
 MAX_DIGEST_BYTES = 16
 
@@ -81,7 +81,7 @@
     number: Any,
     patch: Any,
     drains: Any,
-    is_echo: Any,
+    is_repeat: Any,
     written: Any = (0, 0),
     digest: Any = b'',
 ) -> update_lib.ConfigurationUpdate:
@@ -95,7 +95,7 @@
         frame.bounded_count(number),
         patch,
         tuple(_drain(newest, *entry) for entry in drains),
-        bool(is_echo),
+        bool(is_repeat),
         min(newest, frame.bounded_revision(written)),
         digest,
         str(node),
@@ -106,16 +106,16 @@
     node: Any,
     since: Any,
     revision: Any,
-    lapses_s: Any,
+    grace_s: Any,
     changes: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.MembershipUpdate:
     return update_lib.MembershipUpdate(
         frame.bounded_revision(since),
         frame.bounded_revision(revision),
         tuple(_change(*change) for change in changes),
-        min(MAX_LAPSE_S, max(0.0, float(lapses_s))),
-        bool(is_echo),
+        min(MAX_GRACE_S, max(0.0, float(grace_s))),
+        bool(is_repeat),
         str(node),
     )
 
@@ -126,23 +126,23 @@
     number: Any,
     patch: Any,
     drains: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.ConfigurationUpdate:
     orders = [(zone, (0, at), is_on) for zone, at, is_on in drains]
-    return _configuration(node, (0, version), number, patch, orders, is_echo)
+    return _configuration(node, (0, version), number, patch, orders, is_repeat)
 
 
 def _legacy_membership(
     node: Any,
     since: Any,
     version: Any,
-    lapses_s: Any,
+    grace_s: Any,
     changes: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.MembershipUpdate:
     entries = [(name, (0, at), *rest) for name, at, *rest in changes]
     return _membership(
-        node, (0, since), (0, version), lapses_s, entries, is_echo
+        node, (0, since), (0, version), grace_s, entries, is_repeat
     )
 
 
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -29,7 +29,8 @@
     update_codec,
 )
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import epoch, membership, update
+from quetzalsill_gateway.watch import epoch, membership
+from quetzalsill_gateway.watch import update as update_lib
 from tests.quetzalsill_gateway import quotas
 
 BOUND_S = 10.0
@@ -67,10 +68,10 @@
 REVISIONS = st.builds(revision.Revision, COUNT, COUNT)
 UPDATES = st.one_of(
     st.builds(
-        update.ConfigurationUpdate, REVISIONS, COUNT, st.binary(max_size=20)
+        update_lib.ConfigurationUpdate, REVISIONS, COUNT, st.binary(max_size=20)
     ),
     st.builds(
-        update.MembershipUpdate,
+        update_lib.MembershipUpdate,
         REVISIONS,
         REVISIONS,
         st.lists(
@@ -103,7 +104,7 @@
 
 def comparable(update):
     """Returns an update with its upstreams as comparable values."""
-    if isinstance(update, update.ConfigurationUpdate):
+    if isinstance(update, update_lib.ConfigurationUpdate):
         return update
     return (
         update.since,
@@ -370,11 +371,13 @@
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_update(update.MembershipUpdate, found.handle_update)
+        second.on_update(update_lib.MembershipUpdate, found.handle_update)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         change = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
-            update.MembershipUpdate(found._revision, change.revision, (change,))
+            update_lib.MembershipUpdate(
+                found._revision, change.revision, (change,)
+            )
         )
         await self.until(lambda: second._core.upstreams.available('s'))
 
@@ -395,8 +398,8 @@
         one, two = await self.start('entry-1'), await self.start('entry-2')
         await self.until(lambda: one.peer_count == two.peer_count == 1)
         received = []
-        two.on_update(update.ConfigurationUpdate, received.append)
-        update = update.ConfigurationUpdate(revision.Revision(0, 5), 7)
+        two.on_update(update_lib.ConfigurationUpdate, received.append)
+        update = update_lib.ConfigurationUpdate(revision.Revision(0, 5), 7)
         data = update_codec.encode('entry-3', update)
         known = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(known[0]), known[1])]
--- a/tests/quetzalsill_gateway/peers/test_peer_table.py
+++ b/tests/quetzalsill_gateway/peers/test_peer_table.py
@@ -17,7 +17,7 @@
 from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import exchange, frame, peer_table, state
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import update
+from quetzalsill_gateway.watch import update as update_lib
 from tests.quetzalsill_gateway import quotas
 
 ADDRESS = ('10.0.0.1', 7000)
@@ -127,7 +127,7 @@
     async def test_only_known_peers_get_a_snapshot(self):
         """The configuration contains callers' keys."""
         self.receiver.on_snapshot_request(
-            lambda: update.ConfigurationUpdate(
+            lambda: update_lib.ConfigurationUpdate(
                 revision.Revision(0, 7), 3, b'keys'
             )
         )
@@ -189,7 +189,7 @@
                 self.receiver.datagram_received(state.encode(one), ADDRESS)
             for _, stats in stats_table.items():
                 total = sum(
-                    told.memory_tokens for told in stats._load_by_peer.values()
+                    load.memory_tokens for load in stats._load_by_peer.values()
                 )
                 self.assertEqual(stats.reserved_tokens, total)
             for node in 'abc':
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -8,11 +8,11 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.peers import frame, update_codec
-from quetzalsill_gateway.watch import update
+from quetzalsill_gateway.watch import update as update_lib
 
 AT = revision.Revision(3, 7)
 ENGINE = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-MEMBERSHIP = update.MembershipUpdate(
+MEMBERSHIP = update_lib.MembershipUpdate(
     revision.Revision(3, 5),
     AT,
     (
@@ -21,7 +21,7 @@
     ),
     1.5,
 )
-CONFIGURATION = update.ConfigurationUpdate(
+CONFIGURATION = update_lib.ConfigurationUpdate(
     AT,
     9,
     b'patch',
@@ -63,7 +63,7 @@
         self.assertEqual(update.grace_s, 1.5)
 
     def test_legacy_configuration_is_decoded(self):
-        legacy_update = update.ConfigurationUpdate(
+        legacy_update = update_lib.ConfigurationUpdate(
             revision.Revision(0, 8),
             9,
             b'patch',
