--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
@@ -17,9 +17,9 @@
 }
 
 
-def encode(node: str, told: update_lib.Update) -> bytes:
+def encode(node: str, update: update_lib.Update) -> bytes:
     """Returns the datagram of an update in the format of that release."""
-    kind, fields = frame.unpack(update_codec.encode(node, told))
+    kind, fields = frame.unpack(update_codec.encode(node, update))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
         orders = [
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/update_codec.py
@@ -1,8 +1,8 @@
-"""News of the sources, and its form in a datagram.
+"""Encodes and decodes updates of the sources in datagrams.
 
-Revisions go as epoch and version. Gateways of the release before tell bare
-versions; they are of epoch 0, so that in a later one their news is older than
-all that is known.
+A revision is sent as epoch and version. Gateways of the previous release send
+versions only, which get epoch 0, so that in any later epoch their updates are
+older than everything known.
 """
 
 from __future__ import annotations
@@ -18,36 +18,37 @@
 __all__ = ['decode', 'encode']
 
 PORTS = range(1, 65536)
-MAX_LAPSE_S = 60.0
-# Of a document, in bytes; longer ones are none.
+MAX_GRACE_S = 60.0
+# A longer digest of a document is invalid.
 MAX_DIGEST_BYTES = 16
 
 
-def encode(node: str, told: update_lib.Update) -> bytes:
-    """Returns the datagram in which a gateway tells news."""
-    if isinstance(told, update_lib.ConfigurationUpdate):
+def encode(node: str, update: update_lib.Update) -> bytes:
+    """Returns the datagram for an update of the gateway `node`."""
+    if isinstance(update, update_lib.ConfigurationUpdate):
         drains = [
-            (one.zone, _pair(one.revision), one.is_on) for one in told.drains
+            (drain.zone, _pair(drain.revision), drain.is_on)
+            for drain in update.drains
         ]
         fields = (
             node,
-            _pair(told.revision),
-            told.number,
-            told.patch,
+            _pair(update.revision),
+            update.number,
+            update.patch,
             drains,
-            told.is_repeat,
-            _pair(told.mod_revision),
-            told.digest,
+            update.is_repeat,
+            _pair(update.mod_revision),
+            update.digest,
         )
         return frame.pack(frame.Kind.CONFIGURATION, fields)
-    changes = [_fields(change) for change in told.changes]
+    changes = [_fields(change) for change in update.changes]
     fields = (
         node,
-        _pair(told.since),
-        _pair(told.revision),
-        told.grace_s,
+        _pair(update.since),
+        _pair(update.revision),
+        update.grace_s,
         changes,
-        told.is_repeat,
+        update.is_repeat,
     )
     return frame.pack(frame.Kind.MEMBERSHIP, fields)
 
@@ -55,22 +56,22 @@
 def decode(
     kind: frame.Kind, fields: list[Any]
 ) -> tuple[str, update_lib.Update]:
-    """Returns the gateway that tells, and its news.
+    """Returns the sending gateway and its update.
 
     Raises:
-      error.PeerError: The fields hold none.
+      error.PeerError: The fields are malformed.
     """
     try:
         if kind is frame.Kind.LEGACY_CONFIGURATION:
-            found = _plain_configuration(*fields)
+            found = _legacy_configuration(*fields)
         elif kind is frame.Kind.CONFIGURATION:
             found = _configuration(*fields)
         elif kind is frame.Kind.LEGACY_MEMBERSHIP:
-            found = _plain_membership(*fields)
+            found = _legacy_membership(*fields)
         else:
             found = _membership(*fields)
     except frame.DECODE_ERRORS as exc:
-        raise error.PeerError(f'no news: {exc!r}') from exc
+        raise error.PeerError(f'malformed update: {exc!r}') from exc
     return found.sender, found
 
 
@@ -80,21 +81,21 @@
     number: Any,
     patch: Any,
     drains: Any,
-    is_echo: Any,
+    is_repeat: Any,
     written: Any = (0, 0),
     digest: Any = b'',
 ) -> update_lib.ConfigurationUpdate:
     newest = frame.bounded_revision(revision)
     if not isinstance(patch, bytes):
-        raise TypeError(f'patch {type(patch)}')
+        raise TypeError(f'invalid patch: {type(patch)}')
     if not isinstance(digest, bytes) or len(digest) > MAX_DIGEST_BYTES:
-        raise TypeError(f'digest {type(digest)}')
+        raise TypeError(f'invalid digest: {type(digest)}')
     return update_lib.ConfigurationUpdate(
         newest,
         frame.bounded_count(number),
         patch,
         tuple(_drain(newest, *entry) for entry in drains),
-        bool(is_echo),
+        bool(is_repeat),
         min(newest, frame.bounded_revision(written)),
         digest,
         str(node),
@@ -105,43 +106,43 @@
     node: Any,
     since: Any,
     revision: Any,
-    lapses_s: Any,
+    grace_s: Any,
     changes: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.MembershipUpdate:
     return update_lib.MembershipUpdate(
         frame.bounded_revision(since),
         frame.bounded_revision(revision),
         tuple(_change(*change) for change in changes),
-        min(MAX_LAPSE_S, max(0.0, float(lapses_s))),
-        bool(is_echo),
+        min(MAX_GRACE_S, max(0.0, float(grace_s))),
+        bool(is_repeat),
         str(node),
     )
 
 
-def _plain_configuration(
+def _legacy_configuration(
     node: Any,
     version: Any,
     number: Any,
     patch: Any,
     drains: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.ConfigurationUpdate:
-    orders = [(zone, (0, told), is_on) for zone, told, is_on in drains]
-    return _configuration(node, (0, version), number, patch, orders, is_echo)
+    orders = [(zone, (0, at), is_on) for zone, at, is_on in drains]
+    return _configuration(node, (0, version), number, patch, orders, is_repeat)
 
 
-def _plain_membership(
+def _legacy_membership(
     node: Any,
     since: Any,
     version: Any,
-    lapses_s: Any,
+    grace_s: Any,
     changes: Any,
-    is_echo: Any,
+    is_repeat: Any,
 ) -> update_lib.MembershipUpdate:
-    entries = [(name, (0, told), *rest) for name, told, *rest in changes]
+    entries = [(name, (0, at), *rest) for name, at, *rest in changes]
     return _membership(
-        node, (0, since), (0, version), lapses_s, entries, is_echo
+        node, (0, since), (0, version), grace_s, entries, is_repeat
     )
 
 
@@ -150,13 +151,13 @@
 
 
 def _drain(
-    newest: revision_lib.Revision, zone: Any, told: Any, is_on: Any
+    newest: revision_lib.Revision, zone: Any, at: Any, is_on: Any
 ) -> zones.Drain:
-    name, revision = str(zone), frame.bounded_revision(told)
+    name, revision = str(zone), frame.bounded_revision(at)
     if revision > newest:
-        raise ValueError(f'drain at {revision}, news at {newest}')
+        raise ValueError(f'drain at {revision}, update at {newest}')
     if not name or len(name) > zones.MAX_NAME_LENGTH:
-        raise ValueError('no name of a zone')
+        raise ValueError('invalid zone name')
     return zones.Drain(name, revision, bool(is_on))
 
 
@@ -177,14 +178,14 @@
     )
 
 
-def _change(name: Any, told: Any, *rest: Any) -> upstream.Change:
-    revision = frame.bounded_revision(told)
+def _change(name: Any, at: Any, *rest: Any) -> upstream.Change:
+    revision = frame.bounded_revision(at)
     if len(rest) == 1:
         [may_have_lapsed] = rest
         return upstream.Change(str(name), revision, None, bool(may_have_lapsed))
     service, host, port, zone, slots, leaving, incarnation, warmup_s = rest
     if port not in PORTS:
-        raise ValueError(f'port {port!r}')
+        raise ValueError(f'invalid port {port!r}')
     found = upstream.Upstream(
         id=str(name),
         service=str(service),
--- a/tests/quetzalsill_gateway/fleet/test_upstream.py
+++ b/tests/quetzalsill_gateway/fleet/test_upstream.py
@@ -1,4 +1,4 @@
-"""What membership means for new work."""
+"""Membership changes and which upstreams get new work."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def at(version):
-    """Returns a revision of a source that tells no epochs."""
+    """Returns a revision of a source that reports no epochs."""
     return revision.Revision(0, version)
 
 
@@ -20,12 +20,12 @@
 
 
 def written(*found):
-    """Returns the changes by which entries were written."""
+    """Returns the changes that wrote the given entries."""
     return [upstream.Change(one.id, at(1), one) for one in found]
 
 
 class UpstreamsTest(unittest.IsolatedAsyncioTestCase):
-    """Entries come, change and go."""
+    """Entries are added, changed and removed."""
 
     async def asyncSetUp(self):
         self.upstreams = upstream.Upstreams()
@@ -35,7 +35,7 @@
     def ids(self):
         return [found.id for found in self.upstreams.available('s')]
 
-    async def test_leaving_is_told_once_and_never_taken_back(self):
+    async def test_leaving_is_notified_once_and_is_final(self):
         self.upstreams.put(entry(), at(1))
         self.upstreams.put(entry(leaving=True), at(2))
         self.upstreams.put(entry(leaving=True), at(3))
@@ -44,15 +44,15 @@
         self.upstreams.remove('u-1', at(5))
         self.assertEqual(self.left, ['u-1'])
 
-    async def test_a_whole_list_drops_what_is_not_in_it(self):
+    async def test_full_list_removes_unlisted_upstreams(self):
         self.upstreams.replace(written(entry('u-1'), entry('u-2', 81)), at(1))
         self.upstreams.replace(written(entry('u-2', 81)), at(2))
         self.assertEqual((self.ids(), self.left), (['u-2'], ['u-1']))
 
-    async def test_an_entry_that_is_read_again_makes_no_upstream_cold(self):
-        """A table is listed anew, with the entry of a server that is warm now.
+    async def test_reading_an_entry_again_does_not_restart_warmup(self):
+        """The membership is listed again after a server has warmed up.
 
-        Counted from then, the warm-up that it tells would begin a second time.
+        The warm-up time in its entry must not start a second time.
         """
         self.upstreams.put(entry(warmup_s=5.0), at(1))
         known = self.upstreams.get('u-1')
@@ -70,11 +70,11 @@
         self.assertTrue(old.removed)
         self.assertEqual(self.upstreams.available('s')[0].address[1], 81)
 
-    async def test_one_that_starts_again_is_another_upstream(self):
-        """An engine crashes and starts again under its id and address.
+    async def test_restarted_upstream_is_another_upstream(self):
+        """An engine crashes and restarts with the same id and address.
 
-        What was held, learned or told of it before is not true of it now: its
-        memory is empty, and a notice that it leaves was of the one before.
+        Its memory is empty, so nothing recorded about the previous incarnation
+        applies, including a notice that it is leaving.
         """
         self.upstreams.put(entry(incarnation=10), at(1))
         old = self.upstreams.get('u-1')
@@ -90,12 +90,12 @@
         self.upstreams.receive_leaving((new.key,), 'entry-2')
         self.assertTrue(new.leaving)
 
-    async def test_an_answer_of_another_start_is_not_taken(self):
-        """The store is away; an engine that is asked has started again."""
+    async def test_response_of_another_incarnation_is_rejected(self):
+        """An engine has restarted during an outage of the store."""
         self.upstreams.put(entry(incarnation=20), at(1))
         known = self.upstreams.get('u-1')
         confirm = self.upstreams.verify_incarnation
-        self.assertTrue(confirm(known, 0), 'one that tells none')
+        self.assertTrue(confirm(known, 0), 'incarnation not reported')
         self.assertTrue(confirm(known, 20))
         self.assertFalse(confirm(known, 10))
         self.assertFalse(known.removed)
@@ -103,15 +103,15 @@
         self.assertTrue(known.removed)
         self.assertEqual(self.ids(), [])
 
-    async def test_an_older_start_told_late_changes_nothing(self):
+    async def test_late_entry_of_an_older_incarnation_changes_nothing(self):
         self.upstreams.put(entry(incarnation=20), at(2))
         new = self.upstreams.get('u-1')
         self.upstreams.put(entry(incarnation=10, leaving=True), at(3))
         self.assertIs(self.upstreams.get('u-1'), new)
         self.assertFalse(new.leaving)
 
-    async def test_an_entry_without_a_start_is_not_the_servers(self):
-        """A server that tells its starts has an entry that tells none."""
+    async def test_entry_without_incarnation_is_not_the_servers(self):
+        """An entry lacks the incarnation that its server reports."""
         self.upstreams.put(entry(incarnation=20), at(1))
         self.upstreams.put(entry(), at(2))
         self.assertEqual(self.ids(), [])
@@ -126,16 +126,16 @@
         self.assertEqual(self.ids(), [])
         self.assertEqual(self.upstreams.available('t'), [other])
 
-    async def test_a_notice_of_a_peer_counts(self):
-        """The store turns this machine away, and serves another.
+    async def test_notice_of_a_peer_is_applied(self):
+        """The store refuses this host and serves another.
 
-        An upstream's notice reaches only the other machine, which tells it.
+        Only the other host receives an upstream's notice and publishes it.
         """
         self.upstreams.put(entry(), at(1))
         self.upstreams.receive_leaving(['u-1', 'u-unknown'], 'entry-2')
         self.assertEqual((self.ids(), self.left), ([], ['u-1']))
 
-    async def test_entries_that_lapsed_in_an_outage_wait(self):
+    async def test_lapsed_entries_are_kept_for_the_grace_period(self):
         self.upstreams.put(entry(), at(1))
         self.upstreams.start_lapse_grace()
         self.upstreams.remove('u-1', at(2))
@@ -147,17 +147,17 @@
         self.assertEqual(self.ids(), [])
 
 
-class DoubtTest(unittest.TestCase):
-    """Entries of a copy whose upstreams have ended."""
+class SuspectEndedTest(unittest.TestCase):
+    """A restored copy lists entries of upstreams that have ended."""
 
     def ids(self, upstreams):
         return [found.id for found in upstreams.available('s')]
 
-    def play(self, second):
-        """Plays two drills, two seconds apart; their copies have the entry.
+    def play(self, between):
+        """Restores the same copy twice, two seconds apart.
 
         Args:
-          second: Called between the two, with the upstreams.
+          between: Called with the upstreams between the two.
         """
 
         async def work():
@@ -169,7 +169,7 @@
             upstreams.replace(copy, revision.Revision(1, 1))
             self.assertEqual(self.ids(upstreams), [])
             await asyncio.sleep(1.0)
-            second(upstreams)
+            between(upstreams)
             await asyncio.sleep(1.0)
             upstreams.suspect_ended(copy)
             upstreams.replace(copy, revision.Revision(2, 1))
@@ -178,16 +178,16 @@
 
         clock.run(work)
 
-    def test_a_further_drill_begins_a_further_doubt(self):
-        """Requests go to a server that has ended, and wait for nobody.
+    def test_second_drill_extends_the_suspicion(self):
+        """Requests must not go to a server that has ended.
 
-        Two drills come within three seconds. Whoever removes entries begins
-        anew with the second, and the doubt ends with the grace of the first.
+        Two drills come within three seconds. The second restarts the removal
+        of old entries, so the grace period of the first is too short.
         """
         self.play(lambda _: None)
 
-    def test_the_end_of_a_doubt_is_not_that_of_the_next(self):
-        """The same, though the entry was removed between the two drills."""
+    def test_end_of_one_suspicion_does_not_end_the_next(self):
+        """The same, with the entry removed between the two drills."""
         self.play(
             lambda found: found.remove('u-1', at(3), may_have_lapsed=False)
         )
--- a/tests/quetzalsill_gateway/peers/test_update_codec.py
+++ b/tests/quetzalsill_gateway/peers/test_update_codec.py
@@ -1,4 +1,4 @@
-"""News in datagrams, of gateways of this release and of the one before."""
+"""Updates in datagrams of this release and of the previous one."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from quetzalsill_gateway import error
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.peers import frame, update_codec
-from quetzalsill_gateway.watch import update
+from quetzalsill_gateway.watch import update as update_lib
 
 AT = revision.Revision(3, 7)
 ENGINE = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-MEMBERSHIP = update.MembershipUpdate(
+MEMBERSHIP = update_lib.MembershipUpdate(
     revision.Revision(3, 5),
     AT,
     (
@@ -21,7 +21,7 @@
     ),
     1.5,
 )
-CONFIGURATION = update.ConfigurationUpdate(
+CONFIGURATION = update_lib.ConfigurationUpdate(
     AT,
     9,
     b'patch',
@@ -31,67 +31,70 @@
 )
 
 
-def heard(data):
-    """Returns the news of a datagram."""
+def decode_update(data):
+    """Returns the update in a datagram."""
     return update_codec.decode(*frame.unpack(data))[1]
 
 
 class UpdateCodecTest(unittest.TestCase):
-    """Fields of news."""
-
-    def test_epochs_are_told(self):
-        told = heard(update_codec.encode('entry-1', CONFIGURATION))
-        self.assertEqual(told, CONFIGURATION)
-        self.assertEqual(told.sender, 'entry-1')
-        told = heard(update_codec.encode('entry-1', MEMBERSHIP))
-        self.assertEqual((told.since, told.revision), (MEMBERSHIP.since, AT))
-        revisions = [one.revision for one in told.changes]
+    """Fields of updates."""
+
+    def test_epochs_round_trip(self):
+        update = decode_update(update_codec.encode('entry-1', CONFIGURATION))
+        self.assertEqual(update, CONFIGURATION)
+        self.assertEqual(update.sender, 'entry-1')
+        update = decode_update(update_codec.encode('entry-1', MEMBERSHIP))
+        self.assertEqual(
+            (update.since, update.revision), (MEMBERSHIP.since, AT)
+        )
+        revisions = [one.revision for one in update.changes]
         self.assertEqual(revisions, [AT, revision.Revision(3, 6)])
 
-    def test_news_of_the_release_before_is_of_no_epoch(self):
-        """A gateway that knows no epochs tells bare versions.
+    def test_legacy_update_has_epoch_zero(self):
+        """A gateway of the previous release sends versions without epochs.
 
-        Misread as of the newest epoch, they would hide what is newer there.
+        Decoded as of the newest epoch, they would hide what is newer there.
         """
-        told = heard(legacy.encode('entry-1', MEMBERSHIP))
-        self.assertEqual(told.since, revision.Revision(0, 5))
-        self.assertEqual(told.revision, revision.Revision(0, 7))
-        self.assertEqual(told.changes[1].revision, revision.Revision(0, 6))
-        self.assertEqual(told.changes[0].upstream.address, ENGINE.address)
-        self.assertEqual(told.grace_s, 1.5)
-
-    def test_its_configuration_is_told_all_the_same(self):
-        plain_news = update.ConfigurationUpdate(
+        update = decode_update(legacy.encode('entry-1', MEMBERSHIP))
+        self.assertEqual(update.since, revision.Revision(0, 5))
+        self.assertEqual(update.revision, revision.Revision(0, 7))
+        self.assertEqual(update.changes[1].revision, revision.Revision(0, 6))
+        self.assertEqual(update.changes[0].upstream.address, ENGINE.address)
+        self.assertEqual(update.grace_s, 1.5)
+
+    def test_legacy_configuration_is_decoded(self):
+        legacy_update = update_lib.ConfigurationUpdate(
             revision.Revision(0, 8),
             9,
             b'patch',
             (zones.Drain('z', revision.Revision(0, 6), True),),
         )
         self.assertEqual(
-            heard(legacy.encode('entry-1', plain_news)), plain_news
+            decode_update(legacy.encode('entry-1', legacy_update)),
+            legacy_update,
         )
 
-    def test_it_leaves_out_what_it_would_misread(self):
-        """To it, the kinds of this release are none that it knows.
+    def test_legacy_gateway_drops_new_kinds(self):
+        """A gateway of the previous release doesn't know the new kinds.
 
-        In the form that it knows, a lower version of a later epoch would be
-        older to it than what is lost, and a higher one hide what it lacks.
+        Without the epoch, it would take a lower version of a later epoch for
+        older than what was lost, and a higher one would hide what it lacks.
         """
         known = {1, 2, 3, 4, 5}
-        for told in (MEMBERSHIP, CONFIGURATION):
-            kind, _ = frame.unpack(update_codec.encode('entry-1', told))
+        for update in (MEMBERSHIP, CONFIGURATION):
+            kind, _ = frame.unpack(update_codec.encode('entry-1', update))
             self.assertNotIn(int(kind), known)
         self.assertEqual(frame.VERSION, 8)
 
-    def test_figures_that_make_no_sense_are_a_failure_or_bounded(self):
+    def test_impossible_values_are_rejected_or_clamped(self):
         def configuration(at, drains=(), written=(0, 0), digest=b''):
             fields = ('e', at, 1, b'', drains, False, written, digest)
             return frame.pack(frame.Kind.CONFIGURATION, fields)
 
-        told = heard(configuration((2**60, -4)))
-        self.assertEqual(told.revision, revision.Revision(revision.MAX, 0))
-        told = heard(configuration((1, 5), written=(9, 9)))
-        self.assertEqual(told.mod_revision, revision.Revision(1, 5))
+        update = decode_update(configuration((2**60, -4)))
+        self.assertEqual(update.revision, revision.Revision(revision.MAX, 0))
+        update = decode_update(configuration((1, 5), written=(9, 9)))
+        self.assertEqual(update.mod_revision, revision.Revision(1, 5))
         wrong = (
             configuration(7),
             configuration((1,)),
@@ -104,7 +107,7 @@
         )
         for data in wrong:
             with self.assertRaises(error.PeerError):
-                heard(data)
+                decode_update(data)
 
 
 if __name__ == '__main__':
