--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/live.py
@@ -133,7 +133,7 @@
         if stream.backup is not None:
             stats = self._stats_table.of(stream.backup)
             stats.backup_reservations.discard(stream.reservation)
-            self._forget_if_gone(stream.backup)
+            self._forget_if_removed(stream.backup)
         stream.backup = upstream
         if upstream is not None:
             self._stats_table.of(upstream).backup_reservations.add(
@@ -187,10 +187,10 @@
             self._streams.pop(stream.upstream.key, None)
         stats = self._stats_table.of(stream.upstream)
         stats.reservations.discard(stream.reservation)
-        self._forget_if_gone(stream.upstream)
+        self._forget_if_removed(stream.upstream)
         stream.upstream = None
 
-    def _forget_if_gone(self, upstream: upstream_lib.Upstream) -> None:
+    def _forget_if_removed(self, upstream: upstream_lib.Upstream) -> None:
         if upstream.removed and not self._streams.get(upstream.key):
             self._stats_table.remove(upstream)
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -257,7 +257,7 @@
             return 'refused'
         if (
             isinstance(outcome, segment_lib.Refusal)
-            and outcome.verdict is attempt.ResponseClass.FAILED
+            and outcome.response_class is attempt.ResponseClass.FAILED
             and self._req.sends <= 1
         ):
             headers = message.relayed(outcome.head)
@@ -292,4 +292,7 @@
 def _is_misdirected(outcome: segment_lib.Outcome) -> bool:
     """Whether the request reached another upstream than the intended one."""
     wrong = attempt.ResponseClass.WRONG_UPSTREAM
-    return isinstance(outcome, segment_lib.Refusal) and outcome.verdict is wrong
+    return (
+        isinstance(outcome, segment_lib.Refusal)
+        and outcome.response_class is wrong
+    )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/segment.py
@@ -77,12 +77,12 @@
     Attributes:
       head: Status and headers.
       body: Body, possibly truncated.
-      verdict: How the status and headers are classified.
+      response_class: How the status and headers are classified.
     """
 
     head: message.ResponseHead
     body: bytes
-    verdict: attempt.ResponseClass
+    response_class: attempt.ResponseClass
 
 
 Outcome = Refusal | error.CallError | str
@@ -92,7 +92,7 @@
     """Whether the upstream is known not to have run the request."""
     if isinstance(outcome, error.CallError):
         return not attempt.may_have_run(outcome)
-    return isinstance(outcome, Refusal) and outcome.verdict.is_not_run
+    return isinstance(outcome, Refusal) and outcome.response_class.is_not_run
 
 
 def describe(outcome: Outcome) -> str:
@@ -100,5 +100,5 @@
     if isinstance(outcome, error.CallError):
         return outcome.code
     if isinstance(outcome, Refusal):
-        return f'{outcome.verdict.value}_{outcome.head.status}'
+        return f'{outcome.response_class.value}_{outcome.head.status}'
     return outcome
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
@@ -80,9 +80,9 @@
             move = dialect_lib.Move(refused=True, code=exc.code)
         except error.UnansweredError as exc:
             unanswered += 1
-            is_gone = unanswered >= MAX_UNANSWERED and not has_refused
-            move = dialect_lib.Move(refused=not is_gone, code=exc.code)
-            if is_gone:
+            is_down = unanswered >= MAX_UNANSWERED and not has_refused
+            move = dialect_lib.Move(refused=not is_down, code=exc.code)
+            if is_down:
                 return Result(at_most_once.RunState.UNREACHED, move)
         except error.ConnectError as exc:
             move = dialect_lib.Move(refused=has_refused, code=exc.code)
