--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -54,27 +54,27 @@
     ),
     'backups': _gateway(
         'balance/backup.py',
-        'return pages.run_s(reservation) >= LEAST',
-        'return False and LEAST',
+        'return stats_table.generation_s(reservation) >= MIN',
+        'return False and MIN',
     ),
     'moves': _gateway(
         'stream/migration.py',
-        'if engine is None or not engine.moves',
-        'if True or not engine.moves',
+        'if spec is None or not spec.moves',
+        'if True or not spec.moves',
     ),
     'one-move-at-a-time': _gateway(
         'stream/link_queue.py',
-        '        if not places:\n            return True',
-        '        if places or not places:\n            return True',
+        '        if not positions:\n            return True',
+        '        if positions or not positions:\n            return True',
     ),
     'first-copy-in-need': _gateway(
         'stream/continuation.py',
-        'patience_s = LAST_COPY_S if copied else SWITCH_S',
-        'patience_s = SWITCH_S',
+        'timeout_s = FINAL_COPY_TIMEOUT_S if precopy else STOP_TIMEOUT_S',
+        'timeout_s = STOP_TIMEOUT_S',
     ),
     'only-what-is-in-time': _gateway(
         'stream/migration.py',
-        'if left_s\n            >=',
+        'if remaining_s\n            >=',
         'if 60.0\n            >=',
     ),
     'destinations-in-the-zone': _gateway(
@@ -83,16 +83,18 @@
         'return is_full, False, drawn',
     ),
     'failures-of-all': _gateway(
-        'balance/book.py',
-        'sum(one.failures for one in told)',
+        'balance/upstream_stats.py',
+        'sum(one.failures for one in loads)',
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/faults.py', 'FAULTY = 1.5', 'FAULTY = 1e9'
+        'balance/failure_score.py',
+        'FAULTY_SCORE = 1.5',
+        'FAULTY_SCORE = 1e9',
     ),
     'telling-each-other': _gateway(
         'peers/exchange.py',
-        'told = self._teller.news(now, self._current(), gateways)',
+        'told = self._deltas.next_state(now, self._current(), gateways)',
         'told = None',
     ),
     'holding-for-memory': _gateway(
@@ -101,7 +103,9 @@
         'if True or not engine.memory_tokens:',
     ),
     'ranks-by-size': _gateway(
-        'balance/waiting.py', 'SIZES = (0.7, 1.4)', 'SIZES = ()'
+        'balance/queue_entry.py',
+        'SIZE_BOUNDS = (0.7, 1.4)',
+        'SIZE_BOUNDS = ()',
     ),
     'lots-for-room': _gateway(
         'balance/search.py',
@@ -117,10 +121,10 @@
         'balance/search.py', 'return beside or fitting', 'return fitting'
     ),
     'engine-priorities': _gateway(
-        'stream/continuation.py', 'RANK_STEP = 2', 'RANK_STEP = 0'
+        'stream/continuation.py', 'PRIORITY_STEP = 2', 'PRIORITY_STEP = 0'
     ),
     'asking-in-an-outage': _gateway(
-        'stream/lookout.py',
+        'stream/engine_poll.py',
         'await core.health.wait_until_down()',
         'await asyncio.Event().wait()',
     ),
@@ -130,7 +134,7 @@
         'if self._down_since_s:',
     ),
     'grace-for-lapsed': _gateway(
-        'fleet/upstream.py', 'LAPSE_S = 2.2', 'LAPSE_S = 0.0'
+        'fleet/upstream.py', 'LAPSE_GRACE_S = 2.2', 'LAPSE_GRACE_S = 0.0'
     ),
     'early-socket': Edit(
         'platform/run.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -1,9 +1,10 @@
-"""Where a run goes on when its upstream's part of the stream has ended.
+"""Decides where a run resumes after a segment of its stream has ended.
 
-It may have been stopped in order to move, its engine may have crashed or left,
-or a destination may not have taken it. A run goes on elsewhere only once it has
-surely ended where it was: at work in two places, its work would be done twice,
-and its caller might get events of both.
+A segment ends because the run was stopped to be moved, because its engine
+crashed or shut down, or because a destination did not accept the run. A run
+resumes elsewhere only if it has certainly ended at its previous engine.
+Otherwise it could run on two engines at once: the work would be done twice, and
+the caller might receive events of both.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from quetzalsill_gateway import at_most_once, event
 from quetzalsill_gateway.balance import backup
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import leg as leg_lib
 from quetzalsill_gateway.stream import live, stop
+from quetzalsill_gateway.stream import segment as segment_lib
 
 if TYPE_CHECKING:
     from quetzalsill_gateway import core as core_lib
@@ -26,26 +27,26 @@
 __all__ = ['Continuation']
 
 MS_PER_S = 1000
-# A run that was stopped is resumed within a pause that callers hardly notice,
-# or not at all.
-SWITCH_S = 1.5
-# A last copy on a free link takes a few round trips. Once the run has stopped,
-# its first copy lacks the tokens of one copy's time, which are read again in a
-# few steps; waiting for a busy link takes longer.
-LAST_COPY_S = 0.04
-# An engine leaves every few seconds; a run that meets more of them than this
-# goes round in circles.
-MOST_SWITCHES = 8
-# Ranks at the engine, where 0 is the first: the most urgent route gets the
-# first of these, and each further rank a step of two, so that 5, which applies
-# to who sends none, stands between.
-FIRST_RANK = 2
-RANK_STEP = 2
-LAST_RANK = 9
+# A stopped run is resumed within a pause that callers hardly notice, or not at
+# all.
+STOP_TIMEOUT_S = 1.5
+# The final copy takes a few round trips on an idle link. If the link is busy,
+# it is faster to resume from the first copy and to recompute, in a few steps,
+# the tokens that were generated while it was made.
+FINAL_COPY_TIMEOUT_S = 0.04
+# An engine leaves every few seconds; a run that switches more often than this
+# is being moved in circles.
+MAX_SWITCHES = 8
+# Priorities at the engine, where 0 is the most urgent. The most urgent route
+# gets the first of these and each further level is one step lower, so that the
+# engine's default of 5 lies between two levels.
+FIRST_PRIORITY = 2
+PRIORITY_STEP = 2
+LAST_PRIORITY = 9
 
 
 class Continuation:
-    """Decides where one stream's run goes on, and prepares its legs."""
+    """Decides where the run of one stream resumes, and creates its segments."""
 
     def __init__(self, core: core_lib.Core, stream: live.Stream) -> None:
         self._core = core
@@ -54,123 +55,130 @@
         self._switches = 0
         self._source: upstream_lib.Upstream | None = None
         self._handle = ''
-        self._late_switch: asyncio.Future[live.Ordered] | None = None
+        self._late_stop: asyncio.Future[live.StopOutcome] | None = None
 
-    def begin(
+    def first_segment(
         self, upstream: upstream_lib.Upstream, grounds: at_most_once.Grounds
-    ) -> leg_lib.Leg:
-        """Returns the leg of a run that begins."""
-        return self._leg(upstream, [self._priority()], grounds)
+    ) -> segment_lib.Segment:
+        """Returns the segment of a run that has not started yet."""
+        return self._new_segment(upstream, [self._priority()], grounds)
 
-    async def after(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> leg_lib.Leg | None:
-        """Returns the leg in which the run goes on; None if it does not.
+    async def next_segment(
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
+    ) -> segment_lib.Segment | None:
+        """Returns the segment in which the run resumes, None if it does not.
 
-        A run may end while an order to stop it is still under way. Taken for
-        stopped, it would be sent to a destination that has dropped the copy
-        by then, and a caller who has the whole answer would be cut off.
+        A run may complete while a stop command is in progress. If it were
+        treated as stopped, it would be sent to a destination that has already
+        dropped the copy, and a caller that has the complete response would be
+        disconnected.
         """
-        if end is leg_lib.WHOLE and leg.is_framed:
+        if outcome is segment_lib.COMPLETE and segment.is_framed:
             return None
-        copied = self._stream.copied
-        ordered = await self._ordered(leg, end)
-        # Its stream may end with its connection, and then tells nothing.
-        leg.may_be_stopped = ordered not in (None, live.NoSwitch.NOT_STOPPED)
-        if isinstance(ordered, live.Switch) and self._take_switch('move'):
-            return self._from_copy(ordered)
-        if end is leg_lib.WHOLE:
+        precopy = self._stream.precopy
+        stopped = await self._stop_outcome(segment, outcome)
+        # If the response is delimited by its connection, its end does not show
+        # whether the run is complete.
+        segment.may_have_stopped = stopped not in (
+            None,
+            live.StopFailure.NOT_STOPPED,
+        )
+        if isinstance(stopped, live.ResumePoint) and self._count_switch('move'):
+            return self._resume_from(stopped)
+        if outcome is segment_lib.COMPLETE:
             return None
-        if leg_lib.is_not_run(end):
-            return await self._after_refused() if leg.continues else None
-        if isinstance(end, error.CallError):
-            return await self._recovered(leg, copied)
+        if segment_lib.has_not_run(outcome):
+            return await self._after_refusal() if segment.continues else None
+        if isinstance(outcome, error.CallError):
+            return await self._recover(segment, precopy)
         return None
 
-    def resume_after(self) -> message.Headers:
-        """Returns the headers that name the last event the caller has."""
+    def resume_headers(self) -> message.Headers:
+        """Returns the headers with the id of the last event the caller has."""
         last = self._stream.last_id
         if last is None:
             return []
         return [(self._core.dialect.resume_after, b'%d' % last)]
 
-    def _take_switch(self, cause: str) -> bool:
-        if self._switches >= MOST_SWITCHES:
+    def _count_switch(self, cause: str) -> bool:
+        if self._switches >= MAX_SWITCHES:
             return False
         self._switches += 1
         self._req.switch_cause = cause
         return True
 
-    async def _ordered(
-        self, leg: leg_lib.Leg, end: leg_lib.End
-    ) -> live.Ordered | None:
-        """Returns what an order to stop the run there came to, if there is one.
+    async def _stop_outcome(
+        self, segment: segment_lib.Segment, outcome: segment_lib.Outcome
+    ) -> live.StopOutcome | None:
+        """Returns the result of the stop command for a segment, if any.
 
-        An order to an engine from which the run has gone since, to its backup
-        as its connection broke, may be answered late. The run went on without
-        that copy: going on from it would do work again that is done.
+        A command may be answered late, after the run has resumed from its
+        backup because the connection broke. The run has continued without the
+        copy that the answer names, and resuming from it would repeat work.
 
-        The engine closes a stream that it stops. One that is reset broke for
-        another reason: its engine may be at work still, and refuse the order
-        or never get it, so that only its answer counts.
+        An engine closes the stream of a run that it stops. A stream that was
+        reset broke for another reason: the engine may still be working on the
+        run, and reject the command or never receive it. Only its answer counts
+        then.
         """
         stream = self._stream
-        pending, copied = stream.switch, stream.copied
+        pending, precopy = stream.pending_stop, stream.precopy
         if pending is None:
             return None
-        stream.switch = stream.copied = None
-        if isinstance(end, error.TruncatedError) and end.was_reset:
-            copied = None
-        patience_s = LAST_COPY_S if copied else SWITCH_S
-        ordered = await _settled(pending, patience_s)
+        stream.pending_stop = stream.precopy = None
+        if isinstance(outcome, error.TruncatedError) and outcome.was_reset:
+            precopy = None
+        timeout_s = FINAL_COPY_TIMEOUT_S if precopy else STOP_TIMEOUT_S
+        stop_outcome = await _wait_for_outcome(pending, timeout_s)
         late = None
-        if copied is not None and not pending.done():
-            # The last copy waits for a link that is busy with others.
-            ordered, late = copied, pending
-        is_other = (
-            isinstance(ordered, live.Switch)
-            and ordered.source is not leg.upstream
+        if precopy is not None and not pending.done():
+            # The final copy is waiting for a busy link.
+            stop_outcome, late = precopy, pending
+        is_stale = (
+            isinstance(stop_outcome, live.ResumePoint)
+            and stop_outcome.source is not segment.upstream
         )
-        if is_other:
+        if is_stale:
             return None
-        self._late_switch = late
-        return ordered
+        self._late_stop = late
+        return stop_outcome
 
-    async def _recovered(
-        self, leg: leg_lib.Leg, copied: live.Switch | None
-    ) -> leg_lib.Leg | None:
-        """Goes on with a run whose stream broke off, where it surely may.
+    async def _recover(
+        self, segment: segment_lib.Segment, precopy: live.ResumePoint | None
+    ) -> segment_lib.Segment | None:
+        """Resumes a run whose stream was interrupted, if this is safe.
 
-        The connection may have broken although the engine lives and works on:
-        going on elsewhere, the run would be at work twice. So the engine is
-        ordered to stop it first.
+        The connection may have broken while the engine is alive and still
+        working on the run. If the run resumed elsewhere, two engines would
+        work on it. So the engine is told to stop it first.
 
         Args:
-          leg: The part that broke off.
-          copied: The first copy of a move that has not come to its last one.
+          segment: The segment that was interrupted.
+          precopy: First copy of a move that has not made its final copy.
         """
-        # Left to the move, the copy would be freed once the run has gone.
-        self._stream.copied = None
-        if copied is not None and copied.source is not leg.upstream:
-            copied = None
-        target = copied.target if copied else self._stream.backup
-        if target is None or target.gone:
+        # Otherwise the move would release the copy once it finds that the run
+        # has left its source.
+        self._stream.precopy = None
+        if precopy is not None and precopy.source is not segment.upstream:
+            precopy = None
+        target = precopy.target if precopy else self._stream.backup
+        if target is None or target.removed:
             return None
         request = self._req.id_text
         calls = self._core.calls
-        stopped = await stop.stop(calls, leg.upstream, request, target)
-        grounds = at_most_once.to_go_on(
-            stopped.state, leg.made_s, is_copied=copied is not None
+        stopped = await stop.stop(calls, segment.upstream, request, target)
+        grounds = at_most_once.grounds_to_resume(
+            stopped.state, segment.active_s, has_copy=precopy is not None
         )
-        may_switch = grounds is not None and self._take_switch('recovery')
+        may_switch = grounds is not None and self._count_switch('recovery')
         event.note(
             event.RunBrokeOff(
                 request=request,
-                source=leg.upstream.id,
+                source=segment.upstream.id,
                 target=target.id,
                 stop=stopped.state.value,
-                events=leg.events,
-                made_ms=round(leg.made_s * MS_PER_S, 1),
+                events=segment.event_count,
+                made_ms=round(segment.active_s * MS_PER_S, 1),
                 grounds=grounds.value if may_switch else '',
                 answer=stopped.move.code,
             )
@@ -178,100 +186,107 @@
         if not may_switch:
             return None
         if grounds is at_most_once.Grounds.BACKUP:
-            return self._continued(target, target, request, grounds)
+            return self._resume(target, target, request, grounds)
         if stopped.state is not at_most_once.RunState.STOPPED:
-            return self._from_copy(copied)
-        where = target if stopped.move.copied else leg.upstream
-        return self._from_copy(
-            live.Switch(leg.upstream, where, stopped.move.handle)
+            return self._resume_from(precopy)
+        resume_at = target if stopped.move.copied else segment.upstream
+        return self._resume_from(
+            live.ResumePoint(segment.upstream, resume_at, stopped.move.handle)
         )
 
-    async def _after_refused(self) -> leg_lib.Leg | None:
-        """Goes on elsewhere when the destination did not take the run."""
-        pending, self._late_switch = self._late_switch, None
+    async def _after_refusal(self) -> segment_lib.Segment | None:
+        """Resumes elsewhere after the destination rejected the run."""
+        pending, self._late_stop = self._late_stop, None
         if pending is not None:
-            switch = await _settled(pending, SWITCH_S)
-            if isinstance(switch, live.Switch):
-                return self._from_copy(switch)
+            late_outcome = await _wait_for_outcome(pending, STOP_TIMEOUT_S)
+            if isinstance(late_outcome, live.ResumePoint):
+                return self._resume_from(late_outcome)
         return self._back_to_source()
 
-    def _back_to_source(self) -> leg_lib.Leg | None:
-        """The destination did not take the run: it goes on where it was."""
+    def _back_to_source(self) -> segment_lib.Segment | None:
+        """Resumes at the source after the destination rejected the run."""
         source = self._source
-        if self._stream.upstream is source or not self._take_switch('move'):
+        if self._stream.upstream is source or not self._count_switch('move'):
             return None
-        return self._from_copy(live.Switch(source, source, self._handle))
+        return self._resume_from(live.ResumePoint(source, source, self._handle))
 
-    def _from_copy(self, switch: live.Switch) -> leg_lib.Leg:
-        """Goes on from a copy that an engine has named."""
-        return self._continued(
-            switch.target,
-            switch.source,
-            switch.handle,
+    def _resume_from(
+        self, resume_point: live.ResumePoint
+    ) -> segment_lib.Segment:
+        """Resumes from a copy that an engine has confirmed."""
+        return self._resume(
+            resume_point.target,
+            resume_point.source,
+            resume_point.handle,
             at_most_once.Grounds.COPY,
         )
 
-    def _continued(
+    def _resume(
         self,
         target: upstream_lib.Upstream,
         holder: upstream_lib.Upstream,
         handle: str,
         grounds: at_most_once.Grounds,
-    ) -> leg_lib.Leg:
+    ) -> segment_lib.Segment:
         dialect = self._core.dialect
-        extra = [
+        extra_headers = [
             self._priority(),
             (dialect.memory_from, dialect.memory_source(holder, handle)),
-            *self.resume_after(),
+            *self.resume_headers(),
         ]
         self._source = holder
         self._handle = handle
-        # An order that was given meanwhile is for where the run was.
-        self._stream.switch = None
-        return self._leg(target, extra, grounds)
+        # A stop command sent in the meantime is for the previous upstream.
+        self._stream.pending_stop = None
+        return self._new_segment(target, extra_headers, grounds)
 
-    def _leg(
+    def _new_segment(
         self,
         upstream: upstream_lib.Upstream,
-        extra: message.Headers,
+        extra_headers: message.Headers,
         grounds: at_most_once.Grounds,
-    ) -> leg_lib.Leg:
-        """Returns a leg, with a backup if one is worth it."""
-        leg = leg_lib.Leg(upstream, extra, grounds)
-        stream, req, pages = self._stream, self._req, self._core.pages
+    ) -> segment_lib.Segment:
+        """Returns a segment, with a backup if that is worthwhile."""
+        segment = segment_lib.Segment(upstream, extra_headers, grounds)
+        stream, req, stats_table = (
+            self._stream,
+            self._req,
+            self._core.stats_table,
+        )
         engine = req.service.engine
         if engine is None or not engine.backups or req.route.kind.may_repeat:
-            return leg
-        if not backup.is_worthwhile(engine, pages, stream.reservation):
-            return leg
-        leg.backup = backup.destination(
-            self._core.upstreams.of(upstream.service, req.regions),
-            pages,
+            return segment
+        if not backup.is_worthwhile(engine, stats_table, stream.reservation):
+            return segment
+        segment.backup = backup.destination(
+            self._core.upstreams.available(upstream.service, req.regions),
+            stats_table,
             upstream,
             engine,
             req.request_id,
             stream.reservation.memory_tokens,
         )
-        if leg.backup is not None:
-            address = leg.backup.address_text.encode()
-            extra.append((self._core.dialect.backup, address))
-        return leg
+        if segment.backup is not None:
+            address = segment.backup.address_text.encode()
+            extra_headers.append((self._core.dialect.backup, address))
+        return segment
 
     def _priority(self) -> tuple[bytes, bytes]:
-        rank = FIRST_RANK + RANK_STEP * self._req.priority
-        return self._core.dialect.priority, b'%d' % min(LAST_RANK, rank)
+        priority = FIRST_PRIORITY + PRIORITY_STEP * self._req.priority
+        return self._core.dialect.priority, b'%d' % min(LAST_PRIORITY, priority)
 
 
-async def _settled(
-    pending: asyncio.Future[live.Ordered], patience_s: float
-) -> live.Ordered:
-    """Returns what an order came to, if there is word of it in time.
+async def _wait_for_outcome(
+    pending: asyncio.Future[live.StopOutcome], timeout_s: float
+) -> live.StopOutcome:
+    """Returns the result of a stop command, if it arrives in time.
 
-    A process that is paused wakes to the answer and to the end of its patience
-    in the same turn of its loop. The wait is then given up although the answer
-    is there, by which a run that was stopped is not lost.
+    After a pause of this process, the answer and the timeout may both be due in
+    the same iteration of the event loop. The wait is then cancelled although
+    the answer has arrived. The result is used in this case too, as the stopped
+    run would otherwise be lost.
     """
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             await asyncio.shield(pending)
-    return pending.result() if pending.done() else live.NoSwitch.NO_WORD
+    return pending.result() if pending.done() else live.StopFailure.NO_RESPONSE
--- /dev/null
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -0,0 +1,59 @@
+"""Polls engines for shutdown notices while the membership source is down.
+
+An engine that is about to shut down reports this to the membership source and
+in its own status report. During an outage of the source the notice would not
+reach the gateways, and all runs on the engine would be lost when it shuts down.
+Polling costs a request per engine, so it is limited to outages and to engines
+with streams of this gateway. If the source is unavailable to some gateways
+only, the others forward its updates to them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from quetzalsill_gateway import event
+from quetzalsill_gateway.http import error
+
+if TYPE_CHECKING:
+    from quetzalsill_gateway import core as core_lib
+    from quetzalsill_gateway.fleet import upstream as upstream_lib
+
+__all__ = ['run']
+
+# An engine shuts down 1.5 s after its notice at the earliest, and its report
+# may be 0.5 s old. This interval leaves about 1 s to move its runs.
+POLL_INTERVAL_S = 0.25
+# Without an update for longer than this, the source is down for all gateways:
+# a long poll is answered sooner (`watch.membership.WAIT_S`).
+MAX_UPDATE_AGE_S = 0.6
+
+
+async def run(core: core_lib.Core) -> None:
+    """Polls during outages of the membership source, until cancelled."""
+    while True:
+        await core.health.wait_until_down()
+        if core.upstreams.age_s > MAX_UPDATE_AGE_S:
+            engines = [
+                upstream
+                for upstream in core.upstreams.all()
+                if core.live.of(upstream)
+            ]
+            await asyncio.gather(*(_poll(core, engine) for engine in engines))
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+async def _poll(core: core_lib.Core, engine: upstream_lib.Upstream) -> None:
+    if engine.leaving:
+        return
+    try:
+        report = await core.calls.report(engine)
+    except error.CallError as exc:
+        event.note(event.ReportFailed(engine.id, exc.code))
+        return
+    if not core.upstreams.verify_incarnation(engine, report.incarnation):
+        return
+    core.stats_table.of(engine).record_time_left(report.leaves_s)
+    if report.leaving:
+        core.upstreams.mark_leaving(engine, 'report')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -164,7 +164,7 @@
         self._deferred.note_announced(update.revision)
         # Each order is compared by its own revision, whatever else is in the
         # update.
-        self._drained_zones.hear(update.drains)
+        self._drained_zones.apply_newer(update.drains)
         self._check_drains(update.revision)
         known = self._revision
         if known is None and self.active.apply(update):
@@ -183,7 +183,7 @@
         if update.revision < known:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self._drained_zones.is_missing(update.drains, update.revision):
+        if self._drained_zones.has_unlisted_drain(update.drains, update.revision):
             # Advancing would hide for good that a drain order was cancelled.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
@@ -204,7 +204,7 @@
     def _apply_first(self, update: update_lib.ConfigurationUpdate) -> None:
         """Starts from the first complete update of a peer."""
         self._holder.confirm()
-        if self._drained_zones.is_missing(update.drains, update.revision):
+        if self._drained_zones.has_unlisted_drain(update.drains, update.revision):
             # Advancing would hide for good that a drain order was cancelled.
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
@@ -342,9 +342,9 @@
                 drains.append(item)
             else:
                 listed_number = max(listed_number, self.active.install(item))
-        self._drained_zones.enter(result.revision)
+        self._drained_zones.enter_epoch(result.revision)
         if result.is_snapshot and self._overrules_drains:
-            self._drained_zones.overrule(drains, result.revision)
+            self._drained_zones.override_newer(drains, result.revision)
             self._overrules_drains = False
         if result.is_snapshot:
             self._drained_zones.replace(drains, result.revision)
@@ -355,7 +355,7 @@
             )
         else:
             self._schedule.note_resumed()
-            self._drained_zones.hear(drains)
+            self._drained_zones.apply_newer(drains)
         if 0 < listed_number < self.active.number:
             event.note(
                 event.ConfigurationKept(self.active.number, listed_number)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -91,7 +91,7 @@
         self._min_revision = revision_lib.NONE
         self._change_log = change_log_lib.ChangeLog()
         self._deferred = deferred.DeferredAnnouncement(
-            lambda: upstreams.sharers, rng
+            lambda: upstreams.gateway_count, rng
         )
         scale = min(
             1.0, MAX_DELAY_SHARE * max_delay_s / (MIN_DELAY_S + JITTER_S)
@@ -101,7 +101,7 @@
             scale * MIN_DELAY_S, scale * JITTER_S, REPOLL_DELAY_S
         )
         self._schedule = schedule_lib.PollSchedule(
-            intervals, lambda: upstreams.sharers, rng
+            intervals, lambda: upstreams.gateway_count, rng
         )
         self._announce: Callable[[update_lib.Update], None] | None = None
         self._on_missing: Callable[[], None] | None = None
@@ -124,7 +124,7 @@
             update_lib.BEGINNING,
             self._revision,
             self._change_log.entries(self._revision),
-            self._upstreams.lapses_left_s,
+            self._upstreams.lapse_grace_left_s,
         )
 
     async def run(self) -> None:
@@ -176,7 +176,7 @@
             return False
         meter.news.inc({'of': NAME, 'result': 'taken'})
         if update.grace_s > 0:
-            self._upstreams.expect_lapsed(update.grace_s)
+            self._upstreams.start_lapse_grace(update.grace_s)
         fresh = [one for one in update.changes if one.revision > known]
         self._apply_changes(fresh, known, update.revision)
         return True
@@ -218,7 +218,7 @@
                 NAME, update.sender, known, update.revision
             )
         if update.grace_s > 0:
-            self._upstreams.expect_lapsed(update.grace_s)
+            self._upstreams.start_lapse_grace(update.grace_s)
         self._replace_all(list(update.changes), update.revision, update.sender)
 
     async def _poll(self) -> None:
@@ -316,10 +316,10 @@
         if self._is_new_epoch(revision):
             # The restored copy lacks the latest entries, which are written
             # again.
-            self._upstreams.expect_lapsed()
-            self._upstreams.doubt_ended(changes)
+            self._upstreams.start_lapse_grace()
+            self._upstreams.suspect_ended(changes)
             self._log_relist(changes, revision, origin)
-        self._upstreams.confirm()
+        self._upstreams.mark_confirmed()
         self._upstreams.replace(changes, revision)
         self._change_log.reset(changes, revision)
         self._revision = self._listed_revision = revision
@@ -348,7 +348,7 @@
         before: revision_lib.Revision,
         revision: revision_lib.Revision,
     ) -> None:
-        self._upstreams.confirm()
+        self._upstreams.mark_confirmed()
         self._revision = revision
         now = asyncio.get_running_loop().time()
         for change in self._change_log.record(now, before, changes):
@@ -371,7 +371,7 @@
                 self._change_log.since,
                 self._revision,
                 self._change_log.changes,
-                self._upstreams.lapses_left_s,
+                self._upstreams.lapse_grace_left_s,
             )
         )
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/schedule.py
@@ -17,7 +17,7 @@
 import random
 from collections.abc import Callable
 
-from quetzalsill_gateway.fleet import pace
+from quetzalsill_gateway.fleet import publish_timing
 
 __all__ = ['PollIntervals', 'PollSchedule']
 
@@ -213,7 +213,7 @@
     def _repoll_delay_s(self) -> float:
         """Grows with the fleet, since each answer goes to all gateways."""
         return self._intervals.repoll_delay_s * max(
-            1.0, self._gateway_count() / pace.NEAR
+            1.0, self._gateway_count() / publish_timing.SMALL_FLEET
         )
 
     def _random_delay_s(self) -> float:
--- a/tests/quetzalsill_gateway/peers/test_outbox.py
+++ b/tests/quetzalsill_gateway/peers/test_outbox.py
@@ -9,8 +9,8 @@
 
 from quetzalsill_dev.simulation import clock
 from quetzalsill_gateway import retry_budget, source
-from quetzalsill_gateway.balance import admission, book
-from quetzalsill_gateway.fleet import members, pace, upstream
+from quetzalsill_gateway.balance import admission, upstream_stats
+from quetzalsill_gateway.fleet import members, publish_timing, upstream
 from quetzalsill_gateway.peers import exchange, outbox, state
 from quetzalsill_gateway.stream import link_queue, live
 from tests.quetzalsill_gateway import quotas
@@ -65,16 +65,16 @@
 
     def __init__(self, others):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.stats_table)
         core.members = members.Members('entry-a')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
         self.core = core
         self.link = Link()
@@ -93,8 +93,8 @@
     def hold(self, engines, tokens):
         """Holds so many tokens at each of so many engines."""
         for number in range(engines):
-            page = self.core.pages._page(f'i-{number:010x}')
-            page.reservations = {book.Reservation(10, tokens)}
+            stats = self.core.stats_table._get_or_create(f'i-{number:010x}')
+            stats.reservations = {upstream_stats.Reservation(10, tokens)}
 
 
 class ThinLinkTest(unittest.TestCase):
@@ -114,7 +114,7 @@
             await asyncio.sleep(1.0)
             gateway.link.lost = 0
             gateway.link.sent.clear()
-            task = asyncio.create_task(gateway.exchange.tell())
+            task = asyncio.create_task(gateway.exchange.publish_changes())
             for tokens in range(10):
                 gateway.hear_all()
                 gateway.hold(40, 1000 + tokens)
@@ -127,7 +127,7 @@
         self.assertEqual(len(link.sent), 299)
         for times in link.sent.values():
             gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-            self.assertLess(max(gaps), pace.silent_s(300) / 2)
+            self.assertLess(max(gaps), publish_timing.peer_timeout_s(300) / 2)
 
     def test_what_others_wait_for_is_out_soon(self):
         async def play():
@@ -137,7 +137,7 @@
             gateway.hold(5, 1000)
             gateway.link.sent.clear()
             begun_s = asyncio.get_running_loop().time()
-            gateway.core.live.changed(is_urgent=True)
+            gateway.core.live.notify_changed(is_urgent=True)
             await asyncio.sleep(1.0)
             return begun_s, gateway.link.sent
 
@@ -168,7 +168,7 @@
 
     def test_a_small_fleet_is_told_at_once(self):
         async def work(found):
-            found.tell(b'a', addresses(3), pace.spread_s(4))
+            found.send(b'a', addresses(3), publish_timing.spread_s(4))
 
         sent = self.play(work)
         self.assertEqual([at for at, *_ in sent], [0.0] * 3)
@@ -181,9 +181,9 @@
         """
 
         async def work(found):
-            found.tell(b'a', addresses(100), 1.0)
+            found.send(b'a', addresses(100), 1.0)
             await asyncio.sleep(0.4)
-            found.tell(b'b', addresses(100), 0.2)
+            found.send(b'b', addresses(100), 0.2)
 
         sent = self.play(work)
         for address in addresses(100):
@@ -194,15 +194,15 @@
     def test_what_waits_is_bounded(self):
         async def work(found):
             for number in range(1000):
-                found.tell(b'%d' % number, addresses(100), 1.0)
+                found.send(b'%d' % number, addresses(100), 1.0)
 
         sent = self.play(work)
-        self.assertLessEqual(len(sent), 100 * (outbox.MOST_WAITING + 1))
+        self.assertLessEqual(len(sent), 100 * (outbox.MAX_QUEUED + 1))
         self.assertEqual(sent[-1][1], b'999')
 
     def test_a_closed_one_sends_no_more(self):
         async def work(found):
-            found.tell(b'a', addresses(100), 1.0)
+            found.send(b'a', addresses(100), 1.0)
             found.close()
 
         self.assertLess(len(self.play(work)), 100)
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -1,4 +1,4 @@
-"""Where a run goes on when its upstream's part of the stream has ended."""
+"""Tests where a run resumes after a segment of its stream has ended."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from unittest import mock
 
 from quetzalsill_gateway import at_most_once, event, routing_table
-from quetzalsill_gateway.balance import book
+from quetzalsill_gateway.balance import upstream_stats
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import error
-from quetzalsill_gateway.stream import continuation, leg, live
+from quetzalsill_gateway.stream import continuation, live, segment
 
 
 def _exchange():
@@ -25,17 +25,19 @@
 
 
 class ContinuationTest(unittest.IsolatedAsyncioTestCase):
-    """One run, three engines."""
+    """A run with three engines that it can use."""
 
     async def asyncSetUp(self):
         self.engines = [
             upstream.Upstream(f'e-{n}', 'writers', ('10.0.0.1', n), 'z')
             for n in range(3)
         ]
-        self.stream = live.Stream(_exchange(), None, book.Reservation(0, 100))
+        self.stream = live.Stream(
+            _exchange(), None, upstream_stats.Reservation(0, 100)
+        )
         self.stream.last_id = 80
         self.core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             dialect=types.SimpleNamespace(
                 priority=b'priority',
                 memory_from=b'from',
@@ -45,94 +47,110 @@
         )
         self.continuation = continuation.Continuation(self.core, self.stream)
 
-    def stopped(self, source, target):
-        """Has the run stopped at its source by an order to move."""
-        switched = asyncio.get_running_loop().create_future()
-        switched.set_result(live.Switch(source, target, 'handle'))
-        self.stream.switch = switched
+    def set_stopped(self, source, target):
+        """Simulates that a stop command at the source has succeeded."""
+        pending_stop = asyncio.get_running_loop().create_future()
+        pending_stop.set_result(live.ResumePoint(source, target, 'handle'))
+        self.stream.pending_stop = pending_stop
 
-    def part(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
-        """Returns a part of the stream that has made events."""
-        return leg.Leg(engine, [], grounds, events=80)
+    def segment_of(self, engine, grounds=at_most_once.Grounds.NOT_RUN):
+        """Returns a segment of the stream that has produced events."""
+        return segment.Segment(engine, [], grounds, event_count=80)
 
-    async def test_a_stopped_run_goes_on_at_its_destination(self):
+    async def test_a_stopped_run_resumes_at_its_destination(self):
         source, target, _ = self.engines
-        self.stopped(source, target)
-        broken = error.TruncatedError('the connection ended')
-        found = await self.continuation.after(self.part(source), broken)
-        self.assertIs(found.upstream, target)
-        self.assertIs(found.grounds, at_most_once.Grounds.COPY)
-
-    async def test_an_order_to_an_engine_before_counts_no_more(self):
-        """A plan has come to its end, and is sent to a further engine.
-
-        Its engine left, and its connection broke while it was being stopped
-        in order to move. It went on at its backup. The answer to that order
-        came only then, and was taken for one to the backup's part.
+        self.set_stopped(source, target)
+        interrupted = error.TruncatedError('the connection ended')
+        resumed = await self.continuation.next_segment(
+            self.segment_of(source), interrupted
+        )
+        self.assertIs(resumed.upstream, target)
+        self.assertIs(resumed.grounds, at_most_once.Grounds.COPY)
+
+    async def test_a_late_answer_to_an_earlier_stop_is_ignored(self):
+        """Guards against moving a run that is complete.
+
+        The engine shuts down, and the connection breaks while the run is being
+        stopped. The run resumes from its backup. The answer to the stop command
+        arrives only then, and must not apply to the backup's segment.
         """
         source, backup, target = self.engines
-        self.stopped(source, target)
-        part = self.part(backup, at_most_once.Grounds.BACKUP)
-        found = await self.continuation.after(part, leg.WHOLE)
-        self.assertIsNone(found)
+        self.set_stopped(source, target)
+        current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
+        resumed = await self.continuation.next_segment(
+            current, segment.COMPLETE
+        )
+        self.assertIsNone(resumed)
 
-    async def test_nor_does_its_copy_when_a_later_part_breaks_off(self):
-        """The copy is of the run as it was; the backup's part went further."""
+    async def test_a_later_segment_does_not_use_an_earlier_copy(self):
+        """The copy is outdated: the run has continued at its backup since."""
         source, backup, target = self.engines
-        self.stopped(source, target)
-        part = self.part(backup, at_most_once.Grounds.BACKUP)
-        broken = error.TruncatedError('the connection ended')
-        self.assertIsNone(await self.continuation.after(part, broken))
-
-    async def test_a_last_copy_that_came_late_is_of_its_own_move_only(self):
-        """A plan moves twice, and goes on from the copy of the first move.
-
-        Its first destination took the copy that was there before the last one,
-        which came late and stayed unused. The second destination was full; the
-        plan went on from that unused copy, made before all that it had made
-        since, in place of where it had just been stopped.
+        self.set_stopped(source, target)
+        current = self.segment_of(backup, at_most_once.Grounds.BACKUP)
+        interrupted = error.TruncatedError('the connection ended')
+        self.assertIsNone(
+            await self.continuation.next_segment(current, interrupted)
+        )
+
+    async def test_a_late_final_copy_is_used_by_its_own_move_only(self):
+        """Guards against resuming from the copy of an earlier move.
+
+        In the first move the final copy is late, so the run resumes from the
+        first copy and the final copy stays unused. In the second move the
+        destination is full. The run must resume where it was just stopped, and
+        not from the unused copy, which lacks everything generated since.
         """
         first, second, third = self.engines
-        slow = asyncio.get_running_loop().create_future()
-        self.stream.switch = slow
-        self.stream.copied = live.Switch(first, second, 'early')
-        broken = error.TruncatedError('the connection ended')
-        part = await self.continuation.after(self.part(first), broken)
-        self.assertIs(part.upstream, second)
-        slow.set_result(live.Switch(first, second, 'late'))
-
-        part.events = 20
-        self.stopped(second, third)
-        part = await self.continuation.after(part, broken)
-        self.assertIs(part.upstream, third)
+        late_stop = asyncio.get_running_loop().create_future()
+        self.stream.pending_stop = late_stop
+        self.stream.precopy = live.ResumePoint(first, second, 'early')
+        interrupted = error.TruncatedError('the connection ended')
+        current = await self.continuation.next_segment(
+            self.segment_of(first), interrupted
+        )
+        self.assertIs(current.upstream, second)
+        late_stop.set_result(live.ResumePoint(first, second, 'late'))
+
+        current.event_count = 20
+        self.set_stopped(second, third)
+        current = await self.continuation.next_segment(current, interrupted)
+        self.assertIs(current.upstream, third)
         self.stream.upstream = third
-        back = await self.continuation.after(part, error.ConnectError())
-        self.assertIs(back.upstream, second)
-        self.assertIn((b'from', b'handle'), back.extra)
+        retried = await self.continuation.next_segment(
+            current, error.ConnectError()
+        )
+        self.assertIs(retried.upstream, second)
+        self.assertIn((b'from', b'handle'), retried.extra_headers)
 
-    async def test_a_copy_that_is_gone_on_from_is_nobody_elses(self):
-        """A plan is cut off as it goes on from the first copy of its move.
+    async def test_a_copy_in_use_is_not_released_by_its_move(self):
+        """Guards against releasing the copy from which a run resumes.
 
-        Its engine breaks off before it was told to stop. While the gateway
-        asks whether the run is at work, the move gives the order to stop it,
-        finds that the run has gone, and frees the copy that it goes on from.
+        The engine resets the stream before it was told to stop the run. While
+        the gateway determines the state of the run, the move sends its stop
+        command, finds that the run has ended, and releases the copy.
         """
         source, target, _ = self.engines
-        self.stream.copied = live.Switch(source, target, 'early')
+        self.stream.precopy = live.ResumePoint(source, target, 'early')
 
         async def move(*_):
-            self.stream.switch = asyncio.get_running_loop().create_future()
+            self.stream.pending_stop = (
+                asyncio.get_running_loop().create_future()
+            )
             raise error.ConnectError('refused')
 
         self.core.calls = types.SimpleNamespace(move=move)
-        broken = error.TruncatedError('the connection ended', was_reset=True)
-        quiet = mock.patch.object(event, 'note')
-        with quiet:
-            found = await self.continuation.after(self.part(source), broken)
-        self.assertIs(found.upstream, target)
-        self.assertIn((b'from', b'early'), found.extra)
-        self.assertIsNone(self.stream.copied)
-        self.assertIsNone(self.stream.switch)
+        interrupted = error.TruncatedError(
+            'the connection ended', was_reset=True
+        )
+        without_events = mock.patch.object(event, 'note')
+        with without_events:
+            resumed = await self.continuation.next_segment(
+                self.segment_of(source), interrupted
+            )
+        self.assertIs(resumed.upstream, target)
+        self.assertIn((b'from', b'early'), resumed.extra_headers)
+        self.assertIsNone(self.stream.precopy)
+        self.assertIsNone(self.stream.pending_stop)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/test_source.py
+++ b/tests/quetzalsill_gateway/test_source.py
@@ -19,7 +19,7 @@
         self.addCleanup(patcher.stop)
         self.health = source.Health()
         self.upstreams = upstream.Upstreams()
-        self.health.on_recovery(self.upstreams.regained)
+        self.health.on_recovery(self.upstreams.mark_source_recovered)
 
     async def test_a_call_that_spans_an_outage_starts_the_grace_period(
         self,
@@ -32,13 +32,13 @@
         would be removed, and callers would get 503.
         """
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
-        self.upstreams.confirm()
+        self.upstreams.mark_confirmed()
         self.upstreams.put(found, revision.Revision(0, 1))
         await asyncio.sleep(0.01)
         self.health.mark_down('configuration', 'refused')
         self.health.mark_up('membership')
         self.upstreams.remove('u-1', revision.Revision(0, 2))
-        self.assertEqual(self.upstreams.of('s'), [found])
+        self.assertEqual(self.upstreams.available('s'), [found])
 
     async def test_an_answer_of_one_table_does_not_mark_another_as_up(self):
         self.health.mark_down('configuration', 'refused')
--- a/tests/quetzalsill_gateway/watch/test_deferred.py
+++ b/tests/quetzalsill_gateway/watch/test_deferred.py
@@ -7,7 +7,7 @@
 import unittest
 
 from quetzalsill_dev.simulation import clock
-from quetzalsill_gateway.fleet import pace, revision
+from quetzalsill_gateway.fleet import publish_timing, revision
 from quetzalsill_gateway.watch import deferred
 
 FIRST, SECOND = revision.Revision(0, 1), revision.Revision(0, 2)
@@ -50,7 +50,7 @@
         def scenario(one, made):
             one.schedule(SECOND, lambda: made.append(SECOND))
 
-        arrive_s = pace.spread_s(300, is_urgent=True) / 2
+        arrive_s = publish_timing.spread_s(300, is_urgent=True) / 2
         self.assertEqual(self.announced(scenario, 300, arrive_s), [])
         self.assertEqual(self.announced(scenario, 300, 4 * arrive_s), [SECOND])
 
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -97,7 +97,7 @@
         self.simulate(
             lambda rng: configuration.Configuration(
                 self.poll,
-                watchers._read,
+                watchers._parse_document,
                 source.RoutingTableHolder(),
                 upstream.Upstreams().zones,
                 source.Health(),
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -87,7 +87,7 @@
         found = upstream.Upstreams()
         return configuration.Configuration(
             poll,
-            watchers._read,
+            watchers._parse_document,
             source.RoutingTableHolder(),
             found.zones,
             source.Health(),
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -95,7 +95,7 @@
         script = ScriptedSource(*answers)
         return configuration.Configuration(
             script.poll,
-            watchers._read,
+            watchers._parse_document,
             source.RoutingTableHolder(),
             self.upstreams.zones,
             source.Health(),
@@ -105,7 +105,7 @@
         )
 
     def ids(self):
-        return {found.id for found in self.upstreams.of(SERVICE)}
+        return {found.id for found in self.upstreams.available(SERVICE)}
 
     def test_a_list_of_before_brings_no_ended_server_back(self):
         """Guards against a server that has ended and gets new work for good.
@@ -176,14 +176,14 @@
 
         async def scenario(one):
             one._epochs.observe('rows-feed', 8, 0)
-            await asyncio.sleep(upstream.LAPSE_S)
+            await asyncio.sleep(upstream.LAPSE_GRACE_S)
             self.assertEqual(self.ids(), {STAYS.id})
             one.handle_update(
                 update.MembershipUpdate(
                     update.BEGINNING, at(55), (STAYS, ENDED), sender='cut-off'
                 )
             )
-            await asyncio.sleep(upstream.LAPSE_S + 0.1)
+            await asyncio.sleep(upstream.LAPSE_GRACE_S + 0.1)
             self.assertEqual(self.ids(), {STAYS.id})
 
         self.simulate(follower, scenario)
@@ -312,12 +312,12 @@
         """
 
         async def scenario():
-            await self.fleet.drill(self.fleet.store.copy(), epochs=5)
+            await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             self.fleet.drain_zone('z', is_on=True)
             await self.within(1.0, is_drained)
             async with self.always(is_drained):
-                await self.fleet.drill(self.fleet.store.copy(), epochs=-4)
+                await self.fleet.drill(self.fleet.store.snapshot(), epochs=-4)
                 await asyncio.sleep(20.0)
 
         self.simulate(scenario)
@@ -342,13 +342,13 @@
 
     async def scenario(self, epochs, is_on):
         if epochs:
-            await self.fleet.drill(self.fleet.store.copy())
+            await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
         self.fleet.drain_zone('z', is_on=True)
         await self.within(3.0, is_drained)
         [one] = self.fleet.all
         far = revision.Revision(epochs, 2**52)
-        one.upstreams.zones.hear([zones.Drain('z', far, is_on)])
+        one.upstreams.zones.apply_newer([zones.Drain('z', far, is_on)])
         await asyncio.sleep(30.0)
         self.assertTrue(is_drained(one))
 
@@ -367,7 +367,7 @@
 
         async def scenario():
             store = self.fleet.store
-            await self.fleet.drill(store.copy())
+            await self.fleet.drill(store.snapshot())
             await asyncio.sleep(5.0)
             usual, watcher = await self.calls(20.0)
             right = store._epoch_for
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -130,7 +130,7 @@
         )
         # However long the test's process is paused, `desk-1` is faster.
         desk_2 = upstreams.get('desk-2')
-        self.process.core.pages.page(desk_2).mean_s = SLOW_S
+        self.process.core.stats_table.of(desk_2).mean_latency_s = SLOW_S
         self.assertEqual(await self.served_by(), {'desk-1'})
 
     def drain(self):
@@ -301,8 +301,8 @@
             self.enter(writer)
         await self.mark('entered')
         upstreams = self.process.core.upstreams
-        await self.until(lambda: len(upstreams.of('writers')) == 3)
-        await self.until(lambda: len(upstreams.of('desk')) == 2)
+        await self.until(lambda: len(upstreams.available('writers')) == 3)
+        await self.until(lambda: len(upstreams.available('desk')) == 2)
         return copy
 
     async def test_a_drill_fails_no_more_than_an_outage(self):
