--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/change_log.py
@@ -100,7 +100,9 @@
             self._entries.pop(change.id, None)
             return previous is not None
         self._entries[change.id] = change.upstream
-        return previous is None or not previous.has_same_content(change.upstream)
+        return previous is None or not previous.has_same_content(
+            change.upstream
+        )
 
     def _truncate(self, revision: revision_lib.Revision) -> None:
         self._since = max(self._since, revision)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -183,7 +183,9 @@
         if update.revision < known:
             meter.news.inc({'of': NAME, 'result': 'old'})
             return
-        if self._drained_zones.has_unlisted_drain(update.drains, update.revision):
+        if self._drained_zones.has_unlisted_drain(
+            update.drains, update.revision
+        ):
             # Advancing would hide for good that a drain order was cancelled.
             meter.news.inc({'of': NAME, 'result': 'gap'})
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
@@ -204,7 +206,9 @@
     def _apply_first(self, update: update_lib.ConfigurationUpdate) -> None:
         """Starts from the first complete update of a peer."""
         self._holder.confirm()
-        if self._drained_zones.has_unlisted_drain(update.drains, update.revision):
+        if self._drained_zones.has_unlisted_drain(
+            update.drains, update.revision
+        ):
             # Advancing would hide for good that a drain order was cancelled.
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/deferred.py
@@ -66,7 +66,9 @@
             if self._announced < revision:
                 announce()
 
-        min_delay_s = publish_timing.spread_s(self._gateway_count(), is_urgent=True) / 2
+        min_delay_s = (
+            publish_timing.spread_s(self._gateway_count(), is_urgent=True) / 2
+        )
         delay_s = self._rng.uniform(min_delay_s, 2 * min_delay_s + JITTER_S)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay_s, fire)
