--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
@@ -66,7 +66,7 @@
         ):
             yield f'{where} was told {record.answer.status}, and ran'
         if record.kind in ('plan', 'verdict'):
-            yield from _stream(record, where)
+            yield from _check_stream(record, where)
         elif record.answer.status == OK and record.answer.whole:
             if not record.answer.body.decode().endswith(
                 f':{record.request_id}'
@@ -90,17 +90,17 @@
     A served route shows that its version is in force. From then on, that
     process has to know the route and to reject the keys of older versions.
     """
-    asked = [
+    versioned = [
         record for record in records if record.version and record.incarnation
     ]
-    shown = [
+    confirmed = [
         (record.ended_s + CONFIG_SETTLE_S, 0, record)
-        for record in asked
+        for record in versioned
         if record.kind == 'edit' and record.answer.status == OK
     ]
-    sent = [(record.sent_s, 1, record) for record in asked]
+    sent = [(record.sent_s, 1, record) for record in versioned]
     in_force: dict[tuple[str, int], int] = {}
-    for _, is_sent, record in sorted(shown + sent, key=lambda at: at[:2]):
+    for _, is_sent, record in sorted(confirmed + sent, key=lambda at: at[:2]):
         process = (record.gateway, record.incarnation)
         newest = in_force.get(process, 0)
         if not is_sent:
@@ -132,16 +132,16 @@
     return statistics.fmean(differences) > MIN_STANDARD_ERRORS * error
 
 
-def _stream(record: load_lib.RequestRecord, where: str) -> Iterator[str]:
+def _check_stream(record: load_lib.RequestRecord, where: str) -> Iterator[str]:
     if record.answer.status != OK:
         return
-    whole = b''.join(
+    expected = b''.join(
         engine.event(record.request_id, n)
         for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
     )
-    if record.answer.whole and record.answer.body != whole:
+    if record.answer.whole and record.answer.body != expected:
         yield f'{where} looks complete but is not: {record.answer.body[-80:]!r}'
-    if not whole.startswith(record.answer.body):
+    if not expected.startswith(record.answer.body):
         yield f'{where} got unexpected events: {record.answer.body[-80:]!r}'
 
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
@@ -98,12 +98,12 @@
         await asyncio.gather(*self._tasks)
         return self._violations
 
-    def _gateway(self, injection: plan.Injection) -> testbed_lib.Gateway:
+    def _pick_gateway(self, injection: plan.Injection) -> testbed_lib.Gateway:
         gateways = self._testbed.gateways
         return gateways[injection.target % len(gateways)]
 
     async def _kill(self, injection: plan.Injection) -> None:
-        gateway = self._gateway(injection)
+        gateway = self._pick_gateway(injection)
         if gateway.stopping:
             return
         gateway.stopping = True
@@ -113,7 +113,7 @@
         await self._testbed.start_gateway(gateway)
 
     async def _pause(self, injection: plan.Injection) -> None:
-        gateway = self._gateway(injection)
+        gateway = self._pick_gateway(injection)
         if gateway.stopping:
             return
         gateway.stopping = True
@@ -123,7 +123,7 @@
         gateway.stopping = False
 
     async def _stop(self, injection: plan.Injection) -> None:
-        gateway = self._gateway(injection)
+        gateway = self._pick_gateway(injection)
         if gateway.stopping:
             return
         gateway.stopping = True
@@ -144,14 +144,14 @@
             self._violations.append(f'{gateway.name} ended with {code}')
 
     async def _reload(self, injection: plan.Injection) -> None:
-        gateway = self._gateway(injection)
+        gateway = self._pick_gateway(injection)
         if not gateway.stopping:
             gateway.process.hang_up()
 
     async def _disrupt_link(self, injection: plan.Injection) -> None:
         fault = injection.fault
         if fault.value.endswith('callers'):
-            relay = self._gateway(injection).relay
+            relay = self._pick_gateway(injection).relay
         else:
             upstreams = self._testbed.upstreams
             relay = upstreams[injection.target % len(upstreams)].relay
@@ -216,9 +216,9 @@
         ]
         if not candidates:
             return None
-        found = candidates[injection.target % len(candidates)]
-        self._departing.append(found)
-        return found
+        selected = candidates[injection.target % len(candidates)]
+        self._departing.append(selected)
+        return selected
 
     async def _remove(self, upstream: testbed_lib.Upstream) -> None:
         await self._testbed.remove_upstream(upstream)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/run.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/run.py
@@ -120,18 +120,18 @@
     testbed: testbed_lib.Testbed, traffic: load.LoadGenerator
 ) -> list[str]:
     """Returns a line for each failure of a gateway to recover."""
-    found = []
+    failures = []
     newest = f'v{testbed.config_version}'
-    entered = {upstream.server.id for upstream in testbed.upstreams}
+    registered = {upstream.server.id for upstream in testbed.upstreams}
     for gateway in testbed.gateways:
         if not gateway.process.running:
-            found.append(f'{gateway.name} exited unexpectedly')
+            failures.append(f'{gateway.name} exited unexpectedly')
             continue
         known = checks.upstreams_in_log(gateway.process.log_text())
-        if known != entered:
-            found.append(
-                f'{gateway.name} lacks {sorted(entered - known)} and still '
-                f'lists {sorted(known - entered)} after recovery'
+        if known != registered:
+            failures.append(
+                f'{gateway.name} lacks {sorted(registered - known)} and still '
+                f'lists {sorted(known - registered)} after recovery'
             )
         for kind in ('safe', newest):
             records = await asyncio.gather(
@@ -141,7 +141,7 @@
                 record.answer.status for record in records if not record.served
             ]
             if len(lost) > MAX_LOST_PROBES:
-                found.append(
+                failures.append(
                     f'{gateway.name} answers {lost} to {kind} after recovery'
                 )
-    return found
+    return failures
--- a/tests/quetzalsill_dev/soak/test_soak.py
+++ b/tests/quetzalsill_dev/soak/test_soak.py
@@ -45,27 +45,35 @@
         self.assertNotEqual(plan.generate(5, 20.0), plan.generate(6, 20.0))
 
     def test_each_fault_is_drawn(self):
-        drawn = {one.fault for n in range(50) for one in plan.generate(n, 20.0)}
+        drawn = {
+            injection.fault
+            for n in range(50)
+            for injection in plan.generate(n, 20.0)
+        }
         self.assertEqual(drawn, set(plan.Fault))
 
     def test_each_seed_has_a_drill_whatever_else_it_draws(self):
         for seed in range(50):
             drills = plan.generate_drills(seed, 4.0)
-            self.assertIn(plan.Fault.DRILL, [one.fault for one in drills])
+            self.assertIn(
+                plan.Fault.DRILL, [injection.fault for injection in drills]
+            )
             self.assertLessEqual(set(drills), set(plan.generate(seed, 4.0)))
 
     def test_drills_overlap_with_cuts_restarts_and_each_other(self):
         """Each scenario occurs within a few seeds."""
-        met = set()
+        faults = set()
         for seed in range(50):
             drills = plan.generate_drills(seed, 4.0)
             [first, *others] = sorted(
-                drills, key=lambda one: one.fault is not plan.Fault.DRILL
+                drills,
+                key=lambda injection: injection.fault is not plan.Fault.DRILL,
             )
-            met.update(
-                one.fault
-                for one in others
-                if abs(one.at_s - first.at_s) <= plan.MAX_SECOND_DRILL_DELAY_S
+            faults.update(
+                injection.fault
+                for injection in others
+                if abs(injection.at_s - first.at_s)
+                <= plan.MAX_SECOND_DRILL_DELAY_S
             )
         fault = plan.Fault
         overlapping = {
@@ -74,14 +82,14 @@
             fault.STOP,
             fault.CRASH,
         }
-        self.assertEqual(met, overlapping | set(plan.CHANGE_FAULTS))
+        self.assertEqual(faults, overlapping | set(plan.CHANGE_FAULTS))
 
 
 class ChecksTest(unittest.TestCase):
     """Each violation is detected."""
 
-    def violations(self, one, **ran):
-        return list(checks.find_violations(testbed(**ran), [one]))
+    def violations(self, request, **observed):
+        return list(checks.find_violations(testbed(**observed), [request]))
 
     def test_what_may_run_once_ran_twice(self):
         request = record('unsafe', body=b'desk:a')
