--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
@@ -4,22 +4,22 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quetzalsill_gateway.peers import bulletin, frame
+from quetzalsill_gateway.peers import frame, update_codec
 
 if TYPE_CHECKING:
-    from quetzalsill_gateway.watch import news as news_lib
+    from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['DATAGRAM_KINDS', 'encode']
 
 DATAGRAM_KINDS = {
-    frame.Kind.MEMBERSHIP: frame.Kind.PLAIN_MEMBERSHIP,
-    frame.Kind.CONFIGURATION: frame.Kind.PLAIN_CONFIGURATION,
+    frame.Kind.MEMBERSHIP: frame.Kind.LEGACY_MEMBERSHIP,
+    frame.Kind.CONFIGURATION: frame.Kind.LEGACY_CONFIGURATION,
 }
 
 
-def encode(node: str, told: news_lib.News) -> bytes:
+def encode(node: str, told: update_lib.Update) -> bytes:
     """Returns the datagram of an update in the format of that release."""
-    kind, fields = frame.unpack(bulletin.encode(node, told))
+    kind, fields = frame.unpack(update_codec.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
         node, revision, number, patch, drains, is_echo, *_ = fields
         orders = [
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -148,13 +148,13 @@
         self._notify_watches()
 
     def membership_poll(
-        self, node: str, epochs: epoch_lib.Epochs
-    ) -> source.Ask[upstream.Change]:
+        self, node: str, epochs: epoch_lib.EpochTracker
+    ) -> source.Poll[upstream.Change]:
         """Returns the function with which a gateway polls server entries."""
 
         async def poll(
             after: revision_lib.Revision | None, wait_s: float
-        ) -> source.Found[upstream.Change] | None:
+        ) -> source.PollResult[upstream.Change] | None:
             response = await self._respond(
                 node, epochs, after, wait_s, self._membership_rows
             )
@@ -166,13 +166,13 @@
         return poll
 
     def configuration_poll(
-        self, node: str, epochs: epoch_lib.Epochs
-    ) -> source.Ask[source.OperatorItem]:
+        self, node: str, epochs: epoch_lib.EpochTracker
+    ) -> source.Poll[source.OperatorItem]:
         """Returns the function with which a gateway polls operator items."""
 
         async def poll(
             after: revision_lib.Revision | None, wait_s: float
-        ) -> source.Found[source.OperatorItem] | None:
+        ) -> source.PollResult[source.OperatorItem] | None:
             response = await self._respond(
                 node, epochs, after, wait_s, self._operator_rows
             )
@@ -194,7 +194,7 @@
     async def _respond(
         self,
         node: str,
-        epochs: epoch_lib.Epochs,
+        epochs: epoch_lib.EpochTracker,
         after: revision_lib.Revision | None,
         wait_s: float,
         rows: Callable[[int | None], list[_Change]],
@@ -211,9 +211,9 @@
                     node, after
                 )
         except _RefusedError as exc:
-            epochs.answered('refusal', self._epoch_for(node), asked)
+            epochs.observe('refusal', self._epoch_for(node), asked)
             raise error.SourceError('refused') from exc
-        epochs.answered('answer', response.epoch, asked)
+        epochs.observe('answer', response.epoch, asked)
         if is_compacted or (
             after is not None and after.epoch != response.epoch
         ):
@@ -284,10 +284,10 @@
         """Returns the revision at which a row was written."""
         return revision_lib.Revision(self.epoch, row.version)
 
-    def to_poll_result(self, items: Iterable[Item]) -> source.Found[Item]:
+    def to_poll_result(self, items: Iterable[Item]) -> source.PollResult[Item]:
         """Returns the response in the form that a gateway expects."""
         revision = revision_lib.Revision(self.epoch, self.version)
-        return source.Found(list(items), revision, self.is_snapshot)
+        return source.PollResult(list(items), revision, self.is_snapshot)
 
 
 def _items(response: _Response) -> Iterator[source.OperatorItem]:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -13,9 +13,9 @@
 from quetzalsill_gateway import routing_table, source
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.http import listener
-from quetzalsill_gateway.peers import bulletin, frame, relay
+from quetzalsill_gateway.peers import frame, relay, update_codec
 from quetzalsill_gateway.watch import configuration, epoch, membership
-from quetzalsill_gateway.watch import news as news_lib
+from quetzalsill_gateway.watch import update as update_lib
 
 __all__ = ['Fleet', 'Watcher']
 
@@ -34,11 +34,11 @@
 
     node: str
     upstreams: upstream.Upstreams
-    holder: source.Holder
+    holder: source.RoutingTableHolder
     health: source.Health
     membership: membership.Membership
     configuration: configuration.Configuration
-    epochs: epoch.Epochs
+    epochs: epoch.EpochTracker
     tasks: list[asyncio.Task[None]]
 
     @property
@@ -49,7 +49,7 @@
 
     def ids(self) -> set[str]:
         """Returns the ids of upstreams that receive new work."""
-        return {found.id for found in self.upstreams.of(SERVICE)}
+        return {found.id for found in self.upstreams.available(SERVICE)}
 
 
 class Fleet:
@@ -212,10 +212,10 @@
             name
         )
         upstreams = upstream.Upstreams()
-        upstreams.sharers = len(self._gateway_names)
-        holder, health = source.Holder(), source.Health()
-        health.on_regained(upstreams.regained)
-        epochs = epoch.Epochs()
+        upstreams.gateway_count = len(self._gateway_names)
+        holder, health = source.RoutingTableHolder(), source.Health()
+        health.on_recovery(upstreams.mark_source_recovered)
+        epochs = epoch.EpochTracker()
         follower = membership.Membership(
             self.store.membership_poll(name, epochs),
             upstreams,
@@ -231,15 +231,15 @@
             holder,
             upstreams.zones,
             health,
-            lambda: upstreams.sharers,
+            lambda: upstreams.gateway_count,
             self._max_staleness_s,
             random.Random(self._rng.random()),
             epochs,
             name,
         )
         receivers = {
-            news_lib.MembershipNews: follower.hear,
-            news_lib.ConfigurationNews: configured.hear,
+            update_lib.MembershipUpdate: follower.handle_update,
+            update_lib.ConfigurationUpdate: configured.handle_update,
         }
 
         def receive(data: bytes, _: str) -> None:
@@ -255,7 +255,7 @@
                 kind, fields = frame.unpack(data)
                 if is_legacy and kind in legacy.DATAGRAM_KINDS:
                     return
-            _, told = bulletin.decode(kind, fields)
+            _, told = update_codec.decode(kind, fields)
             receivers[type(told)](told)
 
         broadcast = relay.Broadcast(
@@ -267,7 +267,7 @@
             self._rng,
         )
 
-        def announce(told: news_lib.News) -> None:
+        def announce(told: update_lib.Update) -> None:
             if not is_legacy:
                 broadcast.announce(told)
                 return
@@ -280,8 +280,8 @@
         else:
             self._legacy.discard(name)
         for each in (follower, configured):
-            each.on_look(announce)
-            each.on_lack(lambda: self._request_snapshots(name))
+            each.set_announcer(announce)
+            each.on_missing(lambda: self._request_snapshots(name))
         self.network.join(name, receive)
         loop = asyncio.get_running_loop()
         tasks = [
@@ -311,9 +311,9 @@
         others = [one for one in self.all if one.node != name]
         for other in self._rng.sample(others, min(2, len(others))):
             for follower in (other.membership, other.configuration):
-                told = follower.whole()
+                told = follower.snapshot()
                 if told is not None:
-                    encode = bulletin.encode
+                    encode = update_codec.encode
                     if other.node in self._legacy:
                         encode = legacy.encode
                     data = encode(other.node, told)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -61,7 +61,7 @@
     'News of the sources that other gateways told, by source and use.',
 )
 # Counted below what this module looks at.
-epochs = epoch.count
+epochs = epoch.epochs_total
 answers = metric.histogram(
     'quetzalsill_gateway_answer_seconds',
     'Time from a request to its whole answer, by kind of route.',
@@ -123,6 +123,6 @@
     beliefs.set({'of': 'configuration'}, table.version if table else 0)
     beliefs.set({'of': 'connections'}, connections)
     beliefs.set({'of': 'streams'}, sum(len(core.live.of(u)) for u in known))
-    beliefs.set({'of': 'peers'}, peers.peers)
-    datagrams.set({'result': 'taken'}, peers.taken)
-    datagrams.set({'result': 'left_out'}, peers.left_out)
+    beliefs.set({'of': 'peers'}, peers.peer_count)
+    datagrams.set({'result': 'taken'}, peers.accepted)
+    datagrams.set({'result': 'left_out'}, peers.dropped)
--- /dev/null
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
@@ -0,0 +1,288 @@
+"""Calls whose answer is one body."""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+from typing import TYPE_CHECKING
+
+from quetzalsill.net import deadline
+from quetzalsill_gateway import (
+    at_most_once,
+    attempt,
+    event,
+    exchange,
+    meter,
+)
+from quetzalsill_gateway.balance import choice_log, choose
+from quetzalsill_gateway.http import error, message
+
+if TYPE_CHECKING:
+    from quetzalsill_gateway import core as core_lib
+    from quetzalsill_gateway.fleet import upstream as upstream_lib
+
+__all__ = ['forward']
+
+# Larger bodies are passed on as they come, since a few of them would fill the
+# memory of an entry host; an answer so begun cannot be replaced by another.
+MAX_BUFFERED_BYTES = 1_048_576
+MAX_MISDIRECTED_SENDS = 3
+# A call that may be repeated is given up at one upstream after this many times
+# the mean time there, when it is more likely to hang than to be slow.
+HANG_LATENCY_FACTOR = 6.0
+# One that may not is told to hang after so many times that: taken for hanging
+# by mistake, a server that is only slow would leave its work to the others.
+HANG_REPORT_FACTOR = 1.5
+# A call waits for a connection for this share of its objective: told after it,
+# its caller still has time to ask another gateway.
+CONNECTION_WAIT_SHARE = 0.5
+CONNECTION_POLL_S = 0.005
+BAD_GATEWAY = 502
+UNAVAILABLE = 503
+SERVER_ERROR = 500
+RELAYED_CLASSES = (attempt.ResponseClass.SUCCESS, attempt.ResponseClass.FAILED)
+
+
+@dataclasses.dataclass(slots=True)
+class _Response:
+    head: message.ResponseHead
+    body: bytes
+    response_class: attempt.ResponseClass
+
+
+@dataclasses.dataclass(slots=True)
+class _CallProgress:
+    """What came of the sends of one call so far.
+
+    Attributes:
+      history: Whether any of them may have run the request.
+      tried: Ids of the upstreams that were tried.
+      latest: Result of the newest one.
+      last_response: The answer of a server to hand on: the newest, as a
+        server's own failure tells the caller more than one of ours.
+      misdirected: Sends that reached nobody, or another than was meant.
+    """
+
+    history: at_most_once.SendHistory
+    tried: frozenset[str] = frozenset()
+    latest: _Response | error.CallError | None = None
+    last_response: _Response | None = None
+    misdirected: int = 0
+
+    def record(self, result: _Response | error.CallError) -> None:
+        """Takes the result of a send."""
+        self.latest = result
+        if isinstance(result, error.CallError):
+            self.history.record(may_have_run=attempt.may_have_run(result))
+        else:
+            self.history.record(
+                may_have_run=not result.response_class.is_not_run
+            )
+            if result.response_class in RELAYED_CLASSES:
+                self.last_response = result
+        self.misdirected += self.is_misdirected
+
+    @property
+    def is_misdirected(self) -> bool:
+        """Whether the newest send reached nobody, or another than meant."""
+        if isinstance(self.latest, error.CallError):
+            return not attempt.may_have_run(self.latest)
+        return (
+            self.latest.response_class is attempt.ResponseClass.WRONG_UPSTREAM
+        )
+
+
+class _AlreadyRelayedError(Exception):
+    """Ends the sends: an answer too large to hold has been written already."""
+
+
+async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
+    """Brings a call to an upstream; returns its outcome for the log."""
+    core.budget.note_request(req.service.name)
+    progress = _CallProgress(
+        at_most_once.SendHistory(req.route.kind.may_repeat)
+    )
+    while True:
+        upstream = await _choose(core, req, progress)
+        if upstream is None:
+            return _respond(req, progress)
+        progress.tried |= {upstream.id}
+        core.quota.consume(upstream)
+        choice_log.log_choice(core, req, upstream)
+        try:
+            progress.record(await _call(core, req, upstream))
+        except _AlreadyRelayedError:
+            return 'served'
+        except error.CallError as exc:
+            progress.record(exc)
+        again = _may_send_again(core, req, progress)
+        meter.attempts.inc({'result': _result_text(progress.latest)})
+        event.note(
+            event.AttemptEnded(
+                request=req.id_text,
+                upstream=upstream.id,
+                result=_result_text(progress.latest),
+                again=again,
+            )
+        )
+        if not again:
+            return _respond(req, progress)
+
+
+async def _choose(
+    core: core_lib.Core, req: exchange.Exchange, progress: _CallProgress
+) -> upstream_lib.Upstream | None:
+    """Returns where to send a call, None if nothing takes it in time.
+
+    An upstream that hangs holds the connections that this gateway may have to
+    it, and gets nothing more; where all are taken a call waits for a moment.
+    """
+    end_s = (
+        req.request.received_s + CONNECTION_WAIT_SHARE * req.route.objective_s
+    )
+    while True:
+        candidates = core.upstreams.available(req.service.name, req.regions)
+        allowed = [one for one in candidates if core.quota.allows(one)]
+        upstream = choose.choose_for_call(
+            allowed,
+            core.stats_table,
+            core.zone,
+            progress.tried,
+            may_repeat=req.route.kind.may_repeat,
+        )
+        if upstream is not None or attempt.now() >= end_s:
+            return upstream
+        if not any(choose.accepting_work(candidates, progress.tried)):
+            return None
+        await asyncio.sleep(CONNECTION_POLL_S)
+
+
+async def _call(
+    core: core_lib.Core, req: exchange.Exchange, upstream: upstream_lib.Upstream
+) -> _Response:
+    stats = core.stats_table.of(upstream)
+    stats.outstanding += 1
+    begun_s = attempt.now()
+    hang_after_s = max(
+        req.route.objective_s, HANG_LATENCY_FACTOR * stats.mean_latency_s
+    )
+    # Told while it hangs: its deadline is far, and all gateways send there.
+    hang_timer = asyncio.get_running_loop().call_later(
+        HANG_REPORT_FACTOR * hang_after_s, stats.record_hang, begun_s
+    )
+    try:
+        async with deadline.timeout(
+            hang_after_s if _may_give_up(req) else None
+        ):
+            response = await _send(core, req, upstream)
+    except error.NotSentError:
+        raise
+    except error.CallError:
+        stats.record_failure()
+        raise
+    except TimeoutError as exc:
+        stats.record_failure()
+        stats.record_hang(begun_s)
+        core.conns.drop(upstream.address)
+        raise error.SilentError(upstream.address_text) from exc
+    finally:
+        hang_timer.cancel()
+        stats.outstanding -= 1
+    stats.record_latency(attempt.now() - begun_s)
+    if response.response_class is not attempt.ResponseClass.SUCCESS:
+        stats.record_failure(0.3)
+    return response
+
+
+def _may_give_up(req: exchange.Exchange) -> bool:
+    """Whether a call may be given up where it hangs, and sent elsewhere."""
+    is_last = req.sends + 1 >= req.route.attempts
+    return req.route.kind.may_repeat and not is_last
+
+
+async def _send(
+    core: core_lib.Core, req: exchange.Exchange, upstream: upstream_lib.Upstream
+) -> _Response:
+    async with attempt.send_request(core, req, upstream, []) as sent:
+        body, is_complete = await attempt.read_body(
+            sent.conn, MAX_BUFFERED_BYTES
+        )
+        if is_complete:
+            return _Response(sent.head, body, sent.response_class)
+        if sent.response_class is not attempt.ResponseClass.SUCCESS:
+            raise error.MalformedAnswerError('a failure with a large body')
+        await _relay(req, sent, body)
+    raise _AlreadyRelayedError
+
+
+async def _relay(
+    req: exchange.Exchange, sent: attempt.SentRequest, body: bytes
+) -> None:
+    headers = message.relayed(sent.head)
+    req.responder.start(sent.head.status, headers, sent.head.length)
+    while body:
+        req.responder.write(body)
+        await req.responder.drain()
+        body = await sent.conn.read()
+    req.responder.end()
+
+
+def _may_send_again(
+    core: core_lib.Core, req: exchange.Exchange, progress: _CallProgress
+) -> bool:
+    latest = progress.latest
+    if req.responder.started or progress.history.grounds_to_start() is None:
+        return False
+    if progress.is_misdirected:
+        if progress.misdirected >= MAX_MISDIRECTED_SENDS:
+            return False
+        if not isinstance(latest, error.CallError):
+            core.budget.note_retry(req.service.name)
+        return True
+    if not _may_succeed_elsewhere(latest) or req.sends >= req.route.attempts:
+        return False
+    return core.budget.spend(req.service.name)
+
+
+def _may_succeed_elsewhere(latest: _Response | error.CallError) -> bool:
+    """Whether another upstream may do better than the newest one."""
+    if isinstance(latest, error.CallError):
+        return True
+    return (
+        latest.response_class is attempt.ResponseClass.NOT_RUN
+        or _is_server_failure(latest)
+    )
+
+
+def _is_server_failure(result: _Response) -> bool:
+    return (
+        result.head.status >= SERVER_ERROR
+        or result.response_class is attempt.ResponseClass.UNPROVED
+    )
+
+
+def _respond(req: exchange.Exchange, progress: _CallProgress) -> str:
+    responder = req.responder
+    if responder.started:
+        responder.abort()
+        return 'cut'
+    last_response = progress.last_response
+    if last_response is not None:
+        responder.reply(
+            last_response.head.status,
+            message.relayed(last_response.head),
+            last_response.body,
+        )
+        served = last_response.response_class is attempt.ResponseClass.SUCCESS
+        return 'served' if served else 'upstream_failed'
+    if not progress.history.may_have_run:
+        exchange.refuse(responder, UNAVAILABLE, 'not_run', again=True)
+        return 'refused'
+    exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
+    return 'failed'
+
+
+def _result_text(result: _Response | error.CallError) -> str:
+    if isinstance(result, error.CallError):
+        return result.code
+    return f'{result.response_class.value}_{result.head.status}'
--- a/tests/quetzalsill_gateway/peers/test_exchange.py
+++ b/tests/quetzalsill_gateway/peers/test_exchange.py
@@ -13,18 +13,23 @@
 
 from quetzalsill_dev.testing import pause
 from quetzalsill_gateway import error, event, retry_budget, source
-from quetzalsill_gateway.balance import admission, book
-from quetzalsill_gateway.fleet import members, pace, revision, upstream
-from quetzalsill_gateway.fleet.held import Held
+from quetzalsill_gateway.balance import admission, upstream_stats
+from quetzalsill_gateway.fleet import (
+    members,
+    publish_timing,
+    revision,
+    upstream,
+)
+from quetzalsill_gateway.fleet.usage import Usage
 from quetzalsill_gateway.peers import (
-    bulletin,
+    delta,
     exchange,
     frame,
     state,
-    teller,
+    update_codec,
 )
 from quetzalsill_gateway.stream import link_queue, live
-from quetzalsill_gateway.watch import epoch, membership, news
+from quetzalsill_gateway.watch import epoch, membership, update
 from tests.quetzalsill_gateway import quotas
 
 BOUND_S = 10.0
@@ -37,7 +42,7 @@
     COUNT,
     st.dictionaries(
         st.text(max_size=8),
-        st.builds(Held, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
+        st.builds(Usage, COUNT, COUNT, COUNT, COUNT, st.floats(0, 1000)),
     ),
     st.lists(st.text(max_size=8)).map(tuple),
     st.dictionaries(
@@ -61,9 +66,11 @@
 )
 REVISIONS = st.builds(revision.Revision, COUNT, COUNT)
 NEWS = st.one_of(
-    st.builds(news.ConfigurationNews, REVISIONS, COUNT, st.binary(max_size=20)),
     st.builds(
-        news.MembershipNews,
+        update.ConfigurationUpdate, REVISIONS, COUNT, st.binary(max_size=20)
+    ),
+    st.builds(
+        update.MembershipUpdate,
         REVISIONS,
         REVISIONS,
         st.lists(
@@ -91,22 +98,22 @@
     kind, fields = frame.unpack(data)
     if kind is frame.Kind.STATE:
         return state.decode(fields)
-    return bulletin.decode(kind, fields)
+    return update_codec.decode(kind, fields)
 
 
 def plain(told):
     """Returns news with its upstreams as comparable values."""
-    if isinstance(told, news.ConfigurationNews):
+    if isinstance(told, update.ConfigurationUpdate):
         return told
     return (
         told.since,
         told.revision,
-        told.lapses_s,
+        told.grace_s,
         [
             (
                 one.id,
                 one.revision,
-                one.lapses if one.upstream is None else True,
+                one.may_have_lapsed if one.upstream is None else True,
                 one.upstream
                 and [
                     getattr(one.upstream, name)
@@ -129,7 +136,7 @@
     @settings(derandomize=True, deadline=None)
     @given(NEWS)
     def test_news_are_heard_as_they_are_told(self, told):
-        node, heard = told_again(bulletin.encode('entry-1', told))
+        node, heard = told_again(update_codec.encode('entry-1', told))
         self.assertEqual((node, plain(heard)), ('entry-1', plain(told)))
 
     @settings(derandomize=True, deadline=None, max_examples=400)
@@ -142,7 +149,7 @@
     @given(
         st.one_of(
             STATES.map(state.encode),
-            NEWS.map(lambda told: bulletin.encode('entry-1', told)),
+            NEWS.map(lambda told: update_codec.encode('entry-1', told)),
         ),
         st.data(),
     )
@@ -168,22 +175,23 @@
 
     async def start(self, node):
         core = types.SimpleNamespace(
-            pages=book.Book(),
+            stats_table=upstream_stats.StatsTable(),
             upstreams=upstream.Upstreams(),
             link_queue=link_queue.LinkQueue(),
             health=source.Health(),
             budget=retry_budget.RetryBudget(0.2, 10.0, 10.0, 16),
         )
-        core.live = live.Live(core.pages)
+        core.live = live.LiveStreams(core.stats_table)
         core.members = members.Members('entry-1')
         core.admission = admission.Admission(
-            core.upstreams, core.pages, 'z', quotas.unbounded()
+            core.upstreams, core.stats_table, 'z', quotas.unbounded()
         )
-        self.epochs = epoch.Epochs()
+        self.epochs = epoch.EpochTracker()
         found = exchange.Exchange(core, node, self.join, self.epochs)
         await found.open(('127.0.0.1', 0))
         tasks = [
-            asyncio.create_task(work()) for work in (found.find, found.tell)
+            asyncio.create_task(work())
+            for work in (found.join_directory, found.publish_changes)
         ]
         self.addCleanup(found.close)
         for task in tasks:
@@ -204,20 +212,22 @@
                 await asyncio.sleep(0.01)
 
     def hold(self, gateway, tokens):
-        page = gateway.core.pages._page('u-1')
-        page.reservations = {book.Reservation(10, tokens)}
+        stats = gateway.core.stats_table._get_or_create('u-1')
+        stats.reservations = {upstream_stats.Reservation(10, tokens)}
 
     def heard(self, gateway):
-        return gateway.core.pages._page('u-1').reserved_tokens
+        return gateway.core.stats_table._get_or_create('u-1').reserved_tokens
 
     async def test_all_hear_what_each_holds_and_gives_back(self):
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         self.hold(self.gateways[0], 100)
         self.hold(self.gateways[1], 20)
         await self.until(
             lambda: [self.heard(g) for g in self.gateways] == [120] * 3
         )
-        self.gateways[0].core.pages._page('u-1').reservations = set()
+        self.gateways[0].core.stats_table._get_or_create(
+            'u-1'
+        ).reservations = set()
         await self.until(
             lambda: [self.heard(g) for g in self.gateways] == [20] * 3
         )
@@ -229,7 +239,7 @@
         notice would come when the engine is nearly gone. Some engines say
         nothing before their entry is removed.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         for gateway in self.gateways:
             for number in (1, 2):
                 address = ('10.0.0.1', number)
@@ -238,8 +248,10 @@
         # Greetings that are on their way would carry the notice too.
         await asyncio.sleep(0.5)
         first, *others = (g.core.upstreams for g in self.gateways)
-        with mock.patch.multiple(pace, WHOLE_S=1000.0, ALIVE_S=1000.0):
-            first.leave(first.get('u-1'), 'membership')
+        with mock.patch.multiple(
+            publish_timing, FULL_STATE_S=1000.0, KEEPALIVE_S=1000.0
+        ):
+            first.mark_leaving(first.get('u-1'), 'membership')
             first.remove('u-2', revision.Revision(0, 2))
             await self.until(
                 lambda: all(
@@ -255,10 +267,10 @@
         Each sees room there and has not heard of the others; the engine
         pushes off what does not fit, and its prompts are read twice.
         """
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = upstream.Upstream('u-1', 's', ('10.0.0.1', 1), 'z')
-        stream = live.Stream(None, None, book.Reservation(10, 100))
-        with mock.patch.object(exchange, 'CHANGED_S', 1000.0):
+        stream = live.Stream(None, None, upstream_stats.Reservation(10, 100))
+        with mock.patch.object(exchange, 'PUBLISH_INTERVAL_S', 1000.0):
             # Loops that wait already would tell it with the next change.
             await asyncio.sleep(0.2)
             self.gateways[0].core.live.place(stream, found)
@@ -284,7 +296,9 @@
         await self.until(lambda: self.heard(first) == 100)
         notes = []
         with (
-            mock.patch.multiple(pace, SILENT_S=0.5, ALIVE_S=0.1),
+            mock.patch.multiple(
+                publish_timing, PEER_TIMEOUT_S=0.5, KEEPALIVE_S=0.1
+            ),
             mock.patch.object(event, 'note', notes.append),
         ):
             await asyncio.sleep(0.3)
@@ -303,20 +317,20 @@
         process lived.
         """
         first = self.gateways[0]
-        await self.until(lambda: first.peers == 2)
+        await self.until(lambda: first.peer_count == 2)
         for _ in range(50):
             first._greet(('127.0.0.1', self.gateways[1].port))
         await asyncio.sleep(0.05)
-        first._teller = teller.Teller('entry-1', 1)
+        first._deltas = delta.DeltaTracker('entry-1', 1)
         self.hold(first, 77)
         await self.until(lambda: self.heard(self.gateways[1]) == 77)
 
     async def test_an_overtaken_datagram_is_left_out(self):
         hearer = self.gateways[1]
-        held = {'u-1': Held(5, 0, 1)}
+        held = {'u-1': Usage(5, 0, 1)}
         for number, tokens in ((7, 50), (6, 40)):
             told = state.State(
-                'entry-9', 1, number, {'u-1': Held(tokens, 0, 1)}
+                'entry-9', 1, number, {'u-1': Usage(tokens, 0, 1)}
             )
             hearer.datagram_received(state.encode(told), ('127.0.0.1', 9))
         self.assertEqual(self.heard(hearer), 50)
@@ -329,11 +343,11 @@
         later; the notice is over by then. Whoever sees it first tells all.
         """
         first, second, _ = self.gateways
-        first._core.health.lose('servers', 'silent')
+        first._core.health.mark_down('servers', 'silent')
         async with asyncio.timeout(BOUND_S):
-            await second._core.health.until_down()
+            await second._core.health.wait_until_down()
         self.assertFalse(second._core.health.is_down, 'its own store answers')
-        first._core.health.regain('servers')
+        first._core.health.mark_up('servers')
         down = second._core.health._down
         await self.until(lambda: not down.is_set())
 
@@ -343,18 +357,18 @@
         Requests wait there for room that is to be had already.
         """
         first, second, _ = self.gateways
-        await self.until(lambda: all(g.peers == 2 for g in self.gateways))
+        await self.until(lambda: all(g.peer_count == 2 for g in self.gateways))
         found = membership.Membership(
             None, second._core.upstreams, second._core.health, 2.0
         )
         found._revision = revision.Revision(0, 7)
-        second.on_news(news.MembershipNews, found.hear)
+        second.on_update(update.MembershipUpdate, found.handle_update)
         engine = upstream.Upstream('u-1', 's', ('10.0.0.1', 80), 'z')
         told = upstream.Change('u-1', revision.Revision(0, 8), engine)
         first.announce(
-            news.MembershipNews(found._revision, told.revision, (told,))
+            update.MembershipUpdate(found._revision, told.revision, (told,))
         )
-        await self.until(lambda: second._core.upstreams.of('s'))
+        await self.until(lambda: second._core.upstreams.available('s'))
 
     async def test_runs_to_move_are_told(self):
         first, second, _ = self.gateways
@@ -371,17 +385,17 @@
         Obeyed, any host could make the fleet flood any other.
         """
         one, two = await self.start('entry-1'), await self.start('entry-2')
-        await self.until(lambda: one.peers == two.peers == 1)
+        await self.until(lambda: one.peer_count == two.peer_count == 1)
         heard = []
-        two.on_news(news.ConfigurationNews, heard.append)
-        told = news.ConfigurationNews(revision.Revision(0, 5), 7)
-        data = bulletin.encode('entry-3', told)
+        two.on_update(update.ConfigurationUpdate, heard.append)
+        told = update.ConfigurationUpdate(revision.Revision(0, 5), 7)
+        data = update_codec.encode('entry-3', told)
         here = ('127.0.0.1', two.port)
         group = [(socket.inet_aton(here[0]), here[1])]
         relayed = frame.pack(frame.Kind.RELAY, (data, group))
-        before = one.left_out
+        before = one.dropped
         one.datagram_received(relayed, ('127.0.0.1', 9))
-        self.assertEqual(one.left_out, before + 1)
+        self.assertEqual(one.dropped, before + 1)
         one.datagram_received(relayed, here)
         await self.until(lambda: heard)
         self.assertEqual(heard, [told])
@@ -390,9 +404,9 @@
         self.down = True
         late = await self.start('entry-4')
         await asyncio.sleep(0.1)
-        self.assertEqual(late.peers, 0)
+        self.assertEqual(late.peer_count, 0)
         self.down = False
-        await self.until(lambda: late.peers == 3)
+        await self.until(lambda: late.peer_count == 3)
 
     async def test_its_entry_is_written_again_in_a_new_epoch(self):
         """The source comes back from a copy that lacks a gateway's entry.
@@ -401,17 +415,17 @@
         and one that starts would not find it.
         """
         with (
-            mock.patch.object(exchange, 'JOIN_S', 0.01),
-            mock.patch.object(exchange, 'REJOIN_S', 0.05),
+            mock.patch.object(exchange, 'JOIN_RETRY_S', 0.01),
+            mock.patch.object(exchange, 'REJOIN_SPREAD_S', 0.05),
         ):
             late = await self.start('entry-4')
             epochs = self.epochs
-            epochs.answered('write', 1, 0)
+            epochs.observe('write', 1, 0)
             for number in (2, 3):
                 await self.until(lambda: 'entry-4' in self.directory)
                 await asyncio.sleep(0.1)
                 del self.directory['entry-4']
-                epochs.answered('write', number, epochs.newest)
+                epochs.observe('write', number, epochs.newest)
             await self.until(lambda: 'entry-4' in self.directory)
         self.assertEqual(self.directory['entry-4'], f'127.0.0.1:{late.port}')
 
--- a/tests/quetzalsill_gateway/stream/test_stop.py
+++ b/tests/quetzalsill_gateway/stream/test_stop.py
@@ -1,4 +1,4 @@
-"""Orders to stop a run, and what their answers tell of it."""
+"""Tests which state of a run follows from the answers to stop commands."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 
 
 class StopTest(unittest.TestCase):
-    """An engine that is ordered to stop a run, again and again.
+    """Stop commands that are repeated until the state is known.
 
-    Played in virtual time, which no pause of the test's process shortens.
+    Runs in virtual time, so that pauses of the test process have no effect.
     """
 
     def stop(self, *answers):
-        """Returns what is known of the run; the last answer is repeated."""
-        given = itertools.chain(answers, itertools.repeat(answers[-1]))
+        """Returns the resulting state of the run; repeats the last answer."""
+        remaining_answers = itertools.chain(
+            answers, itertools.repeat(answers[-1])
+        )
 
         async def move(*_):
-            answer = next(given)
+            answer = next(remaining_answers)
             if isinstance(answer, Exception):
                 raise answer
             return answer
@@ -38,53 +40,54 @@
             for name in 'et'
         )
         calls = dialect.EngineCalls(None, move, None)
-        found = []
+        results = []
 
         async def work():
-            found.append(await stop.stop(calls, engine, 'r', target))
+            results.append(await stop.stop(calls, engine, 'r', target))
 
         clock.run(work)
-        return found[0].state
+        return results[0].state
 
-    def test_an_answer_tells(self):
+    def test_an_answer_gives_the_state_of_the_run(self):
         self.assertIs(self.stop(STOPPED), RunState.STOPPED)
         self.assertIs(self.stop(UNKNOWN), RunState.ENDED)
         self.assertIs(self.stop(REFUSED), RunState.AT_WORK)
         self.assertIs(self.stop(REFUSED, STOPPED), RunState.STOPPED)
 
-    def test_an_engine_that_takes_no_connection_is_not_reached(self):
-        found = self.stop(error.ConnectError('refused'))
-        self.assertIs(found, RunState.UNREACHED)
+    def test_an_engine_that_refuses_connections_is_unreached(self):
+        state = self.stop(error.ConnectError('refused'))
+        self.assertIs(state, RunState.UNREACHED)
 
-    def test_an_engine_that_crashes_meanwhile_is_not_reached(self):
-        lost = error.TruncatedError('the connection ended')
-        found = self.stop(lost, error.ConnectError('refused'))
-        self.assertIs(found, RunState.UNREACHED)
+    def test_an_engine_that_crashes_meanwhile_is_unreached(self):
+        truncated = error.TruncatedError('the connection ended')
+        state = self.stop(truncated, error.ConnectError('refused'))
+        self.assertIs(state, RunState.UNREACHED)
 
-    def test_an_engine_that_resets_orders_is_there(self):
-        """A plan is at work at two engines.
+    def test_an_engine_that_resets_connections_may_be_working(self):
+        """Guards against a run at two engines.
 
-        Its engine has too many connections and resets new ones, some as they
-        open. Each was taken for word that nobody is there.
+        The engine has too many connections and resets new ones, some of them
+        while they are being opened. A reset must not count as a sign that the
+        engine is down.
         """
-        for lost in (error.TruncatedError(), error.EndedError()):
-            self.assertIs(self.stop(lost), RunState.AT_WORK)
+        for failure in (error.TruncatedError(), error.EndedError()):
+            self.assertIs(self.stop(failure), RunState.AT_WORK)
 
-    def test_one_connection_that_nobody_answers_says_little(self):
-        """A plan is at work at two engines.
+    def test_one_unanswered_connection_is_not_conclusive(self):
+        """Guards against a run at two engines.
 
-        The first packet to its engine is lost, or the queue of connections
-        there is full for a moment.
+        The first packet to the engine is lost, or its accept queue is full for
+        a moment.
         """
-        silent = error.UnansweredError('nobody answers')
-        self.assertIs(self.stop(silent, STOPPED), RunState.STOPPED)
-        self.assertIs(self.stop(silent, REFUSED), RunState.AT_WORK)
-        self.assertIs(self.stop(silent), RunState.UNREACHED)
-
-    def test_a_refusal_outlasts_a_connection_that_fails(self):
-        """The engine has said that it has the run; a full one says no more."""
-        found = self.stop(REFUSED, error.ConnectError('full'))
-        self.assertIs(found, RunState.AT_WORK)
+        unanswered = error.UnansweredError('nobody answers')
+        self.assertIs(self.stop(unanswered, STOPPED), RunState.STOPPED)
+        self.assertIs(self.stop(unanswered, REFUSED), RunState.AT_WORK)
+        self.assertIs(self.stop(unanswered), RunState.UNREACHED)
+
+    def test_a_refusal_outweighs_a_later_failed_connection(self):
+        """An engine that has refused has the run, even if it then gets full."""
+        state = self.stop(REFUSED, error.ConnectError('full'))
+        self.assertIs(state, RunState.AT_WORK)
 
 
 if __name__ == '__main__':
