--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/legacy.py
@@ -21,7 +21,7 @@
     """Returns the datagram of an update in the format of that release."""
     kind, fields = frame.unpack(update_codec.encode(node, told))
     if kind is frame.Kind.CONFIGURATION:
-        node, revision, number, patch, drains, is_echo, *_ = fields
+        node, revision, number, patch, drains, is_repeat, *_ = fields
         orders = [
             (zone, _version(written), is_on) for zone, written, is_on in drains
         ]
@@ -31,18 +31,20 @@
             number,
             patch,
             orders,
-            is_echo,
+            is_repeat,
         )
     else:
-        node, since, revision, lapses_s, changes, is_echo = fields
-        entries = [(name, _version(at), *rest) for name, at, *rest in changes]
+        node, since, revision, grace_s, changes, is_repeat = fields
+        entries = [
+            (name, _version(changed), *rest) for name, changed, *rest in changes
+        ]
         legacy_fields = (
             node,
             _version(since),
             _version(revision),
-            lapses_s,
+            grace_s,
             entries,
-            is_echo,
+            is_repeat,
         )
     return frame.pack(DATAGRAM_KINDS[kind], legacy_fields)
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/store.py
@@ -93,12 +93,12 @@
         """Version of the newest change."""
         return self._version
 
-    def put_entry(self, found: upstream.Upstream) -> None:
+    def put_entry(self, entry: upstream.Upstream) -> None:
         """Writes a server entry, even if nothing in it has changed."""
         change = _Change(
-            self._next_version(), found.id, dataclasses.replace(found)
+            self._next_version(), entry.id, dataclasses.replace(entry)
         )
-        self._entries[found.id] = change
+        self._entries[entry.id] = change
         self._history.append(change)
         self._notify_watches()
 
@@ -197,23 +197,23 @@
         epochs: epoch_lib.EpochTracker,
         after: revision_lib.Revision | None,
         wait_s: float,
-        rows: Callable[[int | None], list[_Change]],
+        read_rows: Callable[[int | None], list[_Change]],
     ) -> _Response | None:
         """Returns a response; None if `after` is no longer in the history."""
-        asked = epochs.newest
+        epoch_at_call = epochs.newest
         response: _Response | None = None
         try:
             async with self._call(node, wait_s):
-                found = await self._wait_for_rows(rows, after, wait_s)
+                rows = await self._wait_for_rows(read_rows, after, wait_s)
                 epoch = self._epoch_for(node)
-                response = _Response(found, epoch, self._version, after is None)
+                response = _Response(rows, epoch, self._version, after is None)
                 is_compacted = after is not None and self._is_compacted(
                     node, after
                 )
         except _RefusedError as exc:
-            epochs.observe('refusal', self._epoch_for(node), asked)
+            epochs.observe('refusal', self._epoch_for(node), epoch_at_call)
             raise error.SourceError('refused') from exc
-        epochs.observe('answer', response.epoch, asked)
+        epochs.observe('answer', response.epoch, epoch_at_call)
         if is_compacted or (
             after is not None and after.epoch != response.epoch
         ):
@@ -241,23 +241,23 @@
 
     async def _wait_for_rows(
         self,
-        rows: Callable[[int | None], list[_Change]],
+        read_rows: Callable[[int | None], list[_Change]],
         after: revision_lib.Revision | None,
         wait_s: float,
     ) -> list[_Change]:
         """Waits until there are rows or the store is restored; returns rows."""
         if after is None:
-            return rows(None)
+            return read_rows(None)
         loop = asyncio.get_running_loop()
         end_s = loop.time() + wait_s
         epoch = self.epoch
         while True:
-            found = rows(after.version)
-            left_s = end_s - loop.time()
-            if found or left_s <= 0 or epoch != self.epoch:
-                return found
+            rows = read_rows(after.version)
+            remaining_s = end_s - loop.time()
+            if rows or remaining_s <= 0 or epoch != self.epoch:
+                return rows
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 return []
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/simulation/watchers.py
@@ -49,7 +49,7 @@
 
     def ids(self) -> set[str]:
         """Returns the ids of upstreams that receive new work."""
-        return {found.id for found in self.upstreams.available(SERVICE)}
+        return {server.id for server in self.upstreams.available(SERVICE)}
 
 
 class Fleet:
@@ -151,43 +151,43 @@
             task = loop.create_task(self._rewrite(rewrite_s))
             self._rewrites.append(task)
 
-    async def _rewrite(self, within_s: float) -> None:
-        writes = [*self.entries, *self.drain_orders, None]
-        self._rng.shuffle(writes)
-        for name in writes:
-            await asyncio.sleep(within_s / len(writes))
-            if name is None:
+    async def _rewrite(self, duration_s: float) -> None:
+        keys = [*self.entries, *self.drain_orders, None]
+        self._rng.shuffle(keys)
+        for key in keys:
+            await asyncio.sleep(duration_s / len(keys))
+            if key is None:
                 self.store.configure(self._document)
-            elif name in self.drain_orders:
-                self.store.drain_zone(name, is_on=self.drain_orders[name])
-            elif self.entries[name] is None:
-                self.store.remove_entry(name)
+            elif key in self.drain_orders:
+                self.store.drain_zone(key, is_on=self.drain_orders[key])
+            elif self.entries[key] is None:
+                self.store.remove_entry(key)
             else:
-                self.store.put_entry(self.entries[name])
+                self.store.put_entry(self.entries[key])
 
     def add_server(self, name: str, incarnation: int = 1) -> None:
         """Starts a server, which writes its entry."""
         number = len(self._heartbeats) + 1
-        found = upstream.Upstream(
+        entry = upstream.Upstream(
             name,
             SERVICE,
             ('10.0.0.1', number),
             'z',
             incarnation=incarnation,
         )
-        self._put_entry(found)
+        self._put_entry(entry)
         task = asyncio.get_running_loop().create_task(
-            self._write_heartbeats(found)
+            self._write_heartbeats(entry)
         )
         self._heartbeats[name] = task
 
     def drain_server(self, name: str) -> None:
         """Makes a server announce that it is leaving."""
-        found = upstream.Upstream(
+        entry = upstream.Upstream(
             name, SERVICE, ('10.0.0.1', 1), 'z', leaving=True, incarnation=1
         )
         self._heartbeats.pop(name).cancel()
-        self._put_entry(found)
+        self._put_entry(entry)
 
     def remove_server(self, name: str) -> None:
         """Removes a server and its entry."""
@@ -195,9 +195,9 @@
         self.entries[name] = None
         self.store.remove_entry(name)
 
-    def _put_entry(self, found: upstream.Upstream) -> None:
-        self.entries[found.id] = found
-        self.store.put_entry(found)
+    def _put_entry(self, entry: upstream.Upstream) -> None:
+        self.entries[entry.id] = entry
+        self.store.put_entry(entry)
 
     def add_gateway(self, name: str, *, is_legacy: bool = False) -> Watcher:
         """Starts a gateway.
@@ -216,7 +216,7 @@
         holder, health = source.RoutingTableHolder(), source.Health()
         health.on_recovery(upstreams.mark_source_recovered)
         epochs = epoch.EpochTracker()
-        follower = membership.Membership(
+        membership_watch = membership.Membership(
             self.store.membership_poll(name, epochs),
             upstreams,
             health,
@@ -225,7 +225,7 @@
             epochs,
             name,
         )
-        configured = configuration.Configuration(
+        configuration_watch = configuration.Configuration(
             self.store.configuration_poll(name, epochs),
             _parse_document,
             holder,
@@ -237,9 +237,9 @@
             epochs,
             name,
         )
-        receivers = {
-            update_lib.MembershipUpdate: follower.handle_update,
-            update_lib.ConfigurationUpdate: configured.handle_update,
+        handlers = {
+            update_lib.MembershipUpdate: membership_watch.handle_update,
+            update_lib.ConfigurationUpdate: configuration_watch.handle_update,
         }
 
         def receive(data: bytes, _: str) -> None:
@@ -255,69 +255,70 @@
                 kind, fields = frame.unpack(data)
                 if is_legacy and kind in legacy.DATAGRAM_KINDS:
                     return
-            _, told = update_codec.decode(kind, fields)
-            receivers[type(told)](told)
+            _, update = update_codec.decode(kind, fields)
+            handlers[type(update)](update)
 
         broadcast = relay.Broadcast(
             name,
             lambda: self._peer_addresses(name),
-            lambda data, at: self.network.send(
-                name, self._node_by_address[at], data
+            lambda data, address: self.network.send(
+                name, self._node_by_address[address], data
             ),
             self._rng,
         )
 
-        def announce(told: update_lib.Update) -> None:
+        def announce(update: update_lib.Update) -> None:
             if not is_legacy:
-                broadcast.announce(told)
+                broadcast.announce(update)
                 return
-            for other in self._peer_addresses(name):
-                data = legacy.encode(name, told)
-                self.network.send(name, self._node_by_address[other], data)
+            for address in self._peer_addresses(name):
+                data = legacy.encode(name, update)
+                self.network.send(name, self._node_by_address[address], data)
 
         if is_legacy:
             self._legacy.add(name)
         else:
             self._legacy.discard(name)
-        for each in (follower, configured):
-            each.set_announcer(announce)
-            each.on_missing(lambda: self._request_snapshots(name))
+        for watch in (membership_watch, configuration_watch):
+            watch.set_announcer(announce)
+            watch.on_missing(lambda: self._request_snapshots(name))
         self.network.join(name, receive)
         loop = asyncio.get_running_loop()
         tasks = [
-            loop.create_task(each.run()) for each in (follower, configured)
+            loop.create_task(watch.run())
+            for watch in (membership_watch, configuration_watch)
         ]
-        found = Watcher(
+        watcher = Watcher(
             name,
             upstreams,
             holder,
             health,
-            follower,
-            configured,
+            membership_watch,
+            configuration_watch,
             epochs,
             tasks,
         )
-        self.gateways[name] = found
-        return found
+        self.gateways[name] = watcher
+        return watcher
 
     def _peer_addresses(self, name: str) -> list[tuple[str, int]]:
         return [
             address
-            for address, other in self._node_by_address.items()
-            if other != name and other in self.gateways
+            for address, peer in self._node_by_address.items()
+            if peer != name and peer in self.gateways
         ]
 
     def _request_snapshots(self, name: str) -> None:
-        others = [one for one in self.all if one.node != name]
-        for other in self._rng.sample(others, min(2, len(others))):
-            for follower in (other.membership, other.configuration):
-                told = follower.snapshot()
-                if told is not None:
+        peers = [watcher for watcher in self.all if watcher.node != name]
+        for peer in self._rng.sample(peers, min(2, len(peers))):
+            for watch in (peer.membership, peer.configuration):
+                update = watch.snapshot()
+                if update is not None:
                     encode = update_codec.encode
-                    if other.node in self._legacy:
+                    if peer.node in self._legacy:
                         encode = legacy.encode
-                    data = encode(other.node, told)
-                    self.network.send(other.node, name, data)
+                    data = encode(peer.node, update)
+                    self.network.send(peer.node, name, data)
 
     def kill(self, name: str) -> None:
         """Kills a gateway."""
@@ -332,9 +333,9 @@
         for task in (*self._heartbeats.values(), *self._rewrites):
             task.cancel()
 
-    async def _write_heartbeats(self, found: upstream.Upstream) -> None:
+    async def _write_heartbeats(self, entry: upstream.Upstream) -> None:
         if not self._heartbeat_s:
             return
         while True:
             await asyncio.sleep(self._heartbeat_s * self._rng.uniform(0.9, 1.1))
-            self.store.put_entry(found)
+            self.store.put_entry(entry)
