--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
@@ -108,15 +108,17 @@
       error.CallError: There is no answer; `ran` says whether it may have run.
     """
     dialect = core.dialect
-    conn = await core.conns.take(
+    conn = await core.conns.acquire(
         upstream.address,
         repeatable=exchange.route.kind.may_repeat,
         # A run that was stopped to go on there would be lost for want of one.
-        most=None if continues else core.quota.max_connections(upstream),
+        max_connections=None
+        if continues
+        else core.quota.max_connections(upstream),
     )
     try:
         if not _accepts_work(core.upstreams, upstream, continues=continues):
-            raise error.ClosedError(upstream.address_text)
+            raise error.UpstreamClosedError(upstream.address_text)
         head = exchange.head(dialect, upstream.id, extra_headers)
         conn.send(
             head,
@@ -129,7 +131,7 @@
         response_class = classify(answer, dialect, exchange.request_id)
         yield SentRequest(conn, answer, response_class)
     finally:
-        core.conns.give_back(conn, core.quota.max_idle(upstream))
+        core.conns.release(conn, core.quota.max_idle(upstream))
 
 
 def _accepts_work(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
@@ -161,7 +161,7 @@
         others = [one for one in queue if one is not entry]
         ahead = sum(one.tokens for one in others if one.rank(now) <= rank)
         until_s = max(entry.late_at_s, entry.arrived_s + MAX_LATE_WAIT_S)
-        bound_s = min(until_s - now, req.left_s * MAX_REMAINING_SHARE)
+        bound_s = min(until_s - now, req.remaining_s * MAX_REMAINING_SHARE)
         demand = self._demand[req.service.name]
         ahead_per_s = self._upstreams.gateway_count * demand.tokens_ahead_per_s(
             now, entry.priority, entry.size
@@ -170,9 +170,9 @@
         if entry.expected_s <= bound_s:
             return False
         ahead = sum(one.tokens for one in others)
-        come_back_s = search.expected_wait_s(queue_entry.LAST_RANK, ahead)
-        come_back_s = min(come_back_s, req.left_s * RETRY_AFTER_SHARE)
-        req.come_back_s = max(exchange.RETRY_AFTER_S, come_back_s)
+        retry_after_s = search.expected_wait_s(queue_entry.LAST_RANK, ahead)
+        retry_after_s = min(retry_after_s, req.remaining_s * RETRY_AFTER_SHARE)
+        req.retry_after_s = max(exchange.RETRY_AFTER_S, retry_after_s)
         return True
 
     def _log_wait(
@@ -191,7 +191,7 @@
                 expected_ms=round(search.entry.expected_s * 1000, 1),
                 waiting=len(queue),
                 admitted=chosen is not None,
-                come_back_ms=round(search.req.come_back_s * 1000, 1),
+                come_back_ms=round(search.req.retry_after_s * 1000, 1),
             )
         )
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
@@ -14,7 +14,7 @@
     from quetzalsill_gateway.fleet.upstream import Upstream
     from quetzalsill_gateway.http import message
 
-__all__ = ['Dialect', 'EngineCalls', 'Move', 'Prompt', 'Report', 'Run']
+__all__ = ['Dialect', 'EngineCalls', 'MoveResult', 'Prompt', 'Report', 'Run']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
       used_tokens: Memory in use that cannot be given up.
       capacity_tokens: Memory in all.
       leaving: It takes no new work.
-      leaves_s: Time until it goes; None if not known.
+      leaving_in_s: Time until it goes; None if not known.
       runs: What it works on.
       incarnation: Start of the engine that reports; 0 if not told.
     """
@@ -67,13 +67,13 @@
     used_tokens: int
     capacity_tokens: int
     leaving: bool
-    leaves_s: float | None
+    leaving_in_s: float | None
     runs: tuple[Run, ...]
     incarnation: int = 0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Move:
+class MoveResult:
     """Outcome of an order to copy a run's memory to another engine.
 
     Attributes:
@@ -108,7 +108,7 @@
     """
 
     report: Callable[[Upstream], Awaitable[Report]]
-    move: Callable[[Upstream, str, Upstream, bool], Awaitable[Move]]
+    move: Callable[[Upstream, str, Upstream, bool], Awaitable[MoveResult]]
     release: Callable[[Upstream, str], Awaitable[None]]
 
 
@@ -125,11 +125,11 @@
       not_run: Present in an answer to a request that has not run.
       priority: Urgency at the engine.
       resume_after: Id of the last event that the caller has.
-      memory_from: Copy of a run's memory from which to go on.
+      kv_from: Copy of a run's memory from which to go on.
       backup: Upstream to which the memory of a run is sent as it grows.
       reserved: Headers that callers must not set.
-      prompt: Reads what a caller says of its generation.
-      memory_source: Value of `memory_from` for an upstream and a handle.
+      parse_prompt: Reads what a caller says of its generation.
+      format_kv_from: Value of `kv_from` for an upstream and a handle.
     """
 
     request_id: bytes
@@ -140,8 +140,8 @@
     not_run: bytes
     priority: bytes
     resume_after: bytes
-    memory_from: bytes
+    kv_from: bytes
     backup: bytes
     reserved: frozenset[bytes]
-    prompt: Callable[[message.Headers], Prompt]
-    memory_source: Callable[[Upstream, str], bytes]
+    parse_prompt: Callable[[message.Headers], Prompt]
+    format_kv_from: Callable[[Upstream, str], bytes]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/error.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/error.py
@@ -10,7 +10,7 @@
     'PatchError',
     'PeerError',
     'SourceError',
-    'StaleAnswerError',
+    'StaleResponseError',
 ]
 
 
@@ -30,7 +30,7 @@
     )
 
 
-class StaleAnswerError(SourceError):
+class StaleResponseError(SourceError):
     """An answer is of an epoch of the store that has ended; it is left out."""
 
     code = 'source_stale'
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
@@ -38,15 +38,15 @@
       deadline_s: Loop time at which nobody waits any longer.
       version: Version of the configuration that decided.
       sends: Upstreams to which it was sent so far.
-      first_s: Time from the request to the first event; None before it.
+      first_event_s: Time from the request to the first event; None before it.
       widest_gap_s: Longest pause between events so far.
-      newest_s: Loop time of the newest event.
+      last_event_s: Loop time of the newest event.
       held_s: Time that it waited for an engine with room.
       switch_cause: Why its run goes on at another upstream, until the next
         event.
       gap_cause: That of the longest pause; empty if it did not go on.
       tokens: Memory that it is expected to need; 0 if it is no generation.
-      come_back_s: Time after which a refused caller may do better, in seconds.
+      retry_after_s: When a refused caller is told to retry, in seconds.
     """
 
     request: message.Request
@@ -59,29 +59,29 @@
     deadline_s: float
     version: int
     sends: int = 0
-    first_s: float | None = None
+    first_event_s: float | None = None
     widest_gap_s: float = 0.0
-    newest_s: float = 0.0
+    last_event_s: float = 0.0
     held_s: float = 0.0
     switch_cause: str = ''
     gap_cause: str = ''
     tokens: int = 0
-    come_back_s: float = RETRY_AFTER_S
+    retry_after_s: float = RETRY_AFTER_S
     regions: frozenset[str] | None = None
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """Takes the time of events that go to the caller now."""
         now = asyncio.get_running_loop().time()
-        if self.first_s is None:
-            self.first_s = now - self.request.received_s
-        elif now - self.newest_s > self.widest_gap_s:
-            self.widest_gap_s = now - self.newest_s
+        if self.first_event_s is None:
+            self.first_event_s = now - self.request.received_s
+        elif now - self.last_event_s > self.widest_gap_s:
+            self.widest_gap_s = now - self.last_event_s
             self.gap_cause = self.switch_cause
         self.switch_cause = ''
-        self.newest_s = now
+        self.last_event_s = now
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Time until the deadline, in seconds."""
         return self.deadline_s - asyncio.get_running_loop().time()
 
@@ -116,7 +116,7 @@
             for pair in message.end_to_end(req.headers)
             if pair[0] not in dropped and pair[0] not in replaced
         )
-        left_ms = max(1, int(self.left_s * MS_PER_S))
+        left_ms = max(1, int(self.remaining_s * MS_PER_S))
         lines.append(b'%s: %d' % (dialect.deadline_ms, left_ms))
         lines.append(
             b'%s: %s' % (dialect.expected_upstream, upstream_id.encode())
@@ -135,8 +135,8 @@
     status: int,
     why: str,
     *,
-    again: bool = False,
-    come_back_s: float = RETRY_AFTER_S,
+    may_retry: bool = False,
+    retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
     """Answers with a failure of the gateway's own.
 
@@ -144,10 +144,10 @@
       responder: Writes the answer.
       status: Its status.
       why: Code of the reason, for the caller to read.
-      again: Whether to say when to come back; only for what has not run.
-      come_back_s: When that is, in seconds from now.
+      may_retry: Whether to say when to come back; only for what has not run.
+      retry_after_s: When that is, in seconds from now.
     """
     headers = [(b'content-type', b'text/plain')]
-    if again:
-        headers.append((b'retry-after', b'%.2f' % come_back_s))
+    if may_retry:
+        headers.append((b'retry-after', b'%.2f' % retry_after_s))
     responder.reply(status, headers, why.encode() + b'\n')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/fleet/quota.py
@@ -147,12 +147,12 @@
         self, upstream: upstream_lib.Upstream, share: float
     ) -> int | None:
         service = self._service(upstream)
-        if service is None or not service.most_connections:
+        if service is None or not service.max_connections:
             return None
         gateways = len(self._members.names(_now()))
         if not self._members.is_directory_read:
             gateways = max(gateways, self._min_gateways)
-        return max(1, int(share * service.most_connections / gateways))
+        return max(1, int(share * service.max_connections / gateways))
 
     def _has_connection(self, upstream: upstream_lib.Upstream) -> bool:
         most = self.max_connections(upstream)
@@ -172,7 +172,7 @@
         if upstream.cold_until_s <= _now():
             return False
         service = self._service(upstream)
-        return service is not None and service.cold_per_s > 0
+        return service is not None and service.warmup_per_s > 0
 
     def _service(
         self, upstream: upstream_lib.Upstream
@@ -200,7 +200,7 @@
         names: tuple[str, ...],
         now: float,
     ) -> _Bucket:
-        per_s = self._service(upstream).cold_per_s
+        per_s = self._service(upstream).warmup_per_s
         bound = self._warmup.overage * per_s + self._warmup.allowance
         burst = max(1, int(BURST_SHARE * SAFE_SHARE * bound))
         chosen = rate_owners(upstream.key, names, burst)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -28,7 +28,7 @@
 GATEWAY_TIMEOUT = 504
 # A deadline is acted on this much early, so that the answer is with the caller
 # when its own time is over.
-ANSWER_S = 0.02
+RESPONSE_MARGIN_S = 0.02
 
 
 class Gateway:
@@ -46,7 +46,7 @@
         exchange = self._admit(req, responder)
         if exchange is None:
             return
-        bound_s = exchange.deadline_s - ANSWER_S
+        bound_s = exchange.deadline_s - RESPONSE_MARGIN_S
         try:
             async with deadline.timeout_at(bound_s):
                 outcome = await self._forward(exchange)
@@ -120,7 +120,7 @@
         now = asyncio.get_running_loop().time()
         took_ms = round((now - exchange.request.received_s) * 1000, 1)
         kind = exchange.route.kind.value
-        meter.note_request(exchange, outcome, took_ms / 1000)
+        meter.record_request(exchange, outcome, took_ms / 1000)
         event.note(
             event.RequestEnded(
                 request=exchange.id_text,
@@ -130,12 +130,12 @@
                 outcome=outcome,
                 sends=exchange.sends,
                 took_ms=took_ms,
-                first_ms=_ms(exchange.first_s),
+                first_ms=_ms(exchange.first_event_s),
                 widest_gap_ms=_ms(exchange.widest_gap_s or None),
                 configuration=exchange.version,
                 membership=str(self._core.upstreams.revision),
                 objective_ms=_ms(exchange.route.objective_s),
-                most_gap_ms=_ms(exchange.route.most_gap_s),
+                most_gap_ms=_ms(exchange.route.max_gap_s),
                 held_ms=_ms(exchange.held_s),
                 gap_cause=exchange.gap_cause,
                 tokens=exchange.tokens,
@@ -165,7 +165,7 @@
         )
     )
     meter.refused.inc({'reason': why})
-    exchange_lib.refuse(responder, status, why, again=status == UNAVAILABLE)
+    exchange_lib.refuse(responder, status, why, may_retry=status == UNAVAILABLE)
 
 
 def _answer_timeout(exchange: exchange_lib.Exchange) -> str:
@@ -176,7 +176,7 @@
     if exchange.sends:
         exchange_lib.refuse(responder, GATEWAY_TIMEOUT, 'timeout')
         return 'timeout'
-    exchange_lib.refuse(responder, UNAVAILABLE, 'not_sent', again=True)
+    exchange_lib.refuse(responder, UNAVAILABLE, 'not_sent', may_retry=True)
     return 'not_sent'
 
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/call.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/call.py
@@ -104,7 +104,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._fail(error.MalformedAnswerError(str(exc)))
+            self._fail(error.MalformedResponseError(str(exc)))
             self.abort()
 
     def on_message_begin(self) -> None:
@@ -169,10 +169,10 @@
             answer; an answer with another value is left out.
 
         Raises:
-          error.EndedError: The connection has ended; nothing was sent.
+          error.ConnectionEndedError: It has ended; nothing was sent.
         """
         if not self.is_usable:
-            raise error.EndedError('the connection has ended')
+            raise error.ConnectionEndedError('the connection has ended')
         self._items.clear()
         self._parser = httptools.HttpResponseParser(self)
         self._echo = echo
@@ -264,7 +264,7 @@
     """Opens a connection.
 
     Raises:
-      error.UnansweredError: Nobody answered in time.
+      error.ConnectTimeoutError: Nobody answered in time.
       error.ConnectError: It was refused, or could not be made.
     """
     loop = asyncio.get_running_loop()
@@ -274,7 +274,7 @@
                 lambda: Conn(address, count), address[0], address[1]
             )
     except TimeoutError as exc:
-        raise error.UnansweredError(f'{address[0]}:{address[1]}') from exc
+        raise error.ConnectTimeoutError(f'{address[0]}:{address[1]}') from exc
     except OSError as exc:
         raise error.ConnectError(f'{address[0]}:{address[1]}: {exc}') from exc
     return conn
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/error.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/error.py
@@ -6,15 +6,15 @@
 
 __all__ = [
     'CallError',
-    'ClosedError',
+    'UpstreamClosedError',
     'ConnectError',
-    'EndedError',
-    'MalformedAnswerError',
-    'NoPlaceError',
+    'ConnectionEndedError',
+    'MalformedResponseError',
+    'ConnectionLimitError',
     'NotSentError',
-    'SilentError',
+    'ResponseTimeoutError',
     'TruncatedError',
-    'UnansweredError',
+    'ConnectTimeoutError',
 ]
 
 
@@ -36,7 +36,7 @@
     ran = base.Ran.NO
 
 
-class UnansweredError(ConnectError):
+class ConnectTimeoutError(ConnectError):
     """Nobody answered in time that a connection should be opened.
 
     A refusal says that nobody listens there; silence may be a lost packet, or a
@@ -46,7 +46,7 @@
     code = 'upstream_unanswered'
 
 
-class EndedError(ConnectError):
+class ConnectionEndedError(ConnectError):
     """The connection ended before anything was sent on it.
 
     The upstream had taken it, so that it is there.
@@ -61,13 +61,13 @@
     code = 'not_sent'
 
 
-class ClosedError(NotSentError):
+class UpstreamClosedError(NotSentError):
     """The upstream takes no more work since it was chosen."""
 
     code = 'upstream_closed'
 
 
-class NoPlaceError(NotSentError):
+class ConnectionLimitError(NotSentError):
     """This gateway has all the connections to the upstream that it may have."""
 
     code = 'no_connection_left'
@@ -87,13 +87,13 @@
         self.was_reset = was_reset
 
 
-class MalformedAnswerError(CallError):
+class MalformedResponseError(CallError):
     """The upstream sent bytes that are no HTTP answer."""
 
     code = 'answer_malformed'
 
 
-class SilentError(CallError):
+class ResponseTimeoutError(CallError):
     """Nothing came within the time given."""
 
     code = 'upstream_silent'
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
@@ -13,16 +13,16 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway.http import pool
 
-__all__ = ['Answer', 'fetch']
+__all__ = ['Response', 'fetch']
 
-MOST_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 # A large answer takes its time on a thin link; it is given up only when nothing
 # of it has come for so long.
-STALL_S = 0.6
+BODY_STALL_TIMEOUT_S = 0.6
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """A whole answer.
 
     Attributes:
@@ -39,12 +39,12 @@
         """Returns the body as JSON.
 
         Raises:
-          error.MalformedAnswerError: It is none.
+          error.MalformedResponseError: It is none.
         """
         try:
             return json.loads(self.body)
         except ValueError as exc:
-            raise error.MalformedAnswerError(f'no JSON: {exc}') from exc
+            raise error.MalformedResponseError(f'no JSON: {exc}') from exc
 
 
 async def fetch(
@@ -55,8 +55,8 @@
     *,
     body: Any = None,
     timeout_s: float,
-    connect_s: float | None = None,
-) -> Answer:
+    connect_timeout_s: float | None = None,
+) -> Response:
     """Makes one call and returns its whole answer.
 
     Args:
@@ -66,7 +66,7 @@
       target: Path and query.
       body: Sent as JSON unless it is None.
       timeout_s: Longest time to the first of the answer's body, in seconds.
-      connect_s: Longest time to open a connection, in seconds; None for
+      connect_timeout_s: Longest time to open a connection, in seconds; None for
         `timeout_s`.
 
     Raises:
@@ -81,21 +81,25 @@
     conn = None
     try:
         async with deadline.timeout(timeout_s) as bound:
-            conn = await conns.take(address, connect_s or timeout_s)
+            conn = await conns.acquire(address, connect_timeout_s or timeout_s)
             conn.send(head, data)
             found = await conn.head()
             pieces = bytearray()
             while piece := await conn.read():
                 pieces += piece
-                bound.reschedule(max(bound.when(), _now() + STALL_S))
-                if len(pieces) > MOST_BYTES:
-                    raise error.MalformedAnswerError('the answer is too large')
-            return Answer(found.status, found.headers, bytes(pieces))
+                bound.reschedule(
+                    max(bound.when(), _now() + BODY_STALL_TIMEOUT_S)
+                )
+                if len(pieces) > MAX_RESPONSE_BYTES:
+                    raise error.MalformedResponseError(
+                        'the answer is too large'
+                    )
+            return Response(found.status, found.headers, bytes(pieces))
     except TimeoutError as exc:
-        raise error.SilentError(f'{address[0]}:{address[1]}') from exc
+        raise error.ResponseTimeoutError(f'{address[0]}:{address[1]}') from exc
     finally:
         if conn is not None:
-            conns.give_back(conn)
+            conns.release(conn)
 
 
 def _now() -> float:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
@@ -17,9 +17,9 @@
 
 __all__ = ['Connection', 'Handler', 'Limits', 'Listener']
 
-PIPELINED = 16
+MAX_PIPELINED = 16
 WRITE_HIGH_BYTES = 262_144
-TICK_S = 0.5
+TIMEOUT_CHECK_S = 0.5
 # On, for no time: closing resets.
 LINGER_NONE = struct.pack('ii', 1, 0)
 VERSIONS = ('1.0', '1.1')
@@ -191,11 +191,11 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
         self._transport.abort()
 
-    def closing_soon(self) -> bool:
+    def will_close(self) -> bool:
         """Whether this connection should not be used again."""
         return self._listener.stopping or self._refused
 
-    def check_time(self, now: float, limits: Limits) -> None:
+    def check_timeouts(self, now: float, limits: Limits) -> None:
         """Closes the connection if its caller takes too long."""
         if self._busy or self._requests:
             return
@@ -236,7 +236,7 @@
 
     def _put(self, item: message.Request | int) -> None:
         self._requests.append(item)
-        if len(self._requests) >= PIPELINED:
+        if len(self._requests) >= MAX_PIPELINED:
             self._transport.pause_reading()
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
@@ -278,7 +278,7 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         item = self._requests.popleft()
-        if len(self._requests) == PIPELINED - 1:
+        if len(self._requests) == MAX_PIPELINED - 1:
             self._transport.resume_reading()
         return item
 
@@ -318,15 +318,15 @@
             lambda: Connection(self), backlog=early_socket.BACKLOG, **where
         )
 
-    async def watch(self) -> None:
+    async def enforce_timeouts(self) -> None:
         """Closes connections whose callers take too long; runs for good."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TIMEOUT_CHECK_S)
             now = loop.time()
             limits = self.limits()
             for conn in list(self.connections):
-                conn.check_time(now, limits)
+                conn.check_timeouts(now, limits)
 
     def close_idle(self) -> None:
         """Closes connections that wait for a request."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
@@ -10,14 +10,14 @@
 
 __all__ = ['Pool']
 
-KEPT_PER_ADDRESS = 16
+MAX_IDLE_PER_ADDRESS = 16
 # A server closes an idle connection after its stated time, or sooner. Whatever
 # is sent while its close is on the way is lost with its outcome unknown, so a
 # kept connection is used well within that time, and only for a short while
 # where the server states none.
-SAFE_SHARE = 0.5
-UNSTATED_IDLE_S = 2.0
-CONNECT_S = 0.25
+IDLE_TIMEOUT_SHARE = 0.5
+DEFAULT_IDLE_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 0.25
 
 Address = tuple[str, int]
 
@@ -36,27 +36,27 @@
         idle = sum(conn.is_usable for conn in kept)
         return quota.Connections(self._count[address], idle)
 
-    async def take(
+    async def acquire(
         self,
         address: Address,
-        connect_s: float = CONNECT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
         *,
         repeatable: bool = True,
-        most: int | None = None,
+        max_connections: int | None = None,
     ) -> call.Conn:
         """Returns a connection that no other call uses.
 
         Args:
           address: Upstream to connect to.
-          connect_s: Longest time to open a new one, in seconds.
+          connect_timeout_s: Longest time to open a new one, in seconds.
           repeatable: Whether the call may be sent again if it is lost. One
             that may not goes on a new connection: a kept one may be gone
             without a sign, and what is sent on it lost for good.
-          most: Connections that there may be to the address; None for any
-            number. An idle one is closed for a new one.
+          max_connections: Connections that there may be to the address; None
+            for any number. An idle one is closed for a new one.
 
         Raises:
-          error.NoPlaceError: All that there may be carry a call.
+          error.ConnectionLimitError: All that there may be carry a call.
           error.ConnectError: None could be opened.
         """
         now = asyncio.get_running_loop().time()
@@ -66,37 +66,42 @@
             if conn.is_usable and now - conn.idle_since_s < _bound_s(conn):
                 return conn
             conn.abort()
-        if most is not None and self._count[address] >= most:
-            self._close_idle(address)
-            if self._count[address] >= most:
-                detail = f'{address[0]}:{address[1]}: {most} open'
-                raise error.NoPlaceError(detail)
-        return await self._open(address, connect_s)
-
-    def give_back(self, conn: call.Conn, most_idle: int | None = None) -> None:
+        if (
+            max_connections is not None
+            and self._count[address] >= max_connections
+        ):
+            self._close_oldest_idle(address)
+            if self._count[address] >= max_connections:
+                detail = f'{address[0]}:{address[1]}: {max_connections} open'
+                raise error.ConnectionLimitError(detail)
+        return await self._open(address, connect_timeout_s)
+
+    def release(self, conn: call.Conn, max_idle: int | None = None) -> None:
         """Keeps a connection whose call has ended, or closes it.
 
         Args:
           conn: The connection.
-          most_idle: Idle ones that may be kept to its address; None for the
+          max_idle: Idle ones that may be kept to its address; None for the
             usual number.
         """
-        most = KEPT_PER_ADDRESS if most_idle is None else most_idle
+        most = MAX_IDLE_PER_ADDRESS if max_idle is None else max_idle
         kept = self._idle.setdefault(conn.address, collections.deque())
-        if conn.is_usable and len(kept) < min(most, KEPT_PER_ADDRESS):
+        if conn.is_usable and len(kept) < min(most, MAX_IDLE_PER_ADDRESS):
             kept.append(conn)
         else:
             conn.abort()
 
-    def drop(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Closes the idle connections to an address."""
         for conn in self._idle.pop(address, ()):
             conn.abort()
 
-    async def _open(self, address: Address, connect_s: float) -> call.Conn:
+    async def _open(
+        self, address: Address, connect_timeout_s: float
+    ) -> call.Conn:
         self._add(address, 1)
         try:
-            return await call.connect(address, connect_s, self._add)
+            return await call.connect(address, connect_timeout_s, self._add)
         finally:
             self._add(address, -1)
 
@@ -105,7 +110,7 @@
         if not self._count[address]:
             del self._count[address]
 
-    def _close_idle(self, address: Address) -> None:
+    def _close_oldest_idle(self, address: Address) -> None:
         """Closes the connection that rested longest, if there is one."""
         kept = self._idle.get(address)
         while kept:
@@ -118,4 +123,8 @@
 
 def _bound_s(conn: call.Conn) -> float:
     stated = conn.idle_limit_s
-    return UNSTATED_IDLE_S if stated is None else stated * SAFE_SHARE
+    return (
+        DEFAULT_IDLE_TIMEOUT_S
+        if stated is None
+        else stated * IDLE_TIMEOUT_SHARE
+    )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/responder.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/responder.py
@@ -12,7 +12,7 @@
 class Channel(Protocol):
     """What an answer is written to: the connection of its caller."""
 
-    def closing_soon(self) -> bool:
+    def will_close(self) -> bool:
         """Whether no further request is taken from it."""
 
     def write(self, data: bytes) -> None:
@@ -59,7 +59,7 @@
         self, status: int, headers: message.Headers, length: int | None
     ) -> None:
         """Writes the head; without a length the body is sent in chunks."""
-        self._keep = self._request.keep_alive and not self._conn.closing_soon()
+        self._keep = self._request.keep_alive and not self._conn.will_close()
         lines = [b'HTTP/1.1 %d %s' % (status, message.reason(status))]
         lines.extend(b'%s: %s' % pair for pair in headers)
         if length is not None:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -17,8 +17,8 @@
     'datagrams',
     'epochs',
     'moves',
-    'news',
-    'note_request',
+    'updates',
+    'record_request',
     'observe',
     'refused',
     'store_calls',
@@ -56,13 +56,13 @@
     'quetzalsill_gateway_datagrams',
     'Datagrams of other gateways since the start, by what became of them.',
 )
-news = metric.counter(
+updates = metric.counter(
     'quetzalsill_gateway_news_total',
     'News of the sources that other gateways told, by source and use.',
 )
 # Counted below what this module looks at.
 epochs = epoch.epochs_total
-answers = metric.histogram(
+response_times = metric.histogram(
     'quetzalsill_gateway_answer_seconds',
     'Time from a request to its whole answer, by kind of route.',
     SECONDS,
@@ -72,7 +72,7 @@
     'Time from a request to the first event of its stream, by kind of route.',
     SECONDS,
 )
-gaps = metric.histogram(
+max_gaps = metric.histogram(
     'quetzalsill_gateway_widest_gap_seconds',
     'Longest pause between two events of a stream, by kind of route.',
     SECONDS,
@@ -81,26 +81,26 @@
     'quetzalsill_gateway_upstreams',
     'Upstreams known, by whether they take new work.',
 )
-ages = metric.gauge(
+source_ages = metric.gauge(
     'quetzalsill_gateway_age_seconds',
     'Time since configuration and membership were last confirmed.',
 )
-beliefs = metric.gauge(
+state = metric.gauge(
     'quetzalsill_gateway_state',
     'Version in force, connections of callers, streams, gateways heard.',
 )
 
 
-def note_request(
+def record_request(
     exchange: exchange_lib.Exchange, outcome: str, took_s: float
 ) -> None:
     """Counts a request that has ended."""
     kind = {'kind': exchange.route.kind.value}
     requests.inc(kind | {'outcome': outcome})
-    answers.observe(kind, took_s)
-    if exchange.first_s is not None:
-        first_events.observe(kind, exchange.first_s)
-        gaps.observe(kind, exchange.widest_gap_s)
+    response_times.observe(kind, took_s)
+    if exchange.first_event_s is not None:
+        first_events.observe(kind, exchange.first_event_s)
+        max_gaps.observe(kind, exchange.widest_gap_s)
 
 
 def observe(
@@ -117,12 +117,12 @@
     leaving = sum(found.leaving for found in known)
     upstreams.set({'state': 'leaving'}, leaving)
     upstreams.set({'state': 'live'}, len(known) - leaving)
-    ages.set({'of': 'configuration'}, core.holder.age_s)
-    ages.set({'of': 'membership'}, core.upstreams.age_s)
+    source_ages.set({'of': 'configuration'}, core.holder.age_s)
+    source_ages.set({'of': 'membership'}, core.upstreams.age_s)
     table = core.holder.current
-    beliefs.set({'of': 'configuration'}, table.version if table else 0)
-    beliefs.set({'of': 'connections'}, connections)
-    beliefs.set({'of': 'streams'}, sum(len(core.live.of(u)) for u in known))
-    beliefs.set({'of': 'peers'}, peers.peer_count)
+    state.set({'of': 'configuration'}, table.version if table else 0)
+    state.set({'of': 'connections'}, connections)
+    state.set({'of': 'streams'}, sum(len(core.live.of(u)) for u in known))
+    state.set({'of': 'peers'}, peers.peer_count)
     datagrams.set({'result': 'taken'}, peers.accepted)
     datagrams.set({'result': 'left_out'}, peers.dropped)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -195,7 +195,7 @@
                 self._forget_silent(loop.time())
             gateways = 1 + len(self._peers)
             self._core.upstreams.gateway_count = gateways
-            self._core.budget.share_among(gateways)
+            self._core.budget.set_gateway_count(gateways)
             if loop.time() - self._told_s >= self._gap_s():
                 self._tell_news()
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
@@ -11,7 +11,7 @@
     from quetzalsill_gateway.http import listener, message
     from quetzalsill_gateway.http import responder as responder_lib
 
-__all__ = ['METRICS_PATH', 'handler']
+__all__ = ['METRICS_PATH', 'make_handler']
 
 METRICS_PATH = b'/metrics'
 OK = 200
@@ -19,7 +19,7 @@
 UNAVAILABLE = 503
 
 
-def handler(
+def make_handler(
     path: str, is_ready: Callable[[], bool], observe: Callable[[], None]
 ) -> listener.Handler:
     """Returns what serves readiness and metrics.
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import settings as settings_lib
 
-__all__ = ['FIXED', 'on_hangup']
+__all__ = ['RESTART_ONLY', 'reload_on_sighup']
 
 # These take effect at the next start: a listener that moved would drop its
 # callers, and a node that changed its name would be two in the logs.
-FIXED = (
+RESTART_ONLY = (
     'node',
     'listen',
     'ready',
@@ -33,7 +33,7 @@
 )
 
 
-def on_hangup(
+def reload_on_sighup(
     settings: settings_lib.Settings,
     read: Callable[[], settings_lib.Settings],
     apply: Callable[[settings_lib.Settings], None],
@@ -70,7 +70,7 @@
         value = getattr(found, field.name)
         if value == getattr(settings, field.name):
             continue
-        if field.name in FIXED:
+        if field.name in RESTART_ONLY:
             waiting.append(field.name)
         else:
             setattr(settings, field.name, value)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
@@ -65,7 +65,7 @@
       timeout_s: Longest time that a caller is kept waiting.
       objective_s: Time within which an answer, or a stream's first event,
         is wanted.
-      most_gap_s: Longest pause between two events of a stream for which it is
+      max_gap_s: Longest pause between two events of a stream for which it is
         still on time; None for no bound.
       priority: Rank; 0 is the most urgent.
       public: Whether callers need no key.
@@ -80,7 +80,7 @@
     attempts: int = 1
     timeout_s: float = 30.0
     objective_s: float = 1.0
-    most_gap_s: float | None = None
+    max_gap_s: float | None = None
     priority: int = 5
     public: bool = False
     regions: frozenset[str] | None = None
@@ -121,16 +121,16 @@
     Attributes:
       name: Name of the service.
       engine: Set if the upstreams are model engines.
-      most_connections: Connections that an upstream takes from all gateways
+      max_connections: Connections that an upstream takes from all gateways
         together; 0 if not told.
-      cold_per_s: Requests a second that a cold upstream takes from all
+      warmup_per_s: Requests a second that a cold upstream takes from all
         gateways together; 0 for no bound.
     """
 
     name: str
     engine: Engine | None = None
-    most_connections: int = 0
-    cold_per_s: float = 0.0
+    max_connections: int = 0
+    warmup_per_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -179,18 +179,18 @@
         by_host: dict[bytes, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
-        for of_host in by_host.values():
-            of_host.sort(key=lambda route: -len(route.prefix))
+        for host_routes in by_host.values():
+            host_routes.sort(key=lambda route: -len(route.prefix))
         by_name = {service.name: service for service in services}
         return cls(version, by_host, by_name, accounts, limits)
 
     def match(self, host: bytes, path: bytes) -> Route | None:
         """Returns the route with the longest prefix that begins the path."""
-        for route in self.routes.get(_bare(host), ()):
+        for route in self.routes.get(_normalize_host(host), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
-def _bare(host: bytes) -> bytes:
+def _normalize_host(host: bytes) -> bytes:
     return host.strip().lower().partition(b':')[0]
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -33,13 +33,13 @@
 __all__ = ['Process', 'run']
 
 MS_PER_S = 1000
-TICK_S = 0.05
+STOP_POLL_S = 0.05
 # A store that answers has told both tables within a few round trips; without
 # one, callers are told so after this time.
-FIRST_READ_S = 0.5
-FIRST_READ_EVERY_S = 0.005
+FIRST_READ_TIMEOUT_S = 0.5
+FIRST_READ_POLL_S = 0.005
 # Left of the grace period for closing connections and ending the process.
-END_S = 0.3
+CLOSE_MARGIN_S = 0.3
 
 
 class Process:
@@ -103,11 +103,11 @@
         )
         self._gateway = gateway.Gateway(self.core)
         self.callers = listener.Listener(self._gateway.handle, self._limits)
-        asked = readiness.handler(
+        handler = readiness.make_handler(
             settings.ready_path, self.is_ready, self._observe
         )
-        self.asked = listener.Listener(asked, listener.Limits)
-        self.metrics = listener.Listener(asked, listener.Limits)
+        self.readiness = listener.Listener(handler, listener.Limits)
+        self.metrics = listener.Listener(handler, listener.Limits)
         self.peers = peer_exchange.Exchange(
             self.core, settings.node.name, sources.join, self.epochs
         )
@@ -134,7 +134,7 @@
     def apply(self, settings: settings_lib.Settings) -> None:
         """Takes settings that were changed while the process runs."""
         cfg = settings.retry
-        self.core.budget.change(
+        self.core.budget.set_limits(
             cfg.ratio, cfg.allowance, cfg.window_s, cfg.gateways
         )
 
@@ -143,8 +143,8 @@
         loops = {
             'configuration': self.configuration.run,
             'membership': self.membership.run,
-            'callers': self.callers.watch,
-            'readiness': self.asked.watch,
+            'callers': self.callers.enforce_timeouts,
+            'readiness': self.readiness.enforce_timeouts,
             'lookout': lambda: engine_poll.run(self.core),
         }
         if self._settings.peers:
@@ -156,13 +156,13 @@
             for name, work in loops.items()
         ]
         cfg = self._settings
-        await self.asked.start(*settings_lib.address(cfg.ready))
-        await self._until_known()
+        await self.readiness.start(*settings_lib.address(cfg.ready))
+        await self._wait_for_sources()
         await self.callers.start(*settings_lib.address(cfg.listen))
         if cfg.metrics:
             await self.metrics.start(*settings_lib.address(cfg.metrics))
 
-    async def _until_known(self) -> None:
+    async def _wait_for_sources(self) -> None:
         """Waits for the first configuration and membership, but not for long.
 
         Callers that come meanwhile wait to be accepted. Taken at once, they
@@ -170,9 +170,9 @@
         round trips.
         """
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + FIRST_READ_S
+        end_s = loop.time() + FIRST_READ_TIMEOUT_S
         while not self.is_ready() and loop.time() < end_s:  # noqa: ASYNC110
-            await asyncio.sleep(FIRST_READ_EVERY_S)
+            await asyncio.sleep(FIRST_READ_POLL_S)
 
     async def stop(self) -> None:
         """Takes no more callers and lets requests in flight end.
@@ -183,14 +183,14 @@
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         bounds = self._settings.stop
-        end_s = begun_s + bounds.grace_s - END_S
+        end_s = begun_s + bounds.grace_s - CLOSE_MARGIN_S
         self.core.ends_at_s = end_s
         self.callers.stopping = True
         await asyncio.sleep(min(bounds.leave_s, bounds.grace_s))
         self.callers.stop()
         while self.callers.connections and loop.time() < end_s:
             self.callers.close_idle()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(STOP_POLL_S)
         took_s = round(loop.time() - begun_s, 2)
         event.note(event.Stopped(len(self.callers.connections), took_s))
         await self.close()
@@ -198,10 +198,10 @@
     async def close(self) -> None:
         """Ends listeners and loops at once."""
         self.callers.stop()
-        self.asked.stop()
+        self.readiness.stop()
         self.metrics.stop()
         self.peers.close()
-        for conn in [*self.callers.connections, *self.asked.connections]:
+        for conn in [*self.callers.connections, *self.readiness.connections]:
             conn.abort()
         for task in self._tasks:
             task.cancel()
@@ -234,7 +234,7 @@
     plugin = registry.REGISTRY.get('deployment', settings.deployment)
     with net_stop.StopSignal() as stop_signal:
         process = Process(settings, plugin)
-        reload.on_hangup(settings, read, process.apply)
+        reload.reload_on_sighup(settings, read, process.apply)
         await process.start()
         event.note(event.Listening(process.callers.port))
         await stop_signal.wait()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -231,7 +231,7 @@
         dialect = self._core.dialect
         extra_headers = [
             self._priority(),
-            (dialect.memory_from, dialect.memory_source(holder, handle)),
+            (dialect.kv_from, dialect.format_kv_from(holder, handle)),
             *self.resume_headers(),
         ]
         self._source = holder
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/engine_poll.py
@@ -54,6 +54,6 @@
         return
     if not core.upstreams.verify_incarnation(engine, report.incarnation):
         return
-    core.stats_table.of(engine).record_time_left(report.leaves_s)
+    core.stats_table.of(engine).record_time_left(report.leaving_in_s)
     if report.leaving:
         core.upstreams.mark_leaving(engine, 'report')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -150,7 +150,7 @@
         upstreams = self._core.upstreams
         if not upstreams.verify_incarnation(source, report.incarnation):
             return None
-        self._core.stats_table.of(source).record_time_left(report.leaves_s)
+        self._core.stats_table.of(source).record_time_left(report.leaving_in_s)
         return report
 
     async def _move(
@@ -298,7 +298,7 @@
         target: upstream_lib.Upstream,
         *,
         last: bool,
-    ) -> dialect_lib.Move | None:
+    ) -> dialect_lib.MoveResult | None:
         started_s = attempt.now()
         request = stream.exchange.id_text
         move = None
@@ -329,7 +329,7 @@
 def _stop_outcome(
     source: upstream_lib.Upstream,
     target: upstream_lib.Upstream,
-    move: dialect_lib.Move | None,
+    move: dialect_lib.MoveResult | None,
 ) -> live.StopOutcome:
     """Converts the response to a stop command, None if there was none."""
     if move is None:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -46,12 +46,12 @@
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
     """Relays a stream and returns its outcome for the log."""
-    core.budget.note_request(req.service.name)
-    prompt = core.dialect.prompt(req.request.headers)
+    core.budget.record_request(req.service.name)
+    prompt = core.dialect.parse_prompt(req.request.headers)
     stream = live.Stream(req, prompt, live.reserve(prompt))
     req.tokens = stream.reservation.memory_tokens
     if _outlives_process(core, stream.reservation):
-        exchange.refuse(req.responder, UNAVAILABLE, 'stopping', again=True)
+        exchange.refuse(req.responder, UNAVAILABLE, 'stopping', may_retry=True)
         return 'refused'
     try:
         return await _Relay(core, stream).run()
@@ -179,7 +179,7 @@
                 self._core.live.record_prefill(stream)
             new_data = b''.join(self._new_events(segment, splitter.feed(data)))
             if new_data:
-                self._req.note_event()
+                self._req.record_event()
                 responder.write(new_data)
                 await responder.drain()
         if splitter.remainder and stream.pending_stop is None:
@@ -232,14 +232,14 @@
             self._unreachable += 1
             if self._unreachable > MAX_UNREACHABLE_RETRIES:
                 return False
-            self._core.budget.note_retry(req.service.name)
+            self._core.budget.record_retry(req.service.name)
             return True
         return self._spend_retry()
 
     def _spend_retry(self) -> bool:
         if self._req.sends >= self._req.route.attempts:
             return False
-        return self._core.budget.spend(self._req.service.name)
+        return self._core.budget.try_spend(self._req.service.name)
 
     def _respond_to_failure(self, outcome: segment_lib.Outcome | None) -> str:
         responder = self._req.responder
@@ -251,8 +251,8 @@
                 responder,
                 UNAVAILABLE,
                 'not_run',
-                again=True,
-                come_back_s=self._req.come_back_s,
+                may_retry=True,
+                retry_after_s=self._req.retry_after_s,
             )
             return 'refused'
         if (
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/stop.py
@@ -35,7 +35,7 @@
     """
 
     state: at_most_once.RunState
-    move: dialect_lib.Move
+    move: dialect_lib.MoveResult
 
 
 async def stop(
@@ -61,7 +61,7 @@
     """
     deadline_s = attempt.now() + RESPONSE_TIMEOUT_S
     retry_delay_s = FIRST_RETRY_DELAY_S
-    move = dialect_lib.Move()
+    move = dialect_lib.MoveResult()
     has_refused = False
     unanswered = 0
     while (remaining_s := deadline_s - attempt.now()) > 0:
@@ -76,20 +76,20 @@
                 break
             move = command.result()
             has_refused |= move.refused
-        except error.EndedError as exc:
-            move = dialect_lib.Move(refused=True, code=exc.code)
-        except error.UnansweredError as exc:
+        except error.ConnectionEndedError as exc:
+            move = dialect_lib.MoveResult(refused=True, code=exc.code)
+        except error.ConnectTimeoutError as exc:
             unanswered += 1
             is_gone = unanswered >= MAX_UNANSWERED and not has_refused
-            move = dialect_lib.Move(refused=not is_gone, code=exc.code)
+            move = dialect_lib.MoveResult(refused=not is_gone, code=exc.code)
             if is_gone:
                 return Result(at_most_once.RunState.UNREACHED, move)
         except error.ConnectError as exc:
-            move = dialect_lib.Move(refused=has_refused, code=exc.code)
+            move = dialect_lib.MoveResult(refused=has_refused, code=exc.code)
             if not has_refused:
                 return Result(at_most_once.RunState.UNREACHED, move)
         except error.CallError as exc:
-            move = dialect_lib.Move(refused=True, code=exc.code)
+            move = dialect_lib.MoveResult(refused=True, code=exc.code)
         finally:
             command.cancel()
         if move.handle:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
@@ -98,7 +98,7 @@
 
 async def forward(core: core_lib.Core, req: exchange.Exchange) -> str:
     """Brings a call to an upstream; returns its outcome for the log."""
-    core.budget.note_request(req.service.name)
+    core.budget.record_request(req.service.name)
     progress = _CallProgress(
         at_most_once.SendHistory(req.route.kind.may_repeat)
     )
@@ -183,8 +183,8 @@
     except TimeoutError as exc:
         stats.record_failure()
         stats.record_hang(begun_s)
-        core.conns.drop(upstream.address)
-        raise error.SilentError(upstream.address_text) from exc
+        core.conns.close_idle(upstream.address)
+        raise error.ResponseTimeoutError(upstream.address_text) from exc
     finally:
         hang_timer.cancel()
         stats.outstanding -= 1
@@ -210,7 +210,7 @@
         if is_complete:
             return _Response(sent.head, body, sent.response_class)
         if sent.response_class is not attempt.ResponseClass.SUCCESS:
-            raise error.MalformedAnswerError('a failure with a large body')
+            raise error.MalformedResponseError('a failure with a large body')
         await _relay(req, sent, body)
     raise _AlreadyRelayedError
 
@@ -237,11 +237,11 @@
         if progress.misdirected >= MAX_MISDIRECTED_SENDS:
             return False
         if not isinstance(latest, error.CallError):
-            core.budget.note_retry(req.service.name)
+            core.budget.record_retry(req.service.name)
         return True
     if not _may_succeed_elsewhere(latest) or req.sends >= req.route.attempts:
         return False
-    return core.budget.spend(req.service.name)
+    return core.budget.try_spend(req.service.name)
 
 
 def _may_succeed_elsewhere(latest: _Response | error.CallError) -> bool:
@@ -276,7 +276,7 @@
         served = last_response.response_class is attempt.ResponseClass.SUCCESS
         return 'served' if served else 'upstream_failed'
     if not progress.history.may_have_run:
-        exchange.refuse(responder, UNAVAILABLE, 'not_run', again=True)
+        exchange.refuse(responder, UNAVAILABLE, 'not_run', may_retry=True)
         return 'refused'
     exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
     return 'failed'
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -145,7 +145,7 @@
     def handle_update(self, told: update_lib.ConfigurationUpdate) -> None:
         """Takes what another gateway was told."""
         if self._epochs.is_refuted(told.revision.epoch):
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         self._deferred.note_announced(told.revision)
         # Each order by its own revision, whatever else is told.
@@ -156,22 +156,22 @@
             self._begin(told)
             return
         if known is None or told.number < self.active.number:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         if self.active.is_superseded_by(told) and not self.active.apply(told):
             # The revision known here stays, so that no edit is passed over.
-            meter.news.inc({'of': NAME, 'result': 'newer'})
+            meter.updates.inc({'of': NAME, 'result': 'newer'})
             self._fetch(told)
             return
         if told.revision < known:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         if self._drained.has_unlisted_drain(told.drains, told.revision):
             # Followed, it would hide for good that an order was taken back.
-            meter.news.inc({'of': NAME, 'result': 'gap'})
+            meter.updates.inc({'of': NAME, 'result': 'gap'})
             self._schedule.poll_within(ANEW_S, is_behind=True)
             return
-        meter.news.inc({'of': NAME, 'result': 'taken'})
+        meter.updates.inc({'of': NAME, 'result': 'taken'})
         self._follow(told)
 
     def _hear_drains(self, told: revision_lib.Revision) -> None:
@@ -240,7 +240,7 @@
         newest_drain = self._drained.newest
         try:
             found = await self._ask(after, self._wait_s)
-        except error.StaleAnswerError:
+        except error.StaleResponseError:
             self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -66,13 +66,13 @@
           asked: `newest` as the call was sent.
 
         Raises:
-          error.StaleAnswerError: The answer is of an epoch that has ended; it
+          error.StaleResponseError: The answer is of an epoch that has ended; it
             changes nothing.
         """
         if told < self.newest and not self._has_fallen(told, asked):
             epochs_total.inc({'what': 'stale'})
             self._note_stale(call, told)
-            raise error.StaleAnswerError(
+            raise error.StaleResponseError(
                 f'{call}: epoch {told}, after {self.newest}'
             )
         self._behind_s = None
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -129,7 +129,7 @@
     def handle_update(self, told: update_lib.MembershipUpdate) -> None:
         """Takes what another gateway was told."""
         if self._epochs.is_refuted(told.revision.epoch):
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         self._deferred.note_announced(told.revision)
         if not self._take_told(told):
@@ -151,11 +151,11 @@
             self._begin(told, known)
             return True
         if known is None or told.revision < known:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return False
         if _is_gap(told, known):
             # Datagrams were lost: what came between is not known here.
-            meter.news.inc({'of': NAME, 'result': 'gap'})
+            meter.updates.inc({'of': NAME, 'result': 'gap'})
             if told.revision.epoch > known.epoch:
                 self._epochs.note_peer_epoch(
                     NAME, told.sender, known, told.revision
@@ -164,7 +164,7 @@
             else:
                 self._schedule.poll_now()
             return False
-        meter.news.inc({'of': NAME, 'result': 'taken'})
+        meter.updates.inc({'of': NAME, 'result': 'taken'})
         if told.grace_s > 0:
             self._upstreams.start_lapse_grace(told.grace_s)
         fresh = [one for one in told.changes if one.revision > known]
@@ -198,7 +198,7 @@
         known: revision_lib.Revision | None,
     ) -> None:
         """Begins anew with all that another gateway has listed."""
-        meter.news.inc({'of': NAME, 'result': 'whole'})
+        meter.updates.inc({'of': NAME, 'result': 'whole'})
         if known is not None:
             self._epochs.note_peer_epoch(
                 NAME, told.sender, known, told.revision
@@ -213,7 +213,7 @@
         is_ended = known is not None and known.epoch < self._epochs.newest
         try:
             found = await self._ask(None if is_ended else known, self._wait_s)
-        except error.StaleAnswerError:
+        except error.StaleResponseError:
             self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
--- a/tests/quetzalsill_gateway/balance/test_admission.py
+++ b/tests/quetzalsill_gateway/balance/test_admission.py
@@ -67,9 +67,9 @@
             route=route,
             request=message.Request(b'POST', b'/', [], b'', now - age_s),
             deadline_s=now + left_s,
-            left_s=left_s,
+            remaining_s=left_s,
             id_text=name,
-            come_back_s=0.1,
+            retry_after_s=0.1,
             held_s=0.0,
             regions=None,
         )
@@ -175,7 +175,7 @@
         self.stats_table.mean_held_s = 300.0
         refused = self.ask('a', objective_s=10.0)
         self.assertIsNone(await asyncio.wait_for(refused, 1.0))
-        self.assertGreater(refused.req.come_back_s, 10.0)
+        self.assertGreater(refused.req.retry_after_s, 10.0)
 
     def cut_off_from_the_source(self):
         """Has the source be away: no engine can enter."""
@@ -224,7 +224,7 @@
         self.cut_off_from_the_source()
         refused = self.ask('refused', tokens=2000, objective_s=10.0)
         self.assertIsNone(await asyncio.wait_for(refused, 1.0))
-        self.assertGreater(refused.req.come_back_s, 1.0)
+        self.assertGreater(refused.req.retry_after_s, 1.0)
 
     async def test_a_promise_that_fails_is_looked_at_again(self):
         """Room was expected soon; then the store is away and none comes."""
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -32,10 +32,10 @@
     return per_s * WARMUP.overage + WARMUP.allowance
 
 
-def table(per_s=0.0, most_connections=0):
+def table(per_s=0.0, max_connections=0):
     """Returns what stands for a configuration with one service."""
     service = types.SimpleNamespace(
-        cold_per_s=per_s, most_connections=most_connections
+        warmup_per_s=per_s, max_connections=max_connections
     )
     return types.SimpleNamespace(services={'s': service})
 
@@ -215,7 +215,7 @@
         now = asyncio.get_running_loop().time()
         known.add_listed([f'entry-{n}' for n in range(gateways)], now)
         return quota.Quota(
-            holder(most_connections=most), known, WARMUP, lambda _: found
+            holder(max_connections=most), known, WARMUP, lambda _: found
         )
 
     async def test_all_together_stay_within_it(self):
--- a/tests/quetzalsill_gateway/http/test_call.py
+++ b/tests/quetzalsill_gateway/http/test_call.py
@@ -39,7 +39,7 @@
         await self.server.wait_closed()
         with self.assertRaises(error.ConnectError) as caught:
             await call.connect(self.address, CONNECT_S)
-        self.assertNotIsInstance(caught.exception, error.UnansweredError)
+        self.assertNotIsInstance(caught.exception, error.ConnectTimeoutError)
 
     async def test_nobody_answers(self):
         async def never(*_):
@@ -48,7 +48,7 @@
         loop = asyncio.get_running_loop()
         with (
             mock.patch.object(loop, 'create_connection', never),
-            self.assertRaises(error.UnansweredError),
+            self.assertRaises(error.ConnectTimeoutError),
         ):
             await call.connect(self.address, CONNECT_S)
 
--- a/tests/quetzalsill_gateway/http/test_fetch.py
+++ b/tests/quetzalsill_gateway/http/test_fetch.py
@@ -46,14 +46,14 @@
 
     async def test_silence(self):
         self.answer = b''
-        with self.assertRaises(error.SilentError):
+        with self.assertRaises(error.ResponseTimeoutError):
             await self.fetch()
 
     async def test_a_server_that_is_paused_is_not_gone(self):
         """A plan is at work at two engines, one of them just paused."""
         paused = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(paused.close)
-        with self.assertRaises(error.SilentError):
+        with self.assertRaises(error.ResponseTimeoutError):
             await fetch.fetch(
                 pool.Pool(),
                 paused.getsockname()[:2],
--- a/tests/quetzalsill_gateway/http/test_listener.py
+++ b/tests/quetzalsill_gateway/http/test_listener.py
@@ -28,7 +28,7 @@
         self.cancelled = 0
         self.listener = listener.Listener(self.handle, lambda: self.limits)
         await self.listener.start('127.0.0.1', 0)
-        watching = asyncio.create_task(self.listener.watch())
+        watching = asyncio.create_task(self.listener.enforce_timeouts())
         self.addCleanup(watching.cancel)
         self.addCleanup(self.listener.stop)
 
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -30,8 +30,8 @@
     async def accept(self, _, writer):
         self.writers.append(writer)
 
-    async def take(self, **more):
-        return await self.pool.take(self.address, most=2, **more)
+    async def acquire(self, **more):
+        return await self.pool.acquire(self.address, max_connections=2, **more)
 
     def count(self):
         return self.pool.connections(self.address).count
@@ -39,15 +39,15 @@
     async def test_no_more_than_it_may_have(self):
         """Orders beyond a server's bound on connections are reset with them."""
         for _ in range(2):
-            await self.take()
-        with self.assertRaises(error.NoPlaceError):
-            await self.take()
+            await self.acquire()
+        with self.assertRaises(error.ConnectionLimitError):
+            await self.acquire()
 
     async def test_an_idle_one_makes_way(self):
-        first = await self.take()
-        await self.take()
-        self.pool.give_back(first)
-        fresh = await self.take(repeatable=False)
+        first = await self.acquire()
+        await self.acquire()
+        self.pool.release(first)
+        fresh = await self.acquire(repeatable=False)
         self.assertIsNot(fresh, first)
         self.assertFalse(first.is_usable)
         async with asyncio.timeout(BOUND_S):
@@ -57,10 +57,10 @@
     async def test_one_that_rested_too_long_leaves_its_place(self):
         """A call is refused although its gateway carries none."""
         for _ in range(3):
-            conn = await self.pool.take(self.address, most=1)
+            conn = await self.pool.acquire(self.address, max_connections=1)
             conn.idle_since_s = asyncio.get_running_loop().time() - LONG_S
-            self.pool.give_back(conn)
-            fresh = await self.pool.take(self.address, most=1)
+            self.pool.release(conn)
+            fresh = await self.pool.acquire(self.address, max_connections=1)
             self.assertIsNot(fresh, conn)
             self.assertEqual(self.count(), 1)
             fresh.abort()
@@ -68,7 +68,7 @@
     async def test_one_that_has_ended_leaves_its_place(self):
         """Counted for ever, ended ones would shut the server out."""
         for _ in range(20):
-            conns = [await self.take() for _ in range(2)]
+            conns = [await self.acquire() for _ in range(2)]
             for conn in conns:
                 conn.abort()
             async with asyncio.timeout(BOUND_S):
@@ -77,9 +77,9 @@
 
     async def test_few_are_kept_idle(self):
         """Idle connections of lost hosts shut returning callers out."""
-        conns = [await self.pool.take(self.address) for _ in range(6)]
+        conns = [await self.pool.acquire(self.address) for _ in range(6)]
         for conn in conns:
-            self.pool.give_back(conn, 2)
+            self.pool.release(conn, 2)
         self.assertEqual(self.pool.connections(self.address).idle, 2)
 
     async def test_one_that_could_not_be_opened_leaves_its_place(self):
@@ -87,13 +87,15 @@
         await self.server.wait_closed()
         for _ in range(5):
             with self.assertRaises(error.ConnectError) as caught:
-                await self.take()
-            self.assertNotIsInstance(caught.exception, error.NoPlaceError)
+                await self.acquire()
+            self.assertNotIsInstance(
+                caught.exception, error.ConnectionLimitError
+            )
         self.assertEqual(self.count(), 0)
 
     async def test_a_call_given_up_while_it_connects_leaves_its_place(self):
         for _ in range(20):
-            opening = asyncio.create_task(self.take())
+            opening = asyncio.create_task(self.acquire())
             await asyncio.sleep(0)
             opening.cancel()
             await asyncio.gather(opening, return_exceptions=True)
@@ -114,7 +116,7 @@
         found = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         upstreams.put(found, revision.Revision(0, 1))
 
-        async def take(address, **_):
+        async def acquire(address, **_):
             upstreams.zones.apply_newer(
                 [zones.Drain('z', revision.Revision(0, 2), True)]
             )
@@ -123,7 +125,9 @@
         core = types.SimpleNamespace(
             upstreams=upstreams,
             dialect=None,
-            conns=types.SimpleNamespace(take=take, give_back=lambda *_: None),
+            conns=types.SimpleNamespace(
+                acquire=acquire, release=lambda *_: None
+            ),
             quota=types.SimpleNamespace(
                 max_connections=lambda _: None, max_idle=lambda _: None
             ),
@@ -131,7 +135,7 @@
         req = types.SimpleNamespace(
             route=types.SimpleNamespace(kind=routing_table.Kind.IDEMPOTENT)
         )
-        with self.assertRaises(error.ClosedError) as caught:
+        with self.assertRaises(error.UpstreamClosedError) as caught:
             async with attempt.send_request(core, req, found, []):
                 self.fail('it was sent')
         self.assertFalse(attempt.may_have_run(caught.exception))
--- a/tests/quetzalsill_gateway/stream/test_continuation.py
+++ b/tests/quetzalsill_gateway/stream/test_continuation.py
@@ -40,9 +40,9 @@
             stats_table=upstream_stats.StatsTable(),
             dialect=types.SimpleNamespace(
                 priority=b'priority',
-                memory_from=b'from',
+                kv_from=b'from',
                 resume_after=b'after',
-                memory_source=lambda holder, handle: handle.encode(),
+                format_kv_from=lambda holder, handle: handle.encode(),
             ),
         )
         self.continuation = continuation.Continuation(self.core, self.stream)
--- a/tests/quetzalsill_gateway/stream/test_stop.py
+++ b/tests/quetzalsill_gateway/stream/test_stop.py
@@ -12,9 +12,9 @@
 from quetzalsill_gateway.stream import stop
 
 RunState = at_most_once.RunState
-STOPPED = dialect.Move(handle='h', copied=True)
-UNKNOWN = dialect.Move(unknown_run=True)
-REFUSED = dialect.Move(refused=True, code='409')
+STOPPED = dialect.MoveResult(handle='h', copied=True)
+UNKNOWN = dialect.MoveResult(unknown_run=True)
+REFUSED = dialect.MoveResult(refused=True, code='409')
 
 
 class StopTest(unittest.TestCase):
@@ -70,7 +70,7 @@
         while they are being opened. A reset must not count as a sign that the
         engine is down.
         """
-        for failure in (error.TruncatedError(), error.EndedError()):
+        for failure in (error.TruncatedError(), error.ConnectionEndedError()):
             self.assertIs(self.stop(failure), RunState.AT_WORK)
 
     def test_one_unanswered_connection_is_not_conclusive(self):
@@ -79,7 +79,7 @@
         The first packet to the engine is lost, or its accept queue is full for
         a moment.
         """
-        unanswered = error.UnansweredError('nobody answers')
+        unanswered = error.ConnectTimeoutError('nobody answers')
         self.assertIs(self.stop(unanswered, STOPPED), RunState.STOPPED)
         self.assertIs(self.stop(unanswered, REFUSED), RunState.AT_WORK)
         self.assertIs(self.stop(unanswered), RunState.UNREACHED)
--- a/tests/quetzalsill_gateway/test_retry_budget.py
+++ b/tests/quetzalsill_gateway/test_retry_budget.py
@@ -42,9 +42,9 @@
             for node, step, pause_s in steps:
                 clock[0] += pause_s
                 if step == 'q':
-                    budgets[node].note_request('s')
+                    budgets[node].record_request('s')
                     requests.append(clock[0])
-                elif budgets[node].spend('s'):
+                elif budgets[node].try_spend('s'):
                     retries.append(clock[0])
         for end in retries:
             sent = sum(end - WINDOW_S < at <= end for at in retries)
@@ -64,8 +64,8 @@
             spent = 0
             for _ in range(68):
                 budget = retry_budget.RetryBudget(0.0, 176, WINDOW_S, 16)
-                budget.share_among(68)
-                while budget.spend('s'):
+                budget.set_gateway_count(68)
+                while budget.try_spend('s'):
                     spent += 1
         self.assertLessEqual(spent, 176)
 
@@ -80,18 +80,18 @@
         ):
             budget = retry_budget.RetryBudget(0.0, 8, WINDOW_S, 1)
             for _ in range(4):
-                budget.note_retry('s')
-            self.assertFalse(budget.spend('s'))
-            self.assertTrue(budget.spend('other'))
+                budget.record_retry('s')
+            self.assertFalse(budget.try_spend('s'))
+            self.assertTrue(budget.try_spend('other'))
 
     def test_services_do_not_share(self):
         with mock.patch.object(
             retry_budget.RetryBudget, '_now', lambda _self: 0.0
         ):
             budget = retry_budget.RetryBudget(0.0, 2, WINDOW_S, 1)
-            self.assertTrue(budget.spend('a'))
-            self.assertFalse(budget.spend('a'))
-            self.assertTrue(budget.spend('b'))
+            self.assertTrue(budget.try_spend('a'))
+            self.assertFalse(budget.try_spend('a'))
+            self.assertTrue(budget.try_spend('b'))
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -258,7 +258,7 @@
             epochs.observe('get', 2, 1)
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                with self.assertRaises(error.StaleAnswerError):
+                with self.assertRaises(error.StaleResponseError):
                     epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
@@ -268,7 +268,7 @@
         async def story(epochs):
             epochs.observe('get', 2, 0)
             for _ in range(10):
-                with self.assertRaises(error.StaleAnswerError):
+                with self.assertRaises(error.StaleResponseError):
                     epochs.observe('get', 1, 2)
                 await asyncio.sleep(0.9)
                 epochs.observe('get', 2, 2)
@@ -280,7 +280,7 @@
     def test_an_epoch_that_fell_counts_when_it_is_told_on_and_on(self):
         async def story(epochs):
             epochs.observe('get', 7, 0)
-            with self.assertRaises(error.StaleAnswerError):
+            with self.assertRaises(error.StaleResponseError):
                 epochs.observe('get', 1, 7)
             await asyncio.sleep(epoch.DOWNGRADE_AFTER_S + 0.1)
             epochs.observe('get', 1, 7)
--- a/tests/quetzalsill_platform/test_adapter.py
+++ b/tests/quetzalsill_platform/test_adapter.py
@@ -278,29 +278,29 @@
         raw = {'queued': -1, 'active': 2, 'kvUsed': 99, 'kvTotal': 4}
         report = engine.decode_report(raw | {'leaves_ms': -3})
         self.assertEqual((report.queued, report.used_tokens), (0, 4))
-        self.assertEqual(report.leaves_s, 0.0)
+        self.assertEqual(report.leaving_in_s, 0.0)
         late = engine.decode_report(raw | {'leaves_ms': 1e300})
-        self.assertEqual(late.leaves_s, engine.MOST_LEFT_S)
+        self.assertEqual(late.leaving_in_s, engine.MOST_LEFT_S)
         for figure in (float('inf'), float('nan'), 'x', None):
-            with self.assertRaises(http_error.MalformedAnswerError):
+            with self.assertRaises(http_error.MalformedResponseError):
                 engine.decode_report(raw | {'queued': figure})
 
     def test_reports(self):
         raw = {'queued': 1, 'active': 2, 'kvUsed': 3, 'kvTotal': 4}
         more = {'state': 'draining', 'leaves_ms': 1500}
         report = engine.decode_report(raw | more | {'runs': [['a', 10, 2, 5]]})
-        self.assertEqual((report.leaving, report.leaves_s), (True, 1.5))
+        self.assertEqual((report.leaving, report.leaving_in_s), (True, 1.5))
         self.assertEqual(report.runs[0].request_id, 'a')
-        self.assertIsNone(engine.decode_report(raw).leaves_s)
+        self.assertIsNone(engine.decode_report(raw).leaving_in_s)
         for broken in ({}, [], 7, raw | {'runs': [['a']]}):
             with (
                 self.subTest(broken),
-                self.assertRaises(http_error.MalformedAnswerError),
+                self.assertRaises(http_error.MalformedResponseError),
             ):
                 engine.decode_report(broken)
 
     def test_prompts(self):
-        read = headers.DIALECT.prompt
+        read = headers.DIALECT.parse_prompt
         prompt = read(
             [
                 (b'x-quetzalsill-token-usage', b'1460, 80'),
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -178,7 +178,7 @@
         self.in_epoch(2)
         await self.store.read('t')
         self.in_epoch(1)
-        with self.assertRaises(error.StaleAnswerError):
+        with self.assertRaises(error.StaleResponseError):
             await self.store.read('t')
         self.assertEqual(self.store.epochs.newest, 2)
         self.assertEqual(len(self.told(event.AnswerStale)), 1)
@@ -215,7 +215,7 @@
         await self.store.read('t')
         self.assertEqual(self.store.epochs.newest, 2)
         held.set()
-        with self.assertRaises(error.StaleAnswerError):
+        with self.assertRaises(error.StaleResponseError):
             await slow
         self.assertEqual(self.store.epochs.newest, 2)
 
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -20,7 +20,7 @@
     """What the balancer, on-call engineers and the host see."""
 
     async def asked(self, path):
-        found = caller.Caller('127.0.0.1', self.process.asked.port)
+        found = caller.Caller('127.0.0.1', self.process.readiness.port)
         return await found.ask(path)
 
     async def test_readiness_and_metrics(self):
@@ -119,7 +119,7 @@
         self.addCleanup(patch.stop)
         loop = asyncio.get_running_loop()
         self.addCleanup(loop.remove_signal_handler, signal.SIGHUP)
-        reload.on_hangup(self.settings, self.read, lambda _s: None)
+        reload.reload_on_sighup(self.settings, self.read, lambda _s: None)
 
     def note(self, told):
         self.notes.append(told)
