--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -59,8 +59,8 @@
     ),
     'moves': _gateway(
         'stream/migration.py',
-        'if spec is None or not spec.moves',
-        'if True or not spec.moves',
+        'if spec is None or not spec.can_move',
+        'if True or not spec.can_move',
     ),
     'one-move-at-a-time': _gateway(
         'stream/link_queue.py',
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
@@ -19,7 +19,7 @@
 # Short against the time limits of the promptest callers, and long enough for
 # another gateway, or the next report of an engine, to tell another story.
 RETRY_AFTER_S = 0.1
-BODILESS = (b'GET', b'HEAD')
+BODILESS_METHODS = (b'GET', b'HEAD')
 
 
 @dataclasses.dataclass(slots=True)
@@ -124,7 +124,7 @@
         if self.account is not None:
             lines.append(b'%s: %s' % (dialect.account, self.account))
         lines.extend(b'%s: %s' % pair for pair in extra)
-        if req.body or req.method not in BODILESS:
+        if req.body or req.method not in BODILESS_METHODS:
             lines.append(b'content-length: %d' % len(req.body))
         lines.append(b'\r\n')
         return b'\r\n'.join(lines)
@@ -133,7 +133,7 @@
 def refuse(
     responder: responder_lib.Responder,
     status: int,
-    why: str,
+    reason: str,
     *,
     may_retry: bool = False,
     retry_after_s: float = RETRY_AFTER_S,
@@ -143,11 +143,11 @@
     Args:
       responder: Writes the answer.
       status: Its status.
-      why: Code of the reason, for the caller to read.
+      reason: Code of the reason, for the caller to read.
       may_retry: Whether to say when to come back; only for what has not run.
       retry_after_s: When that is, in seconds from now.
     """
     headers = [(b'content-type', b'text/plain')]
     if may_retry:
         headers.append((b'retry-after', b'%.2f' % retry_after_s))
-    responder.reply(status, headers, why.encode() + b'\n')
+    responder.reply(status, headers, reason.encode() + b'\n')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -46,22 +46,22 @@
         exchange = self._admit(req, responder)
         if exchange is None:
             return
-        bound_s = exchange.deadline_s - RESPONSE_MARGIN_S
+        reply_by_s = exchange.deadline_s - RESPONSE_MARGIN_S
         try:
-            async with deadline.timeout_at(bound_s):
+            async with deadline.timeout_at(reply_by_s):
                 outcome = await self._forward(exchange)
         except TimeoutError:
-            outcome = _answer_timeout(exchange)
+            outcome = _reply_timeout(exchange)
         except asyncio.CancelledError:
-            self._note(exchange, self._cut_by())
+            self._record_end(exchange, self._cancellation_outcome())
             raise
-        self._note(exchange, outcome)
+        self._record_end(exchange, outcome)
 
-    def _cut_by(self) -> str:
+    def _cancellation_outcome(self) -> str:
         """Returns who cut a request off: its caller, or the process's end."""
         ends_at_s = self._core.ends_at_s
-        now = asyncio.get_running_loop().time()
-        return 'stopped' if ends_at_s and now >= ends_at_s else 'caller_left'
+        now_s = asyncio.get_running_loop().time()
+        return 'stopped' if ends_at_s and now_s >= ends_at_s else 'caller_left'
 
     async def _forward(self, exchange: exchange_lib.Exchange) -> str:
         if exchange.route.kind.is_stream:
@@ -83,7 +83,7 @@
         if route is None:
             _refuse(req, name, responder, NOT_FOUND, 'no_route', table.version)
             return None
-        account = _account(table, route, req)
+        account = _find_account(table, route, req)
         if table.accounts is not None and not route.public and account is None:
             version = table.version
             _refuse(req, name, responder, UNAUTHORIZED, 'unknown_key', version)
@@ -91,9 +91,9 @@
         if not request_id:
             _refuse(req, name, responder, BAD_REQUEST, 'no_id', table.version)
             return None
-        regions = _regions(route, account)
-        service = _service(table, route, self._core.upstreams, regions)
-        ranked = account is not None and account.priority is not None
+        regions = _allowed_regions(route, account)
+        service = _choose_service(table, route, self._core.upstreams, regions)
+        has_priority = account is not None and account.priority is not None
         return exchange_lib.Exchange(
             request=req,
             responder=responder,
@@ -101,7 +101,7 @@
             service=service,
             account=account.name.encode() if account else None,
             request_id=request_id,
-            priority=account.priority if ranked else route.priority,
+            priority=account.priority if has_priority else route.priority,
             deadline_s=self._deadline_s(req, route),
             version=table.version,
             regions=regions,
@@ -111,14 +111,16 @@
         self, req: message.Request, route: routing_lib.Route
     ) -> float:
         text = message.first(req.headers, self._core.dialect.deadline_ms)
-        wait_s = route.timeout_s
+        timeout_s = route.timeout_s
         if text and text.isdigit():
-            wait_s = min(wait_s, int(text) / exchange_lib.MS_PER_S)
-        return req.received_s + wait_s
+            timeout_s = min(timeout_s, int(text) / exchange_lib.MS_PER_S)
+        return req.received_s + timeout_s
 
-    def _note(self, exchange: exchange_lib.Exchange, outcome: str) -> None:
-        now = asyncio.get_running_loop().time()
-        took_ms = round((now - exchange.request.received_s) * 1000, 1)
+    def _record_end(
+        self, exchange: exchange_lib.Exchange, outcome: str
+    ) -> None:
+        now_s = asyncio.get_running_loop().time()
+        took_ms = round((now_s - exchange.request.received_s) * 1000, 1)
         kind = exchange.route.kind.value
         meter.record_request(exchange, outcome, took_ms / 1000)
         event.note(
@@ -152,23 +154,25 @@
     request_id: bytes,
     responder: responder_lib.Responder,
     status: int,
-    why: str,
+    reason: str,
     version: int,
 ) -> None:
     event.note(
         event.RequestRefused(
             request=request_id.decode('latin-1'),
             target=req.target.decode('latin-1'),
-            reason=why,
+            reason=reason,
             status=status,
             configuration=version,
         )
     )
-    meter.refused.inc({'reason': why})
-    exchange_lib.refuse(responder, status, why, may_retry=status == UNAVAILABLE)
+    meter.refused.inc({'reason': reason})
+    exchange_lib.refuse(
+        responder, status, reason, may_retry=status == UNAVAILABLE
+    )
 
 
-def _answer_timeout(exchange: exchange_lib.Exchange) -> str:
+def _reply_timeout(exchange: exchange_lib.Exchange) -> str:
     responder = exchange.responder
     if responder.started:
         responder.abort()
@@ -180,7 +184,7 @@
     return 'not_sent'
 
 
-def _account(
+def _find_account(
     table: routing_lib.RoutingTable,
     route: routing_lib.Route,
     req: message.Request,
@@ -193,29 +197,29 @@
     return table.accounts.get(value[len(BEARER) :].strip())
 
 
-def _regions(
+def _allowed_regions(
     route: routing_lib.Route, account: routing_lib.ClientAccount | None
 ) -> frozenset[str] | None:
     """Returns the regions that route and account both allow; None for any."""
-    of_account = account.regions if account else None
-    if route.regions is None or of_account is None:
-        return route.regions or of_account
-    return route.regions & of_account
+    account_regions = account.regions if account else None
+    if route.regions is None or account_regions is None:
+        return route.regions or account_regions
+    return route.regions & account_regions
 
 
-def _service(
+def _choose_service(
     table: routing_lib.RoutingTable,
     route: routing_lib.Route,
     upstreams: upstream.Upstreams,
     regions: frozenset[str] | None,
 ) -> routing_lib.Service:
     """Draws one of the route's services by weight, one with upstreams first."""
-    able = [
+    available = [
         target
         for target in route.targets
         if target.weight and upstreams.available(target.service, regions)
     ]
-    targets = able or list(route.targets)
+    targets = available or list(route.targets)
     weights = [target.weight or 1e-9 for target in targets]
     name = random.choices(targets, weights)[0].service
     return table.services.get(name) or routing_lib.Service(name)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/call.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/call.py
@@ -16,9 +16,9 @@
 
 KEEP_ALIVE_TIMEOUT = re.compile(rb'timeout=(\d+)')
 NO_BODY = (204, 304)
-END = object()
+END_OF_BODY = object()
 # Keeps the number of open connections to an address.
-Count = Callable[[tuple[str, int], int], None]
+CountCallback = Callable[[tuple[str, int], int], None]
 
 
 class Conn(asyncio.Protocol):
@@ -31,7 +31,7 @@
     """
 
     def __init__(
-        self, address: tuple[str, int], count: Count | None = None
+        self, address: tuple[str, int], count: CountCallback | None = None
     ) -> None:
         """Prepares a connection.
 
@@ -41,7 +41,7 @@
             once it has ended or is closed from here.
         """
         self.address = address
-        self._count = count
+        self._on_count = count
         self.idle_since_s = 0.0
         self.idle_limit_s: float | None = None
         self._transport: asyncio.Transport | None = None
@@ -52,8 +52,8 @@
         self._until_close = False
         self._reusable = False
         self._is_head_request = False
-        self._awaits = False
-        self._skipping = False
+        self._awaiting_response = False
+        self._skipping_response = False
         self._echo: tuple[bytes, bytes] | None = None
 
     @property
@@ -63,7 +63,7 @@
         # would be taken for the answer to the next call.
         return (
             self._reusable
-            and not self._awaits
+            and not self._awaiting_response
             and self._error is None
             and not self._transport.is_closing()
         )
@@ -76,27 +76,27 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Tunes the socket."""
         self._transport = transport
-        if self._count is not None:
-            self._count(self.address, 1)
+        if self._on_count is not None:
+            self._on_count(self.address, 1)
         socket_option.tune(transport)
         self._reusable = True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends the answer: as whole only if it had no length and no reset."""
-        self._uncount()
+        self._report_closed()
         if (
-            self._awaits
+            self._awaiting_response
             and self._until_close
-            and not self._skipping
+            and not self._skipping_response
             and not exc
         ):
-            self._add(END)
+            self._add(END_OF_BODY)
         detail = 'the connection ended'
         self._fail(error.TruncatedError(detail, was_reset=exc is not None))
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes of the upstream."""
-        if not self._awaits:
+        if not self._awaiting_response:
             # Bytes behind a whole answer belong to no request; the next
             # caller would take them for the answer to its own.
             self.abort()
@@ -110,7 +110,7 @@
     def on_message_begin(self) -> None:
         """Starts an answer."""
         self._headers: message.Headers = []
-        if not self._awaits:
+        if not self._awaiting_response:
             self._reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -120,10 +120,10 @@
     def on_headers_complete(self) -> None:
         """Hands on the head, unless it is an interim one."""
         status = self._parser.get_status_code()
-        if not self._awaits or status < 200:
+        if not self._awaiting_response or status < 200:
             return
-        self._skipping = self._is_foreign()
-        if self._skipping:
+        self._skipping_response = self._is_mismatched()
+        if self._skipping_response:
             return
         length = message.first(self._headers, b'content-length')
         coding = message.first(self._headers, b'transfer-encoding')
@@ -133,24 +133,26 @@
         self._reusable = (
             self._parser.should_keep_alive() and not self._until_close
         )
-        self._note_idle_limit()
-        known = int(length) if length is not None and length.isdigit() else None
-        self._add(message.ResponseHead(status, self._headers, known))
+        self._read_idle_limit()
+        body_length = (
+            int(length) if length is not None and length.isdigit() else None
+        )
+        self._add(message.ResponseHead(status, self._headers, body_length))
         if self._is_head_request:
             self._reusable = False
-            self._end()
+            self._finish()
 
     def on_body(self, body: bytes) -> None:
         """Takes a piece of the body."""
-        if self._awaits and not self._skipping:
+        if self._awaiting_response and not self._skipping_response:
             self._add(body)
 
     def on_message_complete(self) -> None:
         """Ends the answer as whole."""
-        if self._skipping:
-            self._skipping = False
-        elif self._parser.get_status_code() >= 200 and self._awaits:
-            self._end()
+        if self._skipping_response:
+            self._skipping_response = False
+        elif self._parser.get_status_code() >= 200 and self._awaiting_response:
+            self._finish()
 
     def send(
         self,
@@ -176,10 +178,10 @@
         self._items.clear()
         self._parser = httptools.HttpResponseParser(self)
         self._echo = echo
-        self._skipping = False
+        self._skipping_response = False
         self._until_close = False
         self._is_head_request = method == b'HEAD'
-        self._awaits = True
+        self._awaiting_response = True
         self._reusable = False
         self._transport.write(head + body)
 
@@ -189,7 +191,7 @@
         Raises:
           error.CallError: None came.
         """
-        return await self._take()
+        return await self._next_item()
 
     async def read(self) -> bytes:
         """Returns the next bytes of the body, empty at its end.
@@ -197,8 +199,8 @@
         Raises:
           error.CallError: The answer was cut off.
         """
-        item = await self._take()
-        if item is END:
+        item = await self._next_item()
+        if item is END_OF_BODY:
             return b''
         while self._items and isinstance(self._items[0], bytes):
             item += self._items.popleft()
@@ -209,32 +211,32 @@
         self._reusable = False
         if self._transport is not None:
             self._transport.abort()
-            self._uncount()
+            self._report_closed()
 
-    def _uncount(self) -> None:
-        count, self._count = self._count, None
+    def _report_closed(self) -> None:
+        count, self._on_count = self._on_count, None
         if count is not None:
             count(self.address, -1)
 
-    def _is_foreign(self) -> bool:
+    def _is_mismatched(self) -> bool:
         # A server may answer an earlier request twice; the second answer
         # stands where the answer to this request is due.
         if self._echo is None:
             return False
-        name, wanted = self._echo
-        found = message.first(self._headers, name)
-        return found is not None and found != wanted
+        name, expected = self._echo
+        value = message.first(self._headers, name)
+        return value is not None and value != expected
 
-    def _end(self) -> None:
-        self._awaits = False
+    def _finish(self) -> None:
+        self._awaiting_response = False
         self.idle_since_s = asyncio.get_running_loop().time()
-        self._add(END)
+        self._add(END_OF_BODY)
 
-    def _note_idle_limit(self) -> None:
+    def _read_idle_limit(self) -> None:
         value = message.first(self._headers, b'keep-alive')
-        found = KEEP_ALIVE_TIMEOUT.search(value) if value else None
-        if found:
-            self.idle_limit_s = float(found.group(1))
+        match = KEEP_ALIVE_TIMEOUT.search(value) if value else None
+        if match:
+            self.idle_limit_s = float(match.group(1))
 
     def _add(self, item: object) -> None:
         self._items.append(item)
@@ -249,7 +251,7 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    async def _take(self) -> object:
+    async def _next_item(self) -> object:
         while not self._items:
             if self._error is not None:
                 raise self._error
@@ -259,7 +261,9 @@
 
 
 async def connect(
-    address: tuple[str, int], timeout_s: float, count: Count | None = None
+    address: tuple[str, int],
+    timeout_s: float,
+    count: CountCallback | None = None,
 ) -> Conn:
     """Opens a connection.
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/early_socket.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/early_socket.py
@@ -24,7 +24,7 @@
 BACKLOG = 1024
 
 # What reading settings of an unexpected shape, or a taken address, raises.
-UNFIT = (OSError, ValueError, LookupError, TypeError, AttributeError)
+SETTINGS_ERRORS = (OSError, ValueError, LookupError, TypeError, AttributeError)
 
 _opened: dict[tuple[str, int], socket.socket] = {}
 
@@ -36,9 +36,9 @@
     opened, are left to the start of the program, whose errors say what to
     mend.
     """
-    with contextlib.suppress(*UNFIT):
-        found = _read(pathlib.Path(path).read_text(encoding='utf-8'))
-        host, _, port = found['listen'].rpartition(':')
+    with contextlib.suppress(*SETTINGS_ERRORS):
+        settings = _parse(pathlib.Path(path).read_text(encoding='utf-8'))
+        host, _, port = settings['listen'].rpartition(':')
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
@@ -47,7 +47,7 @@
         _opened[host, int(port)] = sock
 
 
-def _read(text: str) -> Any:
+def _parse(text: str) -> Any:
     try:
         return json.loads(text)
     except ValueError:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
@@ -80,21 +80,23 @@
     head = '\r\n'.join([*lines, '\r\n']).encode()
     conn = None
     try:
-        async with deadline.timeout(timeout_s) as bound:
+        async with deadline.timeout(timeout_s) as timeout:
             conn = await conns.acquire(address, connect_timeout_s or timeout_s)
             conn.send(head, data)
-            found = await conn.head()
-            pieces = bytearray()
+            response_head = await conn.head()
+            received = bytearray()
             while piece := await conn.read():
-                pieces += piece
-                bound.reschedule(
-                    max(bound.when(), _now() + BODY_STALL_TIMEOUT_S)
+                received += piece
+                timeout.reschedule(
+                    max(timeout.when(), _now() + BODY_STALL_TIMEOUT_S)
                 )
-                if len(pieces) > MAX_RESPONSE_BYTES:
+                if len(received) > MAX_RESPONSE_BYTES:
                     raise error.MalformedResponseError(
                         'the answer is too large'
                     )
-            return Response(found.status, found.headers, bytes(pieces))
+            return Response(
+                response_head.status, response_head.headers, bytes(received)
+            )
     except TimeoutError as exc:
         raise error.ResponseTimeoutError(f'{address[0]}:{address[1]}') from exc
     finally:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
@@ -21,7 +21,7 @@
 WRITE_HIGH_BYTES = 262_144
 TIMEOUT_CHECK_S = 0.5
 # On, for no time: closing resets.
-LINGER_NONE = struct.pack('ii', 1, 0)
+LINGER_ZERO = struct.pack('ii', 1, 0)
 VERSIONS = ('1.0', '1.1')
 
 
@@ -61,7 +61,7 @@
         self._task: asyncio.Task[None] | None = None
         self._refused = False
         self._busy = False
-        self._touched_s = 0.0
+        self._last_activity_s = 0.0
         self._reset()
 
     @property
@@ -75,7 +75,7 @@
         socket_option.tune(transport)
         transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
         loop = asyncio.get_running_loop()
-        self._touched_s = loop.time()
+        self._last_activity_s = loop.time()
         self._listener.connections.add(self)
         self._task = loop.create_task(self._serve())
 
@@ -103,9 +103,9 @@
         """Takes bytes of the caller."""
         if self._refused:
             return
-        self._touched_s = asyncio.get_running_loop().time()
-        if not self._receiving and not self._started_s:
-            self._started_s = self._touched_s
+        self._last_activity_s = asyncio.get_running_loop().time()
+        if not self._receiving and not self._request_start_s:
+            self._request_start_s = self._last_activity_s
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -117,23 +117,23 @@
         """Starts a request."""
         self._reset()
         self._receiving = True
-        self._started_s = asyncio.get_running_loop().time()
+        self._request_start_s = asyncio.get_running_loop().time()
 
     def on_url(self, url: bytes) -> None:
         """Takes a part of the target."""
         self._target += url
-        self._count(len(url))
+        self._add_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes one header."""
         self._headers.append((name.lower(), value))
-        self._count(len(name) + len(value))
+        self._add_head_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
         """Checks the version, and how the body is framed."""
         if self._parser.get_http_version() not in VERSIONS:
-            self._fail(400)
-        framed = [
+            self._reject(400)
+        framing = [
             value.strip().lower()
             for name, value in self._headers
             if name in (b'transfer-encoding', b'content-length')
@@ -141,12 +141,12 @@
         names = {name for name, _ in self._headers}
         # A request with two framings is read differently by other programs
         # on its way, which lets a second request hide in its body.
-        if len(framed) > 1 or (
-            b'transfer-encoding' in names and framed != [b'chunked']
+        if len(framing) > 1 or (
+            b'transfer-encoding' in names and framing != [b'chunked']
         ):
-            self._fail(400)
-        if framed and framed[0].isdigit():
-            self._check_body(int(framed[0]))
+            self._reject(400)
+        if framing and framing[0].isdigit():
+            self._check_body(int(framing[0]))
         expects = message.first(self._headers, b'expect')
         if expects and expects.lower() == b'100-continue' and not self._busy:
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
@@ -163,12 +163,12 @@
             bytes(self._target),
             self._headers,
             bytes(self._body),
-            self._started_s,
+            self._request_start_s,
             self._parser.get_http_version(),
             self._parser.should_keep_alive(),
         )
         self._reset()
-        self._put(request)
+        self._enqueue(request)
 
     def write(self, data: bytes) -> None:
         """Writes unless the connection is closing."""
@@ -188,7 +188,7 @@
         """Closes at once; with `reset`, what was written may be lost too."""
         sock = self._transport.get_extra_info('socket')
         if reset and sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self._transport.abort()
 
     def will_close(self) -> bool:
@@ -199,7 +199,7 @@
         """Closes the connection if its caller takes too long."""
         if self._busy or self._requests:
             return
-        silent_s = now - self._touched_s
+        silent_s = now - self._last_activity_s
         if self._receiving and silent_s > limits.header_s:
             self._refuse(408)
         elif not self._receiving and silent_s > limits.idle_s:
@@ -211,19 +211,19 @@
         self._body = bytearray()
         self._head_bytes = 0
         self._receiving = False
-        self._started_s = 0.0
+        self._request_start_s = 0.0
         self._status = 400
 
-    def _count(self, size: int) -> None:
+    def _add_head_bytes(self, size: int) -> None:
         self._head_bytes += size + 4
         if self._head_bytes > self._listener.limits().header_bytes:
-            self._fail(431)
+            self._reject(431)
 
     def _check_body(self, size: int) -> None:
         if size > self._listener.limits().body_bytes:
-            self._fail(413)
+            self._reject(413)
 
-    def _fail(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         # An exception inside a callback reaches `data_received` as an error
         # of the parser, which stops at once.
         self._status = status
@@ -232,9 +232,9 @@
     def _refuse(self, status: int) -> None:
         self._refused = True
         self._receiving = False
-        self._put(status)
+        self._enqueue(status)
 
-    def _put(self, item: message.Request | int) -> None:
+    def _enqueue(self, item: message.Request | int) -> None:
         self._requests.append(item)
         if len(self._requests) >= MAX_PIPELINED:
             self._transport.pause_reading()
@@ -243,9 +243,9 @@
 
     async def _serve(self) -> None:
         while not self._transport.is_closing():
-            item = await self._next()
+            item = await self._next_request()
             if isinstance(item, int):
-                self._answer_refusal(item)
+                self._send_refusal(item)
                 return
             responder = responder_lib.Responder(self, item)
             self._busy = True
@@ -257,7 +257,7 @@
                 event.note(event.RequestFault(target), exc=exc)
             finally:
                 self._busy = False
-                self._touched_s = asyncio.get_running_loop().time()
+                self._last_activity_s = asyncio.get_running_loop().time()
             if not responder.ended:
                 self._finish(responder)
 
@@ -267,13 +267,13 @@
         else:
             responder.reply(502, [])
 
-    def _answer_refusal(self, status: int) -> None:
+    def _send_refusal(self, status: int) -> None:
         event.note(event.RequestMalformed(status))
         line = b'HTTP/1.1 %d %s\r\n' % (status, message.reason(status))
         self.write(line + b'content-length: 0\r\nconnection: close\r\n\r\n')
         self.close()
 
-    async def _next(self) -> message.Request | int:
+    async def _next_request(self) -> message.Request | int:
         while not self._requests:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
@@ -313,9 +313,11 @@
         """Opens the listener; port 0 lets the kernel choose."""
         loop = asyncio.get_running_loop()
         sock = early_socket.take(host, port)
-        where = {'host': host, 'port': port} if sock is None else {'sock': sock}
+        endpoint = (
+            {'host': host, 'port': port} if sock is None else {'sock': sock}
+        )
         self._server = await loop.create_server(
-            lambda: Connection(self), backlog=early_socket.BACKLOG, **where
+            lambda: Connection(self), backlog=early_socket.BACKLOG, **endpoint
         )
 
     async def enforce_timeouts(self) -> None:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
@@ -63,7 +63,7 @@
         kept = self._idle.get(address) if repeatable else None
         while kept:
             conn = kept.pop()
-            if conn.is_usable and now - conn.idle_since_s < _bound_s(conn):
+            if conn.is_usable and now - conn.idle_since_s < _max_idle_s(conn):
                 return conn
             conn.abort()
         if (
@@ -84,9 +84,9 @@
           max_idle: Idle ones that may be kept to its address; None for the
             usual number.
         """
-        most = MAX_IDLE_PER_ADDRESS if max_idle is None else max_idle
+        limit = MAX_IDLE_PER_ADDRESS if max_idle is None else max_idle
         kept = self._idle.setdefault(conn.address, collections.deque())
-        if conn.is_usable and len(kept) < min(most, MAX_IDLE_PER_ADDRESS):
+        if conn.is_usable and len(kept) < min(limit, MAX_IDLE_PER_ADDRESS):
             kept.append(conn)
         else:
             conn.abort()
@@ -99,14 +99,16 @@
     async def _open(
         self, address: Address, connect_timeout_s: float
     ) -> call.Conn:
-        self._add(address, 1)
+        self._adjust_count(address, 1)
         try:
-            return await call.connect(address, connect_timeout_s, self._add)
+            return await call.connect(
+                address, connect_timeout_s, self._adjust_count
+            )
         finally:
-            self._add(address, -1)
+            self._adjust_count(address, -1)
 
-    def _add(self, address: Address, number: int) -> None:
-        self._count[address] += number
+    def _adjust_count(self, address: Address, delta: int) -> None:
+        self._count[address] += delta
         if not self._count[address]:
             del self._count[address]
 
@@ -121,7 +123,7 @@
                 return
 
 
-def _bound_s(conn: call.Conn) -> float:
+def _max_idle_s(conn: call.Conn) -> float:
     stated = conn.idle_limit_s
     return (
         DEFAULT_IDLE_TIMEOUT_S
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/responder.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/responder.py
@@ -39,7 +39,7 @@
     __slots__ = (
         '_chunked',
         '_conn',
-        '_keep',
+        '_keep_alive',
         '_request',
         '_until_close',
         'ended',
@@ -50,7 +50,7 @@
         self._conn = conn
         self._request = request
         self._chunked = False
-        self._keep = False
+        self._keep_alive = False
         self._until_close = False
         self.started = False
         self.ended = False
@@ -59,7 +59,9 @@
         self, status: int, headers: message.Headers, length: int | None
     ) -> None:
         """Writes the head; without a length the body is sent in chunks."""
-        self._keep = self._request.keep_alive and not self._conn.will_close()
+        self._keep_alive = (
+            self._request.keep_alive and not self._conn.will_close()
+        )
         lines = [b'HTTP/1.1 %d %s' % (status, message.reason(status))]
         lines.extend(b'%s: %s' % pair for pair in headers)
         if length is not None:
@@ -68,9 +70,9 @@
             self._chunked = True
             lines.append(b'transfer-encoding: chunked')
         else:
-            self._keep = False
+            self._keep_alive = False
             self._until_close = True
-        if not self._keep:
+        if not self._keep_alive:
             lines.append(b'connection: close')
         lines.append(b'\r\n')
         self.started = True
@@ -91,7 +93,7 @@
         if self._chunked:
             self._conn.write(b'0\r\n\r\n')
         self.ended = True
-        if not self._keep:
+        if not self._keep_alive:
             self._conn.close()
 
     def abort(self) -> None:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/socket_option.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/socket_option.py
@@ -13,9 +13,9 @@
 # connection as a reset would. Shorter bounds than the kernel's own minutes are
 # needed because a watch of the configuration must not hang for long.
 KEEPALIVE_IDLE_S = 1
-INTERVAL_S = 1
-PROBES = 2
-LOST_MS = 2500
+PROBE_INTERVAL_S = 1
+PROBE_COUNT = 2
+USER_TIMEOUT_MS = 2500
 
 
 def tune(transport: asyncio.BaseTransport) -> None:
@@ -26,9 +26,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-        (socket.TCP_KEEPINTVL, INTERVAL_S),
-        (socket.TCP_KEEPCNT, PROBES),
-        (socket.TCP_USER_TIMEOUT, LOST_MS),
+        (socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
+        (socket.TCP_KEEPCNT, PROBE_COUNT),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
         (socket.TCP_NODELAY, 1),
     )
     for option, value in options:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -92,12 +92,12 @@
 
 
 def record_request(
-    exchange: exchange_lib.Exchange, outcome: str, took_s: float
+    exchange: exchange_lib.Exchange, outcome: str, elapsed_s: float
 ) -> None:
     """Counts a request that has ended."""
     kind = {'kind': exchange.route.kind.value}
     requests.inc(kind | {'outcome': outcome})
-    response_times.observe(kind, took_s)
+    response_times.observe(kind, elapsed_s)
     if exchange.first_event_s is not None:
         first_events.observe(kind, exchange.first_event_s)
         max_gaps.observe(kind, exchange.widest_gap_s)
@@ -113,16 +113,18 @@
       connections: Open connections of callers.
       peers: The other gateways.
     """
-    known = core.upstreams.all()
-    leaving = sum(found.leaving for found in known)
+    all_upstreams = core.upstreams.all()
+    leaving = sum(upstream.leaving for upstream in all_upstreams)
     upstreams.set({'state': 'leaving'}, leaving)
-    upstreams.set({'state': 'live'}, len(known) - leaving)
+    upstreams.set({'state': 'live'}, len(all_upstreams) - leaving)
     source_ages.set({'of': 'configuration'}, core.holder.age_s)
     source_ages.set({'of': 'membership'}, core.upstreams.age_s)
     table = core.holder.current
     state.set({'of': 'configuration'}, table.version if table else 0)
     state.set({'of': 'connections'}, connections)
-    state.set({'of': 'streams'}, sum(len(core.live.of(u)) for u in known))
+    state.set(
+        {'of': 'streams'}, sum(len(core.live.of(u)) for u in all_upstreams)
+    )
     state.set({'of': 'peers'}, peers.peer_count)
     datagrams.set({'result': 'taken'}, peers.accepted)
     datagrams.set({'result': 'left_out'}, peers.dropped)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
@@ -29,17 +29,17 @@
       is_ready: Whether callers are taken.
       observe: Sets the gauges before they are read.
     """
-    asked = path.encode()
+    ready_path = path.encode()
 
     async def handle(
         req: message.Request, responder: responder_lib.Responder
     ) -> None:
-        if req.path == asked:
+        if req.path == ready_path:
             responder.reply(OK if is_ready() else UNAVAILABLE, [])
         elif req.path == METRICS_PATH:
             observe()
-            kind = (b'content-type', metric.CONTENT_TYPE.encode())
-            responder.reply(OK, [kind], metric.render())
+            content_type = (b'content-type', metric.CONTENT_TYPE.encode())
+            responder.reply(OK, [content_type], metric.render())
         else:
             responder.reply(NOT_FOUND, [])
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
@@ -51,28 +51,30 @@
 
     def reload() -> None:
         try:
-            found = read()
+            updated = read()
         except schema_error.InvalidDocumentError as exc:
             event.note(event.SettingsInvalid('; '.join(exc.lines())))
             return
-        changed, waiting = _take(settings, found)
+        changed, deferred = _merge(settings, updated)
         apply(settings)
-        event.note(event.SettingsReloaded(','.join(changed), ','.join(waiting)))
+        event.note(
+            event.SettingsReloaded(','.join(changed), ','.join(deferred))
+        )
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
 
-def _take(
-    settings: settings_lib.Settings, found: settings_lib.Settings
+def _merge(
+    settings: settings_lib.Settings, updated: settings_lib.Settings
 ) -> tuple[list[str], list[str]]:
-    changed, waiting = [], []
-    for field in dataclasses.fields(found):
-        value = getattr(found, field.name)
+    changed, deferred = [], []
+    for field in dataclasses.fields(updated):
+        value = getattr(updated, field.name)
         if value == getattr(settings, field.name):
             continue
         if field.name in RESTART_ONLY:
-            waiting.append(field.name)
+            deferred.append(field.name)
         else:
             setattr(settings, field.name, value)
             changed.append(field.name)
-    return changed, waiting
+    return changed, deferred
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
@@ -95,16 +95,16 @@
       memory_tokens: Key-value memory, in tokens.
       token_bytes: Bytes of key-value memory per token.
       link_mbps: Rate at which memory moves between two engines.
-      moves: Whether a run's memory can be moved.
-      backups: Whether an engine sends a run's memory to another as it grows.
+      can_move: Whether a run's memory can be moved.
+      can_back_up: Whether an engine copies a run's memory as it grows.
     """
 
     slots: int = 1
     memory_tokens: int = 0
     token_bytes: float = 0.0
     link_mbps: float = 0.0
-    moves: bool = False
-    backups: bool = False
+    can_move: bool = False
+    can_back_up: bool = False
 
     def copy_s(self, tokens: int) -> float:
         """Returns how long memory is on a free link, in seconds."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -66,7 +66,7 @@
             upstreams=upstream.Upstreams(settings.regions),
             stats_table=stats_table,
             conns=conns,
-            budget=_budget(settings.retry),
+            budget=_make_budget(settings.retry),
             live=live.LiveStreams(stats_table),
             members=gateways,
             quota=quota.Quota(
@@ -111,11 +111,11 @@
         self.peers = peer_exchange.Exchange(
             self.core, settings.node.name, sources.join, self.epochs
         )
-        kinds = {
+        followers = {
             update.MembershipUpdate: self.membership,
             update.ConfigurationUpdate: self.configuration,
         }
-        for kind, follower in kinds.items():
+        for kind, follower in followers.items():
             follower.set_announcer(self.peers.announce)
             follower.on_missing(self.peers.request_snapshot)
             self.peers.on_update(kind, follower.handle_update)
@@ -125,11 +125,11 @@
     def is_ready(self) -> bool:
         """Whether callers should come here."""
         core = self.core
-        known = (
+        has_state = (
             core.holder.current is not None
             and core.upstreams.revision > revision.NONE
         )
-        return known and not self.callers.stopping
+        return has_state and not self.callers.stopping
 
     def apply(self, settings: settings_lib.Settings) -> None:
         """Takes settings that were changed while the process runs."""
@@ -152,8 +152,8 @@
             loops['directory'] = self.peers.join_directory
             loops['peers'] = self.peers.publish_changes
         self._tasks = [
-            asyncio.create_task(background.keep_running(name, work))
-            for name, work in loops.items()
+            asyncio.create_task(background.keep_running(name, loop))
+            for name, loop in loops.items()
         ]
         cfg = self._settings
         await self.readiness.start(*settings_lib.address(cfg.ready))
@@ -181,17 +181,17 @@
         are taken and served for that long.
         """
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        bounds = self._settings.stop
-        end_s = begun_s + bounds.grace_s - CLOSE_MARGIN_S
+        started_s = loop.time()
+        stop = self._settings.stop
+        end_s = started_s + stop.grace_s - CLOSE_MARGIN_S
         self.core.ends_at_s = end_s
         self.callers.stopping = True
-        await asyncio.sleep(min(bounds.leave_s, bounds.grace_s))
+        await asyncio.sleep(min(stop.leave_s, stop.grace_s))
         self.callers.stop()
         while self.callers.connections and loop.time() < end_s:
             self.callers.close_idle()
             await asyncio.sleep(STOP_POLL_S)
-        took_s = round(loop.time() - begun_s, 2)
+        took_s = round(loop.time() - started_s, 2)
         event.note(event.Stopped(len(self.callers.connections), took_s))
         await self.close()
 
@@ -215,7 +215,7 @@
         return table.limits if table else listener.Limits()
 
 
-def _budget(cfg: settings_lib.Retry) -> retry_budget.RetryBudget:
+def _make_budget(cfg: settings_lib.Retry) -> retry_budget.RetryBudget:
     return retry_budget.RetryBudget(
         cfg.ratio, cfg.allowance, cfg.window_s, cfg.gateways
     )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -254,7 +254,11 @@
             self._core.stats_table,
         )
         engine = req.service.engine
-        if engine is None or not engine.backups or req.route.kind.may_repeat:
+        if (
+            engine is None
+            or not engine.can_back_up
+            or req.route.kind.may_repeat
+        ):
             return segment
         if not backup.is_worthwhile(engine, stats_table, stream.reservation):
             return segment
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/migration.py
@@ -61,7 +61,7 @@
     def start(self, source: upstream_lib.Upstream) -> None:
         """Starts moving the runs of an engine, unless this is in progress."""
         spec = self._engine_spec(source)
-        if spec is None or not spec.moves or source.key in self._migrating:
+        if spec is None or not spec.can_move or source.key in self._migrating:
             return
         if not self._core.live.of(source):
             return
--- a/tests/quetzalsill_gateway/balance/test_backup.py
+++ b/tests/quetzalsill_gateway/balance/test_backup.py
@@ -9,7 +9,7 @@
 from quetzalsill_gateway.balance import backup, upstream_stats
 from quetzalsill_gateway.fleet import upstream
 
-ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, backups=True)
+ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, can_back_up=True)
 
 
 class DestinationTest(unittest.TestCase):
--- a/tests/quetzalsill_gateway/balance/test_choose.py
+++ b/tests/quetzalsill_gateway/balance/test_choose.py
@@ -11,7 +11,7 @@
 from quetzalsill_gateway.fleet import upstream
 from quetzalsill_gateway.fleet import usage as usage_lib
 
-ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, moves=True)
+ENGINE = routing_table.Engine(24, 30_000, 18432.0, 2700.0, can_move=True)
 
 
 class ChooseTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/quetzalsill_gateway/http/test_fetch.py
+++ b/tests/quetzalsill_gateway/http/test_fetch.py
@@ -9,7 +9,7 @@
 
 from quetzalsill_gateway.http import error, fetch, pool
 
-BOUND_S = 0.1
+TIMEOUT_S = 0.1
 ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}'
 
 
@@ -33,7 +33,7 @@
     async def fetch(self):
         address = self.server.sockets[0].getsockname()[:2]
         return await fetch.fetch(
-            pool.Pool(), address, 'POST', '/', timeout_s=BOUND_S
+            pool.Pool(), address, 'POST', '/', timeout_s=TIMEOUT_S
         )
 
     async def test_an_answer_that_comes_as_its_time_ends(self):
@@ -41,7 +41,7 @@
 
         The run can't go on without it, and its caller's answer is cut off.
         """
-        self.pause_s = 2 * BOUND_S
+        self.pause_s = 2 * TIMEOUT_S
         self.assertEqual((await self.fetch()).json(), {})
 
     async def test_silence(self):
@@ -59,7 +59,7 @@
                 paused.getsockname()[:2],
                 'POST',
                 '/',
-                timeout_s=BOUND_S,
+                timeout_s=TIMEOUT_S,
             )
 
 
--- a/tests/quetzalsill_gateway/http/test_listener.py
+++ b/tests/quetzalsill_gateway/http/test_listener.py
@@ -11,7 +11,7 @@
 
 from quetzalsill_gateway.http import listener
 
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 HEAD = b'GET /a HTTP/1.1\r\nHost: h\r\n\r\n'
 
 
@@ -56,14 +56,14 @@
         for piece in pieces:
             writer.write(piece)
             await asyncio.sleep(0)
-        back = b''
+        response = b''
         try:
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while data := await reader.read(65536):
-                    back += data
+                    response += data
         except ConnectionError:
-            back += b'<reset>'
-        return back
+            response += b'<reset>'
+        return response
 
     async def test_requests_that_hide_another_are_refused(self):
         """A request is framed in two ways, or in one that nobody knows.
@@ -84,12 +84,12 @@
         ):
             with self.subTest(head):
                 hidden = b'0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n'
-                back = await self.send(
+                response = await self.send(
                     b'POST /a HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n%s'
                     % (head, hidden)
                 )
-                self.assertTrue(back.startswith(b'HTTP/1.1 400 '), back)
-                self.assertIn(b'connection: close', back)
+                self.assertTrue(response.startswith(b'HTTP/1.1 400 '), response)
+                self.assertIn(b'connection: close', response)
                 self.assertEqual(self.seen, [])
 
     async def test_malformed_requests_are_refused(self):
@@ -101,8 +101,8 @@
             b'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n',
         ):
             with self.subTest(data):
-                back = await self.send(data)
-                self.assertTrue(back.startswith(b'HTTP/1.1 400 '), back)
+                response = await self.send(data)
+                self.assertTrue(response.startswith(b'HTTP/1.1 400 '), response)
 
     async def test_bounds_of_head_and_body(self):
         long = b'GET /a HTTP/1.1\r\nX: %s\r\n\r\n' % (b'x' * 3000)
@@ -116,37 +116,37 @@
 
     async def test_a_slow_head_and_an_idle_connection_end(self):
         self.assertIn(b' 408 ', await self.send(b'GET /a HTTP/1.1\r\nHo'))
-        back = await self.send(HEAD)
-        self.assertEqual(back.count(b'HTTP/1.1 200 '), 1)
+        response = await self.send(HEAD)
+        self.assertEqual(response.count(b'HTTP/1.1 200 '), 1)
 
     async def test_a_chunked_body_arrives_whole(self):
         head = b'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n'
         close = b'Connection: close\r\n\r\n'
         body = b'3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n'
-        back = await self.send(head + close, body)
-        self.assertTrue(back.endswith(b'abcdefg'))
+        response = await self.send(head + close, body)
+        self.assertTrue(response.endswith(b'abcdefg'))
 
     async def test_continue_is_told_to_who_waits_for_it(self):
         head = b'POST /a HTTP/1.1\r\nContent-Length: 2\r\n'
-        back = await self.send(
+        response = await self.send(
             head + b'Expect: 100-continue\r\nConnection: close\r\n\r\n', b'ab'
         )
-        self.assertTrue(back.startswith(b'HTTP/1.1 100 '))
-        self.assertTrue(back.endswith(b'ab'))
+        self.assertTrue(response.startswith(b'HTTP/1.1 100 '))
+        self.assertTrue(response.endswith(b'ab'))
 
     async def test_a_fault_of_the_program_is_answered(self):
-        back = await self.send(b'GET /fault HTTP/1.0\r\n\r\n')
-        self.assertIn(b' 502 ', back)
+        response = await self.send(b'GET /fault HTTP/1.0\r\n\r\n')
+        self.assertIn(b' 502 ', response)
 
     async def test_an_answer_cut_short_never_looks_whole(self):
         """A body that ends with its connection looks whole at its end.
 
         It is reset instead; a chunked one lacks its last chunk.
         """
-        back = await self.send(b'GET /cut HTTP/1.1\r\nHost: h\r\n\r\n')
-        self.assertTrue(back.endswith(b'4\r\nhalf\r\n'), back)
-        back = await self.send(b'GET /cut HTTP/1.0\r\nHost: h\r\n\r\n')
-        self.assertTrue(back.endswith(b'<reset>'), back)
+        response = await self.send(b'GET /cut HTTP/1.1\r\nHost: h\r\n\r\n')
+        self.assertTrue(response.endswith(b'4\r\nhalf\r\n'), response)
+        response = await self.send(b'GET /cut HTTP/1.0\r\nHost: h\r\n\r\n')
+        self.assertTrue(response.endswith(b'<reset>'), response)
 
     async def test_a_caller_that_leaves_ends_its_request(self):
         self.gate.clear()
@@ -154,7 +154,7 @@
             '127.0.0.1', self.listener.port
         )
         writer.write(HEAD)
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not self.seen:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
             writer.close()
@@ -164,8 +164,8 @@
 
     async def test_a_stopping_listener_says_close(self):
         self.listener.stopping = True
-        back = await self.send(HEAD)
-        self.assertIn(b'connection: close', back)
+        response = await self.send(HEAD)
+        self.assertIn(b'connection: close', response)
 
     async def test_requests_come_in_any_pieces(self):
         """A network cuts requests wherever it likes."""
@@ -176,8 +176,8 @@
         for cut in range(1, len(data)):
             self.seen.clear()
             await self.send(data[:cut], data[cut:])
-            found = [(req.target, req.body) for req in self.seen]
-            self.assertEqual(found, [(b'/a', b'body'), (b'/b?x=%20', b'')])
+            requests = [(req.target, req.body) for req in self.seen]
+            self.assertEqual(requests, [(b'/a', b'body'), (b'/b?x=%20', b'')])
 
 
 class FuzzTest(unittest.TestCase):
@@ -211,21 +211,21 @@
             seen.append(req)
             responder.reply(200, [], b'')
 
-        async def play():
-            found = listener.Listener(handle, listener.Limits)
-            await found.start('127.0.0.1', 0)
+        async def serve_once():
+            server = listener.Listener(handle, listener.Limits)
+            await server.start('127.0.0.1', 0)
             reader, writer = await asyncio.open_connection(
-                '127.0.0.1', found.port
+                '127.0.0.1', server.port
             )
             writer.write(b''.join(pieces))
             writer.write_eof()
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 with contextlib.suppress(ConnectionError):
                     await reader.read()
             writer.transport.abort()
-            found.stop()
+            server.stop()
 
-        asyncio.run(play())
+        asyncio.run(serve_once())
         for req in seen:
             names = [name for name, _ in req.headers]
             framings = [n for n in names if n in FRAMINGS]
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -10,8 +10,8 @@
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.http import error, pool
 
-BOUND_S = 5.0
-LONG_S = 3600.0
+TIMEOUT_S = 5.0
+EXPIRED_IDLE_S = 3600.0
 
 
 class PoolTest(unittest.IsolatedAsyncioTestCase):
@@ -50,7 +50,7 @@
         fresh = await self.acquire(repeatable=False)
         self.assertIsNot(fresh, first)
         self.assertFalse(first.is_usable)
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while self.count() > 2:  # noqa: ASYNC110
                 await asyncio.sleep(0)
 
@@ -58,7 +58,9 @@
         """A call is refused although its gateway carries none."""
         for _ in range(3):
             conn = await self.pool.acquire(self.address, max_connections=1)
-            conn.idle_since_s = asyncio.get_running_loop().time() - LONG_S
+            conn.idle_since_s = (
+                asyncio.get_running_loop().time() - EXPIRED_IDLE_S
+            )
             self.pool.release(conn)
             fresh = await self.pool.acquire(self.address, max_connections=1)
             self.assertIsNot(fresh, conn)
@@ -71,7 +73,7 @@
             conns = [await self.acquire() for _ in range(2)]
             for conn in conns:
                 conn.abort()
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while self.count():  # noqa: ASYNC110
                     await asyncio.sleep(0)
 
@@ -99,7 +101,7 @@
             await asyncio.sleep(0)
             opening.cancel()
             await asyncio.gather(opening, return_exceptions=True)
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while self.count():  # noqa: ASYNC110
                     await asyncio.sleep(0)
 
