--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/__init__.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: forwards callers' HTTP requests straight to upstreams."""
+"""The gateway: forwards callers' HTTP requests directly to upstreams."""
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/core.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share."""
+"""State shared by the components of a gateway."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Core:
-    """One gateway's state, each part with its own keeper.
+    """State of one gateway.
 
     Attributes:
       zone: Availability zone of this process.
-      dialect: Names of headers.
-      calls: Orders to engines.
-      holder: Configuration in force.
-      health: Whether the sources answer.
+      dialect: Header names and parsers of the deployment.
+      calls: Control calls to engines.
+      holder: The active configuration.
+      health: Whether the sources respond.
       upstreams: Membership.
-      stats_table: What was learned of each upstream.
-      conns: Kept connections.
-      budget: Retries that may be sent.
+      stats_table: Statistics of each upstream.
+      conns: Connection pool.
+      budget: Retry budget.
       live: Streams being relayed.
       members: Gateways that send to the same upstreams.
-      quota: What may be sent to each upstream now.
-      ends_at_s: Loop time at which the process ends, once it stops; None
-        before.
-      link_queue: Order of the moves away from engines that leave.
-      admission: Holds generations back.
+      quota: Limits on requests and connections to each upstream.
+      ends_at_s: Loop time at which the process exits, set when it begins to
+        stop; None before.
+      link_queue: Schedules moves of runs away from leaving engines.
+      admission: Queues generations until an engine has room.
     """
 
     zone: str
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and what any answer to it needs."""
+"""A caller's request while it is served, and the gateway's own refusals."""
 
 from __future__ import annotations
 
@@ -16,36 +16,37 @@
 __all__ = ['Exchange', 'RETRY_AFTER_S', 'refuse']
 
 MS_PER_S = 1000
-# Short against the time limits of the promptest callers, and long enough for
-# another gateway, or the next report of an engine, to tell another story.
+# Short compared with the timeouts of the most impatient callers; long enough
+# for another gateway, or an engine's next report, to give another result.
 RETRY_AFTER_S = 0.1
 BODILESS_METHODS = (b'GET', b'HEAD')
 
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A request with all that was decided about it.
+    """A request with its routing decision and progress.
 
     Attributes:
       request: The caller's request.
-      responder: Writes its answer.
-      route: Route taken.
+      responder: Writes the response.
+      route: Matched route.
       service: Service chosen among the route's targets.
       account: Name of the client account; None if callers need no key.
-      request_id: Id that the caller gave it.
-      priority: Rank; 0 is the most urgent.
+      request_id: Id set by the caller.
+      priority: Priority; 0 is the most urgent.
       regions: Regions in which it may be served; None for any.
-      deadline_s: Loop time at which nobody waits any longer.
-      version: Version of the configuration that decided.
-      sends: Upstreams to which it was sent so far.
+      deadline_s: Loop time after which the caller no longer waits.
+      version: Version of the configuration used for routing.
+      sends: Number of upstreams to which it was sent so far.
       first_event_s: Time from the request to the first event; None before it.
       widest_gap_s: Longest pause between events so far.
-      last_event_s: Loop time of the newest event.
-      held_s: Time that it waited for an engine with room.
-      switch_cause: Why its run goes on at another upstream, until the next
-        event.
-      gap_cause: That of the longest pause; empty if it did not go on.
-      tokens: Memory that it is expected to need; 0 if it is no generation.
+      last_event_s: Loop time of the latest event.
+      held_s: Time spent queued for an engine with room.
+      switch_cause: Why the run resumes at another upstream; cleared by the
+        next event.
+      gap_cause: `switch_cause` of the longest pause; empty if the run did not
+        switch.
+      tokens: KV cache it is expected to need; 0 if it is no generation.
       retry_after_s: When a refused caller is told to retry, in seconds.
     """
 
@@ -70,7 +71,7 @@
     regions: frozenset[str] | None = None
 
     def record_event(self) -> None:
-        """Takes the time of events that go to the caller now."""
+        """Records that events are being sent to the caller now."""
         now = asyncio.get_running_loop().time()
         if self.first_event_s is None:
             self.first_event_s = now - self.request.received_s
@@ -82,12 +83,12 @@
 
     @property
     def remaining_s(self) -> float:
-        """Time until the deadline, in seconds."""
+        """Time left until the deadline, in seconds."""
         return self.deadline_s - asyncio.get_running_loop().time()
 
     @property
     def id_text(self) -> str:
-        """Id of the request, for logs."""
+        """The request id as text, for logs."""
         return self.request_id.decode('latin-1')
 
     def head(
@@ -96,10 +97,10 @@
         upstream_id: str,
         extra: message.Headers,
     ) -> bytes:
-        """Returns the head of this request for an upstream.
+        """Returns the request head to send to an upstream.
 
-        What only the system may set is dropped from what the caller sent, and
-        so is the caller's key.
+        Reserved headers that the caller sent are dropped, and so is the
+        caller's key.
         """
         req = self.request
         dropped = dialect.reserved | {
@@ -138,14 +139,14 @@
     may_retry: bool = False,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
-    """Answers with a failure of the gateway's own.
+    """Sends an error response that originates at the gateway.
 
     Args:
-      responder: Writes the answer.
-      status: Its status.
-      reason: Code of the reason, for the caller to read.
-      may_retry: Whether to say when to come back; only for what has not run.
-      retry_after_s: When that is, in seconds from now.
+      responder: Writes the response.
+      status: Status code.
+      reason: Error code, sent as the body.
+      may_retry: Whether to send Retry-After; only if the request has not run.
+      retry_after_s: Value of Retry-After, in seconds.
     """
     headers = [(b'content-type', b'text/plain')]
     if may_retry:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests and brings each to an upstream."""
+"""Admits callers' requests and forwards each to an upstream."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 BAD_REQUEST = 400
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# A deadline is acted on this much early, so that the answer is with the caller
-# when its own time is over.
+# A timeout is answered this long before the caller's deadline, so that the
+# response arrives in time.
 RESPONSE_MARGIN_S = 0.02
 
 
 class Gateway:
-    """Decides what becomes of each request."""
+    """Routes, authenticates and forwards each request."""
 
     def __init__(self, core: core_lib.Core) -> None:
         self._core = core
@@ -42,7 +42,7 @@
     async def handle(
         self, req: message.Request, responder: responder_lib.Responder
     ) -> None:
-        """Serves one request to its end."""
+        """Serves one request and logs its outcome."""
         exchange = self._admit(req, responder)
         if exchange is None:
             return
@@ -58,7 +58,10 @@
         self._record_end(exchange, outcome)
 
     def _cancellation_outcome(self) -> str:
-        """Returns who cut a request off: its caller, or the process's end."""
+        """Returns why a request was cancelled.
+
+        `stopped` if the process has reached its end, else `caller_left`.
+        """
         ends_at_s = self._core.ends_at_s
         now_s = asyncio.get_running_loop().time()
         return 'stopped' if ends_at_s and now_s >= ends_at_s else 'caller_left'
@@ -71,7 +74,7 @@
     def _admit(
         self, req: message.Request, responder: responder_lib.Responder
     ) -> exchange_lib.Exchange | None:
-        """Returns the request with what was decided, or None if refused."""
+        """Returns the routed request, or None if it was refused."""
         request_id = message.first(req.headers, self._core.dialect.request_id)
         name = request_id or b''
         table = self._core.holder.current
@@ -200,7 +203,7 @@
 def _allowed_regions(
     route: routing_lib.Route, account: routing_lib.ClientAccount | None
 ) -> frozenset[str] | None:
-    """Returns the regions that route and account both allow; None for any."""
+    """Returns the regions allowed by both route and account; None for any."""
     account_regions = account.regions if account else None
     if route.regions is None or account_regions is None:
         return route.regions or account_regions
@@ -213,7 +216,11 @@
     upstreams: upstream.Upstreams,
     regions: frozenset[str] | None,
 ) -> routing_lib.Service:
-    """Draws one of the route's services by weight, one with upstreams first."""
+    """Chooses one of the route's services at random by weight.
+
+    Only services with an available upstream are considered, unless there is
+    none.
+    """
     available = [
         target
         for target in route.targets
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of a gateway."""
+"""Metrics of a gateway."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     'store_calls',
 ]
 
-# Finer than the defaults around the times that callers notice.
+# Finer than the default buckets around the delays that callers notice.
 SECONDS = (
     *(0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15, 40),
     float('inf'),
@@ -60,7 +60,7 @@
     'quetzalsill_gateway_news_total',
     'News of the sources that other gateways told, by source and use.',
 )
-# Counted below what this module looks at.
+# Defined in `watch.epoch`, on which the state observed here depends.
 epochs = epoch.epochs_total
 response_times = metric.histogram(
     'quetzalsill_gateway_answer_seconds',
@@ -94,7 +94,7 @@
 def record_request(
     exchange: exchange_lib.Exchange, outcome: str, elapsed_s: float
 ) -> None:
-    """Counts a request that has ended."""
+    """Records a finished request."""
     kind = {'kind': exchange.route.kind.value}
     requests.inc(kind | {'outcome': outcome})
     response_times.observe(kind, elapsed_s)
@@ -106,12 +106,12 @@
 def observe(
     core: core_lib.Core, connections: int, peers: exchange.Exchange
 ) -> None:
-    """Sets the gauges to what the process believes now.
+    """Updates the gauges from the current state.
 
     Args:
       core: State of the gateway.
-      connections: Open connections of callers.
-      peers: The other gateways.
+      connections: Number of open connections of callers.
+      peers: Exchange with the other gateways.
     """
     all_upstreams = core.upstreams.all()
     leaving = sum(upstream.leaving for upstream in all_upstreams)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -1,4 +1,4 @@
-"""Runs a gateway from its start to its graceful end."""
+"""Runs a gateway process from startup to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 MS_PER_S = 1000
 STOP_POLL_S = 0.05
-# A store that answers has told both tables within a few round trips; without
-# one, callers are told so after this time.
+# A store that responds delivers both tables within a few round trips. After
+# this time the gateway starts without them and refuses callers.
 FIRST_READ_TIMEOUT_S = 0.5
 FIRST_READ_POLL_S = 0.005
-# Left of the grace period for closing connections and ending the process.
+# Part of the grace period reserved for closing connections and exiting.
 CLOSE_MARGIN_S = 0.3
 
 
 class Process:
-    """A gateway with its listeners and loops."""
+    """A gateway with its listeners and background loops."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
-        """Whether callers should come here."""
+        """Whether the load balancer should send callers to this gateway."""
         core = self.core
         has_state = (
             core.holder.current is not None
@@ -132,14 +132,14 @@
         return has_state and not self.callers.stopping
 
     def apply(self, settings: settings_lib.Settings) -> None:
-        """Takes settings that were changed while the process runs."""
+        """Applies settings that were changed while the process runs."""
         cfg = settings.retry
         self.core.budget.set_limits(
             cfg.ratio, cfg.allowance, cfg.window_s, cfg.gateways
         )
 
     async def start(self) -> None:
-        """Opens the listeners and starts to follow the sources."""
+        """Opens the listeners and starts the background loops."""
         loops = {
             'configuration': self.configuration.run,
             'membership': self.membership.run,
@@ -163,11 +163,11 @@
             await self.metrics.start(*settings_lib.address(cfg.metrics))
 
     async def _wait_for_sources(self) -> None:
-        """Waits for the first configuration and membership, but not for long.
+        """Waits briefly for the first configuration and membership.
 
-        Callers that come meanwhile wait to be accepted. Taken at once, they
-        would be refused for want of a configuration that is there within a few
-        round trips.
+        Callers that connect meanwhile stay in the listen queue. Accepted at
+        once, they would be refused because the configuration, which arrives
+        within a few round trips, is still missing.
         """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + FIRST_READ_TIMEOUT_S
@@ -175,10 +175,10 @@
             await asyncio.sleep(FIRST_READ_POLL_S)
 
     async def stop(self) -> None:
-        """Takes no more callers and lets requests in flight end.
+        """Stops accepting callers and waits for requests in flight.
 
-        The balancer sends new connections until it has asked twice, so they
-        are taken and served for that long.
+        The load balancer sends new connections until it has polled readiness
+        twice, so connections are accepted and served until then.
         """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -196,7 +196,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Ends listeners and loops at once."""
+        """Closes the listeners and cancels the loops at once."""
         self.callers.stop()
         self.readiness.stop()
         self.metrics.stop()
@@ -225,11 +225,11 @@
     settings: settings_lib.Settings,
     read: Callable[[], settings_lib.Settings],
 ) -> None:
-    """Runs until a signal asks for a stop, and then to its end.
+    """Runs a gateway until a stop signal, then shuts it down gracefully.
 
     Args:
       settings: Settings of the process.
-      read: Reads them again after a change.
+      read: Reads the settings again after a change.
     """
     plugin = registry.REGISTRY.get('deployment', settings.deployment)
     with net_stop.StopSignal() as stop_signal:
