--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/deployment.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/deployment.py
@@ -1,4 +1,4 @@
-"""What an adapter brings so that a gateway can serve a deployment."""
+"""Interface of the adapter between a gateway and its deployment."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Deployment:
-    """An adapter, registered as plug-in of the kind `deployment`.
+    """A deployment's adapter, registered as a plug-in of kind `deployment`.
 
     Attributes:
-      dialect: Names of headers.
-      sources: Makes the loops that follow configuration and membership.
-      calls: Makes the orders to engines.
+      dialect: Header names and their parsers.
+      sources: Creates the sources of configuration and membership.
+      calls: Creates the control calls to engines.
     """
 
     dialect: dialect.Dialect
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
@@ -1,7 +1,7 @@
-"""What a deployment calls the things that travel in headers and calls.
+"""Interface to a deployment's header names and engine calls.
 
-The gateway's decisions know none of these names; a deployment's adapter
-brings them.
+The rest of the gateway does not depend on these names; a deployment's adapter
+provides them.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Prompt:
-    """What a caller says of its generation.
+    """Token counts that a caller states for its generation.
 
     Attributes:
       input_tokens: Tokens of the prompt.
-      output_limit: Most tokens to generate.
-      output_hint: Tokens that the caller expects; 0 if it does not say.
+      output_limit: Maximum number of tokens to generate.
+      output_hint: Expected number of output tokens; 0 if not stated.
     """
 
     input_tokens: int = 0
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Run:
-    """A generation as its engine reports it.
+    """A generation as reported by its engine.
 
     Attributes:
       request_id: Id of the request.
-      tokens: Its tokens in memory.
-      events: Events that it has made.
+      tokens: Its tokens in the KV cache.
+      events: Number of events generated so far.
     """
 
     request_id: str
@@ -49,17 +49,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Report:
-    """What an engine says of itself, some time ago.
+    """Status that an engine reported some time ago.
 
     Attributes:
-      queued: Requests that wait at the engine.
-      running: Requests that it works on.
-      used_tokens: Memory in use that cannot be given up.
-      capacity_tokens: Memory in all.
-      leaving: It takes no new work.
-      leaving_in_s: Time until it goes; None if not known.
-      runs: What it works on.
-      incarnation: Start of the engine that reports; 0 if not told.
+      queued: Requests waiting at the engine.
+      running: Requests running.
+      used_tokens: KV cache in use that cannot be evicted.
+      capacity_tokens: Total size of the KV cache.
+      leaving: Whether it accepts no new work.
+      leaving_in_s: Time until it is gone, in seconds; None if unknown.
+      runs: Its current runs.
+      incarnation: Incarnation of the engine; 0 if not reported.
     """
 
     queued: int
@@ -74,16 +74,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MoveResult:
-    """Outcome of an order to copy a run's memory to another engine.
+    """Result of a command to copy a run's KV cache to another engine.
 
     Attributes:
-      handle: Names the copy, and the stopped run at its source; empty if
+      handle: Identifies the copy, and the stopped run at its source; empty if
         there is none.
-      events: Events that the run has made.
+      events: Number of events that the run has generated.
       copied: Whether the copy is complete at the destination.
-      unknown_run: The engine knows no such run.
-      refused: The engine did not carry the order out, and may have the run.
-      code: What the engine answered, for logs.
+      unknown_run: Whether the engine has no such run.
+      refused: Whether the engine did not execute the command; it may still
+        have the run.
+      code: Response code of the engine, for logs.
     """
 
     handle: str = ''
@@ -96,15 +97,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class EngineCalls:
-    """Orders to engines.
+    """Control calls to engines.
 
     Attributes:
-      report: Asks an engine how it does.
+      report: Polls the status of an engine.
       move: Copies a run, by request id, to a destination; with `last` the
         run stops first. Raises `http.error.CallError`.
-      release: Frees a copy by its handle, at the engine it was made at (and
-        where it lies) or at the one where it lies. Raises
-        `http.error.CallError`.
+      release: Releases a copy by its handle, either at the engine that made it
+        (which also releases it where it is stored) or at the engine where it
+        is stored. Raises `http.error.CallError`.
     """
 
     report: Callable[[Upstream], Awaitable[Report]]
@@ -114,21 +115,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Dialect:
-    """Names of headers, all in lower case, and their readers.
+    """Header names, all in lower case, and functions that read or write them.
 
     Attributes:
-      request_id: Id of the request, repeated in the answer.
-      deadline_ms: Time that the caller, or the upstream, has left.
-      expected_upstream: Id of the upstream that is to take the request.
+      request_id: Id of the request, echoed in the response.
+      deadline_ms: Time left for the caller, or for the upstream.
+      expected_upstream: Id of the upstream meant to serve the request.
       account: Client account, set by the gateway.
-      receipt: Proof, in an answer, that an upstream made it.
-      not_run: Present in an answer to a request that has not run.
-      priority: Urgency at the engine.
-      resume_after: Id of the last event that the caller has.
-      kv_from: Copy of a run's memory from which to go on.
-      backup: Upstream to which the memory of a run is sent as it grows.
+      receipt: Proof, in a response, that an upstream produced it.
+      not_run: Present in the response to a request that has not run.
+      priority: Priority at the engine.
+      resume_after: Id of the last event that the caller has received.
+      kv_from: KV cache copy from which to resume a run.
+      backup: Upstream to which a run's KV cache is copied as it grows.
       reserved: Headers that callers must not set.
-      parse_prompt: Reads what a caller says of its generation.
+      parse_prompt: Reads the token counts that a caller states.
       format_kv_from: Value of `kv_from` for an upstream and a handle.
     """
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/error.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/error.py
@@ -1,4 +1,4 @@
-"""Failures of what a gateway learns from outside."""
+"""Errors in what a gateway receives from the store and from its peers."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 
 
 class SourceError(base.QuetzalsillError):
-    """The store of configuration and membership did not tell."""
+    """The store of configuration and membership gave no valid response."""
 
     code = 'source_failed'
 
 
 class MalformedSourceError(SourceError):
-    """An answer of the store lacks a field or holds none; it is left out."""
+    """A response of the store has a missing or invalid field; it is ignored."""
 
     code = 'source_malformed'
     advice = (
-        'See which proxy or release of the store answers; what is known stays '
-        'in use until it tells again.'
+        'Check which proxy or release of the store responds; the known state '
+        'stays in use until a valid response arrives.'
     )
 
 
 class StaleResponseError(SourceError):
-    """An answer is of an epoch of the store that has ended; it is left out."""
+    """A response is of an epoch of the store that has ended; it is ignored."""
 
     code = 'source_stale'
 
 
 class ConfigurationError(base.QuetzalsillError):
-    """A configuration cannot be held; the one before stays in force."""
+    """A configuration is invalid; the previous one stays active."""
 
     code = 'configuration_invalid'
 
 
 class PeerError(base.QuetzalsillError):
-    """A datagram holds no state of another gateway; it is left out."""
+    """A datagram of another gateway is malformed; it is ignored."""
 
     code = 'peer_malformed'
 
 
 class PatchError(base.QuetzalsillError):
-    """A patch does not make a document; the source is asked for it."""
+    """A patch cannot be applied; the document is requested from the source."""
 
     code = 'patch_unfit'
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
@@ -1,4 +1,4 @@
-"""Registers the role `gateway`."""
+"""Plug-in that registers the role `gateway`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def register(registry: plugin_registry.Registry) -> None:
-    """Adds the role."""
+    """Registers the role."""
     registry.add(
         'role',
         'gateway',
@@ -20,5 +20,5 @@
             role.late('quetzalsill_gateway.run'),
             reloads=True,
         ),
-        "Forwards callers' requests straight to upstreams.",
+        "Forwards callers' requests directly to upstreams.",
     )
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this gateway takes callers."""
+"""Serves the load balancer's readiness check, and metrics."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 def make_handler(
     path: str, is_ready: Callable[[], bool], observe: Callable[[], None]
 ) -> listener.Handler:
-    """Returns what serves readiness and metrics.
+    """Returns the HTTP handler for readiness checks and metrics.
 
     Args:
-      path: Path of the question.
-      is_ready: Whether callers are taken.
-      observe: Sets the gauges before they are read.
+      path: Path of the readiness check.
+      is_ready: Whether callers are accepted.
+      observe: Updates the gauges before they are rendered.
     """
     ready_path = path.encode()
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a gateway that runs."""
+"""Reloads settings in a running gateway."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 __all__ = ['RESTART_ONLY', 'reload_on_sighup']
 
-# These take effect at the next start: a listener that moved would drop its
-# callers, and a node that changed its name would be two in the logs.
+# Settings that take effect at the next start only: moving a listener would
+# drop its callers, and a renamed node would appear twice in the logs.
 RESTART_ONLY = (
     'node',
     'listen',
@@ -38,14 +38,14 @@
     read: Callable[[], settings_lib.Settings],
     apply: Callable[[settings_lib.Settings], None],
 ) -> None:
-    """Reads the settings again on each SIGHUP and applies what may change.
+    """Reloads the settings on each SIGHUP and applies those that may change.
 
-    Without a handler the signal ends the process, and with it every request
-    in flight. Settings that do not fit are logged and left out.
+    Without a handler the signal would end the process, and with it every
+    request in flight. Invalid settings are logged and ignored.
 
     Args:
-      settings: Those in force; what may change is changed in them.
-      read: Reads the file again.
+      settings: The active settings, which are updated in place.
+      read: Reads the settings file again.
       apply: Called with the settings after a change.
     """
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/retry_budget.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/retry_budget.py
@@ -1,4 +1,4 @@
-"""Share of the retries that all gateways together may send."""
+"""Limits the retries that all gateways together send."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 __all__ = ['RetryBudget']
 
-# Other gateways may see fewer requests than this one and spend their whole
-# share of the allowance all the same; half of both keeps the sum below the
-# bound although nobody counts it. With nine tenths of the ratio, sends that
-# reached a server's next start broke the bound.
+# Nobody counts the retries of all gateways, and those that see few requests
+# may still spend their whole share of the allowance. Half of ratio and
+# allowance keeps the sum within the limit. With nine tenths of the ratio, it
+# was exceeded by requests that reached a server's next incarnation.
 SAFETY_FACTOR = 0.5
 
 
 class RetryBudget:
-    """Bounds retries per service, over a sliding window.
+    """Limits retries per service over a sliding window.
 
-    The bound holds for the sum over all gateways. Each spends within a ratio
-    of the requests that it has seen itself, which adds up by itself, and its
-    share of a fixed allowance.
+    The limit holds for the sum over all gateways. Each gateway may retry a
+    ratio of its own requests, so these parts add up to the ratio of all
+    requests, plus its share of a fixed allowance.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
 
         Args:
           ratio: Retries allowed per request.
-          allowance: Retries allowed besides, by all gateways together.
+          allowance: Additional retries allowed to all gateways together.
           window_s: Length of the window, in seconds.
           gateways: Gateways that share the allowance.
         """
@@ -41,27 +41,27 @@
     def set_limits(
         self, ratio: float, allowance: float, window_s: float, gateways: int
     ) -> None:
-        """Sets the bounds; what was counted stays counted."""
+        """Sets the limits; the counts are kept."""
         self._ratio = ratio * SAFETY_FACTOR
         self._allowance = allowance * SAFETY_FACTOR
         self._gateways = gateways
         self._window_s = window_s
 
     def set_gateway_count(self, gateways: int) -> None:
-        """Takes how many gateways there are, this one included.
+        """Sets the number of known gateways, including this one.
 
         A fleet that has grown beyond its settings would otherwise spend the
-        allowance several times over: with shares for 16, 68 gateways spend
-        twice of what all may.
+        allowance several times: with shares for 16, 68 gateways spend twice
+        the limit.
         """
         self._known_gateways = gateways
 
     def record_request(self, service: str) -> None:
-        """Counts a request of a caller."""
+        """Counts a caller's request."""
         self._recent_times(self._requests, service).append(self._now())
 
     def try_spend(self, service: str) -> bool:
-        """Takes one retry out of the budget; False if none is left."""
+        """Consumes one retry; returns False if the budget is exhausted."""
         requests = len(self._recent_times(self._requests, service))
         retries = self._recent_times(self._retries, service)
         share = self._allowance / max(1, self._gateways, self._known_gateways)
@@ -71,10 +71,11 @@
         return True
 
     def record_retry(self, service: str) -> None:
-        """Counts a request sent again that needs no leave.
+        """Counts a retry that is sent regardless of the budget.
 
-        What another start of a server has turned away has not run and is sent
-        again all the same; but it has arrived, and counts against the bound.
+        A request refused by another incarnation of a server has not run and is
+        always retried. It did arrive at the server, so it counts against the
+        limit.
         """
         self._recent_times(self._retries, service).append(self._now())
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/routing_table.py
@@ -1,4 +1,4 @@
-"""Routes, services, client accounts and limits in force at a gateway."""
+"""Routes, services, client accounts and limits of a configuration."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What may be done with a request of a route."""
+    """Execution semantics of a route's requests."""
 
     IDEMPOTENT = 'idempotent'
     AT_MOST_ONCE = 'at_most_once'
@@ -34,7 +34,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return self in (Kind.STREAM, Kind.RESUMABLE_STREAM)
 
     @property
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Target:
-    """A service that a route sends to, and its share of the requests."""
+    """A service that a route sends to, with its weight."""
 
     service: str
     weight: float
@@ -53,21 +53,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host and path go, and how they are treated.
+    """Where and how requests for a host and path prefix are forwarded.
 
     Attributes:
       name: Name of the route.
-      host: Host that callers name, in lower case, without a port.
-      prefix: Beginning of the path; the longest one that fits is taken.
-      kind: What may be done with a request.
+      host: Value of the Host header, in lower case, without a port.
+      prefix: Path prefix; the longest match wins.
+      kind: Execution semantics of its requests.
       targets: Services with their weights.
-      attempts: Most upstreams to which one request may be sent.
+      attempts: Maximum number of upstreams to which a request may be sent.
       timeout_s: Longest time that a caller is kept waiting.
-      objective_s: Time within which an answer, or a stream's first event,
-        is wanted.
-      max_gap_s: Longest pause between two events of a stream for which it is
-        still on time; None for no bound.
-      priority: Rank; 0 is the most urgent.
+      objective_s: Target time to the response, or to a stream's first event.
+      max_gap_s: Longest pause between two events with which a stream still
+        counts as on time; None for no limit.
+      priority: Priority; 0 is the most urgent.
       public: Whether callers need no key.
       regions: Regions in which its requests may be served; None for any.
     """
@@ -88,15 +87,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Engine:
-    """What the model engines of a service have.
+    """Capacity and features of a service's model engines.
 
     Attributes:
-      slots: Requests that run at once.
-      memory_tokens: Key-value memory, in tokens.
-      token_bytes: Bytes of key-value memory per token.
-      link_mbps: Rate at which memory moves between two engines.
-      can_move: Whether a run's memory can be moved.
-      can_back_up: Whether an engine copies a run's memory as it grows.
+      slots: Maximum number of concurrent runs.
+      memory_tokens: Size of the KV cache, in tokens.
+      token_bytes: Bytes of KV cache per token.
+      link_mbps: Bandwidth between two engines, in megabits per second.
+      can_move: Whether a run can move to another engine with its KV cache.
+      can_back_up: Whether an engine copies a run's KV cache to another engine
+        as it grows.
     """
 
     slots: int = 1
@@ -107,7 +107,7 @@
     can_back_up: bool = False
 
     def copy_s(self, tokens: int) -> float:
-        """Returns how long memory is on a free link, in seconds."""
+        """Returns the transfer time of KV cache on an idle link, in seconds."""
         if not self.link_mbps:
             return 0.0
         bits = tokens * self.token_bytes * BITS_PER_BYTE
@@ -116,15 +116,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Service:
-    """A set of upstreams that answer the same requests.
+    """A set of interchangeable upstreams.
 
     Attributes:
       name: Name of the service.
       engine: Set if the upstreams are model engines.
-      max_connections: Connections that an upstream takes from all gateways
-        together; 0 if not told.
-      warmup_per_s: Requests a second that a cold upstream takes from all
-        gateways together; 0 for no bound.
+      max_connections: Connections that an upstream accepts from all gateways
+        together; 0 if unknown.
+      warmup_per_s: Requests per second that a cold upstream accepts from all
+        gateways together; 0 for no limit.
     """
 
     name: str
@@ -135,11 +135,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClientAccount:
-    """Who calls, known by any of its keys.
+    """A client account, identified by any of its keys.
 
     Attributes:
       name: Name of the account.
-      priority: Rank of its requests; None for that of their routes.
+      priority: Priority of its requests; None for that of the route.
       regions: Regions in which its requests may be served; None for any.
     """
 
@@ -150,14 +150,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RoutingTable:
-    """One version of everything that operators set.
+    """One version of the configuration.
 
     Attributes:
-      version: Grows with each change.
+      version: Increases with each change.
       routes: By host, the longest prefix first.
       services: By name.
       accounts: By key; None if callers need no key.
-      limits: Bounds of what a caller may send.
+      limits: Limits on callers' requests.
     """
 
     version: int
@@ -175,7 +175,7 @@
         accounts: dict[bytes, ClientAccount] | None,
         limits: listener.Limits,
     ) -> RoutingTable:
-        """Returns a table with its routes arranged for `match`."""
+        """Returns a table with routes and services indexed for lookup."""
         by_host: dict[bytes, list[Route]] = {}
         for route in routes:
             by_host.setdefault(route.host, []).append(route)
@@ -185,7 +185,7 @@
         return cls(version, by_host, by_name, accounts, limits)
 
     def match(self, host: bytes, path: bytes) -> Route | None:
-        """Returns the route with the longest prefix that begins the path."""
+        """Returns the host's route with the longest matching path prefix."""
         for route in self.routes.get(_normalize_host(host), ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/settings.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/settings.py
@@ -14,14 +14,14 @@
 
 
 def address(text: str) -> tuple[str, int]:
-    """Returns IP number and port of an address that fits `ADDRESS`."""
+    """Returns IP address and port of a string that matches `ADDRESS`."""
     host, _, port = text.rpartition(':')
     return host, int(port)
 
 
 @dataclasses.dataclass(slots=True)
 class Retry:
-    """Bounds of what all gateways together send again."""
+    """Limits on the retries of all gateways together."""
 
     ratio: float = key(
         'Retries per request of a caller.', 0.1, minimum=0, maximum=1
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Warmup:
-    """By how much all gateways may exceed the rate of a cold upstream."""
+    """How far all gateways may exceed the rate of a cold upstream."""
 
     overage: float = key(
         'Multiple of its rate that a cold upstream takes in one second.',
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Watch:
-    """How soon a gateway knows what changes at the store."""
+    """How quickly a gateway learns of changes in the store."""
 
     configuration_ms: float = key(
         'Time in which a change of the configuration must be in force.',
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """How a gateway stops."""
+    """Timing of a graceful shutdown."""
 
     grace_s: float = key(
         'Time from the signal to the end of the process.',
