--- a/tests/quetzalsill_gateway/http/test_early_socket.py
+++ b/tests/quetzalsill_gateway/http/test_early_socket.py
@@ -19,9 +19,9 @@
     """A settings file, and a port that was free a moment ago."""
 
     def settings(self, text):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        path = pathlib.Path(folder.name, 'gateway.json')
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        path = pathlib.Path(directory.name, 'gateway.json')
         path.write_text(text)
         return str(path)
 
@@ -40,9 +40,9 @@
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         self.addCleanup(writer.close)
         writer.write(b'GET / HTTP/1.1\r\nHost: h\r\n\r\n')
-        served = listener.Listener(self.handle, listener.Limits)
-        await served.start('127.0.0.1', port)
-        self.addCleanup(served.stop)
+        server = listener.Listener(self.handle, listener.Limits)
+        await server.start('127.0.0.1', port)
+        self.addCleanup(server.stop)
         async with asyncio.timeout(10):
             self.assertIn(b'200', await reader.readline())
         self.assertIsNone(early_socket.take('127.0.0.1', port))
--- a/tests/quetzalsill_gateway/http/test_fetch.py
+++ b/tests/quetzalsill_gateway/http/test_fetch.py
@@ -36,7 +36,7 @@
             pool.Pool(), address, 'POST', '/', timeout_s=TIMEOUT_S
         )
 
-    async def test_an_answer_that_comes_as_its_time_ends(self):
+    async def test_a_response_that_arrives_as_the_timeout_expires(self):
         """An engine has stopped a run and told its handle, which is lost.
 
         The run can't go on without it, and its caller's answer is cut off.
@@ -51,12 +51,12 @@
 
     async def test_a_server_that_is_paused_is_not_gone(self):
         """A plan is at work at two engines, one of them just paused."""
-        paused = socket.create_server(('127.0.0.1', 0))
-        self.addCleanup(paused.close)
+        unresponsive = socket.create_server(('127.0.0.1', 0))
+        self.addCleanup(unresponsive.close)
         with self.assertRaises(error.ResponseTimeoutError):
             await fetch.fetch(
                 pool.Pool(),
-                paused.getsockname()[:2],
+                unresponsive.getsockname()[:2],
                 'POST',
                 '/',
                 timeout_s=TIMEOUT_S,
--- a/tests/quetzalsill_gateway/http/test_listener.py
+++ b/tests/quetzalsill_gateway/http/test_listener.py
@@ -126,7 +126,7 @@
         response = await self.send(head + close, body)
         self.assertTrue(response.endswith(b'abcdefg'))
 
-    async def test_continue_is_told_to_who_waits_for_it(self):
+    async def test_100_continue_is_sent_if_expected(self):
         head = b'POST /a HTTP/1.1\r\nContent-Length: 2\r\n'
         response = await self.send(
             head + b'Expect: 100-continue\r\nConnection: close\r\n\r\n', b'ab'
@@ -134,11 +134,11 @@
         self.assertTrue(response.startswith(b'HTTP/1.1 100 '))
         self.assertTrue(response.endswith(b'ab'))
 
-    async def test_a_fault_of_the_program_is_answered(self):
+    async def test_an_exception_in_the_handler_is_answered(self):
         response = await self.send(b'GET /fault HTTP/1.0\r\n\r\n')
         self.assertIn(b' 502 ', response)
 
-    async def test_an_answer_cut_short_never_looks_whole(self):
+    async def test_a_truncated_response_never_looks_complete(self):
         """A body that ends with its connection looks whole at its end.
 
         It is reset instead; a chunked one lacks its last chunk.
@@ -162,7 +162,7 @@
                 await asyncio.sleep(0.005)
         self.assertEqual(await reader.read(), b'')
 
-    async def test_a_stopping_listener_says_close(self):
+    async def test_a_stopping_listener_closes_its_connections(self):
         self.listener.stopping = True
         response = await self.send(HEAD)
         self.assertIn(b'connection: close', response)
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -25,36 +25,38 @@
         self.address = self.server.sockets[0].getsockname()[:2]
         self.pool = pool.Pool()
         self.writers = []
-        self.addCleanup(lambda: [one.close() for one in self.writers])
+        self.addCleanup(lambda: [writer.close() for writer in self.writers])
 
     async def accept(self, _, writer):
         self.writers.append(writer)
 
-    async def acquire(self, **more):
-        return await self.pool.acquire(self.address, max_connections=2, **more)
+    async def acquire(self, **kwargs):
+        return await self.pool.acquire(
+            self.address, max_connections=2, **kwargs
+        )
 
     def count(self):
         return self.pool.connections(self.address).count
 
-    async def test_no_more_than_it_may_have(self):
+    async def test_the_connection_limit_is_enforced(self):
         """Orders beyond a server's bound on connections are reset with them."""
         for _ in range(2):
             await self.acquire()
         with self.assertRaises(error.ConnectionLimitError):
             await self.acquire()
 
-    async def test_an_idle_one_makes_way(self):
+    async def test_an_idle_connection_is_closed_for_a_new_one(self):
         first = await self.acquire()
         await self.acquire()
         self.pool.release(first)
-        fresh = await self.acquire(repeatable=False)
-        self.assertIsNot(fresh, first)
+        new_conn = await self.acquire(repeatable=False)
+        self.assertIsNot(new_conn, first)
         self.assertFalse(first.is_usable)
         async with asyncio.timeout(TIMEOUT_S):
             while self.count() > 2:  # noqa: ASYNC110
                 await asyncio.sleep(0)
 
-    async def test_one_that_rested_too_long_leaves_its_place(self):
+    async def test_an_expired_idle_connection_is_replaced(self):
         """A call is refused although its gateway carries none."""
         for _ in range(3):
             conn = await self.pool.acquire(self.address, max_connections=1)
@@ -62,12 +64,12 @@
                 asyncio.get_running_loop().time() - EXPIRED_IDLE_S
             )
             self.pool.release(conn)
-            fresh = await self.pool.acquire(self.address, max_connections=1)
-            self.assertIsNot(fresh, conn)
+            new_conn = await self.pool.acquire(self.address, max_connections=1)
+            self.assertIsNot(new_conn, conn)
             self.assertEqual(self.count(), 1)
-            fresh.abort()
+            new_conn.abort()
 
-    async def test_one_that_has_ended_leaves_its_place(self):
+    async def test_an_ended_connection_is_not_counted(self):
         """Counted for ever, ended ones would shut the server out."""
         for _ in range(20):
             conns = [await self.acquire() for _ in range(2)]
@@ -84,7 +86,7 @@
             self.pool.release(conn, 2)
         self.assertEqual(self.pool.connections(self.address).idle, 2)
 
-    async def test_one_that_could_not_be_opened_leaves_its_place(self):
+    async def test_a_failed_connection_is_not_counted(self):
         self.server.close()
         await self.server.wait_closed()
         for _ in range(5):
@@ -95,7 +97,7 @@
             )
         self.assertEqual(self.count(), 0)
 
-    async def test_a_call_given_up_while_it_connects_leaves_its_place(self):
+    async def test_a_cancelled_connection_attempt_is_not_counted(self):
         for _ in range(20):
             opening = asyncio.create_task(self.acquire())
             await asyncio.sleep(0)
@@ -106,7 +108,7 @@
                     await asyncio.sleep(0)
 
 
-class OpenedTest(unittest.IsolatedAsyncioTestCase):
+class SendRequestTest(unittest.IsolatedAsyncioTestCase):
     """What changes while a connection is being opened."""
 
     async def test_nothing_is_sent_to_a_zone_drained_meanwhile(self):
--- a/tests/quetzalsill_gateway/test_retry_budget.py
+++ b/tests/quetzalsill_gateway/test_retry_budget.py
@@ -39,20 +39,20 @@
                 retry_budget.RetryBudget(RATIO, ALLOWANCE, WINDOW_S, 5)
                 for _ in range(5)
             ]
-            for node, step, pause_s in steps:
+            for node, action, pause_s in steps:
                 clock[0] += pause_s
-                if step == 'q':
+                if action == 'q':
                     budgets[node].record_request('s')
                     requests.append(clock[0])
                 elif budgets[node].try_spend('s'):
                     retries.append(clock[0])
         for end in retries:
-            sent = sum(end - WINDOW_S < at <= end for at in retries)
+            retried = sum(end - WINDOW_S < at <= end for at in retries)
             # Requests count that came in this window or the one before.
-            seen = sum(end - 2 * WINDOW_S < at <= end for at in requests)
-            self.assertLessEqual(sent, RATIO * seen + ALLOWANCE)
+            requested = sum(end - 2 * WINDOW_S < at <= end for at in requests)
+            self.assertLessEqual(retried, RATIO * requested + ALLOWANCE)
 
-    def test_a_fleet_larger_than_its_settings_shares_the_same(self):
+    def test_a_fleet_larger_than_its_settings_shares_the_allowance(self):
         """68 gateways, set for 16, and servers that fail all they get.
 
         Each spent its sixteenth, and the servers got twice of what they are
@@ -69,7 +69,7 @@
                     spent += 1
         self.assertLessEqual(spent, 176)
 
-    def test_what_another_start_turned_away_counts(self):
+    def test_requests_refused_by_another_incarnation_count(self):
         """Servers start again behind a cut, and turn away what was sent.
 
         Each such request is sent again without asking. Uncounted, retries of
--- a/tests/quetzalsill_gateway/test_routing_table.py
+++ b/tests/quetzalsill_gateway/test_routing_table.py
@@ -37,14 +37,14 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.sets(PREFIX, min_size=1), PREFIX, PART)
-    def test_as_the_plain_rule_says(self, prefixes, path, last):
+    def test_the_longest_matching_prefix_wins(self, prefixes, path, last):
         path += last
-        fitting = [p for p in prefixes if path.startswith(p)]
+        matching = [p for p in prefixes if path.startswith(p)]
         found = table(prefixes).match(b'H.Example:8080', path.encode())
-        if not fitting:
+        if not matching:
             self.assertIsNone(found)
         else:
-            self.assertEqual(found.prefix.decode(), max(fitting, key=len))
+            self.assertEqual(found.prefix.decode(), max(matching, key=len))
 
     def test_another_host_has_no_route(self):
         self.assertIsNone(table(['/']).match(b'other', b'/'))
