--- a/tests/quetzalsill_gateway/http/__init__.py
+++ b/tests/quetzalsill_gateway/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package quetzalsill_gateway."""
+"""Tests of the package quetzalsill_gateway.http."""
--- a/tests/quetzalsill_gateway/http/test_call.py
+++ b/tests/quetzalsill_gateway/http/test_call.py
@@ -13,7 +13,7 @@
 
 
 class ConnectTest(unittest.IsolatedAsyncioTestCase):
-    """A server that takes connections, or does not."""
+    """Connecting to a server that may or may not accept."""
 
     async def asyncSetUp(self):
         self.server = await asyncio.start_server(
@@ -24,9 +24,10 @@
         self.addCleanup(self.server.close)
 
     async def test_a_pause_while_a_connection_is_opened(self):
-        """An engine that takes connections is taken for gone.
+        """A pause of this process must not make an engine look gone.
 
-        Its run would go on at a second engine while the first works on.
+        Its run would be resumed at a second engine while the first still runs
+        it.
         """
         loop = asyncio.get_running_loop()
         loop.call_soon(time.sleep, 2 * CONNECT_S)
--- a/tests/quetzalsill_gateway/http/test_early_socket.py
+++ b/tests/quetzalsill_gateway/http/test_early_socket.py
@@ -1,7 +1,7 @@
-"""Callers that come while a gateway still loads its program.
+"""Tests that callers can connect while a gateway is still starting.
 
-After a loss of power of all hosts, every connection was refused for the half
-second that loading takes, and callers whose other tries had failed gave up.
+After a power loss of all hosts, every connection was refused for the half
+second that the import takes, and callers with no other gateway to try failed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class EarlySocketTest(unittest.IsolatedAsyncioTestCase):
-    """A settings file, and a port that was free a moment ago."""
+    """The socket is opened from a settings file before the import."""
 
     def settings(self, text):
         directory = tempfile.TemporaryDirectory()
--- a/tests/quetzalsill_gateway/http/test_fetch.py
+++ b/tests/quetzalsill_gateway/http/test_fetch.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's own small calls."""
+"""Tests of the gateway's own calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FetchTest(unittest.IsolatedAsyncioTestCase):
-    """A server that answers, and then pauses the process."""
+    """Calls to a server that responds and may then block the process."""
 
     async def asyncSetUp(self):
         self.answer = ANSWER
@@ -37,9 +37,10 @@
         )
 
     async def test_a_response_that_arrives_as_the_timeout_expires(self):
-        """An engine has stopped a run and told its handle, which is lost.
+        """A response that is already here must not be lost to the timeout.
 
-        The run can't go on without it, and its caller's answer is cut off.
+        An engine has stopped a run and returned its handle. Without the handle
+        the run can't be resumed, and its caller's response is truncated.
         """
         self.pause_s = 2 * TIMEOUT_S
         self.assertEqual((await self.fetch()).json(), {})
@@ -50,7 +51,11 @@
             await self.fetch()
 
     async def test_a_server_that_is_paused_is_not_gone(self):
-        """A plan is at work at two engines, one of them just paused."""
+        """A paused server accepts connections and must not count as gone.
+
+        Otherwise a run would be resumed at a second engine while the paused
+        one still has it.
+        """
         unresponsive = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(unresponsive.close)
         with self.assertRaises(error.ResponseTimeoutError):
--- a/tests/quetzalsill_gateway/http/test_listener.py
+++ b/tests/quetzalsill_gateway/http/test_listener.py
@@ -1,4 +1,4 @@
-"""Requests as callers may send them, down to the byte."""
+"""Tests of the HTTP server with valid, invalid and fragmented requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ListenerTest(unittest.IsolatedAsyncioTestCase):
-    """A listener whose handler notes requests and echoes their bodies."""
+    """A listener whose handler records requests and echoes their bodies."""
 
     async def asyncSetUp(self):
         self.seen = []
@@ -40,7 +40,7 @@
             self.cancelled += 1
             raise
         if req.path == b'/fault':
-            raise LookupError('a fault of the program')
+            raise LookupError('a bug in the handler')
         if req.path == b'/cut':
             responder.start(200, [], None)
             responder.write(b'half')
@@ -48,7 +48,7 @@
         responder.reply(200, [], req.body)
 
     async def send(self, *pieces):
-        """Returns all that comes back until the connection ends or rests."""
+        """Sends the pieces; returns all bytes until the connection ends."""
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.listener.port
         )
@@ -66,10 +66,10 @@
         return response
 
     async def test_requests_that_hide_another_are_refused(self):
-        """A request is framed in two ways, or in one that nobody knows.
+        """Requests with two framings, or an unknown one, are refused.
 
-        What follows it would be read as a further request by one program and
-        as its body by the next.
+        One program on the path would parse what follows as another request,
+        and the next one as the body (request smuggling).
         """
         for head in (
             b'Content-Length: 3\r\nTransfer-Encoding: chunked',
@@ -139,9 +139,10 @@
         self.assertIn(b' 502 ', response)
 
     async def test_a_truncated_response_never_looks_complete(self):
-        """A body that ends with its connection looks whole at its end.
+        """A truncated response is recognizable as such.
 
-        It is reset instead; a chunked one lacks its last chunk.
+        A body that ends with its connection would look complete, so the
+        connection is reset; a chunked body lacks its last chunk.
         """
         response = await self.send(b'GET /cut HTTP/1.1\r\nHost: h\r\n\r\n')
         self.assertTrue(response.endswith(b'4\r\nhalf\r\n'), response)
@@ -168,7 +169,7 @@
         self.assertIn(b'connection: close', response)
 
     async def test_requests_come_in_any_pieces(self):
-        """A network cuts requests wherever it likes."""
+        """The network may split requests at any byte."""
         data = (
             b'POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody'
             b'GET /b?x=%20 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n'
@@ -181,7 +182,7 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """Bytes of no sense never reach a handler half read."""
+    """Random bytes never reach a handler as a partly parsed request."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one address, within what a gateway may have."""
+"""Tests of the connection pool and its limits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PoolTest(unittest.IsolatedAsyncioTestCase):
-    """A server that accepts and says nothing."""
+    """Connections to a server that accepts and sends nothing."""
 
     async def asyncSetUp(self):
         self.server = await asyncio.start_server(
@@ -39,7 +39,7 @@
         return self.pool.connections(self.address).count
 
     async def test_the_connection_limit_is_enforced(self):
-        """Orders beyond a server's bound on connections are reset with them."""
+        """A server resets connections beyond its limit, with their requests."""
         for _ in range(2):
             await self.acquire()
         with self.assertRaises(error.ConnectionLimitError):
@@ -57,7 +57,10 @@
                 await asyncio.sleep(0)
 
     async def test_an_expired_idle_connection_is_replaced(self):
-        """A call is refused although its gateway carries none."""
+        """An expired connection must not count towards the limit.
+
+        The call would be refused although its gateway has no other in flight.
+        """
         for _ in range(3):
             conn = await self.pool.acquire(self.address, max_connections=1)
             conn.idle_since_s = (
@@ -70,7 +73,7 @@
             new_conn.abort()
 
     async def test_an_ended_connection_is_not_counted(self):
-        """Counted for ever, ended ones would shut the server out."""
+        """If ended connections still counted, no more could be opened."""
         for _ in range(20):
             conns = [await self.acquire() for _ in range(2)]
             for conn in conns:
@@ -80,7 +83,10 @@
                     await asyncio.sleep(0)
 
     async def test_few_are_kept_idle(self):
-        """Idle connections of lost hosts shut returning callers out."""
+        """Idle connections of lost hosts use up a server's limit.
+
+        Requests of returning callers would be reset.
+        """
         conns = [await self.pool.acquire(self.address) for _ in range(6)]
         for conn in conns:
             self.pool.release(conn, 2)
@@ -109,12 +115,13 @@
 
 
 class SendRequestTest(unittest.IsolatedAsyncioTestCase):
-    """What changes while a connection is being opened."""
+    """State that changes while a connection is being opened."""
 
     async def test_nothing_is_sent_to_a_zone_drained_meanwhile(self):
-        """A try chose its upstream; its zone is drained before it is sent.
+        """A zone is drained between choosing an upstream and sending to it.
 
-        On a slow link that is seconds later, and the order was broken.
+        On a slow link connecting takes seconds, so the request would violate
+        the drain.
         """
         upstreams = upstream.Upstreams()
         found = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
--- a/tests/quetzalsill_gateway/quotas.py
+++ b/tests/quetzalsill_gateway/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas for tests of other things."""
+"""Quotas for tests that do not test quotas."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def unbounded():
-    """Returns a quota that allows everything."""
+    """Returns a quota without limits."""
     return quota.Quota(
         source.RoutingTableHolder(),
         members.Members('entry-1'),
--- a/tests/quetzalsill_gateway/test_retry_budget.py
+++ b/tests/quetzalsill_gateway/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The sum of all gateways' retries stays within what they share."""
+"""Tests that the retries of all gateways stay within the shared budget."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Five gateways, any order of requests and retries."""
+    """Retry budgets shared by several gateways."""
 
     @settings(derandomize=True, deadline=None)
     @given(STEPS)
     def test_the_sum_over_gateways_holds_in_every_window(self, steps):
-        """Servers fail a burst of work at all gateways at once.
+        """Servers fail a burst of requests of all five gateways at once.
 
         If each gateway spent the whole allowance, the servers would get five
-        times the retries that they are promised at most.
+        times the permitted retries.
         """
         clock = [0.0]
         requests, retries = [], []
@@ -48,15 +48,15 @@
                     retries.append(clock[0])
         for end in retries:
             retried = sum(end - WINDOW_S < at <= end for at in retries)
-            # Requests count that came in this window or the one before.
+            # Requests from this window and the previous one count.
             requested = sum(end - 2 * WINDOW_S < at <= end for at in requests)
             self.assertLessEqual(retried, RATIO * requested + ALLOWANCE)
 
     def test_a_fleet_larger_than_its_settings_shares_the_allowance(self):
-        """68 gateways, set for 16, and servers that fail all they get.
+        """68 gateways are configured for 16, and servers fail every request.
 
-        Each spent its sixteenth, and the servers got twice of what they are
-        promised at most.
+        If each spent a sixteenth of the allowance, the servers would get twice
+        the permitted retries.
         """
         with mock.patch.object(
             retry_budget.RetryBudget, '_now', lambda _self: 0.0
@@ -70,10 +70,10 @@
         self.assertLessEqual(spent, 176)
 
     def test_requests_refused_by_another_incarnation_count(self):
-        """Servers start again behind a cut, and turn away what was sent.
+        """Servers restart during a partition and refuse the requests sent.
 
-        Each such request is sent again without asking. Uncounted, retries of
-        others came on top: 223 arrivals in ten seconds where 155 are allowed.
+        These are retried regardless of the budget. Not counted, they added to
+        the other retries: 223 arrived in ten seconds where 155 are allowed.
         """
         with mock.patch.object(
             retry_budget.RetryBudget, '_now', lambda _self: 0.0
--- a/tests/quetzalsill_gateway/test_routing_table.py
+++ b/tests/quetzalsill_gateway/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix."""
+"""Tests of route matching by host and longest prefix."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class MatchTest(unittest.TestCase):
-    """The longest prefix that begins the path is taken."""
+    """The route with the longest matching prefix is chosen."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.sets(PREFIX, min_size=1), PREFIX, PART)
