--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and what any answer to it needs."""
+"""A caller's request while it is served, and the gateway's own refusals."""
 
 from __future__ import annotations
 
@@ -16,37 +16,38 @@
 __all__ = ['Exchange', 'RETRY_AFTER_S', 'refuse']
 
 MS_PER_S = 1000
-# Short against the time limits of the promptest callers, and long enough for
-# another gateway, or the next report of an engine, to tell another story.
+# Short compared with the timeouts of the most impatient callers; long enough
+# for another gateway, or an engine's next report, to give another result.
 RETRY_AFTER_S = 0.1
-BODILESS = (b'GET', b'HEAD')
+BODILESS_METHODS = (b'GET', b'HEAD')
 
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A request with all that was decided about it.
+    """A request with its routing decision and progress.
 
     Attributes:
       request: The caller's request.
-      responder: Writes its answer.
-      route: Route taken.
+      responder: Writes the response.
+      route: Matched route.
       service: Service chosen among the route's targets.
       account: Name of the client account; None if callers need no key.
-      request_id: Id that the caller gave it.
-      priority: Rank; 0 is the most urgent.
+      request_id: Id set by the caller.
+      priority: Priority; 0 is the most urgent.
       regions: Regions in which it may be served; None for any.
-      deadline_s: Loop time at which nobody waits any longer.
-      version: Version of the configuration that decided.
-      sends: Upstreams to which it was sent so far.
-      first_s: Time from the request to the first event; None before it.
+      deadline_s: Loop time after which the caller no longer waits.
+      version: Version of the configuration used for routing.
+      sends: Number of upstreams to which it was sent so far.
+      first_event_s: Time from the request to the first event; None before it.
       widest_gap_s: Longest pause between events so far.
-      newest_s: Loop time of the newest event.
-      held_s: Time that it waited for an engine with room.
-      switch_cause: Why its run goes on at another upstream, until the next
-        event.
-      gap_cause: That of the longest pause; empty if it did not go on.
-      tokens: Memory that it is expected to need; 0 if it is no generation.
-      come_back_s: Time after which a refused caller may do better, in seconds.
+      last_event_s: Loop time of the latest event.
+      held_s: Time spent queued for an engine with room.
+      switch_cause: Why the run resumes at another upstream; cleared by the
+        next event.
+      gap_cause: `switch_cause` of the longest pause; empty if the run did not
+        switch.
+      tokens: KV cache it is expected to need; 0 if it is no generation.
+      retry_after_s: When a refused caller is told to retry, in seconds.
     """
 
     request: message.Request
@@ -59,35 +60,35 @@
     deadline_s: float
     version: int
     sends: int = 0
-    first_s: float | None = None
+    first_event_s: float | None = None
     widest_gap_s: float = 0.0
-    newest_s: float = 0.0
+    last_event_s: float = 0.0
     held_s: float = 0.0
     switch_cause: str = ''
     gap_cause: str = ''
     tokens: int = 0
-    come_back_s: float = RETRY_AFTER_S
+    retry_after_s: float = RETRY_AFTER_S
     regions: frozenset[str] | None = None
 
-    def note_event(self) -> None:
-        """Takes the time of events that go to the caller now."""
+    def record_event(self) -> None:
+        """Records that events are being sent to the caller now."""
         now = asyncio.get_running_loop().time()
-        if self.first_s is None:
-            self.first_s = now - self.request.received_s
-        elif now - self.newest_s > self.widest_gap_s:
-            self.widest_gap_s = now - self.newest_s
+        if self.first_event_s is None:
+            self.first_event_s = now - self.request.received_s
+        elif now - self.last_event_s > self.widest_gap_s:
+            self.widest_gap_s = now - self.last_event_s
             self.gap_cause = self.switch_cause
         self.switch_cause = ''
-        self.newest_s = now
+        self.last_event_s = now
 
     @property
-    def left_s(self) -> float:
-        """Time until the deadline, in seconds."""
+    def remaining_s(self) -> float:
+        """Time left until the deadline, in seconds."""
         return self.deadline_s - asyncio.get_running_loop().time()
 
     @property
     def id_text(self) -> str:
-        """Id of the request, for logs."""
+        """The request id as text, for logs."""
         return self.request_id.decode('latin-1')
 
     def head(
@@ -96,10 +97,10 @@
         upstream_id: str,
         extra: message.Headers,
     ) -> bytes:
-        """Returns the head of this request for an upstream.
+        """Returns the request head to send to an upstream.
 
-        What only the system may set is dropped from what the caller sent, and
-        so is the caller's key.
+        Reserved headers that the caller sent are dropped, and so is the
+        caller's key.
         """
         req = self.request
         dropped = dialect.reserved | {
@@ -116,7 +117,7 @@
             for pair in message.end_to_end(req.headers)
             if pair[0] not in dropped and pair[0] not in replaced
         )
-        left_ms = max(1, int(self.left_s * MS_PER_S))
+        left_ms = max(1, int(self.remaining_s * MS_PER_S))
         lines.append(b'%s: %d' % (dialect.deadline_ms, left_ms))
         lines.append(
             b'%s: %s' % (dialect.expected_upstream, upstream_id.encode())
@@ -124,7 +125,7 @@
         if self.account is not None:
             lines.append(b'%s: %s' % (dialect.account, self.account))
         lines.extend(b'%s: %s' % pair for pair in extra)
-        if req.body or req.method not in BODILESS:
+        if req.body or req.method not in BODILESS_METHODS:
             lines.append(b'content-length: %d' % len(req.body))
         lines.append(b'\r\n')
         return b'\r\n'.join(lines)
@@ -133,21 +134,21 @@
 def refuse(
     responder: responder_lib.Responder,
     status: int,
-    why: str,
+    reason: str,
     *,
-    again: bool = False,
-    come_back_s: float = RETRY_AFTER_S,
+    may_retry: bool = False,
+    retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
-    """Answers with a failure of the gateway's own.
+    """Sends an error response that originates at the gateway.
 
     Args:
-      responder: Writes the answer.
-      status: Its status.
-      why: Code of the reason, for the caller to read.
-      again: Whether to say when to come back; only for what has not run.
-      come_back_s: When that is, in seconds from now.
+      responder: Writes the response.
+      status: Status code.
+      reason: Error code, sent as the body.
+      may_retry: Whether to send Retry-After; only if the request has not run.
+      retry_after_s: Value of Retry-After, in seconds.
     """
     headers = [(b'content-type', b'text/plain')]
-    if again:
-        headers.append((b'retry-after', b'%.2f' % come_back_s))
-    responder.reply(status, headers, why.encode() + b'\n')
+    if may_retry:
+        headers.append((b'retry-after', b'%.2f' % retry_after_s))
+    responder.reply(status, headers, reason.encode() + b'\n')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests and brings each to an upstream."""
+"""Admits callers' requests and forwards each to an upstream."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 BAD_REQUEST = 400
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# A deadline is acted on this much early, so that the answer is with the caller
-# when its own time is over.
-ANSWER_S = 0.02
+# A timeout is answered this long before the caller's deadline, so that the
+# response arrives in time.
+RESPONSE_MARGIN_S = 0.02
 
 
 class Gateway:
-    """Decides what becomes of each request."""
+    """Routes, authenticates and forwards each request."""
 
     def __init__(self, core: core_lib.Core) -> None:
         self._core = core
@@ -42,26 +42,29 @@
     async def handle(
         self, req: message.Request, responder: responder_lib.Responder
     ) -> None:
-        """Serves one request to its end."""
+        """Serves one request and logs its outcome."""
         exchange = self._admit(req, responder)
         if exchange is None:
             return
-        bound_s = exchange.deadline_s - ANSWER_S
+        reply_by_s = exchange.deadline_s - RESPONSE_MARGIN_S
         try:
-            async with deadline.timeout_at(bound_s):
+            async with deadline.timeout_at(reply_by_s):
                 outcome = await self._forward(exchange)
         except TimeoutError:
-            outcome = _answer_timeout(exchange)
+            outcome = _reply_timeout(exchange)
         except asyncio.CancelledError:
-            self._note(exchange, self._cut_by())
+            self._record_end(exchange, self._cancellation_outcome())
             raise
-        self._note(exchange, outcome)
+        self._record_end(exchange, outcome)
 
-    def _cut_by(self) -> str:
-        """Returns who cut a request off: its caller, or the process's end."""
+    def _cancellation_outcome(self) -> str:
+        """Returns why a request was cancelled.
+
+        `stopped` if the process has reached its end, else `caller_left`.
+        """
         ends_at_s = self._core.ends_at_s
-        now = asyncio.get_running_loop().time()
-        return 'stopped' if ends_at_s and now >= ends_at_s else 'caller_left'
+        now_s = asyncio.get_running_loop().time()
+        return 'stopped' if ends_at_s and now_s >= ends_at_s else 'caller_left'
 
     async def _forward(self, exchange: exchange_lib.Exchange) -> str:
         if exchange.route.kind.is_stream:
@@ -71,7 +74,7 @@
     def _admit(
         self, req: message.Request, responder: responder_lib.Responder
     ) -> exchange_lib.Exchange | None:
-        """Returns the request with what was decided, or None if refused."""
+        """Returns the routed request, or None if it was refused."""
         request_id = message.first(req.headers, self._core.dialect.request_id)
         name = request_id or b''
         table = self._core.holder.current
@@ -83,7 +86,7 @@
         if route is None:
             _refuse(req, name, responder, NOT_FOUND, 'no_route', table.version)
             return None
-        account = _account(table, route, req)
+        account = _find_account(table, route, req)
         if table.accounts is not None and not route.public and account is None:
             version = table.version
             _refuse(req, name, responder, UNAUTHORIZED, 'unknown_key', version)
@@ -91,9 +94,9 @@
         if not request_id:
             _refuse(req, name, responder, BAD_REQUEST, 'no_id', table.version)
             return None
-        regions = _regions(route, account)
-        service = _service(table, route, self._core.upstreams, regions)
-        ranked = account is not None and account.priority is not None
+        regions = _allowed_regions(route, account)
+        service = _choose_service(table, route, self._core.upstreams, regions)
+        has_priority = account is not None and account.priority is not None
         return exchange_lib.Exchange(
             request=req,
             responder=responder,
@@ -101,7 +104,7 @@
             service=service,
             account=account.name.encode() if account else None,
             request_id=request_id,
-            priority=account.priority if ranked else route.priority,
+            priority=account.priority if has_priority else route.priority,
             deadline_s=self._deadline_s(req, route),
             version=table.version,
             regions=regions,
@@ -111,16 +114,18 @@
         self, req: message.Request, route: routing_lib.Route
     ) -> float:
         text = message.first(req.headers, self._core.dialect.deadline_ms)
-        wait_s = route.timeout_s
+        timeout_s = route.timeout_s
         if text and text.isdigit():
-            wait_s = min(wait_s, int(text) / exchange_lib.MS_PER_S)
-        return req.received_s + wait_s
+            timeout_s = min(timeout_s, int(text) / exchange_lib.MS_PER_S)
+        return req.received_s + timeout_s
 
-    def _note(self, exchange: exchange_lib.Exchange, outcome: str) -> None:
-        now = asyncio.get_running_loop().time()
-        took_ms = round((now - exchange.request.received_s) * 1000, 1)
+    def _record_end(
+        self, exchange: exchange_lib.Exchange, outcome: str
+    ) -> None:
+        now_s = asyncio.get_running_loop().time()
+        took_ms = round((now_s - exchange.request.received_s) * 1000, 1)
         kind = exchange.route.kind.value
-        meter.note_request(exchange, outcome, took_ms / 1000)
+        meter.record_request(exchange, outcome, took_ms / 1000)
         event.note(
             event.RequestEnded(
                 request=exchange.id_text,
@@ -130,12 +135,12 @@
                 outcome=outcome,
                 sends=exchange.sends,
                 took_ms=took_ms,
-                first_ms=_ms(exchange.first_s),
+                first_ms=_ms(exchange.first_event_s),
                 widest_gap_ms=_ms(exchange.widest_gap_s or None),
                 configuration=exchange.version,
                 membership=str(self._core.upstreams.revision),
                 objective_ms=_ms(exchange.route.objective_s),
-                most_gap_ms=_ms(exchange.route.most_gap_s),
+                most_gap_ms=_ms(exchange.route.max_gap_s),
                 held_ms=_ms(exchange.held_s),
                 gap_cause=exchange.gap_cause,
                 tokens=exchange.tokens,
@@ -152,23 +157,25 @@
     request_id: bytes,
     responder: responder_lib.Responder,
     status: int,
-    why: str,
+    reason: str,
     version: int,
 ) -> None:
     event.note(
         event.RequestRefused(
             request=request_id.decode('latin-1'),
             target=req.target.decode('latin-1'),
-            reason=why,
+            reason=reason,
             status=status,
             configuration=version,
         )
     )
-    meter.refused.inc({'reason': why})
-    exchange_lib.refuse(responder, status, why, again=status == UNAVAILABLE)
+    meter.refused.inc({'reason': reason})
+    exchange_lib.refuse(
+        responder, status, reason, may_retry=status == UNAVAILABLE
+    )
 
 
-def _answer_timeout(exchange: exchange_lib.Exchange) -> str:
+def _reply_timeout(exchange: exchange_lib.Exchange) -> str:
     responder = exchange.responder
     if responder.started:
         responder.abort()
@@ -176,11 +183,11 @@
     if exchange.sends:
         exchange_lib.refuse(responder, GATEWAY_TIMEOUT, 'timeout')
         return 'timeout'
-    exchange_lib.refuse(responder, UNAVAILABLE, 'not_sent', again=True)
+    exchange_lib.refuse(responder, UNAVAILABLE, 'not_sent', may_retry=True)
     return 'not_sent'
 
 
-def _account(
+def _find_account(
     table: routing_lib.RoutingTable,
     route: routing_lib.Route,
     req: message.Request,
@@ -193,29 +200,33 @@
     return table.accounts.get(value[len(BEARER) :].strip())
 
 
-def _regions(
+def _allowed_regions(
     route: routing_lib.Route, account: routing_lib.ClientAccount | None
 ) -> frozenset[str] | None:
-    """Returns the regions that route and account both allow; None for any."""
-    of_account = account.regions if account else None
-    if route.regions is None or of_account is None:
-        return route.regions or of_account
-    return route.regions & of_account
+    """Returns the regions allowed by both route and account; None for any."""
+    account_regions = account.regions if account else None
+    if route.regions is None or account_regions is None:
+        return route.regions or account_regions
+    return route.regions & account_regions
 
 
-def _service(
+def _choose_service(
     table: routing_lib.RoutingTable,
     route: routing_lib.Route,
     upstreams: upstream.Upstreams,
     regions: frozenset[str] | None,
 ) -> routing_lib.Service:
-    """Draws one of the route's services by weight, one with upstreams first."""
-    able = [
+    """Chooses one of the route's services at random by weight.
+
+    Only services with an available upstream are considered, unless there is
+    none.
+    """
+    available = [
         target
         for target in route.targets
         if target.weight and upstreams.available(target.service, regions)
     ]
-    targets = able or list(route.targets)
+    targets = available or list(route.targets)
     weights = [target.weight or 1e-9 for target in targets]
     name = random.choices(targets, weights)[0].service
     return table.services.get(name) or routing_lib.Service(name)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/fetch.py
@@ -1,4 +1,4 @@
-"""Small calls of the gateway's own, such as orders to engines."""
+"""Small calls made by the gateway itself, such as control calls to engines."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway.http import pool
 
-__all__ = ['Answer', 'fetch']
+__all__ = ['Response', 'fetch']
 
-MOST_BYTES = 16 * 1024 * 1024
-# A large answer takes its time on a thin link; it is given up only when nothing
-# of it has come for so long.
-STALL_S = 0.6
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# A large response takes long on a slow link, so once its body has begun it is
+# abandoned only after this time without progress.
+BODY_STALL_TIMEOUT_S = 0.6
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
-    """A whole answer.
+class Response:
+    """A complete response.
 
     Attributes:
       status: Status code.
-      headers: Names in lower case.
-      body: The whole body.
+      headers: Headers, with names in lower case.
+      body: The complete body.
     """
 
     status: int
@@ -39,12 +39,14 @@
         """Returns the body as JSON.
 
         Raises:
-          error.MalformedAnswerError: It is none.
+          error.MalformedResponseError: It is not JSON.
         """
         try:
             return json.loads(self.body)
         except ValueError as exc:
-            raise error.MalformedAnswerError(f'no JSON: {exc}') from exc
+            raise error.MalformedResponseError(
+                f'response is not JSON: {exc}'
+            ) from exc
 
 
 async def fetch(
@@ -55,22 +57,22 @@
     *,
     body: Any = None,
     timeout_s: float,
-    connect_s: float | None = None,
-) -> Answer:
-    """Makes one call and returns its whole answer.
+    connect_timeout_s: float | None = None,
+) -> Response:
+    """Makes one call and returns its complete response.
 
     Args:
-      conns: Kept connections.
-      address: IP number and port.
-      method: Method in capitals.
+      conns: Connection pool.
+      address: IP address and port.
+      method: Method in upper case.
       target: Path and query.
       body: Sent as JSON unless it is None.
-      timeout_s: Longest time to the first of the answer's body, in seconds.
-      connect_s: Longest time to open a connection, in seconds; None for
+      timeout_s: Longest time to the start of the response body, in seconds.
+      connect_timeout_s: Longest time to open a connection, in seconds; None for
         `timeout_s`.
 
     Raises:
-      error.CallError: There is no whole answer.
+      error.CallError: There is no complete response.
     """
     lines = [f'{method} {target} HTTP/1.1', f'host: {address[0]}:{address[1]}']
     data = b'' if body is None else json.dumps(body).encode()
@@ -80,22 +82,28 @@
     head = '\r\n'.join([*lines, '\r\n']).encode()
     conn = None
     try:
-        async with deadline.timeout(timeout_s) as bound:
-            conn = await conns.take(address, connect_s or timeout_s)
+        async with deadline.timeout(timeout_s) as timeout:
+            conn = await conns.acquire(address, connect_timeout_s or timeout_s)
             conn.send(head, data)
-            found = await conn.head()
-            pieces = bytearray()
+            response_head = await conn.head()
+            received = bytearray()
             while piece := await conn.read():
-                pieces += piece
-                bound.reschedule(max(bound.when(), _now() + STALL_S))
-                if len(pieces) > MOST_BYTES:
-                    raise error.MalformedAnswerError('the answer is too large')
-            return Answer(found.status, found.headers, bytes(pieces))
+                received += piece
+                timeout.reschedule(
+                    max(timeout.when(), _now() + BODY_STALL_TIMEOUT_S)
+                )
+                if len(received) > MAX_RESPONSE_BYTES:
+                    raise error.MalformedResponseError(
+                        'the response is too large'
+                    )
+            return Response(
+                response_head.status, response_head.headers, bytes(received)
+            )
     except TimeoutError as exc:
-        raise error.SilentError(f'{address[0]}:{address[1]}') from exc
+        raise error.ResponseTimeoutError(f'{address[0]}:{address[1]}') from exc
     finally:
         if conn is not None:
-            conns.give_back(conn)
+            conns.release(conn)
 
 
 def _now() -> float:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests in, answers out, one task for each."""
+"""HTTP server for callers; each connection is served by one task."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 __all__ = ['Connection', 'Handler', 'Limits', 'Listener']
 
-PIPELINED = 16
+MAX_PIPELINED = 16
 WRITE_HIGH_BYTES = 262_144
-TICK_S = 0.5
-# On, for no time: closing resets.
-LINGER_NONE = struct.pack('ii', 1, 0)
+TIMEOUT_CHECK_S = 0.5
+# SO_LINGER on, with zero timeout: closing the socket sends a reset.
+LINGER_ZERO = struct.pack('ii', 1, 0)
 VERSIONS = ('1.0', '1.1')
 
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """What one caller may send, and how long it may take.
+    """Limits on the size and duration of a caller's request.
 
     Attributes:
-      header_bytes: Largest head of a request.
-      body_bytes: Largest body.
-      header_s: Longest time from a request's first byte to its last, in
-        seconds without progress.
+      header_bytes: Maximum size of a request head.
+      body_bytes: Maximum size of a body.
+      header_s: Longest time without progress while a request is received, in
+        seconds.
       idle_s: Longest time between two requests of a connection, in seconds.
     """
 
@@ -61,51 +61,51 @@
         self._task: asyncio.Task[None] | None = None
         self._refused = False
         self._busy = False
-        self._touched_s = 0.0
+        self._last_activity_s = 0.0
         self._reset()
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a request is here and none is being served."""
+        """Whether no request is being received, queued or served."""
         return not (self._busy or self._requests or self._receiving)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Starts the task of the connection."""
+        """Starts the connection's task."""
         self._transport = transport
         socket_option.tune(transport)
         transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
         loop = asyncio.get_running_loop()
-        self._touched_s = loop.time()
+        self._last_activity_s = loop.time()
         self._listener.connections.add(self)
         self._task = loop.create_task(self._serve())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the task, and with it what it waits for at an upstream."""
+        """Cancels the task, including its call to an upstream."""
         self._listener.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """A caller that closed its side waits for no answer."""
+        """Closes the connection: a half-closed caller expects no response."""
         return False
 
     def pause_writing(self) -> None:
-        """The caller reads too slowly."""
+        """Pauses writing while the caller reads too slowly."""
         self._can_write = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """The caller has read."""
+        """Wakes up the writer after the caller has read."""
         if self._can_write is not None and not self._can_write.done():
             self._can_write.set_result(None)
         self._can_write = None
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the caller."""
+        """Parses bytes from the caller."""
         if self._refused:
             return
-        self._touched_s = asyncio.get_running_loop().time()
-        if not self._receiving and not self._started_s:
-            self._started_s = self._touched_s
+        self._last_activity_s = asyncio.get_running_loop().time()
+        if not self._receiving and not self._request_start_s:
+            self._request_start_s = self._last_activity_s
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -117,61 +117,61 @@
         """Starts a request."""
         self._reset()
         self._receiving = True
-        self._started_s = asyncio.get_running_loop().time()
+        self._request_start_s = asyncio.get_running_loop().time()
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target."""
+        """Appends a part of the target."""
         self._target += url
-        self._count(len(url))
+        self._add_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
+        """Stores one header."""
         self._headers.append((name.lower(), value))
-        self._count(len(name) + len(value))
+        self._add_head_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
-        """Checks the version, and how the body is framed."""
+        """Checks the HTTP version and the framing of the body."""
         if self._parser.get_http_version() not in VERSIONS:
-            self._fail(400)
-        framed = [
+            self._reject(400)
+        framing = [
             value.strip().lower()
             for name, value in self._headers
             if name in (b'transfer-encoding', b'content-length')
         ]
         names = {name for name, _ in self._headers}
-        # A request with two framings is read differently by other programs
-        # on its way, which lets a second request hide in its body.
-        if len(framed) > 1 or (
-            b'transfer-encoding' in names and framed != [b'chunked']
+        # Programs on the path may parse a request with two framings
+        # differently, which allows a second request to be smuggled in its body.
+        if len(framing) > 1 or (
+            b'transfer-encoding' in names and framing != [b'chunked']
         ):
-            self._fail(400)
-        if framed and framed[0].isdigit():
-            self._check_body(int(framed[0]))
+            self._reject(400)
+        if framing and framing[0].isdigit():
+            self._check_body(int(framing[0]))
         expects = message.first(self._headers, b'expect')
         if expects and expects.lower() == b'100-continue' and not self._busy:
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Appends a chunk of the body."""
         self._body += body
         self._check_body(len(self._body))
 
     def on_message_complete(self) -> None:
-        """Hands the request to the task."""
+        """Queues the request for the task."""
         request = message.Request(
             self._parser.get_method(),
             bytes(self._target),
             self._headers,
             bytes(self._body),
-            self._started_s,
+            self._request_start_s,
             self._parser.get_http_version(),
             self._parser.should_keep_alive(),
         )
         self._reset()
-        self._put(request)
+        self._enqueue(request)
 
     def write(self, data: bytes) -> None:
-        """Writes unless the connection is closing."""
+        """Writes data unless the connection is closing."""
         if not self._transport.is_closing():
             self._transport.write(data)
 
@@ -181,25 +181,25 @@
             await asyncio.shield(self._can_write)
 
     def close(self) -> None:
-        """Closes after what was written is sent."""
+        """Closes after buffered data has been sent."""
         self._transport.close()
 
     def abort(self, *, reset: bool = False) -> None:
-        """Closes at once; with `reset`, what was written may be lost too."""
+        """Closes at once; with `reset`, data already written may be lost."""
         sock = self._transport.get_extra_info('socket')
         if reset and sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self._transport.abort()
 
-    def closing_soon(self) -> bool:
-        """Whether this connection should not be used again."""
+    def will_close(self) -> bool:
+        """Whether the connection closes after the current response."""
         return self._listener.stopping or self._refused
 
-    def check_time(self, now: float, limits: Limits) -> None:
-        """Closes the connection if its caller takes too long."""
+    def check_timeouts(self, now: float, limits: Limits) -> None:
+        """Closes the connection if a timeout has expired."""
         if self._busy or self._requests:
             return
-        silent_s = now - self._touched_s
+        silent_s = now - self._last_activity_s
         if self._receiving and silent_s > limits.header_s:
             self._refuse(408)
         elif not self._receiving and silent_s > limits.idle_s:
@@ -211,53 +211,53 @@
         self._body = bytearray()
         self._head_bytes = 0
         self._receiving = False
-        self._started_s = 0.0
+        self._request_start_s = 0.0
         self._status = 400
 
-    def _count(self, size: int) -> None:
+    def _add_head_bytes(self, size: int) -> None:
         self._head_bytes += size + 4
         if self._head_bytes > self._listener.limits().header_bytes:
-            self._fail(431)
+            self._reject(431)
 
     def _check_body(self, size: int) -> None:
         if size > self._listener.limits().body_bytes:
-            self._fail(413)
+            self._reject(413)
 
-    def _fail(self, status: int) -> None:
-        # An exception inside a callback reaches `data_received` as an error
-        # of the parser, which stops at once.
+    def _reject(self, status: int) -> None:
+        # An exception in a callback stops the parser at once and reaches
+        # `data_received` as a parser error.
         self._status = status
         raise ValueError(status)
 
     def _refuse(self, status: int) -> None:
         self._refused = True
         self._receiving = False
-        self._put(status)
+        self._enqueue(status)
 
-    def _put(self, item: message.Request | int) -> None:
+    def _enqueue(self, item: message.Request | int) -> None:
         self._requests.append(item)
-        if len(self._requests) >= PIPELINED:
+        if len(self._requests) >= MAX_PIPELINED:
             self._transport.pause_reading()
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     async def _serve(self) -> None:
         while not self._transport.is_closing():
-            item = await self._next()
+            item = await self._next_request()
             if isinstance(item, int):
-                self._answer_refusal(item)
+                self._send_refusal(item)
                 return
             responder = responder_lib.Responder(self, item)
             self._busy = True
             try:
                 await self._listener.handler(item, responder)
             except Exception as exc:
-                # Without a last resort the caller would wait for nothing.
+                # Unhandled, it would leave the caller without a response.
                 target = item.target.decode('latin-1')
                 event.note(event.RequestFault(target), exc=exc)
             finally:
                 self._busy = False
-                self._touched_s = asyncio.get_running_loop().time()
+                self._last_activity_s = asyncio.get_running_loop().time()
             if not responder.ended:
                 self._finish(responder)
 
@@ -267,18 +267,18 @@
         else:
             responder.reply(502, [])
 
-    def _answer_refusal(self, status: int) -> None:
+    def _send_refusal(self, status: int) -> None:
         event.note(event.RequestMalformed(status))
         line = b'HTTP/1.1 %d %s\r\n' % (status, message.reason(status))
         self.write(line + b'content-length: 0\r\nconnection: close\r\n\r\n')
         self.close()
 
-    async def _next(self) -> message.Request | int:
+    async def _next_request(self) -> message.Request | int:
         while not self._requests:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         item = self._requests.popleft()
-        if len(self._requests) == PIPELINED - 1:
+        if len(self._requests) == MAX_PIPELINED - 1:
             self._transport.resume_reading()
         return item
 
@@ -287,16 +287,17 @@
     """Accepts connections of callers and serves their requests.
 
     Attributes:
-      connections: Those that are open.
-      stopping: Set while the process stops: answers close their connection.
+      connections: The open connections.
+      stopping: Set while the process stops; each response then closes its
+        connection.
     """
 
     def __init__(self, handler: Handler, limits: Callable[[], Limits]) -> None:
-        """Prepares a listener.
+        """Initializes a listener.
 
         Args:
           handler: Serves one request.
-          limits: Gives the bounds in force.
+          limits: Returns the current limits.
         """
         self.handler = handler
         self.limits = limits
@@ -306,35 +307,37 @@
 
     @property
     def port(self) -> int:
-        """Port listened at."""
+        """The port being listened on."""
         return self._server.sockets[0].getsockname()[1]
 
     async def start(self, host: str, port: int) -> None:
         """Opens the listener; port 0 lets the kernel choose."""
         loop = asyncio.get_running_loop()
         sock = early_socket.take(host, port)
-        where = {'host': host, 'port': port} if sock is None else {'sock': sock}
+        endpoint = (
+            {'host': host, 'port': port} if sock is None else {'sock': sock}
+        )
         self._server = await loop.create_server(
-            lambda: Connection(self), backlog=early_socket.BACKLOG, **where
+            lambda: Connection(self), backlog=early_socket.BACKLOG, **endpoint
         )
 
-    async def watch(self) -> None:
-        """Closes connections whose callers take too long; runs for good."""
+    async def enforce_timeouts(self) -> None:
+        """Closes connections whose callers time out; runs until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TIMEOUT_CHECK_S)
             now = loop.time()
             limits = self.limits()
             for conn in list(self.connections):
-                conn.check_time(now, limits)
+                conn.check_timeouts(now, limits)
 
     def close_idle(self) -> None:
-        """Closes connections that wait for a request."""
+        """Closes idle connections."""
         for conn in list(self.connections):
             if conn.is_idle:
                 conn.close()
 
     def stop(self) -> None:
-        """Accepts no more connections."""
+        """Stops accepting connections."""
         if self._server is not None:
             self._server.close()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/meter.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of a gateway."""
+"""Metrics of a gateway."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     'datagrams',
     'epochs',
     'moves',
-    'news',
-    'note_request',
+    'updates',
+    'record_request',
     'observe',
     'refused',
     'store_calls',
 ]
 
-# Finer than the defaults around the times that callers notice.
+# Finer than the default buckets around the delays that callers notice.
 SECONDS = (
     *(0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15, 40),
     float('inf'),
@@ -56,13 +56,13 @@
     'quetzalsill_gateway_datagrams',
     'Datagrams of other gateways since the start, by what became of them.',
 )
-news = metric.counter(
+updates = metric.counter(
     'quetzalsill_gateway_news_total',
     'News of the sources that other gateways told, by source and use.',
 )
-# Counted below what this module looks at.
+# Defined in `watch.epoch`, on which the state observed here depends.
 epochs = epoch.epochs_total
-answers = metric.histogram(
+response_times = metric.histogram(
     'quetzalsill_gateway_answer_seconds',
     'Time from a request to its whole answer, by kind of route.',
     SECONDS,
@@ -72,7 +72,7 @@
     'Time from a request to the first event of its stream, by kind of route.',
     SECONDS,
 )
-gaps = metric.histogram(
+max_gaps = metric.histogram(
     'quetzalsill_gateway_widest_gap_seconds',
     'Longest pause between two events of a stream, by kind of route.',
     SECONDS,
@@ -81,48 +81,50 @@
     'quetzalsill_gateway_upstreams',
     'Upstreams known, by whether they take new work.',
 )
-ages = metric.gauge(
+source_ages = metric.gauge(
     'quetzalsill_gateway_age_seconds',
     'Time since configuration and membership were last confirmed.',
 )
-beliefs = metric.gauge(
+state = metric.gauge(
     'quetzalsill_gateway_state',
     'Version in force, connections of callers, streams, gateways heard.',
 )
 
 
-def note_request(
-    exchange: exchange_lib.Exchange, outcome: str, took_s: float
+def record_request(
+    exchange: exchange_lib.Exchange, outcome: str, elapsed_s: float
 ) -> None:
-    """Counts a request that has ended."""
+    """Records a finished request."""
     kind = {'kind': exchange.route.kind.value}
     requests.inc(kind | {'outcome': outcome})
-    answers.observe(kind, took_s)
-    if exchange.first_s is not None:
-        first_events.observe(kind, exchange.first_s)
-        gaps.observe(kind, exchange.widest_gap_s)
+    response_times.observe(kind, elapsed_s)
+    if exchange.first_event_s is not None:
+        first_events.observe(kind, exchange.first_event_s)
+        max_gaps.observe(kind, exchange.widest_gap_s)
 
 
 def observe(
     core: core_lib.Core, connections: int, peers: exchange.Exchange
 ) -> None:
-    """Sets the gauges to what the process believes now.
+    """Updates the gauges from the current state.
 
     Args:
       core: State of the gateway.
-      connections: Open connections of callers.
-      peers: The other gateways.
+      connections: Number of open connections of callers.
+      peers: Exchange with the other gateways.
     """
-    known = core.upstreams.all()
-    leaving = sum(found.leaving for found in known)
+    all_upstreams = core.upstreams.all()
+    leaving = sum(upstream.leaving for upstream in all_upstreams)
     upstreams.set({'state': 'leaving'}, leaving)
-    upstreams.set({'state': 'live'}, len(known) - leaving)
-    ages.set({'of': 'configuration'}, core.holder.age_s)
-    ages.set({'of': 'membership'}, core.upstreams.age_s)
+    upstreams.set({'state': 'live'}, len(all_upstreams) - leaving)
+    source_ages.set({'of': 'configuration'}, core.holder.age_s)
+    source_ages.set({'of': 'membership'}, core.upstreams.age_s)
     table = core.holder.current
-    beliefs.set({'of': 'configuration'}, table.version if table else 0)
-    beliefs.set({'of': 'connections'}, connections)
-    beliefs.set({'of': 'streams'}, sum(len(core.live.of(u)) for u in known))
-    beliefs.set({'of': 'peers'}, peers.peer_count)
+    state.set({'of': 'configuration'}, table.version if table else 0)
+    state.set({'of': 'connections'}, connections)
+    state.set(
+        {'of': 'streams'}, sum(len(core.live.of(u)) for u in all_upstreams)
+    )
+    state.set({'of': 'peers'}, peers.peer_count)
     datagrams.set({'result': 'taken'}, peers.accepted)
     datagrams.set({'result': 'left_out'}, peers.dropped)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/peers/exchange.py
@@ -202,7 +202,7 @@
                 self._remove_expired(loop.time())
             gateways = 1 + len(self._peers)
             self._core.upstreams.gateway_count = gateways
-            self._core.budget.share_among(gateways)
+            self._core.budget.set_gateway_count(gateways)
             if loop.time() - self._published_s >= self._min_interval_s():
                 self._publish()
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this gateway takes callers."""
+"""Serves the load balancer's readiness check, and metrics."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from quetzalsill_gateway.http import listener, message
     from quetzalsill_gateway.http import responder as responder_lib
 
-__all__ = ['METRICS_PATH', 'handler']
+__all__ = ['METRICS_PATH', 'make_handler']
 
 METRICS_PATH = b'/metrics'
 OK = 200
@@ -19,27 +19,27 @@
 UNAVAILABLE = 503
 
 
-def handler(
+def make_handler(
     path: str, is_ready: Callable[[], bool], observe: Callable[[], None]
 ) -> listener.Handler:
-    """Returns what serves readiness and metrics.
+    """Returns the HTTP handler for readiness checks and metrics.
 
     Args:
-      path: Path of the question.
-      is_ready: Whether callers are taken.
-      observe: Sets the gauges before they are read.
+      path: Path of the readiness check.
+      is_ready: Whether callers are accepted.
+      observe: Updates the gauges before they are rendered.
     """
-    asked = path.encode()
+    ready_path = path.encode()
 
     async def handle(
         req: message.Request, responder: responder_lib.Responder
     ) -> None:
-        if req.path == asked:
+        if req.path == ready_path:
             responder.reply(OK if is_ready() else UNAVAILABLE, [])
         elif req.path == METRICS_PATH:
             observe()
-            kind = (b'content-type', metric.CONTENT_TYPE.encode())
-            responder.reply(OK, [kind], metric.render())
+            content_type = (b'content-type', metric.CONTENT_TYPE.encode())
+            responder.reply(OK, [content_type], metric.render())
         else:
             responder.reply(NOT_FOUND, [])
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a gateway that runs."""
+"""Reloads settings in a running gateway."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from quetzalsill_gateway import settings as settings_lib
 
-__all__ = ['FIXED', 'on_hangup']
+__all__ = ['RESTART_ONLY', 'reload_on_sighup']
 
-# These take effect at the next start: a listener that moved would drop its
-# callers, and a node that changed its name would be two in the logs.
-FIXED = (
+# Settings that take effect at the next start only: moving a listener would
+# drop its callers, and a renamed node would appear twice in the logs.
+RESTART_ONLY = (
     'node',
     'listen',
     'ready',
@@ -33,46 +33,48 @@
 )
 
 
-def on_hangup(
+def reload_on_sighup(
     settings: settings_lib.Settings,
     read: Callable[[], settings_lib.Settings],
     apply: Callable[[settings_lib.Settings], None],
 ) -> None:
-    """Reads the settings again on each SIGHUP and applies what may change.
+    """Reloads the settings on each SIGHUP and applies those that may change.
 
-    Without a handler the signal ends the process, and with it every request
-    in flight. Settings that do not fit are logged and left out.
+    Without a handler the signal would end the process, and with it every
+    request in flight. Invalid settings are logged and ignored.
 
     Args:
-      settings: Those in force; what may change is changed in them.
-      read: Reads the file again.
+      settings: The active settings, which are updated in place.
+      read: Reads the settings file again.
       apply: Called with the settings after a change.
     """
 
     def reload() -> None:
         try:
-            found = read()
+            updated = read()
         except schema_error.InvalidDocumentError as exc:
             event.note(event.SettingsInvalid('; '.join(exc.lines())))
             return
-        changed, waiting = _take(settings, found)
+        changed, deferred = _merge(settings, updated)
         apply(settings)
-        event.note(event.SettingsReloaded(','.join(changed), ','.join(waiting)))
+        event.note(
+            event.SettingsReloaded(','.join(changed), ','.join(deferred))
+        )
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
 
-def _take(
-    settings: settings_lib.Settings, found: settings_lib.Settings
+def _merge(
+    settings: settings_lib.Settings, updated: settings_lib.Settings
 ) -> tuple[list[str], list[str]]:
-    changed, waiting = [], []
-    for field in dataclasses.fields(found):
-        value = getattr(found, field.name)
+    changed, deferred = [], []
+    for field in dataclasses.fields(updated):
+        value = getattr(updated, field.name)
         if value == getattr(settings, field.name):
             continue
-        if field.name in FIXED:
-            waiting.append(field.name)
+        if field.name in RESTART_ONLY:
+            deferred.append(field.name)
         else:
             setattr(settings, field.name, value)
             changed.append(field.name)
-    return changed, waiting
+    return changed, deferred
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/epoch.py
@@ -67,7 +67,7 @@
           newest_when_sent: `newest` when the call was sent.
 
         Raises:
-          error.StaleAnswerError: The answer is of an epoch that has ended and
+          error.StaleResponseError: The answer is of an epoch that has ended and
             must be discarded.
         """
         if epoch < self.newest and not self._is_downgrade(
@@ -75,7 +75,7 @@
         ):
             epochs_total.inc({'what': 'stale'})
             self._log_stale(call, epoch)
-            raise error.StaleAnswerError(
+            raise error.StaleResponseError(
                 f'{call}: epoch {epoch}, after {self.newest}'
             )
         self._downgrade_since_s = None
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/membership.py
@@ -136,7 +136,7 @@
     def handle_update(self, update: update_lib.MembershipUpdate) -> None:
         """Handles an update from a peer."""
         if self._epochs.is_refuted(update.revision.epoch):
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         self._deferred.note_announced(update.revision)
         if not self._apply_update(update):
@@ -161,11 +161,11 @@
             self._apply_snapshot(update, known)
             return True
         if known is None or update.revision < known:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return False
         if _is_gap(update, known):
             # Datagrams were lost, so the changes in between are missing here.
-            meter.news.inc({'of': NAME, 'result': 'gap'})
+            meter.updates.inc({'of': NAME, 'result': 'gap'})
             if update.revision.epoch > known.epoch:
                 self._epochs.note_peer_epoch(
                     NAME, update.sender, known, update.revision
@@ -174,7 +174,7 @@
             else:
                 self._schedule.poll_now()
             return False
-        meter.news.inc({'of': NAME, 'result': 'taken'})
+        meter.updates.inc({'of': NAME, 'result': 'taken'})
         if update.grace_s > 0:
             self._upstreams.start_lapse_grace(update.grace_s)
         fresh = [one for one in update.changes if one.revision > known]
@@ -212,7 +212,7 @@
         known: revision_lib.Revision | None,
     ) -> None:
         """Starts over from a snapshot that a peer has sent."""
-        meter.news.inc({'of': NAME, 'result': 'whole'})
+        meter.updates.inc({'of': NAME, 'result': 'whole'})
         if known is not None:
             self._epochs.note_peer_epoch(
                 NAME, update.sender, known, update.revision
@@ -229,7 +229,7 @@
             result = await self._poll_source(
                 None if is_epoch_over else known, self._wait_s
             )
-        except error.StaleAnswerError:
+        except error.StaleResponseError:
             self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
--- a/tests/quetzalsill_gateway/http/test_early_socket.py
+++ b/tests/quetzalsill_gateway/http/test_early_socket.py
@@ -1,7 +1,7 @@
-"""Callers that come while a gateway still loads its program.
+"""Tests that callers can connect while a gateway is still starting.
 
-After a loss of power of all hosts, every connection was refused for the half
-second that loading takes, and callers whose other tries had failed gave up.
+After a power loss of all hosts, every connection was refused for the half
+second that the import takes, and callers with no other gateway to try failed.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class EarlySocketTest(unittest.IsolatedAsyncioTestCase):
-    """A settings file, and a port that was free a moment ago."""
+    """The socket is opened from a settings file before the import."""
 
     def settings(self, text):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        path = pathlib.Path(folder.name, 'gateway.json')
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        path = pathlib.Path(directory.name, 'gateway.json')
         path.write_text(text)
         return str(path)
 
@@ -40,9 +40,9 @@
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         self.addCleanup(writer.close)
         writer.write(b'GET / HTTP/1.1\r\nHost: h\r\n\r\n')
-        served = listener.Listener(self.handle, listener.Limits)
-        await served.start('127.0.0.1', port)
-        self.addCleanup(served.stop)
+        server = listener.Listener(self.handle, listener.Limits)
+        await server.start('127.0.0.1', port)
+        self.addCleanup(server.stop)
         async with asyncio.timeout(10):
             self.assertIn(b'200', await reader.readline())
         self.assertIsNone(early_socket.take('127.0.0.1', port))
--- a/tests/quetzalsill_gateway/http/test_pool.py
+++ b/tests/quetzalsill_gateway/http/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one address, within what a gateway may have."""
+"""Tests of the connection pool and its limits."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from quetzalsill_gateway.fleet import revision, upstream, zones
 from quetzalsill_gateway.http import error, pool
 
-BOUND_S = 5.0
-LONG_S = 3600.0
+TIMEOUT_S = 5.0
+EXPIRED_IDLE_S = 3600.0
 
 
 class PoolTest(unittest.IsolatedAsyncioTestCase):
-    """A server that accepts and says nothing."""
+    """Connections to a server that accepts and sends nothing."""
 
     async def asyncSetUp(self):
         self.server = await asyncio.start_server(
@@ -25,96 +25,109 @@
         self.address = self.server.sockets[0].getsockname()[:2]
         self.pool = pool.Pool()
         self.writers = []
-        self.addCleanup(lambda: [one.close() for one in self.writers])
+        self.addCleanup(lambda: [writer.close() for writer in self.writers])
 
     async def accept(self, _, writer):
         self.writers.append(writer)
 
-    async def take(self, **more):
-        return await self.pool.take(self.address, most=2, **more)
+    async def acquire(self, **kwargs):
+        return await self.pool.acquire(
+            self.address, max_connections=2, **kwargs
+        )
 
     def count(self):
         return self.pool.connections(self.address).count
 
-    async def test_no_more_than_it_may_have(self):
-        """Orders beyond a server's bound on connections are reset with them."""
+    async def test_the_connection_limit_is_enforced(self):
+        """A server resets connections beyond its limit, with their requests."""
         for _ in range(2):
-            await self.take()
-        with self.assertRaises(error.NoPlaceError):
-            await self.take()
-
-    async def test_an_idle_one_makes_way(self):
-        first = await self.take()
-        await self.take()
-        self.pool.give_back(first)
-        fresh = await self.take(repeatable=False)
-        self.assertIsNot(fresh, first)
+            await self.acquire()
+        with self.assertRaises(error.ConnectionLimitError):
+            await self.acquire()
+
+    async def test_an_idle_connection_is_closed_for_a_new_one(self):
+        first = await self.acquire()
+        await self.acquire()
+        self.pool.release(first)
+        new_conn = await self.acquire(repeatable=False)
+        self.assertIsNot(new_conn, first)
         self.assertFalse(first.is_usable)
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while self.count() > 2:  # noqa: ASYNC110
                 await asyncio.sleep(0)
 
-    async def test_one_that_rested_too_long_leaves_its_place(self):
-        """A call is refused although its gateway carries none."""
+    async def test_an_expired_idle_connection_is_replaced(self):
+        """An expired connection must not count towards the limit.
+
+        The call would be refused although its gateway has no other in flight.
+        """
         for _ in range(3):
-            conn = await self.pool.take(self.address, most=1)
-            conn.idle_since_s = asyncio.get_running_loop().time() - LONG_S
-            self.pool.give_back(conn)
-            fresh = await self.pool.take(self.address, most=1)
-            self.assertIsNot(fresh, conn)
+            conn = await self.pool.acquire(self.address, max_connections=1)
+            conn.idle_since_s = (
+                asyncio.get_running_loop().time() - EXPIRED_IDLE_S
+            )
+            self.pool.release(conn)
+            new_conn = await self.pool.acquire(self.address, max_connections=1)
+            self.assertIsNot(new_conn, conn)
             self.assertEqual(self.count(), 1)
-            fresh.abort()
+            new_conn.abort()
 
-    async def test_one_that_has_ended_leaves_its_place(self):
-        """Counted for ever, ended ones would shut the server out."""
+    async def test_an_ended_connection_is_not_counted(self):
+        """If ended connections still counted, no more could be opened."""
         for _ in range(20):
-            conns = [await self.take() for _ in range(2)]
+            conns = [await self.acquire() for _ in range(2)]
             for conn in conns:
                 conn.abort()
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while self.count():  # noqa: ASYNC110
                     await asyncio.sleep(0)
 
     async def test_few_are_kept_idle(self):
-        """Idle connections of lost hosts shut returning callers out."""
-        conns = [await self.pool.take(self.address) for _ in range(6)]
+        """Idle connections of lost hosts use up a server's limit.
+
+        Requests of returning callers would be reset.
+        """
+        conns = [await self.pool.acquire(self.address) for _ in range(6)]
         for conn in conns:
-            self.pool.give_back(conn, 2)
+            self.pool.release(conn, 2)
         self.assertEqual(self.pool.connections(self.address).idle, 2)
 
-    async def test_one_that_could_not_be_opened_leaves_its_place(self):
+    async def test_a_failed_connection_is_not_counted(self):
         self.server.close()
         await self.server.wait_closed()
         for _ in range(5):
             with self.assertRaises(error.ConnectError) as caught:
-                await self.take()
-            self.assertNotIsInstance(caught.exception, error.NoPlaceError)
+                await self.acquire()
+            self.assertNotIsInstance(
+                caught.exception, error.ConnectionLimitError
+            )
         self.assertEqual(self.count(), 0)
 
-    async def test_a_call_given_up_while_it_connects_leaves_its_place(self):
+    async def test_a_cancelled_connection_attempt_is_not_counted(self):
         for _ in range(20):
-            opening = asyncio.create_task(self.take())
+            opening = asyncio.create_task(self.acquire())
             await asyncio.sleep(0)
             opening.cancel()
             await asyncio.gather(opening, return_exceptions=True)
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while self.count():  # noqa: ASYNC110
                     await asyncio.sleep(0)
 
 
-class OpenedTest(unittest.IsolatedAsyncioTestCase):
-    """What changes while a connection is being opened."""
+class SendRequestTest(unittest.IsolatedAsyncioTestCase):
+    """State that changes while a connection is being opened."""
 
     async def test_nothing_is_sent_to_a_zone_drained_meanwhile(self):
-        """A try chose its upstream; its zone is drained before it is sent.
+        """A zone is drained between choosing an upstream and sending to it.
 
-        On a slow link that is seconds later, and the order was broken.
+        On a slow link connecting takes seconds, so the request would violate
+        the drain.
         """
         upstreams = upstream.Upstreams()
         found = upstream.Upstream('u', 's', ('10.0.0.1', 1), 'z')
         upstreams.put(found, revision.Revision(0, 1))
 
-        async def take(address, **_):
+        async def acquire(address, **_):
             upstreams.zones.apply_newer(
                 [zones.Drain('z', revision.Revision(0, 2), True)]
             )
@@ -123,7 +136,9 @@
         core = types.SimpleNamespace(
             upstreams=upstreams,
             dialect=None,
-            conns=types.SimpleNamespace(take=take, give_back=lambda *_: None),
+            conns=types.SimpleNamespace(
+                acquire=acquire, release=lambda *_: None
+            ),
             quota=types.SimpleNamespace(
                 max_connections=lambda _: None, max_idle=lambda _: None
             ),
@@ -131,7 +146,7 @@
         req = types.SimpleNamespace(
             route=types.SimpleNamespace(kind=routing_table.Kind.IDEMPOTENT)
         )
-        with self.assertRaises(error.ClosedError) as caught:
+        with self.assertRaises(error.UpstreamClosedError) as caught:
             async with attempt.send_request(core, req, found, []):
                 self.fail('it was sent')
         self.assertFalse(attempt.may_have_run(caught.exception))
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -261,7 +261,7 @@
             epochs.observe('get', 2, 1)
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                with self.assertRaises(error.StaleAnswerError):
+                with self.assertRaises(error.StaleResponseError):
                     epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
@@ -271,7 +271,7 @@
         async def scenario(epochs):
             epochs.observe('get', 2, 0)
             for _ in range(10):
-                with self.assertRaises(error.StaleAnswerError):
+                with self.assertRaises(error.StaleResponseError):
                     epochs.observe('get', 1, 2)
                 await asyncio.sleep(0.9)
                 epochs.observe('get', 2, 2)
@@ -283,7 +283,7 @@
     def test_a_lower_epoch_counts_once_it_is_reported_for_long(self):
         async def scenario(epochs):
             epochs.observe('get', 7, 0)
-            with self.assertRaises(error.StaleAnswerError):
+            with self.assertRaises(error.StaleResponseError):
                 epochs.observe('get', 1, 7)
             await asyncio.sleep(epoch.DOWNGRADE_AFTER_S + 0.1)
             epochs.observe('get', 1, 7)
