--- a/packages/quetzalsill-router/src/quetzalsill_router/context.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/context.py
@@ -17,7 +17,7 @@
     )
     from quetzalsill_router.limit import length, shares
     from quetzalsill_router.peer import peers
-    from quetzalsill_router.request import active, ident, recent, retry
+    from quetzalsill_router.request import active, ident, recent_outcomes, retry
     from quetzalsill_router.routing import query
 
 __all__ = ['Context']
@@ -53,7 +53,7 @@
     holder: holder.Holder
     store: store.ConfigStore
     table: table.Table
-    recent: recent.Recent
+    recent: recent_outcomes.RecentOutcomes
     peers: peers.Peers
     journal: journal.Journal
     claims: claim.Claims
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
@@ -40,7 +40,7 @@
 
 
 async def whole(
-    running: active.Active,
+    running: active.ActiveRequest,
 ) -> blacksheep.Response:
     """Waits for the whole answer and renders it as one document.
 
@@ -55,7 +55,7 @@
             if isinstance(part, piece.Items):
                 items.extend(part.items)
                 part.release()
-        if delivery.ended or delivery.gone:
+        if delivery.ended or delivery.disconnected:
             break
     if delivery.error is not None:
         raise delivery.error
@@ -64,7 +64,7 @@
 
 
 async def stream(
-    running: active.Active,
+    running: active.ActiveRequest,
     drained: asgi.Drain,
     keep_alive_s: float,
     usage: bool,
@@ -78,7 +78,7 @@
       RequestError: The request failed before its first event.
     """
     delivery = running.delivery
-    delivery.watch_silence(keep_alive_s)
+    delivery.watch_idle(keep_alive_s)
     await delivery.wait()
     if delivery.error is not None and running.delivered == 0:
         raise delivery.error
@@ -93,7 +93,7 @@
 
 
 async def events(
-    running: active.Active,
+    running: active.ActiveRequest,
     drained: asgi.Drain,
     usage: bool,
 ) -> AsyncIterator[bytes]:
@@ -107,9 +107,9 @@
     labelled = label.labeller(running.work.request)
     count = 0
     last = b''
-    while not delivery.gone:
+    while not delivery.disconnected:
         await delivery.wait()
-        silent = delivery.silent
+        silent = delivery.idle
         parts = [
             part for part in delivery.take() if isinstance(part, piece.Items)
         ]
@@ -127,7 +127,7 @@
             break
         elif silent:
             yield KEEP_ALIVE
-    if delivery.gone:
+    if delivery.disconnected:
         return
     if delivery.error is not None:
         yield sse([error.document(delivery.error, running.work.request)])
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
@@ -64,7 +64,7 @@
     return 'respond-async' in [part.strip() for part in parts]
 
 
-def watch(request: blacksheep.Request, running: active.Active) -> None:
+def watch(request: blacksheep.Request, running: active.ActiveRequest) -> None:
     """Tells the request when its caller is gone.
 
     To be called once the body is read. The server reports a closed
@@ -77,11 +77,11 @@
     )
 
 
-async def _watch(receive: object, running: active.Active) -> None:
+async def _watch(receive: object, running: active.ActiveRequest) -> None:
     """Receives until the connection ends or the answer is complete."""
     while (await receive())['type'] != 'http.disconnect':
         pass
-    running.caller_left()
+    running.caller_disconnected()
 
 
 def _header(
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
@@ -48,13 +48,13 @@
     """Makes the handler of one kind of generation."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        accept.check_open(ctx)
+        accept.check_accepting(ctx)
         identity = callers.identify(request)
         plain = await body.read_object(
             request, ctx.settings.requests.max_body_bytes
         )
         asked = generation.parse(kind, plain)
-        work = accept.generation_work(
+        work = accept.build_generation_work(
             ctx,
             identity,
             asked,
@@ -77,7 +77,7 @@
 
 async def _respond(
     ctx: context.Context,
-    running: active.Active,
+    running: active.ActiveRequest,
     asked: generation.Generation,
     drained: asgi.Drain,
 ) -> blacksheep.Response:
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
@@ -10,7 +10,7 @@
 from quetzalsill.error import base
 from quetzalsill.error import request as request_error
 from quetzalsill_router.http import auth, caller, forward, stored
-from quetzalsill_router.request import field, ident, keep
+from quetzalsill_router.request import field, ident, journaling
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -64,7 +64,7 @@
             raise field.FieldError(
                 'idempotency_key', 'must be given once, as it was sent'
             )
-        ident_ = await keep.holder_of(ctx, account, keys[0])
+        ident_ = await journaling.key_holder(ctx, account, keys[0])
         return await _answer(ctx, account, ident_, _wants_events(request))
 
     return handle
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
@@ -40,7 +40,7 @@
     """Adds the routes of plain services to the application."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        accept.check_open(ctx)
+        accept.check_accepting(ctx)
         identity = callers.identify(request)
         work = await _work(ctx, identity, request)
         accepted = await submit.submit(ctx, identity, work, attend=True)
@@ -161,7 +161,7 @@
 
 
 async def _respond(
-    running: active.Active, drained: asgi.Drain
+    running: active.ActiveRequest, drained: asgi.Drain
 ) -> blacksheep.Response:
     """Answers with the upstream's head, then its body as it comes.
 
@@ -200,7 +200,7 @@
 
 
 async def _pieces(
-    running: active.Active, early: list[piece.Piece], drained: asgi.Drain
+    running: active.ActiveRequest, early: list[piece.Piece], drained: asgi.Drain
 ) -> AsyncIterator[bytes]:
     """Yields the body as it comes.
 
@@ -217,9 +217,9 @@
             await drained()
         for part in parts:
             part.release()
-        if delivery.gone or (delivery.ended and not parts):
+        if delivery.disconnected or (delivery.ended and not parts):
             break
         await delivery.wait()
         parts = delivery.take()
-    if delivery.error is not None and not delivery.gone:
+    if delivery.error is not None and not delivery.disconnected:
         raise asgi.AnswerCutError(delivery.error.detail, ran=delivery.error.ran)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
@@ -30,7 +30,7 @@
     """
     if stored.code != durable_answer.DONE:
         return error.response(failure(stored), request)
-    kind = _header(stored, record.KIND)
+    kind = _header(stored, record.KIND_HEADER)
     if not kind:
         return _call(request, stored)
     if as_events:
@@ -38,7 +38,7 @@
         data = answer.sse(events) + answer.DONE
         content = blacksheep.Content(answer.SSE_TYPE, data)
     else:
-        model = _header(stored, record.MODEL)
+        model = _header(stored, record.MODEL_HEADER)
         document = answer.join(request, model, kind, stored.events)
         content = blacksheep.Content(JSON_TYPE, document)
     response = blacksheep.Response(200, None, content)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill_router.http import stored
-from quetzalsill_router.request import keep, serve, spec
+from quetzalsill_router.request import journaling, serve, spec
 
 if TYPE_CHECKING:
     import blacksheep
@@ -34,7 +34,7 @@
 
 async def submit(
     ctx: context.Context, identity: auth.Caller, work: spec.Work, attend: bool
-) -> active.Active | Repeated:
+) -> active.ActiveRequest | Repeated:
     """Takes leave of the account, accepts the work and starts it.
 
     Args:
@@ -58,7 +58,7 @@
         return Repeated(work.account, holder)
     if work.kind == spec.CALL:
         work.headers.append(['x-request-id', work.request])
-    begin = serve.start if attend else serve.start_unattended
+    begin = serve.start if attend else serve.start_detached
     return begin(ctx, work, grant)
 
 
@@ -94,7 +94,7 @@
 
 async def _accept(ctx: context.Context, work: spec.Work) -> str:
     """Returns the id of the request that answers this one."""
-    if keep.needs_journal(work):
-        return await keep.accept(ctx, work)
+    if journaling.needs_journal(work):
+        return await journaling.accept(ctx, work)
     work.request = ctx.request_ids.next()
     return work.request
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
@@ -13,13 +13,18 @@
     from quetzalsill_router import context
     from quetzalsill_router.http import auth, generation
 
-__all__ = ['bound_tokens', 'check_open', 'generation_work', 'pick_profile']
+__all__ = [
+    'limit_tokens',
+    'check_accepting',
+    'build_generation_work',
+    'pick_profile',
+]
 
 STOPPING_RETRY_AFTER_S = 1.0
-LAST_RESORT = 'prompt'
+FALLBACK_PROFILE = 'prompt'
 
 
-def check_open(ctx: context.Context) -> None:
+def check_accepting(ctx: context.Context) -> None:
     """Refuses new work while the process stops or lacks configuration.
 
     Raises:
@@ -40,7 +45,7 @@
 def pick_profile(
     cfg: model.Configuration,
     caller: auth.Caller,
-    asked: str,
+    requested: str,
     model_default: str = '',
 ) -> tuple[str, model.Profile]:
     """Returns name and profile.
@@ -53,7 +58,7 @@
       ForbiddenError: The account may not use it.
     """
     account_default = caller.account.default_profile
-    name = asked or account_default or model_default or LAST_RESORT
+    name = requested or account_default or model_default or FALLBACK_PROFILE
     profile = cfg.profiles.get(name)
     if profile is None:
         raise request_error.UnknownProfileError(
@@ -69,10 +74,10 @@
     return name, profile
 
 
-def generation_work(
+def build_generation_work(
     ctx: context.Context,
     caller: auth.Caller,
-    asked: generation.Generation,
+    requested: generation.Generation,
     profile_name: str,
     key: str,
 ) -> spec.Work:
@@ -82,50 +87,55 @@
       RequestError: The configuration does not permit it.
     """
     cfg = ctx.holder.current
-    target = cfg.models.get(asked.model)
+    target = cfg.models.get(requested.model)
     if target is None:
-        raise request_error.UnknownModelError(f'no model {asked.model!r}')
-    if asked.adapter and asked.adapter not in target.adapters:
+        raise request_error.UnknownModelError(f'no model {requested.model!r}')
+    if requested.adapter and requested.adapter not in target.adapters:
         raise field.FieldError(
-            'adapter', f'model {asked.model} has no {asked.adapter!r}'
+            'adapter', f'model {requested.model} has no {requested.adapter!r}'
         )
     name, profile = pick_profile(cfg, caller, profile_name, target.profile)
-    _check_size(asked, target, profile)
-    max_tokens = bound_tokens(
-        asked.max_tokens, asked.prompt_tokens, target, profile
+    _check_size(requested, target, profile)
+    max_tokens = limit_tokens(
+        requested.max_tokens, requested.prompt_tokens, target, profile
     )
     return spec.Work(
         request='',
         account=caller.name,
         profile_name=name,
         profile=profile,
-        target=asked.model,
-        kind=asked.kind,
-        payload=asked.payload(max_tokens),
+        target=requested.model,
+        kind=requested.kind,
+        payload=requested.payload(max_tokens),
         deadline=time.monotonic() + profile.deadline_s,
         idempotent=profile.idempotent,
         revision=cfg.revision,
-        stream=asked.stream,
-        prompt_tokens=asked.prompt_tokens,
-        asked_tokens=asked.max_tokens,
+        stream=requested.stream,
+        prompt_tokens=requested.prompt_tokens,
+        requested_tokens=requested.max_tokens,
         max_tokens=max_tokens,
-        prefix=asked.prefix,
-        adapter=asked.adapter,
+        prefix=requested.prefix,
+        adapter=requested.adapter,
         key=key,
     )
 
 
-def bound_tokens(
-    asked: int, prompt_tokens: int, target: model.Model, profile: model.Profile
+def limit_tokens(
+    requested: int,
+    prompt_tokens: int,
+    target: model.Model,
+    profile: model.Profile,
 ) -> int:
     """Returns the bound on generated tokens; 0 asks for all there may be."""
-    room = max(1, target.context_tokens - prompt_tokens)
-    bound = min(room, profile.max_output_tokens)
-    return min(asked or bound, bound)
+    available = max(1, target.context_tokens - prompt_tokens)
+    bound = min(available, profile.max_output_tokens)
+    return min(requested or bound, bound)
 
 
 def _check_size(
-    asked: generation.Generation, target: model.Model, profile: model.Profile
+    requested: generation.Generation,
+    target: model.Model,
+    profile: model.Profile,
 ) -> None:
     """Checks that prompt and answer fit.
 
@@ -133,17 +143,17 @@
       TooLargeError: The prompt leaves no room in the context.
       BadRequestError: The caller asks for more than is allowed.
     """
-    room = target.context_tokens - asked.prompt_tokens
-    if room < 1:
+    available = target.context_tokens - requested.prompt_tokens
+    if available < 1:
         raise request_error.TooLargeError(
-            f'the prompt has about {asked.prompt_tokens} tokens; the context '
-            f'of the model holds {target.context_tokens}',
+            f'the prompt has about {requested.prompt_tokens} tokens; the '
+            f'context of the model holds {target.context_tokens}',
             advice='Shorten the prompt.',
         )
-    bound = min(room, profile.max_output_tokens)
-    if asked.max_tokens > bound:
+    bound = min(available, profile.max_output_tokens)
+    if requested.max_tokens > bound:
         raise field.FieldError(
             'max_tokens',
-            f'{asked.max_tokens} is over {bound}',
+            f'{requested.max_tokens} is over {bound}',
             advice=f'Ask for at most {bound} tokens with this profile.',
         )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/active.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/active.py
@@ -16,11 +16,11 @@
     from quetzalsill_router.limit import shares
     from quetzalsill_router.peer import attempt as peer_attempt
 
-__all__ = ['Active', 'ActiveRequests']
+__all__ = ['ActiveRequest', 'ActiveRequests']
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Active:
+class ActiveRequest:
     """One running request.
 
     Attributes:
@@ -31,12 +31,12 @@
       attempt: Id of the present attempt; empty before the first.
       upstream: Upstream of the present attempt; empty if none.
       attempts: Dispatches so far.
-      runs: What is known of each attempt, by its id.
+      ran_by_attempt: What is known of each attempt, by its id.
       delivered: Items handed to the caller so far.
       grant: Leave of its account; None for work that another router
         granted or that is only settled here.
       cancelled: Why it was cancelled; None if it was not.
-      answered: An attempt brought the whole answer.
+      has_answer: An attempt brought the whole answer.
       unacknowledged: That attempt, until its answer is stored.
       handed_over: Its task ends but its run goes on, for another router.
       watcher: The task that watches for the caller leaving.
@@ -50,12 +50,14 @@
     task: asyncio.Task[None] | None = None
     upstream: str = ''
     attempts: int = 0
-    runs: dict[str, base.Ran] = dataclasses.field(default_factory=dict)
+    ran_by_attempt: dict[str, base.Ran] = dataclasses.field(
+        default_factory=dict
+    )
     attempt: str = ''
     delivered: int = 0
     grant: shares.Grant | None = None
     cancelled: request_error.RequestError | None = None
-    answered: bool = False
+    has_answer: bool = False
     unacknowledged: peer_attempt.Attempt | None = None
     handed_over: bool = False
     watcher: asyncio.Task[None] | None = None
@@ -68,8 +70,8 @@
         caller, who would then repeat what has run already.
         """
         known = base.Ran.NO
-        for ran in self.runs.values():
-            known = outcome.strongest(known, ran)
+        for ran in self.ran_by_attempt.values():
+            known = outcome.combine_ran(known, ran)
         return known
 
     def begin_attempt(self, attempt: str, upstream: str) -> None:
@@ -77,16 +79,16 @@
         self.attempts += 1
         self.attempt = attempt
         self.upstream = upstream
-        self.runs[attempt] = base.Ran.UNKNOWN
+        self.ran_by_attempt[attempt] = base.Ran.UNKNOWN
 
     def attempt_started(self) -> None:
         """Notes that the present attempt reached its upstream."""
-        self.runs[self.attempt] = base.Ran.YES
+        self.ran_by_attempt[self.attempt] = base.Ran.YES
 
     def end_attempt(self, ran: base.Ran) -> None:
         """Notes the word that the present attempt ended with."""
         if self.attempt:
-            self.runs[self.attempt] = ran
+            self.ran_by_attempt[self.attempt] = ran
 
     def acknowledge(self) -> None:
         """Lets the sidecar forget an answer that is stored."""
@@ -94,7 +96,7 @@
             self.unacknowledged.close()
             self.unacknowledged = None
 
-    def generated(self, items: int) -> None:
+    def charge_items(self, items: int) -> None:
         """Charges the account for items as they come."""
         if self.grant is not None and self.work.kind != spec.CALL:
             self.grant.charge(items)
@@ -105,7 +107,7 @@
 
     def expire(self) -> None:
         """Ends the request at its deadline, unless its answer is there."""
-        if not self.answered:
+        if not self.has_answer:
             self.fail(
                 request_error.DeadlineError(
                     'the answer was not complete by the deadline'
@@ -123,7 +125,7 @@
 
     def supersede(self) -> None:
         """Ends the task here, unless it has the answer."""
-        if self.answered:
+        if self.has_answer:
             return
         self.handed_over = True
         self.fail(
@@ -138,13 +140,13 @@
         if self.task is not None:
             self.task.cancel()
 
-    def caller_left(self) -> None:
+    def caller_disconnected(self) -> None:
         """Notes that nobody waits; what can be fetched later goes on.
 
         A caller whose connection broke repeats its idempotency key and is
         owed the answer of the first request, not of its cancellation.
         """
-        self.delivery.leave()
+        self.delivery.disconnect()
         if self.work.entry is None:
             self.cancel('the caller disconnected')
 
@@ -153,29 +155,29 @@
     """The running requests by id; wakes who waits for the last to end."""
 
     def __init__(self) -> None:
-        self._requests: dict[str, Active] = {}
+        self._requests: dict[str, ActiveRequest] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
     def __len__(self) -> int:
         return len(self._requests)
 
-    def __iter__(self) -> Iterator[Active]:
+    def __iter__(self) -> Iterator[ActiveRequest]:
         return iter(list(self._requests.values()))
 
-    def add(self, active: Active) -> None:
+    def add(self, active: ActiveRequest) -> None:
         """Counts a request as running."""
         self._requests[active.work.request] = active
         self._idle.clear()
 
-    def remove(self, active: Active) -> None:
+    def remove(self, active: ActiveRequest) -> None:
         """Counts a request as ended."""
         if self._requests.get(active.work.request) is active:
             del self._requests[active.work.request]
         if not self._requests:
             self._idle.set()
 
-    def get(self, request: str) -> Active | None:
+    def get(self, request: str) -> ActiveRequest | None:
         """Returns the running request of that id."""
         return self._requests.get(request)
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/tries.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempt_history.py
@@ -14,13 +14,13 @@
     from quetzalsill_router.peer import peer as peer_module
     from quetzalsill_router.request import outcome
 
-__all__ = ['DEFAULT_RETRY_AFTER_S', 'Tries']
+__all__ = ['DEFAULT_RETRY_AFTER_S', 'AttemptHistory']
 
 DEFAULT_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class Tries:
+class AttemptHistory:
     """State of the loop of attempts.
 
     Attributes:
@@ -28,8 +28,8 @@
       failed: Upstreams whose attempt failed; asked only if none is left.
       retries: Further dispatches so far.
       moves: Withdrawals in favour of another upstream so far.
-      hints: Times to come back that refusals named, in seconds.
-      last: The latest failure.
+      retry_after_hints: Times to come back that refusals named, in seconds.
+      last_error: The latest failure.
       revision: Configuration under which the latest attempt was sent.
     """
 
@@ -37,8 +37,8 @@
     failed: set[str] = dataclasses.field(default_factory=set)
     retries: int = 0
     moves: int = 0
-    hints: list[float] = dataclasses.field(default_factory=list)
-    last: request_error.RequestError | None = None
+    retry_after_hints: list[float] = dataclasses.field(default_factory=list)
+    last_error: request_error.RequestError | None = None
     revision: int = 0
 
     def usable(
@@ -55,34 +55,36 @@
         fresh = [peer for peer in usable if peer.upstream not in self.failed]
         return fresh or usable
 
-    def note(self, upstream: str, ended: outcome.Outcome) -> None:
+    def record(self, upstream: str, ended: outcome.Outcome) -> None:
         """Remembers which upstream not to ask at once again."""
-        self.last = ended.error
+        self.last_error = ended.error
         if ended.ran is not base.Ran.NO:
             self.failed.add(upstream)
             return
-        if ended.lost:
+        if ended.not_received:
             # Its Dispatch was lost with a link that had gone silent. The
             # sidecar refused nothing, and may be the only one there is.
             return
         self.refused.add(upstream)
         if ended.error.retry_after_s is not None:
-            self.hints.append(ended.error.retry_after_s)
+            self.retry_after_hints.append(ended.error.retry_after_s)
 
-    def exhausted(self) -> request_error.RequestError:
+    def no_upstream_error(self) -> request_error.RequestError:
         """Builds the failure when no upstream is left to ask."""
-        if self.last is None:
+        if self.last_error is None:
             return request_error.NoUpstreamError(
                 'no live upstream serves it',
                 retry_after_s=DEFAULT_RETRY_AFTER_S,
             )
-        retry_after_s = min(self.hints, default=DEFAULT_RETRY_AFTER_S)
+        retry_after_s = min(
+            self.retry_after_hints, default=DEFAULT_RETRY_AFTER_S
+        )
         return request_error.OverloadedError(
-            f'no upstream took it: {self.last.detail}',
+            f'no upstream took it: {self.last_error.detail}',
             retry_after_s=retry_after_s,
         )
 
     def next_round(self) -> None:
         """Lets every upstream be asked again."""
         self.refused.clear()
-        self.hints.clear()
+        self.retry_after_hints.clear()
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
@@ -13,17 +13,17 @@
 from quetzalsill.telemetry import metric, trace
 from quetzalsill_router import event
 from quetzalsill_router.durable import entry as durable_entry
+from quetzalsill_router.request import attempt_history as history_module
 from quetzalsill_router.request import (
-    choice,
+    buffering,
     dispatch,
-    hold,
     outcome,
+    peer_selection,
     piece,
-    renew,
     retry,
+    revalidation,
     spec,
 )
-from quetzalsill_router.request import tries as tries_module
 from quetzalsill_router.routing import query as routing_query
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
 __all__ = ['pieces']
 
-STALE_WAIT_S = 2.0
+CONFIGURATION_WAIT_S = 2.0
 MAX_MOVES = 3
 
 rng = random.Random()
@@ -43,7 +43,7 @@
 
 
 async def pieces(
-    ctx: context.Context, active: active_module.Active
+    ctx: context.Context, active: active_module.ActiveRequest
 ) -> AsyncGenerator[piece.Piece, None]:
     """Yields the pieces of the whole answer, from one generation only.
 
@@ -52,21 +52,21 @@
         deadline.
     """
     work = active.work
-    tries = tries_module.Tries()
+    history = history_module.AttemptHistory()
     run = work.run
-    ctx.budget.deposit()
+    ctx.budget.record_request()
     while True:
         delivered = False
         try:
             if run is None:
-                stream = _dispatch(ctx, active, tries)
+                stream = _dispatch(ctx, active, history)
             else:
                 stream = _recover(ctx, active, run)
             async with contextlib.aclosing(stream):
                 async for part in stream:
                     delivered = True
                     yield part
-            active.answered = True
+            active.has_answer = True
             return
         except outcome.AttemptEndedError as exc:
             ended = exc.outcome
@@ -74,10 +74,12 @@
         _log_end(active, ended, delivered)
         if _must_recover(work, ended, delivered):
             run = work.run
-            await choice.pace(active, tries_module.DEFAULT_RETRY_AFTER_S)
+            await peer_selection.wait_before_retry(
+                active, history_module.DEFAULT_RETRY_AFTER_S
+            )
             continue
         run = None
-        await _before_next(ctx, active, tries, ended, delivered)
+        await _prepare_next(ctx, active, history, ended, delivered)
 
 
 def _must_recover(
@@ -97,20 +99,20 @@
 
 async def _dispatch(
     ctx: context.Context,
-    active: active_module.Active,
-    tries: tries_module.Tries,
+    active: active_module.ActiveRequest,
+    history: history_module.AttemptHistory,
 ) -> AsyncGenerator[piece.Piece, None]:
     """Dispatches to the peer that the routing policy chooses."""
     work = active.work
-    peer = await choice.choose(ctx, active, tries)
+    peer = await peer_selection.select_peer(ctx, active, history)
     ident = ctx.peers.next_attempt_id()
-    tries.revision = renew.renew(work, ctx.holder.current)
+    history.revision = revalidation.revalidate(work, ctx.holder.current)
     await _record_run(ctx, active, peer, ident)
 
     def should_move() -> bool:
-        if tries.moves >= MAX_MOVES:
+        if history.moves >= MAX_MOVES:
             return False
-        others = tries.usable(ctx.peers.candidates(work.target))
+        others = history.usable(ctx.peers.candidates(work.target))
         return routing_query.is_better_elsewhere(peer, others)
 
     stream = _open(ctx, active, peer, ident, should_move, recover=False)
@@ -119,13 +121,13 @@
             async for part in stream:
                 yield part
     except outcome.AttemptEndedError as exc:
-        ended = outcome.of_dispatch(exc.outcome)
+        ended = outcome.from_dispatch(exc.outcome)
         raise outcome.AttemptEndedError(ended) from exc
 
 
 async def _recover(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     run: durable_entry.Run,
 ) -> AsyncGenerator[piece.Piece, None]:
     """Attaches to an earlier run on its own upstream.
@@ -133,25 +135,27 @@
     Raises:
       AttemptEndedError: It can't be attached to, or failed.
     """
-    peer = await choice.find(ctx, active, run.upstream)
+    peer = await peer_selection.wait_for_peer(ctx, active, run.upstream)
     same = peer.incarnation == run.incarnation
     # No app server can be asked what became of a call; only the sidecar that
     # made it knows.
     if active.work.kind == spec.CALL and not same:
-        raise outcome.unknown(f'the sidecar that called {run.upstream} is gone')
+        raise outcome.unknown_outcome(
+            f'the sidecar that called {run.upstream} is gone'
+        )
     stream = _open(ctx, active, peer, run.attempt, lambda: False, recover=True)
     try:
         async with contextlib.aclosing(stream):
             async for part in stream:
                 yield part
     except outcome.AttemptEndedError as exc:
-        ended = outcome.of_recovery(exc.outcome, same)
+        ended = outcome.from_recovery(exc.outcome, same)
         raise outcome.AttemptEndedError(ended) from exc
 
 
 def _open(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     peer: peer_module.Peer,
     ident: str,
     should_move: dispatch.ShouldMove,
@@ -173,12 +177,12 @@
         attempt = peer.open(msg)
     active.begin_attempt(ident, peer.upstream)
     stream = dispatch.follow(attempt, active, should_move)
-    return hold.whole(stream) if work.held else stream
+    return buffering.until_complete(stream) if work.is_buffered else stream
 
 
 async def _record_run(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     peer: peer_module.Peer,
     ident: str,
 ) -> None:
@@ -198,16 +202,18 @@
         except request_error.StoreUnavailableError:
             if not active.work.durable:
                 raise
-            await choice.pace(active, tries_module.DEFAULT_RETRY_AFTER_S)
+            await peer_selection.wait_before_retry(
+                active, history_module.DEFAULT_RETRY_AFTER_S
+            )
         else:
             entry.run = active.work.run = run
             return
 
 
-async def _before_next(
+async def _prepare_next(
     ctx: context.Context,
-    active: active_module.Active,
-    tries: tries_module.Tries,
+    active: active_module.ActiveRequest,
+    history: history_module.AttemptHistory,
     ended: outcome.Outcome,
     delivered: bool,
 ) -> None:
@@ -218,21 +224,23 @@
     """
     work = active.work
     error = ended.error
-    if work.body_taken or work.recover_only or _is_final(ctx, work, ended):
+    if work.body_consumed or work.recover_only or _is_final(ctx, work, ended):
         raise error
     if not outcome.may_dispatch_again(work.idempotent, delivered, ended):
         raise error
     if ended.moved:
-        tries.moves += 1
+        history.moves += 1
         return
-    tries.note(active.upstream, ended)
+    history.record(active.upstream, ended)
     if error.code == request_error.StaleRevisionError.code:
-        await _catch_up(ctx, tries, active.upstream)
+        await _wait_for_configuration(ctx, history, active.upstream)
     if not work.durable:
-        _spend_retry(ctx, work, tries, error)
-    tries.retries += 1
+        _spend_retry(ctx, work, history, error)
+    history.retries += 1
     retries_total.inc({'code': error.code})
-    wait_s = retry.backoff_s(ctx.settings.retries.backoff_s, tries.retries, rng)
+    wait_s = retry.backoff_s(
+        ctx.settings.retries.backoff_s, history.retries, rng
+    )
     if wait_s >= work.remaining_s():
         raise error
     await asyncio.sleep(wait_s)
@@ -254,7 +262,7 @@
 def _spend_retry(
     ctx: context.Context,
     work: spec.Work,
-    tries: tries_module.Tries,
+    history: history_module.AttemptHistory,
     error: request_error.RequestError,
 ) -> None:
     """Spends one retry of the profile and of the router's budget.
@@ -262,25 +270,25 @@
     Raises:
       RequestError: Either is used up.
     """
-    if tries.retries < work.profile.retries and ctx.budget.take():
+    if history.retries < work.profile.retries and ctx.budget.try_spend():
         return
     if error.retry_after_s is None:
-        error.retry_after_s = tries_module.DEFAULT_RETRY_AFTER_S
+        error.retry_after_s = history_module.DEFAULT_RETRY_AFTER_S
     raise error
 
 
-async def _catch_up(
-    ctx: context.Context, tries: tries_module.Tries, upstream: str
+async def _wait_for_configuration(
+    ctx: context.Context, history: history_module.AttemptHistory, upstream: str
 ) -> None:
     """Waits for the newer configuration that the sidecar already has."""
-    waiting = ctx.holder.wait_for(tries.revision + 1)
+    waiting = ctx.holder.wait_for(history.revision + 1)
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(waiting, STALE_WAIT_S)
-        tries.refused.discard(upstream)
+        await asyncio.wait_for(waiting, CONFIGURATION_WAIT_S)
+        history.refused.discard(upstream)
 
 
 def _log_end(
-    active: active_module.Active, ended: outcome.Outcome, delivered: bool
+    active: active_module.ActiveRequest, ended: outcome.Outcome, delivered: bool
 ) -> None:
     """Logs an attempt that did not bring the whole answer."""
     event.note(
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/hold.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/buffering.py
@@ -7,16 +7,16 @@
 
 from quetzalsill_router.request import piece
 
-__all__ = ['whole']
+__all__ = ['until_complete']
 
 MAX_BATCH = 256
 
 
-def _nothing() -> None:
-    """Stands for the release of items that were released when held."""
+def _no_release() -> None:
+    """Stands for the release of items that were released when buffered."""
 
 
-async def whole(
+async def until_complete(
     pieces: AsyncGenerator[piece.Piece, None],
 ) -> AsyncGenerator[piece.Piece, None]:
     """Yields the items of `pieces` only after its regular end.
@@ -25,13 +25,13 @@
     show as a splice of two answers. Held here, the lost tokens go with
     the generator that raised, and the caller sees the replacement only.
     """
-    held: list[bytes] = []
+    items: list[bytes] = []
     async with contextlib.aclosing(pieces):
         async for part in pieces:
             if isinstance(part, piece.Head):
                 yield part
                 continue
-            held.extend(part.items)
+            items.extend(part.items)
             part.release()
-    for start in range(0, len(held), MAX_BATCH):
-        yield piece.Items(held[start : start + MAX_BATCH], _nothing)
+    for start in range(0, len(items), MAX_BATCH):
+        yield piece.Items(items[start : start + MAX_BATCH], _no_release)
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/control.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/control.py
@@ -13,7 +13,7 @@
 
 __all__ = ['Control']
 
-CANCELLED = 'cancelled by an operator'
+CANCEL_REASON = 'cancelled by an operator'
 
 
 class Control:
@@ -32,14 +32,14 @@
         running = self._active.get(request)
         if running is None:
             return None
-        running.cancel(CANCELLED)
+        running.cancel(CANCEL_REASON)
         return _view(running)
 
 
-def _view(running: active_module.Active) -> view.RequestView:
+def _view(running: active_module.ActiveRequest) -> view.RequestView:
     """Shows a running request without its prompt and answer."""
     work = running.work
-    started = running.runs.get(running.attempt) is base.Ran.YES
+    started = running.ran_by_attempt.get(running.attempt) is base.Ran.YES
     return view.RequestView(
         request=work.request,
         state='running' if started else 'queued',
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
@@ -21,9 +21,9 @@
 
 ShouldMove = Callable[[], bool]
 
-GRANT_PARTS = 4
-CALL_CREDIT = 16
-LOOK_INTERVAL_S = 0.25
+GRANTS_PER_CREDIT = 4
+MAX_CALL_CREDIT = 16
+MOVE_CHECK_INTERVAL_S = 0.25
 MILLIS = 1000
 
 
@@ -60,14 +60,16 @@
         max_tokens=work.max_tokens,
         prefix=work.prefix,
         recover=recover,
-        credit=min(credit, CALL_CREDIT) if work.kind == spec.CALL else credit,
+        credit=min(credit, MAX_CALL_CREDIT)
+        if work.kind == spec.CALL
+        else credit,
         trace=work.trace,
     )
 
 
 async def follow(
     attempt: peer_attempt.Attempt,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     should_move: ShouldMove,
 ) -> AsyncGenerator[piece.Piece, None]:
     """Yields the pieces of one attempt.
@@ -80,7 +82,7 @@
       AttemptEndedError: The attempt ended without its whole answer.
     """
     work = active.work
-    credit = _Credit(attempt)
+    credit = _CreditWindow(attempt)
     ended = False
     sender: asyncio.Task[None] | None = None
     try:
@@ -99,7 +101,7 @@
                     active.attempt_started()
                     yield piece.Head(msg.status, msg.headers)
                 case message.Chunk():
-                    active.generated(len(msg.items))
+                    active.charge_items(len(msg.items))
                     yield credit.items(msg)
                 case message.Finished():
                     ended = True
@@ -108,7 +110,9 @@
                     return
                 case _:
                     ended = True
-                    raise outcome.AttemptEndedError(_end(attempt, work, msg))
+                    raise outcome.AttemptEndedError(
+                        _read_terminal(attempt, work, msg)
+                    )
     finally:
         if sender is not None:
             sender.cancel()
@@ -121,7 +125,7 @@
                 attempt.detach()
 
 
-def _end(
+def _read_terminal(
     attempt: peer_attempt.Attempt, work: spec.Work, msg: message.Message
 ) -> outcome.Outcome:
     """Reads a terminal message, and cancels what another run may replace.
@@ -161,7 +165,7 @@
     return outcome.Outcome(error)
 
 
-class _Credit:
+class _CreditWindow:
     """Grants a sidecar further items, some at once.
 
     A grant for each token would cost as much as the token itself.
@@ -169,7 +173,7 @@
 
     def __init__(self, attempt: peer_attempt.Attempt) -> None:
         self._attempt = attempt
-        self._step = max(1, attempt.dispatch.credit // GRANT_PARTS)
+        self._step = max(1, attempt.dispatch.credit // GRANTS_PER_CREDIT)
         self._granted = 0
 
     def items(self, chunk: message.Chunk) -> piece.Items:
@@ -201,11 +205,11 @@
     that another upstream would serve it sooner; whether it moves is the
     sidecar's word alone (Withdrawn or Running).
     """
-    look_s: float | None = LOOK_INTERVAL_S
+    timeout_s: float | None = MOVE_CHECK_INTERVAL_S
     receiver = asyncio.ensure_future(attempt.receive())
     try:
         while True:
-            done, _ = await asyncio.wait({receiver}, timeout=look_s)
+            done, _ = await asyncio.wait({receiver}, timeout=timeout_s)
             if done:
                 msg = receiver.result()
                 if not isinstance(msg, message.Running):
@@ -213,13 +217,13 @@
                 receiver = asyncio.ensure_future(attempt.receive())
             elif should_move():
                 attempt.withdraw()
-                look_s = None
+                timeout_s = None
     finally:
         receiver.cancel()
 
 
 async def _send_body(
-    attempt: peer_attempt.Attempt, active: active_module.Active
+    attempt: peer_attempt.Attempt, active: active_module.ActiveRequest
 ) -> None:
     """Passes the rest of a call's body on, each piece as it comes.
 
@@ -228,7 +232,7 @@
     is too large is never ended, so that the upstream can't take it for
     whole; the call fails.
     """
-    active.work.body_taken = True
+    active.work.body_consumed = True
     try:
         async for data in active.work.body:
             await attempt.send_body(data, last=False)
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/keep.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/journaling.py
@@ -18,7 +18,7 @@
     from quetzalsill.config import model
     from quetzalsill_router import context
 
-__all__ = ['accept', 'holder_of', 'needs_journal', 'work_of']
+__all__ = ['accept', 'key_holder', 'needs_journal', 'work_from_entry']
 
 MILLIS = 1000
 STORE_RETRY_AFTER_S = 2.0
@@ -53,7 +53,7 @@
     return claim.request
 
 
-async def holder_of(ctx: context.Context, account: str, key: str) -> str:
+async def key_holder(ctx: context.Context, account: str, key: str) -> str:
     """Returns the id of the request that holds an idempotency key.
 
     Raises:
@@ -74,7 +74,9 @@
     return row.value['request']
 
 
-def work_of(entry: durable_entry.Entry, profile: model.Profile) -> spec.Work:
+def work_from_entry(
+    entry: durable_entry.Entry, profile: model.Profile
+) -> spec.Work:
     """Rebuilds the work of an entry that another router accepted."""
     remaining_s = entry.remaining_s(_now_ms())
     return spec.Work(
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
@@ -11,10 +11,10 @@
     'Outcome',
     'is_final',
     'may_dispatch_again',
-    'of_dispatch',
-    'of_recovery',
-    'strongest',
-    'unknown',
+    'from_dispatch',
+    'from_recovery',
+    'combine_ran',
+    'unknown_outcome',
 ]
 
 FINAL_CODES = frozenset(
@@ -39,13 +39,13 @@
       error: What the caller is told if nothing else is tried.
       gone: The generation is proved lost on its upstream.
       moved: The attempt was withdrawn in favour of another upstream.
-      lost: The Dispatch never came to its sidecar.
+      not_received: The Dispatch never came to its sidecar.
     """
 
     error: request.RequestError
     gone: bool = False
     moved: bool = False
-    lost: bool = False
+    not_received: bool = False
 
     @property
     def ran(self) -> base.Ran:
@@ -63,7 +63,7 @@
         self.outcome = outcome
 
 
-def strongest(one: base.Ran, other: base.Ran) -> base.Ran:
+def combine_ran(one: base.Ran, other: base.Ran) -> base.Ran:
     """Returns what two attempts together say: yes, else unknown, else no."""
     if base.Ran.YES in (one, other):
         return base.Ran.YES
@@ -77,7 +77,7 @@
     return outcome.error.code in FINAL_CODES
 
 
-def of_dispatch(ended: Outcome) -> Outcome:
+def from_dispatch(ended: Outcome) -> Outcome:
     """Reads the end of a new run, which its sidecar may never have got.
 
     "Not found" is the word of a sidecar on an attempt that was lost with a
@@ -86,10 +86,10 @@
     if ended.error.code != request.NotFoundError.code:
         return ended
     error = request.NoUpstreamError('the dispatch was lost on its way')
-    return Outcome(error, lost=True)
+    return Outcome(error, not_received=True)
 
 
-def of_recovery(ended: Outcome, same_sidecar: bool) -> Outcome:
+def from_recovery(ended: Outcome, same_sidecar: bool) -> Outcome:
     """Reads the end of a recovery, which is about an earlier run.
 
     A refusal says that nothing runs now. That nothing ran before is known
@@ -133,7 +133,7 @@
     return outcome.ran is base.Ran.NO or idempotent
 
 
-def unknown(detail: str) -> AttemptEndedError:
+def unknown_outcome(detail: str) -> AttemptEndedError:
     """Makes the end of a recovery that nobody can answer any more."""
     error = request.OutcomeUnknownError(detail)
     return AttemptEndedError(Outcome(error, gone=True))
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/choice.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
@@ -16,24 +16,24 @@
     from quetzalsill_router import context
     from quetzalsill_router.peer import peer as peer_module
     from quetzalsill_router.request import active as active_module
-    from quetzalsill_router.request import tries as tries_module
+    from quetzalsill_router.request import attempt_history as history_module
 
-__all__ = ['choose', 'find', 'pace']
+__all__ = ['select_peer', 'wait_for_peer', 'wait_before_retry']
 
 # How often a request looks for a link that is dialed.
-POLL_S = 0.02
+LINK_POLL_S = 0.02
 # A request that waits for one is refused with time left to go elsewhere.
-WAIT_SHARE = 0.5
-MIN_PACE_S = 0.2
-MAX_PACE_S = 5.0
+MAX_LINK_WAIT_FRACTION = 0.5
+MIN_RETRY_WAIT_S = 0.2
+MAX_RETRY_WAIT_S = 5.0
 
 rng = random.Random()
 
 
-async def choose(
+async def select_peer(
     ctx: context.Context,
-    active: active_module.Active,
-    tries: tries_module.Tries,
+    active: active_module.ActiveRequest,
+    history: history_module.AttemptHistory,
 ) -> peer_module.Peer:
     """Returns the peer of the next attempt.
 
@@ -42,10 +42,10 @@
         since a refusal by all is no answer to what was accepted.
     """
     work = active.work
-    wait_end_s = time.monotonic() + WAIT_SHARE * work.remaining_s()
+    wait_end_s = time.monotonic() + MAX_LINK_WAIT_FRACTION * work.remaining_s()
     while True:
         _check_deadline(work)
-        usable = tries.usable(ctx.peers.candidates(work.target))
+        usable = history.usable(ctx.peers.candidates(work.target))
         with trace.span('router.route', parent=work.trace):
             peer = ctx.routing(_query(ctx, work), usable)
         if peer is not None:
@@ -54,17 +54,17 @@
             ctx.peers.is_returning(work.target)
             and time.monotonic() < wait_end_s
         ):
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(LINK_POLL_S)
             continue
-        error = tries.exhausted()
+        error = history.no_upstream_error()
         if not work.durable:
             raise error
-        await pace(active, error.retry_after_s)
-        tries.next_round()
+        await wait_before_retry(active, error.retry_after_s)
+        history.next_round()
 
 
-async def find(
-    ctx: context.Context, active: active_module.Active, upstream: str
+async def wait_for_peer(
+    ctx: context.Context, active: active_module.ActiveRequest, upstream: str
 ) -> peer_module.Peer:
     """Returns the linked peer of an upstream, waiting for its link.
 
@@ -81,13 +81,19 @@
             return peer
         if upstream not in ctx.holder.current.upstreams:
             break
-        await pace(active, MIN_PACE_S)
-    raise outcome.unknown(f'upstream {upstream} did not come back to say')
+        await wait_before_retry(active, MIN_RETRY_WAIT_S)
+    raise outcome.unknown_outcome(
+        f'upstream {upstream} did not come back to say'
+    )
 
 
-async def pace(active: active_module.Active, hint_s: float) -> None:
+async def wait_before_retry(
+    active: active_module.ActiveRequest, hint_s: float
+) -> None:
     """Waits before a durable request asks again, as long as was hinted."""
-    wait_s = min(max(hint_s, MIN_PACE_S), MAX_PACE_S) * rng.uniform(0.75, 1.25)
+    wait_s = min(max(hint_s, MIN_RETRY_WAIT_S), MAX_RETRY_WAIT_S) * rng.uniform(
+        0.75, 1.25
+    )
     await asyncio.sleep(min(wait_s, max(0.0, active.work.remaining_s())))
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/recent.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/recent_outcomes.py
@@ -8,12 +8,12 @@
 if TYPE_CHECKING:
     from quetzalsill_router.durable import answer as durable_answer
 
-__all__ = ['Recent']
+__all__ = ['RecentOutcomes']
 
-MAX_KEPT = 1000
+MAX_OUTCOMES = 1000
 
 
-class Recent:
+class RecentOutcomes:
     """Outcomes that this router learned after it had said "unknown".
 
     A caller without an idempotency key can ask this router for them, for
@@ -30,7 +30,7 @@
     ) -> None:
         """Keeps the outcome of an account's request."""
         self._answers[account, request] = answer
-        if len(self._answers) > MAX_KEPT:
+        if len(self._answers) > MAX_OUTCOMES:
             self._answers.popitem(last=False)
 
     def get(self, account: str, request: str) -> durable_answer.Answer | None:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
@@ -16,17 +16,17 @@
     from quetzalsill_router import context
     from quetzalsill_router.request import active as active_module
 
-__all__ = ['KIND', 'MODEL', 'failure', 'recorded']
+__all__ = ['KIND_HEADER', 'MODEL_HEADER', 'record_failure', 'record_answer']
 
-KIND = 'x-quetzalsill-kind'
-MODEL = 'x-quetzalsill-model'
-SETTLE_WAIT_S = 2.0
+KIND_HEADER = 'x-quetzalsill-kind'
+MODEL_HEADER = 'x-quetzalsill-model'
+SETTLE_TIMEOUT_S = 2.0
 MAX_STORED_BYTES = 8_000_000
 
 
-async def recorded(
+async def record_answer(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     pieces: AsyncGenerator[piece.Piece, None],
 ) -> AsyncGenerator[piece.Piece, None]:
     """Passes `pieces` on; their end follows once the answer is stored.
@@ -36,7 +36,7 @@
     """
     answer = _empty(active.work)
     stored_bytes = 0
-    held: list[piece.Piece] = []
+    buffered: list[piece.Piece] = []
     async with contextlib.aclosing(pieces):
         async for part in pieces:
             if isinstance(part, piece.Head):
@@ -45,20 +45,20 @@
             else:
                 answer.events.extend(part.items)
                 stored_bytes += sum(map(len, part.items))
-            if active.work.held:
-                held.append(part)
+            if active.work.is_buffered:
+                buffered.append(part)
             else:
                 yield part
     if stored_bytes > MAX_STORED_BYTES:
         answer = _too_large(stored_bytes)
     await settle(ctx, active, answer)
-    for part in held:
+    for part in buffered:
         yield part
 
 
-async def failure(
+async def record_failure(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     error: request_error.RequestError,
 ) -> None:
     """Stores the failure that ends a request."""
@@ -67,7 +67,7 @@
 
 async def settle(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     answer: durable_answer.Answer,
 ) -> None:
     """Stores the outcome, and waits for that a bounded time.
@@ -81,7 +81,7 @@
         ctx.recent.put(work.account, request, answer)
         return
     try:
-        async with deadline.timeout(SETTLE_WAIT_S):
+        async with deadline.timeout(SETTLE_TIMEOUT_S):
             await ctx.journal.settle(work.entry, answer)
     except TimeoutError:
         event.note(event.SettleDelayed(request=request))
@@ -93,7 +93,7 @@
     """Makes the answer that the pieces are gathered in."""
     if work.kind == spec.CALL:
         return durable_answer.Answer()
-    headers = [[KIND, work.kind], [MODEL, work.target]]
+    headers = [[KIND_HEADER, work.kind], [MODEL_HEADER, work.target]]
     return durable_answer.Answer(headers=headers)
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/retry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/retry.py
@@ -21,11 +21,11 @@
         self._burst = float(burst)
         self._tokens = float(burst)
 
-    def deposit(self) -> None:
+    def record_request(self) -> None:
         """Counts one request of a caller."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spends one retry; False if the budget is used up."""
         if self._tokens < 1.0:
             return False
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/renew.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/revalidation.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from quetzalsill.config import model
 
-__all__ = ['renew']
+__all__ = ['revalidate']
 
 
-def renew(work: spec.Work, cfg: model.Configuration) -> int:
+def revalidate(work: spec.Work, cfg: model.Configuration) -> int:
     """Decides about work anew if the configuration is another one by now.
 
     A router that was behind, such as one that was paused, is told so by the
@@ -33,7 +33,7 @@
     if work.revision != cfg.revision:
         if work.entry is None:
             _check_permitted(work, cfg)
-        _adopt(work, cfg)
+        _apply_limits(work, cfg)
         work.revision = cfg.revision
     return cfg.revision
 
@@ -52,7 +52,7 @@
         )
 
 
-def _adopt(work: spec.Work, cfg: model.Configuration) -> None:
+def _apply_limits(work: spec.Work, cfg: model.Configuration) -> None:
     profile = cfg.profiles.get(work.profile_name, work.profile)
     work.profile = dataclasses.replace(
         profile,
@@ -67,8 +67,8 @@
         still_idempotent = profile.idempotent
         target = cfg.models.get(work.target)
         if target is not None:
-            work.max_tokens = accept.bound_tokens(
-                work.asked_tokens, work.prompt_tokens, target, profile
+            work.max_tokens = accept.limit_tokens(
+                work.requested_tokens, work.prompt_tokens, target, profile
             )
     # Work that was not idempotent at acceptance has its claim and its record
     # kept as such, so that it never becomes so.
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/route.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/route.py
@@ -14,17 +14,17 @@
     service: model.Service, method: str, path: str
 ) -> model.Route | None:
     """Returns the route with the longest path that takes the call."""
-    plain = path.partition('?')[0]
-    fitting = [
+    path_only = path.partition('?')[0]
+    matching = [
         route
         for route in service.routes
-        if _is_below(plain, route.path)
+        if _is_under(path_only, route.path)
         and (not route.methods or method in route.methods)
     ]
-    return max(fitting, key=lambda route: len(route.path), default=None)
+    return max(matching, key=lambda route: len(route.path), default=None)
 
 
-def _is_below(path: str, prefix: str) -> bool:
+def _is_under(path: str, prefix: str) -> bool:
     """Whether `path` is `prefix` or stands below it."""
     stem = prefix.rstrip('/')
     return path in (prefix, stem) or path.startswith(f'{stem}/')
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/serve.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/serve.py
@@ -20,7 +20,7 @@
     from quetzalsill_router import context
     from quetzalsill_router.limit import shares
 
-__all__ = ['start', 'start_unattended']
+__all__ = ['start', 'start_detached']
 
 DEADLINE_GRACE_S = 1.0
 
@@ -36,7 +36,7 @@
     ctx: context.Context,
     work: spec.Work,
     grant: shares.Grant | None = None,
-) -> active_module.Active:
+) -> active_module.ActiveRequest:
     """Starts the task that serves `work`; its pieces go to `delivery`.
 
     Args:
@@ -44,7 +44,7 @@
       work: The accepted request.
       grant: Leave of its account, released at the end.
     """
-    active = active_module.Active(work, grant=grant)
+    active = active_module.ActiveRequest(work, grant=grant)
     ctx.active.add(active)
     active.task = asyncio.create_task(
         _run(ctx, active), name=f'request {work.request}'
@@ -52,16 +52,18 @@
     return active
 
 
-def start_unattended(
+def start_detached(
     ctx: context.Context, work: spec.Work, grant: shares.Grant | None = None
-) -> active_module.Active:
+) -> active_module.ActiveRequest:
     """Starts work whose answer is only stored, not delivered."""
     active = start(ctx, work, grant)
-    active.delivery.leave()
+    active.delivery.disconnect()
     return active
 
 
-async def _run(ctx: context.Context, active: active_module.Active) -> None:
+async def _run(
+    ctx: context.Context, active: active_module.ActiveRequest
+) -> None:
     """Serves the request, tells its end, and stores a failure."""
     work = active.work
     try:
@@ -81,7 +83,7 @@
 
 
 async def _serve(
-    ctx: context.Context, active: active_module.Active
+    ctx: context.Context, active: active_module.ActiveRequest
 ) -> request_error.RequestError | None:
     """Serves the request; whatever happens, the caller gets an end.
 
@@ -117,15 +119,17 @@
     finally:
         timer.cancel()
         if error is not None:
-            error.ran = outcome.strongest(active.ran, error.ran)
+            error.ran = outcome.combine_ran(active.ran, error.ran)
         if active.grant is not None:
             active.grant.release()
         active.delivery.end(error)
-        _report(active, error)
+        _record_end(active, error)
     return error
 
 
-async def _deliver(ctx: context.Context, active: active_module.Active) -> None:
+async def _deliver(
+    ctx: context.Context, active: active_module.ActiveRequest
+) -> None:
     """Hands the pieces of the answer to the caller, and counts them."""
     work = active.work
     stream = _pipeline(ctx, active)
@@ -139,18 +143,18 @@
 
 
 def _pipeline(
-    ctx: context.Context, active: active_module.Active
+    ctx: context.Context, active: active_module.ActiveRequest
 ) -> AsyncGenerator[piece.Piece, None]:
     """Joins the generators that make the request's answer."""
     stream = attempts.pieces(ctx, active)
     if active.work.entry is not None or active.work.recover_only:
-        stream = record.recorded(ctx, active, stream)
+        stream = record.record_answer(ctx, active, stream)
     return stream
 
 
 async def _settle_failure(
     ctx: context.Context,
-    active: active_module.Active,
+    active: active_module.ActiveRequest,
     error: request_error.RequestError,
 ) -> None:
     """Stores a failure, or goes on asking what became of the work.
@@ -159,18 +163,20 @@
     then what the upstream says once it can be asked.
     """
     work = active.work
-    if _may_ask_later(active, error):
-        later = active_module.Active(_recovering(ctx, work), task=active.task)
-        later.delivery.leave()
+    if _may_resolve_later(active, error):
+        later = active_module.ActiveRequest(
+            _recovery_work(ctx, work), task=active.task
+        )
+        later.delivery.disconnect()
         ctx.active.add(later)
         await _run(ctx, later)
         return
     if work.entry is not None or work.recover_only:
-        await record.failure(ctx, active, error)
+        await record.record_failure(ctx, active, error)
 
 
-def _may_ask_later(
-    active: active_module.Active, error: request_error.RequestError
+def _may_resolve_later(
+    active: active_module.ActiveRequest, error: request_error.RequestError
 ) -> bool:
     """Whether an outcome that is unknown now may be known later."""
     work = active.work
@@ -184,7 +190,7 @@
     return late and work.run is not None and not work.idempotent
 
 
-def _recovering(ctx: context.Context, work: spec.Work) -> spec.Work:
+def _recovery_work(ctx: context.Context, work: spec.Work) -> spec.Work:
     """Makes the work that only asks for the outcome of its latest run."""
     deadline = time.monotonic() + ctx.settings.requests.settle_s
     return dataclasses.replace(
@@ -192,8 +198,9 @@
     )
 
 
-def _report(
-    active: active_module.Active, error: request_error.RequestError | None
+def _record_end(
+    active: active_module.ActiveRequest,
+    error: request_error.RequestError | None,
 ) -> None:
     """Logs and counts the end of a request."""
     work = active.work
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/spec.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/spec.py
@@ -37,7 +37,7 @@
       stream: The caller wants the answer as it comes.
       revision: Configuration under which all this was decided.
       prompt_tokens: Estimated tokens of the prompt.
-      asked_tokens: Bound on the answer that the caller gave; 0 for none.
+      requested_tokens: Bound on the answer that the caller gave; 0 for none.
       max_tokens: Bound on generated tokens.
       prefix: Digest of the prompt prefix; empty if too short to matter.
       adapter: Adapter asked for; empty for none.
@@ -51,7 +51,7 @@
         earlier run is asked for.
       trace: W3C traceparent of the request's span.
       key: Idempotency key; empty if the caller sent none.
-      body_taken: Some of `body` was sent, so that it can't be sent again.
+      body_consumed: Some of `body` was sent, so that it can't be sent again.
     """
 
     request: str
@@ -66,7 +66,7 @@
     stream: bool = False
     revision: int = 0
     prompt_tokens: int = 0
-    asked_tokens: int = 0
+    requested_tokens: int = 0
     max_tokens: int = 0
     prefix: str = ''
     adapter: str = ''
@@ -79,7 +79,7 @@
     recover_only: bool = False
     trace: str = ''
     key: str = ''
-    body_taken: bool = False
+    body_consumed: bool = False
 
     @property
     def durable(self) -> bool:
@@ -89,7 +89,7 @@
         return self.profile.durable and self.kind != CALL
 
     @property
-    def held(self) -> bool:
+    def is_buffered(self) -> bool:
         """Whether the caller gets nothing before the answer is complete."""
         if self.kind == CALL:
             return False
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
@@ -9,7 +9,7 @@
 from quetzalsill.error import base
 from quetzalsill_router import event
 from quetzalsill_router.durable import answer as durable_answer
-from quetzalsill_router.request import keep, serve
+from quetzalsill_router.request import journaling, serve
 
 if TYPE_CHECKING:
     from quetzalsill_router import context
@@ -39,12 +39,12 @@
         return
     cfg = ctx.holder.current
     profile = cfg.profiles.get(entry.profile) or model.Profile()
-    work = keep.work_of(entry, profile)
+    work = journaling.work_from_entry(entry, profile)
     if not entry.durable:
         work.recover_only = True
         settle_s = ctx.settings.requests.settle_s
         work.deadline = time.monotonic() + settle_s
-    active = serve.start_unattended(ctx, work)
+    active = serve.start_detached(ctx, work)
     await active.task
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -33,7 +33,7 @@
     active,
     control,
     ident,
-    recent,
+    recent_outcomes,
     retry,
     takeover,
 )
@@ -137,7 +137,7 @@
         holder=holder,
         store=config_store.ConfigStore(platform.table, platform.objects),
         table=platform.table,
-        recent=recent.Recent(),
+        recent=recent_outcomes.RecentOutcomes(),
         peers=peers,
         journal=state.journal,
         claims=state.claims,
--- a/tests/quetzalsill_router/request/fake.py
+++ b/tests/quetzalsill_router/request/fake.py
@@ -17,7 +17,13 @@
 from quetzalsill_router import context, settings
 from quetzalsill_router.durable import entry as durable_entry
 from quetzalsill_router.limit import length, shares
-from quetzalsill_router.request import active, ident, recent, retry, spec
+from quetzalsill_router.request import (
+    active,
+    ident,
+    recent_outcomes,
+    retry,
+    spec,
+)
 from quetzalsill_router.routing import expected_wait
 
 log.configure('error')
@@ -210,7 +216,7 @@
         holder=holder,
         store=None,
         table=None,
-        recent=recent.Recent(),
+        recent=recent_outcomes.RecentOutcomes(),
         peers=Peers(*peers),
         journal=Journal(),
         claims=Claims(),
--- a/tests/quetzalsill_router/request/test_attempts.py
+++ b/tests/quetzalsill_router/request/test_attempts.py
@@ -22,7 +22,7 @@
 
 async def collect(ctx, work):
     """Runs a request to its end; returns its items."""
-    running = active.Active(work)
+    running = active.ActiveRequest(work)
     items = []
     async with asyncio.timeout(BOUND_S):
         async for part in attempts.pieces(ctx, running):
@@ -45,7 +45,7 @@
         peer = fake.Peer('one', (fake.started(), *script, fake.finished(5)))
         ctx = fake.make_context(peer)
         ctx.settings.requests.credit_items = 8
-        stream = attempts.pieces(ctx, active.Active(fake.make_work(ctx)))
+        stream = attempts.pieces(ctx, active.ActiveRequest(fake.make_work(ctx)))
         parts = [part async for part in stream]
         items = [item for part in parts for item in part.items]
         self.assertEqual(items, [b'0', b'1', b'2', b'3', b'4'])
@@ -66,7 +66,7 @@
         for account, revision in (('retailers', 4), ('nobody', 5)):
             peer = fake.Peer('one', whole(b'a'))
             ctx = fake.make_context(peer)
-            work = fake.make_work(ctx, asked_tokens=70, max_tokens=70)
+            work = fake.make_work(ctx, requested_tokens=70, max_tokens=70)
             cfg = copy.deepcopy(ctx.holder.current)
             cfg.profiles['prompt'].max_output_tokens = 30
             cfg.profiles['prompt'].delivery = 'whole'
@@ -246,7 +246,7 @@
         two = fake.Peer('two', (fake.refused(),))
         ctx = fake.make_context(one, two, cfg=fake.configuration(retries=1))
         ctx.routing = lambda _query, candidates: candidates[0]
-        running = active.Active(fake.make_work(ctx))
+        running = active.ActiveRequest(fake.make_work(ctx))
         with self.assertRaises(request_error.RequestError):
             async for _ in attempts.pieces(ctx, running):
                 pass
@@ -255,7 +255,7 @@
     async def test_consumer_that_leaves_closes_the_attempt(self):
         peer = fake.Peer('one', (fake.started(), fake.chunk(0, b'a')))
         ctx = fake.make_context(peer)
-        stream = attempts.pieces(ctx, active.Active(fake.make_work(ctx)))
+        stream = attempts.pieces(ctx, active.ActiveRequest(fake.make_work(ctx)))
         await anext(stream)
         await stream.aclose()
         self.assertTrue(peer.attempts[0].closed.is_set())
@@ -339,7 +339,7 @@
 
 async def _outcome(ctx, work):
     """Runs a request; returns its items and its failure."""
-    running = active.Active(work)
+    running = active.ActiveRequest(work)
     items = []
     try:
         async for part in attempts.pieces(ctx, running):
--- a/tests/quetzalsill_router/request/test_takeover.py
+++ b/tests/quetzalsill_router/request/test_takeover.py
@@ -24,7 +24,7 @@
         ctx = fake.make_context(peer)
         entry = fake.make_entry()
         work = fake.make_work(ctx, entry=entry, request='entry-1-1-0')
-        running = serve.start_unattended(ctx, work)
+        running = serve.start_detached(ctx, work)
         await peer.opened.wait()
         (attempt,) = peer.attempts
         takeover.release_superseded(ctx)
@@ -43,10 +43,10 @@
         """A caller gets "unknown" with the whole answer at its router."""
         ctx = fake.make_context(fake.Peer('one'))
         work = fake.make_work(ctx, entry=fake.make_entry())
-        running = active.Active(work, task=mock.Mock())
+        running = active.ActiveRequest(work, task=mock.Mock())
         ctx.active.add(running)
         ctx.journal.owns = lambda _: False
-        running.answered = True
+        running.has_answer = True
         takeover.release_superseded(ctx)
         running.task.cancel.assert_not_called()
 
