--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/__init__.py
@@ -13,6 +13,6 @@
     claim = await state.claims.claim(entry)        # with a key only
     if claim.request != request:                   # a repeat: ask for that
         stored = await state.answers.wait(entry.account, claim.request, s)
-    await state.journal.dispatching(entry, run)    # before each Dispatch
+    await state.journal.record_dispatch(entry, run)  # before each Dispatch
     await state.journal.settle(entry, answer)      # exactly once
 """
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
@@ -50,13 +50,13 @@
       log: The sealed log.
       seal: Number of its seal.
       by: Log that has the entries now.
-      remains: What the sealed log left.
+      replayed: What the sealed log left.
     """
 
     log: str
     seal: int
     by: str
-    remains: durable_log.Remains
+    replayed: durable_log.ReplayedLog
 
 
 class Adopter:
@@ -95,13 +95,13 @@
         seal = await self._seal(found.row, by)
         if seal is None:
             return None
-        remains = await durable_log.replay(self._objects, log, seal.number)
-        for entry in remains.entries:
+        replayed = await durable_log.replay(self._objects, log, seal.number)
+        for entry in replayed.entries:
             entry.fence += 1
-        mark = durable_segment.Adopted(log, seal.number)
-        await self._journal.adopt(by, mark, remains.entries)
-        LOG.info('log_adopted', log=log, by=by, entries=len(remains.entries))
-        return Adoption(log, seal.number, by, remains)
+        adopted = durable_segment.Adopted(log, seal.number)
+        await self._journal.adopt(by, adopted, replayed.entries)
+        LOG.info('log_adopted', log=log, by=by, entries=len(replayed.entries))
+        return Adoption(log, seal.number, by, replayed)
 
     async def close(self, adoption: Adoption) -> None:
         """Names the keeper of an adopted log; repeats until it is done.
@@ -112,13 +112,13 @@
         await self._index.write(
             [
                 durable_index.Pointer(request, adoption.log, number)
-                for request, number in adoption.remains.settled
+                for request, number in adoption.replayed.settled
             ]
         )
-        for mark in adoption.remains.adopted:
-            await self._close_row(mark.log, adoption.by, mark.seal)
+        for adopted in adoption.replayed.adopted:
+            await self._close_row(adopted.log, adoption.by, adopted.seal)
         await self._close_row(adoption.log, adoption.by, adoption.seal)
-        self._journal.release_adopted(adoption.log)
+        self._journal.unpin_adopted(adoption.log)
 
     async def _seal(
         self, row: durable_row.LogRow, by: str
@@ -149,7 +149,7 @@
 
         while True:
             try:
-                await durable_row.change(self._table, log, closed)
+                await durable_row.compare_and_set(self._table, log, closed)
             except platform_error.PlatformError as exc:
                 LOG.warning('close_failed', log=log, why=exc.code)
                 await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
@@ -55,7 +55,7 @@
       writer: Writes the rows.
       journal: Journal of this router.
       answers: Tells whether the holder of a key was settled as not run.
-      bound_s: Gives the longest wait for the platform, in s.
+      max_wait_s: Gives the longest wait for the platform, in s.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         writer: durable_claim_writer.ClaimWriter,
         journal: durable_journal.Journal,
         answers: durable_lookup.Answers,
-        bound_s: Callable[[], float],
+        max_wait_s: Callable[[], float],
     ) -> None:
         self._writer = writer
         self._journal = journal
         self._answers = answers
-        self._bound_s = bound_s
+        self._max_wait_s = max_wait_s
 
     async def claim(self, entry: durable_entry.Entry) -> Claim:
         """Claims the key of an entry that was accepted here.
@@ -86,15 +86,15 @@
           SupersededError: Another router has taken the entry over.
         """
         try:
-            async with deadline.timeout(self._bound_s()):
+            async with deadline.timeout(self._max_wait_s()):
                 holder = await self._acquire(entry)
         except (
             TimeoutError,
             platform_error.PlatformError,
             request_error.StoreUnavailableError,
         ):
-            raise await self._withdraw(entry) from None
-        return self._yield_to(holder, entry)
+            raise await self._settle_unclaimed(entry) from None
+        return self._resolve(holder, entry)
 
     async def reclaim(self, entry: durable_entry.Entry) -> Claim:
         """Claims the key of an entry that was taken over.
@@ -116,7 +116,7 @@
                 LOG.warning('claim_retried', request=entry.request, why=exc)
                 await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
             else:
-                return self._yield_to(holder, entry)
+                return self._resolve(holder, entry)
 
     async def _acquire(
         self, entry: durable_entry.Entry
@@ -129,11 +129,11 @@
             )
             if holder.request == entry.request:
                 return holder
-            if holder.version and not await self._released(entry, holder):
+            if holder.version and not await self._may_replace(entry, holder):
                 return holder
             before = holder
 
-    async def _released(
+    async def _may_replace(
         self, entry: durable_entry.Entry, holder: durable_claim_writer.Holder
     ) -> bool:
         """Whether the holder surely did not run, or has expired."""
@@ -144,7 +144,7 @@
         answer = stored.answer
         return answer is not None and answer.ran is base.Ran.NO
 
-    def _yield_to(
+    def _resolve(
         self, holder: durable_claim_writer.Holder, entry: durable_entry.Entry
     ) -> Claim:
         if holder.request == entry.request:
@@ -157,7 +157,7 @@
             raise exc
         return Claim(holder.request)
 
-    async def _withdraw(
+    async def _settle_unclaimed(
         self, entry: durable_entry.Entry
     ) -> request_error.RequestError:
         """Settles an entry that was not claimed as not run.
@@ -165,9 +165,9 @@
         Until that is durable this router may die and a taker run the entry,
         so only then may the caller be told that it did not run.
         """
-        exc = self._journal.unavailable('the key could not be claimed')
+        exc = self._journal.unavailable_error('the key could not be claimed')
         try:
-            async with deadline.timeout(self._bound_s()):
+            async with deadline.timeout(self._max_wait_s()):
                 await self._journal.settle(entry, durable_answer.failure(exc))
         except TimeoutError:
             return request_error.OutcomeUnknownError(
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
@@ -11,13 +11,13 @@
 from quetzalsill.telemetry import log as telemetry_log
 
 if TYPE_CHECKING:
-    from quetzalsill_router.durable import pace as durable_pace
+    from quetzalsill_router.durable import throttle as durable_throttle
 
 __all__ = ['ClaimWriter', 'Holder', 'TABLE']
 
 TABLE = 'claims'
-ROWS_AT_ONCE = 500
-TRIES = 3
+MAX_ROWS_PER_TRANSACTION = 500
+MAX_ATTEMPTS = 3
 
 LOG = telemetry_log.get(__name__)
 
@@ -38,9 +38,9 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Wish:
+class _PendingClaim:
     key: str
-    instead_of: int
+    expected_version: int
     request: str
     digest: str
     done: asyncio.Future[Holder]
@@ -50,15 +50,15 @@
     """Puts the claims of an interval into one transaction."""
 
     def __init__(
-        self, table: platform_table.Table, pace: durable_pace.Pace
+        self, table: platform_table.Table, throttle: durable_throttle.Throttle
     ) -> None:
         self._table = table
-        self._pace = pace
-        self._wishes: list[_Wish] = []
-        self._wanted = asyncio.Event()
+        self._throttle = throttle
+        self._pending: list[_PendingClaim] = []
+        self._wakeup = asyncio.Event()
 
     async def put(
-        self, key: str, instead_of: Holder, request: str, digest: str
+        self, key: str, expected: Holder, request: str, digest: str
     ) -> Holder:
         """Makes a request the holder of a key, if the row did not change.
 
@@ -69,37 +69,37 @@
           PlatformError: The row may or may not be written.
         """
         done = asyncio.get_running_loop().create_future()
-        wish = _Wish(key, instead_of.version, request, digest, done)
-        self._wishes.append(wish)
-        self._wanted.set()
+        pending = _PendingClaim(key, expected.version, request, digest, done)
+        self._pending.append(pending)
+        self._wakeup.set()
         return await done
 
     async def run(self) -> None:
         """Writes until cancelled."""
         while True:
-            await self._wanted.wait()
-            await self._pace.turn()
-            await self._write(self._cut())
+            await self._wakeup.wait()
+            await self._throttle.acquire()
+            await self._write(self._take_batch())
 
-    def _cut(self) -> list[_Wish]:
+    def _take_batch(self) -> list[_PendingClaim]:
         """Takes the wishes of the next transaction, one for each key.
 
         The conditions of a transaction are checked before its writes, so
         two repeats of a request in one would both succeed and both run.
         """
-        group: dict[str, _Wish] = {}
-        left = []
-        for wish in self._wishes:
-            if wish.key in group or len(group) == ROWS_AT_ONCE:
-                left.append(wish)
-            elif not wish.done.done():
-                group[wish.key] = wish
-        self._wishes = left
-        if not left:
-            self._wanted.clear()
-        return list(group.values())
-
-    async def _write(self, group: list[_Wish]) -> None:
+        batch: dict[str, _PendingClaim] = {}
+        postponed = []
+        for pending in self._pending:
+            if pending.key in batch or len(batch) == MAX_ROWS_PER_TRANSACTION:
+                postponed.append(pending)
+            elif not pending.done.done():
+                batch[pending.key] = pending
+        self._pending = postponed
+        if not postponed:
+            self._wakeup.clear()
+        return list(batch.values())
+
+    async def _write(self, batch: list[_PendingClaim]) -> None:
         """Writes a group; who finds its key held leaves it.
 
         A claim whose answer was lost is repeated. If it had taken effect
@@ -107,33 +107,35 @@
         the holder, which its claimant reads as success.
         """
         tries = 0
-        while group:
+        while batch:
             try:
                 await self._table.transact(
-                    [_condition(wish) for wish in group],
-                    [_to_row(wish) for wish in group],
+                    [_condition(pending) for pending in batch],
+                    [_to_write(pending) for pending in batch],
                 )
             except platform_error.ConditionFailedError as exc:
-                _finish(group.pop(exc.index), _to_holder(exc))
+                _resolve(batch.pop(exc.index), _to_holder(exc))
             except platform_error.PlatformError as exc:
                 tries += 1
                 lost = isinstance(exc, platform_error.PlatformAnswerLostError)
-                if not lost or tries == TRIES:
-                    _fail(group, exc)
+                if not lost or tries == MAX_ATTEMPTS:
+                    _fail(batch, exc)
                     return
             else:
-                for wish in group:
-                    _finish(wish, Holder(wish.request, wish.digest))
+                for pending in batch:
+                    _resolve(pending, Holder(pending.request, pending.digest))
                 return
 
 
-def _condition(wish: _Wish) -> platform_table.Condition:
-    return platform_table.Condition(TABLE, wish.key, wish.instead_of)
+def _condition(pending: _PendingClaim) -> platform_table.Condition:
+    return platform_table.Condition(
+        TABLE, pending.key, pending.expected_version
+    )
 
 
-def _to_row(wish: _Wish) -> platform_table.Write:
-    value = {'request': wish.request, 'digest': wish.digest}
-    return platform_table.Write(TABLE, wish.key, value)
+def _to_write(pending: _PendingClaim) -> platform_table.Write:
+    value = {'request': pending.request, 'digest': pending.digest}
+    return platform_table.Write(TABLE, pending.key, value)
 
 
 def _to_holder(exc: platform_error.ConditionFailedError) -> Holder:
@@ -145,13 +147,15 @@
     )
 
 
-def _finish(wish: _Wish, holder: Holder) -> None:
-    if not wish.done.done():
-        wish.done.set_result(holder)
+def _resolve(pending: _PendingClaim, holder: Holder) -> None:
+    if not pending.done.done():
+        pending.done.set_result(holder)
 
 
-def _fail(group: list[_Wish], exc: platform_error.PlatformError) -> None:
-    LOG.warning('claims_failed', claims=len(group), why=exc.code)
-    for wish in group:
-        if not wish.done.done():
-            wish.done.set_exception(exc)
+def _fail(
+    batch: list[_PendingClaim], exc: platform_error.PlatformError
+) -> None:
+    LOG.warning('claims_failed', claims=len(batch), why=exc.code)
+    for pending in batch:
+        if not pending.done.done():
+            pending.done.set_exception(exc)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/entry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/entry.py
@@ -6,11 +6,11 @@
 
 from quetzalsill.error import request as request_error
 
-__all__ = ['Entry', 'Place', 'Run', 'place_of']
+__all__ = ['Entry', 'Position', 'Run', 'parse_request_id']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
+class Position:
     """Where the acceptance of a request stands.
 
     Attributes:
@@ -27,7 +27,7 @@
         return f'{self.log}-{self.segment}-{self.index}'
 
 
-def place_of(request: str) -> Place:
+def parse_request_id(request: str) -> Position:
     """Reads the place out of a request id.
 
     Raises:
@@ -36,7 +36,7 @@
     parts = request.rsplit('-', 2)
     if len(parts) != 3 or not (parts[1].isdecimal() and parts[2].isdecimal()):
         raise request_error.UnknownRequestError(f'no request {request!r}')
-    return Place(parts[0], int(parts[1]), int(parts[2]))
+    return Position(parts[0], int(parts[1]), int(parts[2]))
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -80,7 +80,7 @@
       trace: W3C traceparent.
       request: Id of the request; set by `Journal.accept`.
       run: Newest dispatch; None while there was none. An entry accepted
-        with a run needs no `Journal.dispatching` for that run.
+        with a run needs no `Journal.record_dispatch` for that run.
       fence: Ownership epoch of the entry; grows with each takeover and goes
         into each Dispatch.
     """
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/expiry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/expiry.py
@@ -17,19 +17,19 @@
 
 if TYPE_CHECKING:
     from quetzalsill_router.durable import erase as durable_erase
+    from quetzalsill_router.durable import liveness as durable_liveness
     from quetzalsill_router.durable import log_writer as durable_log_writer
     from quetzalsill_router.durable import row as durable_row
-    from quetzalsill_router.durable import watch as durable_watch
 
 __all__ = ['Expiry']
 
-LOOKS_PER_RETENTION = 100
+CHECKS_PER_RETENTION = 100
 
 LOG = telemetry_log.get(__name__)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Mark:
+class _Checkpoint:
     """At a time, a segment was the newest."""
 
     at: float
@@ -41,7 +41,7 @@
 
     Args:
       writer: Writes the own log.
-      watch: Knows the logs that this router keeps.
+      liveness: Knows the logs that this router keeps.
       eraser: Erases segments.
       retention_s: Least age of what is erased, in s.
     """
@@ -49,17 +49,17 @@
     def __init__(
         self,
         writer: durable_log_writer.LogWriter,
-        watch: durable_watch.Watch,
+        liveness: durable_liveness.LivenessTracker,
         eraser: durable_erase.Eraser,
         retention_s: float,
     ) -> None:
         self._writer = writer
-        self._watch = watch
+        self._liveness = liveness
         self._eraser = eraser
         self._retention_s = retention_s
         self._log = ''
         self._first = 1
-        self._marks: collections.deque[_Mark] = collections.deque()
+        self._checkpoints: collections.deque[_Checkpoint] = collections.deque()
         self._kept_since: dict[str, float] = {}
         self._erased: dict[str, int] = {}
 
@@ -71,42 +71,44 @@
     async def run(self) -> None:
         """Looks for what has expired until cancelled."""
         while True:
-            await asyncio.sleep(self._retention_s / LOOKS_PER_RETENTION)
+            await asyncio.sleep(self._retention_s / CHECKS_PER_RETENTION)
             try:
-                await self.look()
+                await self.erase_expired()
             except base.QuetzalsillError as exc:
                 LOG.warning('expiry_failed', why=exc)
 
-    async def look(self) -> None:
+    async def erase_expired(self) -> None:
         """Erases what has expired now."""
         if not self._writer.log:
             return
         now = asyncio.get_running_loop().time()
-        await self._look_at_own(now)
-        await self._look_at_kept(now)
+        await self._expire_own(now)
+        await self._expire_kept(now)
 
-    async def _look_at_own(self, now: float) -> None:
+    async def _expire_own(self, now: float) -> None:
         log = self._writer.log
         if log != self._log:
             self._log, self._first = log, 1
-            self._marks.clear()
-        self._marks.append(_Mark(now, self._writer.last))
+            self._checkpoints.clear()
+        self._checkpoints.append(_Checkpoint(now, self._writer.last))
         expired = 0
-        while now - self._marks[0].at >= self._retention_s:
-            expired = self._marks.popleft().number
-        needed = self._writer.held.oldest(log, self._writer.floor)
+        while now - self._checkpoints[0].at >= self._retention_s:
+            expired = self._checkpoints.popleft().number
+        needed = self._writer.unsettled.oldest_segment(log, self._writer.floor)
         last = min(expired, self._writer.floor - 1, needed - 1)
         async for number in self._eraser.erase(log, self._first, last):
             self._first = number + 1
 
-    async def _look_at_kept(self, now: float) -> None:
-        kept = {row.log: row for row in self._watch.kept_by(self._writer.log)}
+    async def _expire_kept(self, now: float) -> None:
+        kept = {
+            row.log: row for row in self._liveness.kept_by(self._writer.log)
+        }
         for log in self._kept_since.keys() - kept.keys():
             del self._kept_since[log]
             self._erased.pop(log, None)
         for log, row in kept.items():
             since = self._kept_since.setdefault(log, now)
-            needed = self._writer.held.oldest(log, 0)
+            needed = self._writer.unsettled.oldest_segment(log, 0)
             if now - since >= self._retention_s and not needed:
                 await self._erase_kept(row)
 
@@ -116,5 +118,5 @@
         first = self._erased.get(log, row.first - 1) + 1
         async for number in self._eraser.erase(log, first, row.last):
             self._erased[log] = number
-        await self._eraser.drop_log(row)
+        await self._eraser.delete_log_row(row)
         LOG.info('log_expired', log=log)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
@@ -21,13 +21,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from quetzalsill_router.durable import pace as durable_pace
+    from quetzalsill_router.durable import throttle as durable_throttle
 
-__all__ = ['Index', 'Pointer', 'TABLE', 'find', 'row_end', 'row_key']
+__all__ = [
+    'Index',
+    'Pointer',
+    'TABLE',
+    'find',
+    'last_segment_of_row',
+    'row_key',
+]
 
 TABLE = 'answers'
 SEGMENTS_PER_ROW = 16
-ROWS_AT_ONCE = 32
+MAX_ROWS_PER_TRANSACTION = 32
 RETRY_S = 0.5
 # Bounds the memory of what waits for the table while only that is down.
 MAX_QUEUED = 200_000
@@ -48,43 +55,43 @@
     """Writes pointers to settled outcomes."""
 
     def __init__(
-        self, table: platform_table.Table, pace: durable_pace.Pace
+        self, table: platform_table.Table, throttle: durable_throttle.Throttle
     ) -> None:
         self._table = table
-        self._pace = pace
+        self._throttle = throttle
         self._queued: dict[str, Pointer] = {}
-        self._releases: list[Callable[[], None]] = []
-        self._wanted = asyncio.Event()
+        self._on_durable: list[Callable[[], None]] = []
+        self._wakeup = asyncio.Event()
 
     def add(
-        self, pointers: Sequence[Pointer], release: Callable[[], None]
+        self, pointers: Sequence[Pointer], on_durable: Callable[[], None]
     ) -> None:
         """Queues pointers; calls `release` once they are durable."""
         self._queued.update((pointer.request, pointer) for pointer in pointers)
-        self._releases.append(release)
-        self._wanted.set()
+        self._on_durable.append(on_durable)
+        self._wakeup.set()
 
     @property
     def full(self) -> bool:
         """Whether so much waits for the table that no more may come."""
         return len(self._queued) >= MAX_QUEUED
 
-    def queued(self, request: str) -> Pointer | None:
+    def find_queued(self, request: str) -> Pointer | None:
         """Finds a pointer that is not durable yet."""
         return self._queued.get(request)
 
     async def run(self) -> None:
         """Writes what is queued, until cancelled."""
         while True:
-            await self._wanted.wait()
-            await self._pace.turn()
+            await self._wakeup.wait()
+            await self._throttle.acquire()
             await self.flush()
 
     async def flush(self) -> None:
         """Writes what is queued now; repeats until the platform took it."""
-        self._wanted.clear()
+        self._wakeup.clear()
         pointers = list(self._queued.values())
-        releases, self._releases = self._releases, []
+        releases, self._on_durable = self._on_durable, []
         await self.write(pointers)
         for pointer in pointers:
             if self._queued.get(pointer.request) is pointer:
@@ -98,18 +105,20 @@
         Repeating is harmless: a row is a union of pointers, and a request
         has one outcome only.
         """
-        by_row = sorted(pointers, key=_row_of)
+        by_row = sorted(pointers, key=_row_key_of)
         rows = [
             (key, list(group))
-            for key, group in itertools.groupby(by_row, _row_of)
+            for key, group in itertools.groupby(by_row, _row_key_of)
         ]
-        for start in range(0, len(rows), ROWS_AT_ONCE):
-            await self._write_rows(rows[start : start + ROWS_AT_ONCE])
+        for start in range(0, len(rows), MAX_ROWS_PER_TRANSACTION):
+            await self._write_rows(
+                rows[start : start + MAX_ROWS_PER_TRANSACTION]
+            )
 
     async def _write_rows(self, rows: list[tuple[str, list[Pointer]]]) -> None:
         while True:
             try:
-                await self._try_rows(rows)
+                await self._update_rows(rows)
             except platform_error.ConditionFailedError:
                 continue
             except platform_error.PlatformError as exc:
@@ -118,13 +127,13 @@
             else:
                 return
 
-    async def _try_rows(self, rows: list[tuple[str, list[Pointer]]]) -> None:
+    async def _update_rows(self, rows: list[tuple[str, list[Pointer]]]) -> None:
         conditions = []
         writes = []
         for key, pointers in rows:
             row = await self._table.get(TABLE, key)
             version, value = (row.version, row.value) if row else (0, {})
-            added = dict(_to_plain(pointer) for pointer in pointers)
+            added = dict(_to_item(pointer) for pointer in pointers)
             conditions.append(platform_table.Condition(TABLE, key, version))
             writes.append(platform_table.Write(TABLE, key, added | value))
         await self._table.transact(conditions, writes)
@@ -137,13 +146,13 @@
       NotFoundError: The id is not one that a journal gave.
       PlatformUnavailableError: The platform does not answer.
     """
-    place = durable_entry.place_of(request)
-    row = await table.get(TABLE, row_key(place.log, place.segment))
-    plain = row.value.get(_item_key(place)) if row else None
-    if plain is None:
+    position = durable_entry.parse_request_id(request)
+    row = await table.get(TABLE, row_key(position.log, position.segment))
+    item = row.value.get(_item_key(position)) if row else None
+    if item is None:
         return None
-    segment, *log = plain
-    return Pointer(request, log[0] if log else place.log, segment)
+    segment, *log = item
+    return Pointer(request, log[0] if log else position.log, segment)
 
 
 def row_key(log: str, segment: int) -> str:
@@ -151,21 +160,21 @@
     return f'{log}/{segment // SEGMENTS_PER_ROW:08d}'
 
 
-def row_end(segment: int) -> int:
+def last_segment_of_row(segment: int) -> int:
     """Gives the last segment that has the same row as this one."""
     return segment | (SEGMENTS_PER_ROW - 1)
 
 
-def _row_of(pointer: Pointer) -> str:
-    place = durable_entry.place_of(pointer.request)
-    return row_key(place.log, place.segment)
+def _row_key_of(pointer: Pointer) -> str:
+    position = durable_entry.parse_request_id(pointer.request)
+    return row_key(position.log, position.segment)
 
 
-def _item_key(place: durable_entry.Place) -> str:
-    return f'{place.segment}-{place.index}'
+def _item_key(position: durable_entry.Position) -> str:
+    return f'{position.segment}-{position.index}'
 
 
-def _to_plain(pointer: Pointer) -> tuple[str, list[int | str]]:
-    place = durable_entry.place_of(pointer.request)
-    log = [] if pointer.log == place.log else [pointer.log]
-    return _item_key(place), [pointer.segment, *log]
+def _to_item(pointer: Pointer) -> tuple[str, list[int | str]]:
+    position = durable_entry.parse_request_id(pointer.request)
+    log = [] if pointer.log == position.log else [pointer.log]
+    return _item_key(position), [pointer.segment, *log]
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
@@ -9,9 +9,9 @@
 from quetzalsill.net import deadline
 from quetzalsill.telemetry import metric
 from quetzalsill_router.durable import error
-from quetzalsill_router.durable import pace as durable_pace
 from quetzalsill_router.durable import queue as durable_queue
 from quetzalsill_router.durable import segment as durable_segment
+from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from quetzalsill_router.durable import answer as durable_answer
@@ -22,7 +22,7 @@
 __all__ = ['Journal']
 
 OVERLOAD_RETRY_S = 5.0
-RUN_RECORD_S = 0.2
+RUN_RECORD_DELAY_S = 0.2
 
 REFUSED = metric.counter(
     'quetzalsill_journal_refused_total', 'Entries not accepted, by reason.'
@@ -35,11 +35,11 @@
     def __init__(
         self,
         writer: durable_log_writer.LogWriter,
-        pace: durable_pace.Pace,
+        throttle: durable_throttle.Throttle,
         cfg: setting.Durable,
     ) -> None:
         self._writer = writer
-        self._pace = pace
+        self._throttle = throttle
         self._cfg = cfg
 
     @property
@@ -63,24 +63,24 @@
             the id is not found, which means the same. Only if this router
             dies before may a taker run it.
         """
-        self._check_room(entry)
-        waiting = _item_of(entry)
-        self._writer.queue.add(waiting)
-        bound_s = durable_pace.bound_s(self._cfg, self._pace)
+        self._check_capacity(entry)
+        item = _make_item(entry)
+        self._writer.queue.add(item)
+        max_wait_s = durable_throttle.max_wait_s(self._cfg, self._throttle)
         try:
-            async with deadline.timeout(bound_s):
-                await waiting.done
+            async with deadline.timeout(max_wait_s):
+                await item.done
         except TimeoutError:
-            return self._late(waiting)
+            return self._handle_timeout(item)
         except asyncio.CancelledError:
-            self._abandon(waiting)
+            self._abandon(item)
             raise
         except request_error.StoreUnavailableError:
             REFUSED.inc({'reason': 'store'})
             raise
         return entry.request
 
-    async def dispatching(
+    async def record_dispatch(
         self, entry: durable_entry.Entry, run: durable_entry.Run
     ) -> None:
         """Records where an entry is about to be dispatched.
@@ -99,19 +99,21 @@
         if entry.run == run:
             return
         record = durable_segment.Dispatched(entry.request, entry.fence, run)
-        waiting = durable_queue.item(record)
+        item = durable_queue.make_item(record)
         if entry.idempotent:
-            self._writer.queue.add(waiting, within_s=RUN_RECORD_S)
+            self._writer.queue.add(item, within_s=RUN_RECORD_DELAY_S)
             entry.run = run
             return
-        self._writer.queue.add(waiting)
-        bound_s = durable_pace.bound_s(self._cfg, self._pace)
+        self._writer.queue.add(item)
+        max_wait_s = durable_throttle.max_wait_s(self._cfg, self._throttle)
         try:
-            async with deadline.timeout(bound_s):
-                await asyncio.shield(waiting.done)
+            async with deadline.timeout(max_wait_s):
+                await asyncio.shield(item.done)
         except TimeoutError:
-            self._writer.queue.remove(waiting)
-            raise self._writer.unavailable('dispatch not recorded') from None
+            self._writer.queue.remove(item)
+            raise self._writer.unavailable_error(
+                'dispatch not recorded'
+            ) from None
 
     async def settle(
         self, entry: durable_entry.Entry, answer: durable_answer.Answer
@@ -137,14 +139,14 @@
     async def adopt(
         self,
         by: str,
-        mark: durable_segment.Adopted,
+        adopted: durable_segment.Adopted,
         entries: list[durable_entry.Entry],
     ) -> None:
         """Moves the entries of a sealed log here; returns once durable.
 
         Args:
           by: Log of this router that made the seal.
-          mark: The sealed log and its seal.
+          adopted: The sealed log and its seal.
           entries: Its unsettled entries, with their new fences.
 
         Raises:
@@ -152,67 +154,71 @@
         """
         if by != self._writer.log:
             raise request_error.SupersededError(f'log {by} was taken over')
-        waiting = durable_queue.item(durable_queue.Adoption(mark, entries))
-        self._writer.queue.add(waiting)
-        await asyncio.shield(waiting.done)
+        item = durable_queue.make_item(durable_queue.Adoption(adopted, entries))
+        self._writer.queue.add(item)
+        await asyncio.shield(item.done)
 
-    def release_adopted(self, log: str) -> None:
+    def unpin_adopted(self, log: str) -> None:
         """Notes that the row of an adopted log is closed."""
-        self._writer.release_adopted(log)
+        self._writer.unpin_adopted(log)
 
-    def unavailable(self, detail: str) -> request_error.StoreUnavailableError:
+    def unavailable_error(
+        self, detail: str
+    ) -> request_error.StoreUnavailableError:
         """Makes the failure of what could not be stored."""
-        return self._writer.unavailable(detail)
+        return self._writer.unavailable_error(detail)
 
     def owns(self, entry: durable_entry.Entry) -> bool:
         """Whether the entry has no outcome, and no takeover is known."""
-        return self._writer.held.owned(entry)
+        return self._writer.unsettled.owns(entry)
 
-    def _check_room(self, entry: durable_entry.Entry) -> None:
+    def _check_capacity(self, entry: durable_entry.Entry) -> None:
         writer = self._writer
         if not writer.available:
             REFUSED.inc({'reason': 'store'})
-            raise writer.unavailable('the platform does not answer')
-        held_bytes = writer.held.payload_bytes + writer.queue.held_bytes
-        held_bytes += len(entry.payload)
-        waiting = len(writer.held) + len(writer.queue)
+            raise writer.unavailable_error('the platform does not answer')
+        queued_bytes = (
+            writer.unsettled.payload_bytes + writer.queue.queued_bytes
+        )
+        queued_bytes += len(entry.payload)
+        unsettled = len(writer.unsettled) + len(writer.queue)
         if (
-            waiting >= self._cfg.max_unsettled
-            or held_bytes > self._cfg.max_unsettled_bytes
+            unsettled >= self._cfg.max_unsettled
+            or queued_bytes > self._cfg.max_unsettled_bytes
         ):
             REFUSED.inc({'reason': 'room'})
             raise request_error.OverloadedError(
                 'too many unsettled requests', retry_after_s=OVERLOAD_RETRY_S
             )
 
-    def _late(self, waiting: durable_queue.Item) -> str:
+    def _handle_timeout(self, item: durable_queue.Item) -> str:
         """Ends a wait for acceptance that reached its bound."""
-        entry = waiting.record
-        if self._writer.held.owned(entry):
+        entry = item.record
+        if self._writer.unsettled.owns(entry):
             return entry.request
-        if self._abandon(waiting):
+        if self._abandon(item):
             REFUSED.inc({'reason': 'store'})
-            raise self._writer.unavailable('the platform is slow')
+            raise self._writer.unavailable_error('the platform is slow')
         REFUSED.inc({'reason': 'unknown'})
         raise request_error.OutcomeUnknownError(
             f'acceptance of {entry.request} is not settled'
         )
 
-    def _abandon(self, waiting: durable_queue.Item) -> bool:
+    def _abandon(self, item: durable_queue.Item) -> bool:
         """Gives an entry up; True if it is certain that none will run it.
 
         A wait can end in the same turn of the event loop in which the entry
         became durable. It is held then, and nobody would ever settle it, so
         it is withdrawn here.
         """
-        waiting.abandoned = True
-        if self._writer.held.owned(waiting.record):
-            self._writer.withdraw(waiting.record)
-        return self._writer.queue.remove(waiting)
+        item.abandoned = True
+        if self._writer.unsettled.owns(item.record):
+            self._writer.settle_as_not_run(item.record)
+        return self._writer.queue.remove(item)
 
 
-def _item_of(entry: durable_entry.Entry) -> durable_queue.Item:
+def _make_item(entry: durable_entry.Entry) -> durable_queue.Item:
     try:
-        return durable_queue.item(entry)
+        return durable_queue.make_item(entry)
     except error.UnstorableRecordError as exc:
         raise request_error.BadRequestError(exc.detail) from exc
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
@@ -22,7 +22,7 @@
     from quetzalsill.platform import objects as platform_objects
 
 __all__ = [
-    'Remains',
+    'ReplayedLog',
     'Seal',
     'key_of',
     'last_number',
@@ -32,7 +32,7 @@
     'seal',
 ]
 
-READS_AT_ONCE = 8
+MAX_CONCURRENT_READS = 8
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Remains:
+class ReplayedLog:
     """What a sealed log leaves to its taker.
 
     Attributes:
@@ -85,13 +85,13 @@
 
 
 async def read_entry(
-    objects: platform_objects.Objects, place: durable_entry.Place
+    objects: platform_objects.Objects, position: durable_entry.Position
 ) -> durable_entry.Entry | None:
     """Reads an entry where it was accepted; None if there is none."""
-    segment = await read(objects, place.log, place.segment)
-    if segment is None or place.index >= len(segment.accepted):
+    segment = await read(objects, position.log, position.segment)
+    if segment is None or position.index >= len(segment.accepted):
         return None
-    return segment.accepted[place.index]
+    return segment.accepted[position.index]
 
 
 async def last_number(
@@ -145,7 +145,7 @@
 
 async def replay(
     objects: platform_objects.Objects, log: str, end: int
-) -> Remains:
+) -> ReplayedLog:
     """Reads what a log that is sealed at `end` leaves.
 
     Raises:
@@ -153,40 +153,42 @@
       MalformedSegmentError: An object is no segment.
       PlatformUnavailableError: The store does not answer.
     """
-    last, newest = await _newest_records(objects, log, end)
+    last, newest = await _last_record_segment(objects, log, end)
     if newest is None:
-        return Remains({}, [], [])
-    remains = Remains([], [], [])
+        return ReplayedLog({}, [], [])
+    replayed = ReplayedLog([], [], [])
     entries: dict[str, durable_entry.Entry] = {}
     owners: dict[str, durable_segment.Dispatched] = {}
-    async for number, segment in _segments(objects, log, newest.floor, last):
+    async for number, segment in _read_segments(
+        objects, log, newest.floor, last
+    ):
         entries.update((entry.request, entry) for entry in segment.accepted)
         owners.update((record.request, record) for record in segment.dispatched)
         for record in segment.settled:
             entries.pop(record.request, None)
             owners.pop(record.request, None)
-            remains.settled.append((record.request, number))
-        remains.adopted += segment.adopted
-    await _add_accepted_elsewhere(objects, entries, owners.keys())
+            replayed.settled.append((record.request, number))
+        replayed.adopted += segment.adopted
+    await _load_entries_accepted_elsewhere(objects, entries, owners.keys())
     for record in owners.values():
         entries[record.request].run = record.run
         entries[record.request].fence = record.fence
-    remains.entries += entries.values()
-    return remains
+    replayed.entries += entries.values()
+    return replayed
 
 
-async def _newest_records(
+async def _last_record_segment(
     objects: platform_objects.Objects, log: str, end: int
 ) -> tuple[int, durable_segment.Segment | None]:
     """Steps back over seals to the newest segment with records."""
     for number in range(end - 1, 0, -1):
-        segment = await _needed(objects, log, number)
+        segment = await _read_required(objects, log, number)
         if not segment.sealed_by:
             return number, segment
     return 0, None
 
 
-async def _needed(
+async def _read_required(
     objects: platform_objects.Objects, log: str, number: int
 ) -> durable_segment.Segment:
     segment = await read(objects, log, number)
@@ -195,27 +197,29 @@
     return segment
 
 
-async def _segments(
+async def _read_segments(
     objects: platform_objects.Objects, log: str, first: int, last: int
 ) -> AsyncIterator[tuple[int, durable_segment.Segment]]:
     """Reads segments, a few at once: answers in them may be large."""
-    for start in range(first, last + 1, READS_AT_ONCE):
-        numbers = range(start, min(start + READS_AT_ONCE, last + 1))
-        reads = (_needed(objects, log, number) for number in numbers)
+    for start in range(first, last + 1, MAX_CONCURRENT_READS):
+        numbers = range(start, min(start + MAX_CONCURRENT_READS, last + 1))
+        reads = (_read_required(objects, log, number) for number in numbers)
         for found in zip(numbers, await asyncio.gather(*reads), strict=True):
             yield found
 
 
-async def _add_accepted_elsewhere(
+async def _load_entries_accepted_elsewhere(
     objects: platform_objects.Objects,
     entries: dict[str, durable_entry.Entry],
     requests: Iterable[str],
 ) -> None:
     """Fetches entries accepted below the floor or in an adopted log."""
     missing = [request for request in requests if request not in entries]
-    places = [durable_entry.place_of(request) for request in missing]
-    for log, number in {(place.log, place.segment) for place in places}:
-        segment = await _needed(objects, log, number)
+    positions = [durable_entry.parse_request_id(request) for request in missing]
+    for log, number in {
+        (position.log, position.segment) for position in positions
+    }:
+        segment = await _read_required(objects, log, number)
         by_request = {entry.request: entry for entry in segment.accepted}
         for request in missing:
             if request in by_request:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -24,7 +24,7 @@
     from collections.abc import Awaitable, Callable, Iterable
 
     from quetzalsill.platform import objects as platform_objects
-    from quetzalsill_router.durable import pace as durable_pace
+    from quetzalsill_router.durable import throttle as durable_throttle
 
 __all__ = ['LogWriter']
 
@@ -59,7 +59,7 @@
       log: Name of the log; empty while none is open.
       last: Number of the newest segment.
       queue: Records that wait.
-      held: Entries in the log without an outcome.
+      unsettled: Entries in the log without an outcome.
       health: Whether the object store takes the segments.
     """
 
@@ -68,7 +68,7 @@
         objects: platform_objects.Objects,
         register: Callable[[], Awaitable[str]],
         index: durable_index.Index,
-        pace: durable_pace.Pace,
+        throttle: durable_throttle.Throttle,
         on_superseded: Callable[[], None] = lambda: None,
     ) -> None:
         """Makes a writer without an open log.
@@ -78,22 +78,22 @@
           register: Registers a new log in the platform and gives its name;
             repeats until the platform took it.
           index: Told of each outcome.
-          pace: Spaces the segments.
+          throttle: Spaces the segments.
           on_superseded: Called once another router has taken the log over.
         """
         self.log = ''
         self.last = 0
         self.queue = durable_queue.Queue()
-        self.held = durable_unsettled.Unsettled()
+        self.unsettled = durable_unsettled.UnsettledEntries()
         self.health = platform_health.StoreHealth()
         self._objects = objects
         self._register = register
         self._index = index
-        self._pace = pace
+        self._throttle = throttle
         self._on_superseded = on_superseded
-        self._writing: list[durable_queue.Item] = []
+        self._in_flight: list[durable_queue.Item] = []
         self._adopted: dict[str, Callable[[], None]] = {}
-        self._probe = False
+        self._probe_requested = False
 
     @property
     def available(self) -> bool:
@@ -103,7 +103,7 @@
     @property
     def floor(self) -> int:
         """Gives the least segment that a taker would read."""
-        return self.held.floor(self.last + 1)
+        return self.unsettled.floor(self.last + 1)
 
     def settle_later(
         self, entry: durable_entry.Entry, answer: durable_answer.Answer
@@ -114,8 +114,8 @@
           SupersededError: The entry is not held here, or has an outcome.
         """
         self.check_owned(entry)
-        waiting = _item_of(entry, answer)
-        self.held.settling(entry.request)
+        waiting = _make_item(entry, answer)
+        self.unsettled.settling(entry.request)
         self.queue.add(waiting)
         return waiting.done
 
@@ -125,17 +125,19 @@
         Raises:
           SupersededError: It is not, or has one.
         """
-        if not self.held.owned(entry):
+        if not self.unsettled.owns(entry):
             detail = f'request {entry.request} is settled or taken over'
             raise request_error.SupersededError(detail, ran=base.Ran.UNKNOWN)
 
-    def unavailable(self, detail: str) -> request_error.StoreUnavailableError:
+    def unavailable_error(
+        self, detail: str
+    ) -> request_error.StoreUnavailableError:
         """Makes the failure of what could not be stored."""
         return request_error.StoreUnavailableError(
             detail, retry_after_s=self.health.retry_after_s()
         )
 
-    def release_adopted(self, log: str) -> None:
+    def unpin_adopted(self, log: str) -> None:
         """Notes that the row of an adopted log is closed."""
         release = self._adopted.pop(log, None)
         if release is not None:
@@ -143,8 +145,8 @@
 
     def probe(self) -> None:
         """Writes a segment soon, so that a seal is found."""
-        self._probe = True
-        self.queue.wanted.set()
+        self._probe_requested = True
+        self.queue.wakeup.set()
 
     async def run(self) -> None:
         """Opens a log and writes it, and a new one after each seal."""
@@ -156,33 +158,33 @@
 
     async def drain(self, within_s: float) -> None:
         """Waits until all records are durable, at most `within_s`."""
-        waiting = [item.done for item in (*self._writing, *self.queue)]
+        waiting = [item.done for item in (*self._in_flight, *self.queue)]
         if waiting:
-            self.queue.wanted.set()
+            self.queue.wakeup.set()
             await asyncio.wait(waiting, timeout=within_s)
 
     async def _write_until_sealed(self) -> None:
         while True:
-            await self.queue.wanted.wait()
-            if not (self.queue or self._probe):
-                self.queue.wanted.clear()
+            await self.queue.wakeup.wait()
+            if not (self.queue or self._probe_requested):
+                self.queue.wakeup.clear()
                 continue
-            await self._pace.turn()
-            self._probe = False
-            stored = await self._write(self.queue.cut())
+            await self._throttle.acquire()
+            self._probe_requested = False
+            stored = await self._write(self.queue.take_next_batch())
             if stored is None:
-                self._end_log()
+                self._drop_log()
                 return
-            self._take_up(stored)
+            self._apply(stored)
 
     async def _write(
         self, items: list[durable_queue.Item]
     ) -> durable_segment.Segment | None:
         number = self.last + 1
-        carried = map(_record_anew, self.held.stragglers(number))
-        self._writing = [*carried, *items]
-        segment = durable_queue.assemble(
-            self._writing, self.log, number, self.floor
+        carried = map(_rewrite_item, self.unsettled.entries_to_rewrite(number))
+        self._in_flight = [*carried, *items]
+        segment = durable_queue.build_segment(
+            self._in_flight, self.log, number, self.floor
         )
         stored = await durable_write.write(
             self._objects,
@@ -191,7 +193,7 @@
             segment,
             self._drop_accepted,
         )
-        self.queue.release(items)
+        self.queue.release_bytes(items)
         return stored
 
     def _drop_accepted(self, lost: bool) -> bool:
@@ -202,7 +204,7 @@
         """
         if not self.health.up:
             self._refuse(self.queue.take_entries())
-        entries = [item for item in self._writing if item.is_entry]
+        entries = [item for item in self._in_flight if item.is_entry]
         if lost and not all(item.abandoned for item in entries):
             return False
         self._refuse(entries)
@@ -210,67 +212,69 @@
 
     def _refuse(self, entries: Iterable[durable_queue.Item]) -> None:
         for item in entries:
-            item.fail(self.unavailable('the platform does not answer'))
+            item.fail(self.unavailable_error('the platform does not answer'))
 
-    def _take_up(self, stored: durable_segment.Segment) -> None:
+    def _apply(self, stored: durable_segment.Segment) -> None:
         """Acts on a segment that is in the log now."""
         self.last += 1
-        items, self._writing = self._writing, []
+        items, self._in_flight = self._in_flight, []
         for item in items:
             if stored.accepted or not item.is_entry:
-                self._take_up_item(item)
+                self._apply_item(item)
         if stored.settled:
             pointers = [
                 durable_index.Pointer(record.request, self.log, self.last)
                 for record in stored.settled
             ]
-            self._index.add(pointers, self.held.pin(self.last))
+            self._index.add(pointers, self.unsettled.pin(self.last))
         SEGMENTS.inc({})
-        UNSETTLED.set({}, len(self.held))
-        QUEUED_BYTES.set({}, self.queue.held_bytes)
+        UNSETTLED.set({}, len(self.unsettled))
+        QUEUED_BYTES.set({}, self.queue.queued_bytes)
 
-    def _take_up_item(self, item: durable_queue.Item) -> None:
+    def _apply_item(self, item: durable_queue.Item) -> None:
         match item.record:
             case durable_entry.Entry() as entry:
-                self.held.hold(entry, self.last)
+                self.unsettled.track(entry, self.last)
                 if item.abandoned:
-                    self.withdraw(entry)
+                    self.settle_as_not_run(entry)
             case durable_segment.Dispatched(request=request, run=run):
-                self.held.move(request, self.last, run)
+                self.unsettled.record_rewrite(request, self.last, run)
             case durable_segment.Settled(request=request):
-                self.held.settled(request)
-            case durable_queue.Adoption(mark=mark, entries=entries):
+                self.unsettled.remove(request)
+            case durable_queue.Adoption(adopted=adopted, entries=entries):
                 for entry in entries:
-                    self.held.hold(entry, self.last)
-                self._adopted[mark.log] = self.held.pin(self.last)
+                    self.unsettled.track(entry, self.last)
+                self._adopted[adopted.log] = self.unsettled.pin(self.last)
         RECORDS.inc({'kind': type(item.record).__name__.lower()})
         item.succeed()
 
-    def withdraw(self, entry: durable_entry.Entry) -> None:
+    def settle_as_not_run(self, entry: durable_entry.Entry) -> None:
         """Settles an entry that nobody waits for as not run."""
         exc = request_error.StoreUnavailableError('not accepted in time')
         self.settle_later(entry, durable_answer.failure(exc))
 
-    def _end_log(self) -> None:
+    def _drop_log(self) -> None:
         """Lets go of all that another router has taken over."""
         SUPERSEDED.inc({})
-        LOG.warning('journal_superseded', log=self.log, held=len(self.held))
+        LOG.warning(
+            'journal_superseded', log=self.log, held=len(self.unsettled)
+        )
         self.log = ''
-        self.held = durable_unsettled.Unsettled()
+        self.unsettled = durable_unsettled.UnsettledEntries()
         self._adopted.clear()
-        items, self._writing = self._writing, []
+        items, self._in_flight = self._in_flight, []
         for item in (*items, *self.queue.take_all()):
-            item.fail(_sealed_failure(item))
+            item.fail(_superseded_error(item))
         self._on_superseded()
 
 
-def _record_anew(entry: durable_entry.Entry) -> durable_queue.Item:
-    return durable_queue.item(
+def _rewrite_item(entry: durable_entry.Entry) -> durable_queue.Item:
+    return durable_queue.make_item(
         durable_segment.Dispatched(entry.request, entry.fence, entry.run)
     )
 
 
-def _sealed_failure(item: durable_queue.Item) -> request_error.RequestError:
+def _superseded_error(item: durable_queue.Item) -> request_error.RequestError:
     detail = 'another router took over the journal of this one'
     if item.is_entry:
         return request_error.StoreUnavailableError(
@@ -279,17 +283,17 @@
     return request_error.SupersededError(detail, ran=base.Ran.UNKNOWN)
 
 
-def _item_of(
+def _make_item(
     entry: durable_entry.Entry, answer: durable_answer.Answer
 ) -> durable_queue.Item:
     """Makes the item of an outcome, or of the failure to store it."""
     settled = durable_segment.Settled(entry.request, entry.account, answer)
     try:
-        return durable_queue.item(settled)
+        return durable_queue.make_item(settled)
     except error.UnstorableRecordError as exc:
         LOG.error('answer_unstorable', request=entry.request, why=exc)
         failure = request_error.UpstreamFailedError(exc.detail, ran=answer.ran)
         settled = dataclasses.replace(
             settled, answer=durable_answer.failure(failure)
         )
-        return durable_queue.item(settled)
+        return durable_queue.make_item(settled)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
@@ -26,8 +26,8 @@
 
 __all__ = ['Answers', 'Stored']
 
-FIRST_POLL_S = 0.05
-LONGEST_POLL_S = 2.0
+MIN_POLL_INTERVAL_S = 0.05
+MAX_POLL_INTERVAL_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -81,7 +81,7 @@
             raise request_error.StoreUnavailableError(
                 f'request {request}: {exc}',
                 ran=base.Ran.UNKNOWN,
-                retry_after_s=LONGEST_POLL_S,
+                retry_after_s=MAX_POLL_INTERVAL_S,
             ) from exc
 
     async def wait(self, account: str, request: str, within_s: float) -> Stored:
@@ -97,17 +97,17 @@
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
-        poll_s = FIRST_POLL_S
+        poll_s = MIN_POLL_INTERVAL_S
         stored = await self.get(account, request)
         while stored.answer is None and loop.time() < end:
-            self._suspect(durable_entry.place_of(request).log)
+            self._suspect(durable_entry.parse_request_id(request).log)
             await asyncio.sleep(min(poll_s, end - loop.time()))
-            poll_s = min(2 * poll_s, LONGEST_POLL_S)
+            poll_s = min(2 * poll_s, MAX_POLL_INTERVAL_S)
             stored = await self.get(account, request)
         return stored
 
     async def _get(self, account: str, request: str) -> Stored:
-        pointer = self._index.queued(request)
+        pointer = self._index.find_queued(request)
         if pointer is None:
             pointer = await durable_index.find(self._table, request)
         if pointer is None:
@@ -128,8 +128,8 @@
         )
 
     async def _pending(self, account: str, request: str) -> Stored:
-        place = durable_entry.place_of(request)
-        entry = await durable_log.read_entry(self._objects, place)
+        position = durable_entry.parse_request_id(request)
+        entry = await durable_log.read_entry(self._objects, position)
         if entry is None or entry.account != account:
             raise request_error.UnknownRequestError(f'no request {request!r}')
         return Stored(request, None)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/queue.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/queue.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-__all__ = ['Adoption', 'Item', 'Queue', 'assemble', 'item']
+__all__ = ['Adoption', 'Item', 'Queue', 'build_segment', 'make_item']
 
 MAX_SEGMENT_BYTES = 8_388_608
 
@@ -22,7 +22,7 @@
 class Adoption:
     """Entries of a sealed log that are moved here, all or none."""
 
-    mark: durable_segment.Adopted
+    adopted: durable_segment.Adopted
     entries: list[durable_entry.Entry]
 
 
@@ -66,7 +66,7 @@
             self.done.set_result(None)
 
 
-def item(record: Record) -> Item:
+def make_item(record: Record) -> Item:
     """Makes the item of a record; needs a running event loop.
 
     Raises:
@@ -85,8 +85,8 @@
 
     def __init__(self) -> None:
         self._items: collections.deque[Item] = collections.deque()
-        self.wanted = asyncio.Event()
-        self.held_bytes = 0
+        self.wakeup = asyncio.Event()
+        self.queued_bytes = 0
 
     def __len__(self) -> int:
         return len(self._items)
@@ -97,77 +97,82 @@
     def add(self, new: Item, within_s: float = 0.0) -> None:
         """Queues an item, to go along with another or after `within_s`."""
         self._items.append(new)
-        self.held_bytes += new.size
+        self.queued_bytes += new.size
         if within_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(within_s, self.wanted.set)
+            loop.call_later(within_s, self.wakeup.set)
         else:
-            self.wanted.set()
+            self.wakeup.set()
 
     def remove(self, old: Item) -> bool:
         """Takes an item back; False if it is being written already."""
         if old not in self._items:
             return False
         self._items.remove(old)
-        self.held_bytes -= old.size
+        self.queued_bytes -= old.size
         return True
 
-    def cut(self) -> list[Item]:
+    def take_next_batch(self) -> list[Item]:
         """Takes the items of the next segment."""
         taken: list[Item] = []
-        room = MAX_SEGMENT_BYTES
-        while self._items and (not taken or self._items[0].size <= room):
+        free_bytes = MAX_SEGMENT_BYTES
+        while self._items and (not taken or self._items[0].size <= free_bytes):
             taken.append(self._items.popleft())
-            room -= taken[-1].size
+            free_bytes -= taken[-1].size
         if not self._items:
-            self.wanted.clear()
+            self.wakeup.clear()
         return taken
 
-    def release(self, items: Iterable[Item]) -> None:
+    def release_bytes(self, items: Iterable[Item]) -> None:
         """Frees the memory of items that were cut and are done."""
-        self.held_bytes -= sum(old.size for old in items)
+        self.queued_bytes -= sum(old.size for old in items)
 
     def take_entries(self) -> list[Item]:
         """Takes the new entries and leaves the other records."""
-        entries = [waiting for waiting in self._items if waiting.is_entry]
-        for waiting in entries:
-            self.remove(waiting)
+        entries = [item for item in self._items if item.is_entry]
+        for item in entries:
+            self.remove(item)
         return entries
 
     def take_all(self) -> list[Item]:
         """Takes all items."""
         taken = list(self._items)
         self._items.clear()
-        self.release(taken)
+        self.release_bytes(taken)
         return taken
 
 
-def assemble(
+def build_segment(
     items: list[Item], log: str, number: int, floor: int
 ) -> durable_segment.Segment:
     """Makes the segment of some items, and names its new entries."""
     segment = durable_segment.Segment(floor=floor)
-    for record in (waiting.record for waiting in items):
+    for record in (item.record for item in items):
         match record:
             case durable_entry.Entry():
-                place = durable_entry.Place(log, number, len(segment.accepted))
-                record.request = str(place)
+                position = durable_entry.Position(
+                    log, number, len(segment.accepted)
+                )
+                record.request = str(position)
                 segment.accepted.append(record)
             case durable_segment.Dispatched():
                 segment.dispatched.append(record)
             case durable_segment.Settled():
                 segment.settled.append(record)
             case Adoption():
-                segment.adopted.append(record.mark)
-                segment.dispatched += map(_owned, record.entries)
+                segment.adopted.append(record.adopted)
+                segment.dispatched += map(_ownership_record, record.entries)
     return segment
 
 
-def _owned(entry: durable_entry.Entry) -> durable_segment.Dispatched:
+def _ownership_record(entry: durable_entry.Entry) -> durable_segment.Dispatched:
     return durable_segment.Dispatched(entry.request, entry.fence, entry.run)
 
 
 def _size_of(record: Record) -> int:
     if isinstance(record, Adoption):
-        return sum(durable_segment.size_of(_owned(e)) for e in record.entries)
-    return durable_segment.size_of(record)
+        return sum(
+            durable_segment.packed_size(_ownership_record(e))
+            for e in record.entries
+        )
+    return durable_segment.packed_size(record)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/recovery.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/recovery.py
@@ -44,18 +44,18 @@
         journal: durable_journal.Journal,
         claims: durable_claim.Claims,
         recover: Recover,
-        at_once: int,
+        max_concurrent: int,
     ) -> None:
         self._journal = journal
         self._claims = claims
         self._recover = recover
-        self._slots = asyncio.Semaphore(at_once)
+        self._slots = asyncio.Semaphore(max_concurrent)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, entries: Iterable[durable_entry.Entry]) -> None:
         """Starts to recover entries that the journal holds now."""
         for entry in entries:
-            task = asyncio.create_task(self._bring_to_outcome(entry))
+            task = asyncio.create_task(self._recover_until_settled(entry))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -66,11 +66,11 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _bring_to_outcome(self, entry: durable_entry.Entry) -> None:
+    async def _recover_until_settled(self, entry: durable_entry.Entry) -> None:
         async with self._slots:
             while self._journal.owns(entry):
                 try:
-                    await self._once(entry)
+                    await self._try_recover(entry)
                 except request_error.SupersededError:
                     return
                 except asyncio.CancelledError:
@@ -86,7 +86,7 @@
                     await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         RECOVERED.inc({})
 
-    async def _once(self, entry: durable_entry.Entry) -> None:
+    async def _try_recover(self, entry: durable_entry.Entry) -> None:
         """Claims the key first: the dead router may not have come to it."""
         if entry.idempotency_key:
             try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
@@ -14,16 +14,16 @@
 from quetzalsill.platform import error as platform_error
 from quetzalsill.platform import table as platform_table
 from quetzalsill.telemetry import log as telemetry_log
-from quetzalsill_router.durable import pace as durable_pace
+from quetzalsill_router.durable import liveness as durable_liveness
 from quetzalsill_router.durable import row as durable_row
-from quetzalsill_router.durable import watch as durable_watch
+from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from quetzalsill_router.durable import setting
 
-__all__ = ['Registration', 'Router', 'Span']
+__all__ = ['Registration', 'Router', 'SegmentRange']
 
 RETRY_S = 0.5
 
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Span:
+class SegmentRange:
     """The segments of a log: the oldest kept and the newest."""
 
     first: int
@@ -62,7 +62,7 @@
 
     Attributes:
       router: This router; its holder keeps `revision` up to date.
-      seen: What was seen of all routers.
+      liveness: What was seen of all routers.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         cfg: setting.Durable,
     ) -> None:
         self.router = router
-        self.seen = durable_watch.Watch()
+        self.liveness = durable_liveness.LivenessTracker()
         self._table = table
         self._cfg = cfg
         self._epoch = 0
@@ -81,7 +81,7 @@
     @property
     def interval_s(self) -> float:
         """Gives the interval between two renewals, in s."""
-        return durable_pace.heartbeat_s(self._cfg, self.count())
+        return durable_throttle.heartbeat_s(self._cfg, self.count())
 
     def count(self) -> int:
         """Gives the number of live routers, at least 1."""
@@ -97,7 +97,7 @@
                 row.availability_zone,
                 row.revision,
             )
-            for row in self.seen.live()
+            for row in self.liveness.live_rows()
             if row.node != self.router.node
         ]
         return [self.router, *others]
@@ -112,11 +112,13 @@
         Returns:
           The name of the log.
         """
-        while self.seen.replaced(self.router.node, self.router.incarnation):
+        while self.liveness.is_replaced(
+            self.router.node, self.router.incarnation
+        ):
             LOG.warning('node_replaced', node=self.router.node)
             await asyncio.sleep(self.interval_s)
         self._epoch += 1
-        row = self._row(Span(1, 0))
+        row = self._row(SegmentRange(1, 0))
         condition = platform_table.Condition(durable_row.TABLE, row.log, 0)
         write = platform_table.Write(
             durable_row.TABLE, row.log, dataclasses.asdict(row)
@@ -137,13 +139,13 @@
         return row.log
 
     async def run(
-        self, span: Callable[[], Span], on_sealed: Callable[[], None]
+        self, span: Callable[[], SegmentRange], on_closed: Callable[[], None]
     ) -> None:
         """Renews the row until cancelled.
 
         Args:
           span: Gives the segments of the present log.
-          on_sealed: Called if another router has closed the log.
+          on_closed: Called if another router has closed the log.
         """
         while True:
             await asyncio.sleep(self.interval_s * random.uniform(0.9, 1.0))
@@ -153,34 +155,37 @@
                 LOG.warning('renewal_failed', log=self._log, why=exc.code)
             else:
                 if not alive:
-                    on_sealed()
+                    on_closed()
 
-    async def release(self, span: Span) -> None:
+    async def release(self, span: SegmentRange) -> None:
         """Lets others take the log at once, after a graceful stop."""
         if self._log:
-            await durable_row.change(
+            await durable_row.compare_and_set(
                 self._table,
                 self._log,
-                lambda row: self._renewed(row, span, released=True),
+                lambda row: self._renewed_row(row, span, released=True),
             )
 
-    async def _renew(self, span: Span) -> bool:
+    async def _renew(self, span: SegmentRange) -> bool:
         if not self._log:
             return True
-        row = await durable_row.change(
-            self._table, self._log, lambda row: self._renewed(row, span)
+        row = await durable_row.compare_and_set(
+            self._table, self._log, lambda row: self._renewed_row(row, span)
         )
         return row is not None and not row.keeper
 
-    def _renewed(
-        self, row: durable_row.LogRow, span: Span, released: bool = False
+    def _renewed_row(
+        self,
+        row: durable_row.LogRow,
+        span: SegmentRange,
+        released: bool = False,
     ) -> durable_row.LogRow | None:
         if row.keeper:
             return None
         new = self._row(span)
         return dataclasses.replace(new, epoch=row.epoch, released=released)
 
-    def _row(self, span: Span) -> durable_row.LogRow:
+    def _row(self, span: SegmentRange) -> durable_row.LogRow:
         return durable_row.LogRow(
             node=self.router.node,
             incarnation=self.router.incarnation,
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/row.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/row.py
@@ -14,7 +14,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ['LogRow', 'TABLE', 'Versioned', 'change', 'parse', 'read', 'scan']
+__all__ = [
+    'LogRow',
+    'TABLE',
+    'VersionedRow',
+    'compare_and_set',
+    'parse',
+    'read',
+    'scan',
+]
 
 TABLE = 'routers'
 
@@ -57,11 +65,11 @@
         return f'{self.node}.{self.incarnation}.{self.epoch}'
 
 
-FIELDS = {field.name for field in dataclasses.fields(LogRow)}
+FIELD_NAMES = {field.name for field in dataclasses.fields(LogRow)}
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Versioned:
+class VersionedRow:
     """A row and the version at which it stands."""
 
     version: int
@@ -78,31 +86,33 @@
       MalformedRowError: It is not the row of a log.
     """
     try:
-        return LogRow(**{name: value[name] for name in FIELDS & value.keys()})
+        return LogRow(
+            **{name: value[name] for name in FIELD_NAMES & value.keys()}
+        )
     except (AttributeError, TypeError) as exc:
         raise error.MalformedRowError(str(exc)) from exc
 
 
-async def read(table: platform_table.Table, log: str) -> Versioned | None:
+async def read(table: platform_table.Table, log: str) -> VersionedRow | None:
     """Reads the row of a log; None if it is absent."""
     found = await table.get(TABLE, log)
-    return found and Versioned(found.version, parse(found.value))
+    return found and VersionedRow(found.version, parse(found.value))
 
 
-async def scan(table: platform_table.Table) -> list[Versioned]:
+async def scan(table: platform_table.Table) -> list[VersionedRow]:
     """Reads the rows of all logs; leaves malformed ones out."""
     rows = await table.scan(TABLE)
-    return list(itertools.chain.from_iterable(map(_parsed, rows)))
+    return list(itertools.chain.from_iterable(map(_parse_if_valid, rows)))
 
 
-def _parsed(found: platform_table.KeyedRow) -> Iterator[Versioned]:
+def _parse_if_valid(found: platform_table.KeyedRow) -> Iterator[VersionedRow]:
     try:
-        yield Versioned(found.version, parse(found.value))
+        yield VersionedRow(found.version, parse(found.value))
     except error.MalformedRowError as exc:
         LOG.error('row_malformed', key=found.key, why=exc)
 
 
-async def change(
+async def compare_and_set(
     table: platform_table.Table,
     log: str,
     update: Callable[[LogRow], LogRow | None],
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/segment.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/segment.py
@@ -27,10 +27,10 @@
     'Settled',
     'decode',
     'encode',
-    'size_of',
+    'packed_size',
 ]
 
-FORM = 1
+FORMAT_VERSION = 1
 NONCE_BYTES = 16
 
 # The place of an entry follows from where it stands, and its run and fence
@@ -122,7 +122,7 @@
         return dataclasses.replace(self, nonce=nonce, accepted=[])
 
 
-def size_of(record: durable_entry.Entry | Dispatched | Settled) -> int:
+def packed_size(record: durable_entry.Entry | Dispatched | Settled) -> int:
     """Gives the bytes of a record.
 
     Records are packed once before they are queued, so that a value which
@@ -140,8 +140,8 @@
 
 def encode(segment: Segment) -> bytes:
     """Packs a segment."""
-    plain = [
-        FORM,
+    values = [
+        FORMAT_VERSION,
         segment.nonce,
         segment.floor,
         segment.sealed_by,
@@ -150,7 +150,7 @@
         [_from_settled(record) for record in segment.settled],
         [[record.log, record.seal] for record in segment.adopted],
     ]
-    return msgpack.packb(plain)
+    return msgpack.packb(values)
 
 
 def decode(data: bytes, log: str, number: int) -> Segment:
@@ -161,35 +161,35 @@
     """
     try:
         form, *fields = msgpack.unpackb(data)
-        if form != FORM:
+        if form != FORMAT_VERSION:
             raise error.MalformedSegmentError(f'form {form}')
-        return _segment(fields, log, number)
+        return _to_segment(fields, log, number)
     except (ValueError, TypeError, msgpack.UnpackException) as exc:
         detail = f'{log}/{number}: {exc}'
         raise error.MalformedSegmentError(detail) from exc
 
 
-def _segment(fields: list[Any], log: str, number: int) -> Segment:
+def _to_segment(fields: list[Any], log: str, number: int) -> Segment:
     nonce, floor, sealed_by, accepted, dispatched, settled, adopted = fields
     return Segment(
         nonce,
         floor,
         sealed_by,
-        list(_entries(accepted, log, number)),
-        [_to_dispatched(*plain) for plain in dispatched],
-        [_to_settled(*plain) for plain in settled],
-        [Adopted(*plain) for plain in adopted],
+        list(_to_entries(accepted, log, number)),
+        [_to_dispatched(*values) for values in dispatched],
+        [_to_settled(*values) for values in settled],
+        [Adopted(*values) for values in adopted],
     )
 
 
-def _entries(
+def _to_entries(
     accepted: list[Any], log: str, number: int
 ) -> Iterator[durable_entry.Entry]:
     for index, (fields, run) in enumerate(accepted):
         entry = durable_entry.Entry(
             **dict(zip(ENTRY_FIELDS, fields, strict=True))
         )
-        entry.request = str(durable_entry.Place(log, number, index))
+        entry.request = str(durable_entry.Position(log, number, index))
         entry.run = _to_run(run)
         yield entry
 
@@ -215,8 +215,8 @@
     return run and [run.attempt, run.upstream, run.incarnation, run.engine]
 
 
-def _to_run(plain: list[Any] | None) -> durable_entry.Run | None:
-    return plain and durable_entry.Run(*plain)
+def _to_run(values: list[Any] | None) -> durable_entry.Run | None:
+    return values and durable_entry.Run(*values)
 
 
 def _from_dispatched(record: Dispatched) -> list[Any]:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
@@ -16,10 +16,10 @@
 from quetzalsill_router.durable import journal as durable_journal
 from quetzalsill_router.durable import log_writer as durable_log_writer
 from quetzalsill_router.durable import lookup as durable_lookup
-from quetzalsill_router.durable import pace as durable_pace
 from quetzalsill_router.durable import recovery as durable_recovery
 from quetzalsill_router.durable import registration as durable_registration
 from quetzalsill_router.durable import takeover as durable_takeover
+from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -30,7 +30,7 @@
 
 __all__ = ['DurableState']
 
-RELEASE_S = 2.0
+RELEASE_TIMEOUT_S = 2.0
 
 LOG = telemetry_log.get(__name__)
 
@@ -70,28 +70,30 @@
             table, router, cfg
         )
         count = self.registration.count
-        pace = durable_pace.journal_pace(cfg, count)
+        throttle = durable_throttle.journal_throttle(cfg, count)
         self._index = durable_index.Index(
-            table, durable_pace.index_pace(cfg, count)
+            table, durable_throttle.index_throttle(cfg, count)
         )
         self._writer = durable_log_writer.LogWriter(
             objects,
             self.registration.register,
             self._index,
-            pace,
+            throttle,
             on_superseded,
         )
-        self.journal = durable_journal.Journal(self._writer, pace, cfg)
+        self.journal = durable_journal.Journal(self._writer, throttle, cfg)
         self.answers = durable_lookup.Answers(
             table, objects, self._index, self._suspect
         )
-        claim_pace = durable_pace.claim_pace(cfg, count)
-        self._claim_writer = durable_claim_writer.ClaimWriter(table, claim_pace)
+        claim_throttle = durable_throttle.claim_throttle(cfg, count)
+        self._claim_writer = durable_claim_writer.ClaimWriter(
+            table, claim_throttle
+        )
         self.claims = durable_claim.Claims(
             self._claim_writer,
             self.journal,
             self.answers,
-            lambda: durable_pace.bound_s(cfg, claim_pace),
+            lambda: durable_throttle.max_wait_s(cfg, claim_throttle),
         )
         self._takeover = durable_takeover.Takeover(
             table,
@@ -104,11 +106,11 @@
         )
         self._expiry = durable_expiry.Expiry(
             self._writer,
-            self.registration.seen,
+            self.registration.liveness,
             durable_erase.Eraser(
                 table,
                 objects,
-                durable_pace.erase_pace(cfg, count),
+                durable_throttle.erase_throttle(cfg, count),
                 self._own_log,
             ),
             cfg.retention_s,
@@ -117,7 +119,7 @@
 
     def start(self) -> None:
         """Starts the tasks; the platform may be down meanwhile."""
-        renewal = self.registration.run(self._span, self._writer.probe)
+        renewal = self.registration.run(self._segment_range, self._writer.probe)
         self._spawn(self._writer.run())
         self._spawn(self._index.run())
         self._spawn(self._claim_writer.run())
@@ -136,8 +138,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         try:
-            async with asyncio.timeout(RELEASE_S):
-                await self.registration.release(self._span())
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
+                await self.registration.release(self._segment_range())
         except (TimeoutError, platform_error.PlatformError) as exc:
             LOG.warning('release_failed', log=self._writer.log, why=exc)
 
@@ -147,15 +149,17 @@
     def _own_log(self) -> str:
         return self._writer.log
 
-    def _span(self) -> durable_registration.Span:
-        return durable_registration.Span(self._expiry.first, self._writer.last)
+    def _segment_range(self) -> durable_registration.SegmentRange:
+        return durable_registration.SegmentRange(
+            self._expiry.first, self._writer.last
+        )
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
-        task.add_done_callback(self._check_ended)
+        task.add_done_callback(self._on_task_done)
         self._tasks.append(task)
 
-    def _check_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """Ends all tasks if one has failed.
 
         With the writer gone but the row renewed, what was accepted would
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
@@ -59,8 +59,8 @@
         self._recovery = recovery
         self._own_log = own_log
         self._suspects: set[str] = set()
-        self._noticed: dict[str, float] = {}
-        self._taking: dict[str, asyncio.Task[None]] = {}
+        self._orphaned_since: dict[str, float] = {}
+        self._tasks: dict[str, asyncio.Task[None]] = {}
         self._scan_at = 0.0
 
     def suspect(self, log: str) -> None:
@@ -71,54 +71,56 @@
         """Watches and takes over until cancelled."""
         try:
             while True:
-                await self.look()
+                await self.check()
                 pause_s = self._routers.interval_s * random.uniform(0.8, 1.0)
                 await asyncio.sleep(pause_s)
         finally:
             await self._stop()
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Reads rows that are due and starts the takeovers that are due."""
-        asked_at = asyncio.get_running_loop().time()
-        watch = self._routers.seen
+        requested_at = asyncio.get_running_loop().time()
+        liveness = self._routers.liveness
         try:
-            if asked_at >= self._scan_at:
-                await self._scan(asked_at)
+            if requested_at >= self._scan_at:
+                await self._scan(requested_at)
             else:
-                await self._read_suspects(asked_at)
+                await self._read_suspects(requested_at)
         except base.QuetzalsillError as exc:
             LOG.warning('watch_failed', why=exc)
-            watch.restart()
+            liveness.reset()
             return
-        self._start_due(asked_at)
+        self._start_due(requested_at)
 
-    async def _scan(self, asked_at: float) -> None:
+    async def _scan(self, requested_at: float) -> None:
         rows = await durable_row.scan(self._table)
-        self._routers.seen.keep_only({found.row.log for found in rows})
-        self._routers.seen.saw(rows, asked_at)
-        self._scan_at = asked_at + len(rows) * ROW_BYTES / SCAN_BYTES_PER_S
+        self._routers.liveness.retain({found.row.log for found in rows})
+        self._routers.liveness.observe(rows, requested_at)
+        self._scan_at = requested_at + len(rows) * ROW_BYTES / SCAN_BYTES_PER_S
 
-    async def _read_suspects(self, asked_at: float) -> None:
+    async def _read_suspects(self, requested_at: float) -> None:
         suspects, self._suspects = self._suspects, set()
         for log in suspects - {self._own_log()}:
             found = await durable_row.read(self._table, log)
             if found is not None:
-                self._routers.seen.saw([found], asked_at)
+                self._routers.liveness.observe([found], requested_at)
                 if found.row.keeper:
                     self._suspects.add(found.row.keeper)
 
     def _start_due(self, now: float) -> None:
         own = self._own_log()
         orphans = {
-            row.log for row in self._routers.seen.orphans() if row.log != own
+            row.log
+            for row in self._routers.liveness.orphans()
+            if row.log != own
         }
-        for log in self._noticed.keys() - orphans:
-            del self._noticed[log]
-        for log in orphans - self._taking.keys():
-            noticed = self._noticed.setdefault(log, now)
-            if own and now - noticed >= self._delay_s(log):
-                task = asyncio.create_task(self._take(log, own))
-                self._taking[log] = task
+        for log in self._orphaned_since.keys() - orphans:
+            del self._orphaned_since[log]
+        for log in orphans - self._tasks.keys():
+            orphaned_since = self._orphaned_since.setdefault(log, now)
+            if own and now - orphaned_since >= self._delay_s(log):
+                task = asyncio.create_task(self._take_over(log, own))
+                self._tasks[log] = task
 
     def _delay_s(self, log: str) -> float:
         """Gives how long others go first, so that not all come at once."""
@@ -127,12 +129,12 @@
         rank = nodes.index(self._routers.router.node)
         return rank * self._routers.interval_s
 
-    async def _take(self, log: str, own: str) -> None:
+    async def _take_over(self, log: str, own: str) -> None:
         try:
             adoption = await self._adopter.adopt(log, own)
             if adoption is not None:
                 TAKEOVERS.inc({})
-                self._recovery.start(adoption.remains.entries)
+                self._recovery.start(adoption.replayed.entries)
                 # Stays in `_taking` until the row is closed, so that no scan
                 # that still saw it open has it adopted twice.
                 await self._adopter.close(adoption)
@@ -143,10 +145,10 @@
             LOG.warning('takeover_retried', log=log, why=exc.code)
         except base.QuetzalsillError as exc:
             LOG.error('takeover_failed', log=log, why=exc)
-        del self._taking[log]
+        del self._tasks[log]
 
     async def _stop(self) -> None:
-        tasks = list(self._taking.values())
+        tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/pace.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/throttle.py
@@ -22,28 +22,28 @@
     from quetzalsill_router.durable import setting
 
 __all__ = [
-    'Pace',
-    'bound_s',
-    'claim_pace',
-    'erase_pace',
+    'Throttle',
+    'max_wait_s',
+    'claim_throttle',
+    'erase_throttle',
     'heartbeat_s',
-    'index_pace',
-    'journal_pace',
+    'index_throttle',
+    'journal_throttle',
 ]
 
 # A segment is written once and deleted once, and for each few segments a row
 # of the index and the claims are deleted too. Erasing must be the faster.
-JOURNAL_PART = 0.25
-ERASE_PART = 0.3
-CLAIM_PART = 0.25
-INDEX_PART = 0.1
-HEARTBEAT_PART = 0.1
+JOURNAL_SHARE = 0.25
+ERASE_SHARE = 0.3
+CLAIM_SHARE = 0.25
+INDEX_SHARE = 0.1
+HEARTBEAT_SHARE = 0.1
 BURST = 4.0
 
-Count = Callable[[], int]
+RouterCount = Callable[[], int]
 
 
-class Pace:
+class Throttle:
     """A token bucket: an interval between writes, and a few saved up.
 
     The acceptance, claim and dispatch of a request are writes that follow
@@ -51,60 +51,60 @@
     """
 
     def __init__(
-        self, least_s: float, writes_per_s: float, routers: Count
+        self, min_interval_s: float, writes_per_s: float, routers: RouterCount
     ) -> None:
-        self._least_s = least_s
+        self._min_interval_s = min_interval_s
         self._writes_per_s = writes_per_s
         self._routers = routers
-        self._saved = BURST
-        self._as_of = 0.0
+        self._tokens = BURST
+        self._updated_at = 0.0
 
     @property
     def interval_s(self) -> float:
         """Gives the interval for the present number of routers."""
-        return max(self._least_s, self._routers() / self._writes_per_s)
+        return max(self._min_interval_s, self._routers() / self._writes_per_s)
 
-    async def turn(self) -> None:
+    async def acquire(self) -> None:
         """Waits until the next write may go."""
         now = asyncio.get_running_loop().time()
         interval_s = self.interval_s
-        earned = (now - self._as_of) / interval_s
-        self._saved = min(BURST, self._saved + earned)
-        self._as_of = now
-        self._saved -= 1
-        if self._saved < 0:
-            await asyncio.sleep(-self._saved * interval_s)
+        earned = (now - self._updated_at) / interval_s
+        self._tokens = min(BURST, self._tokens + earned)
+        self._updated_at = now
+        self._tokens -= 1
+        if self._tokens < 0:
+            await asyncio.sleep(-self._tokens * interval_s)
 
 
-def bound_s(cfg: setting.Durable, pace: Pace) -> float:
+def max_wait_s(cfg: setting.Durable, throttle: Throttle) -> float:
     """Gives the longest wait for a paced write, in s.
 
     A record waits for the write under way and for the next to be due.
     """
-    return cfg.accept_s + 2 * pace.interval_s
+    return cfg.accept_s + 2 * throttle.interval_s
 
 
-def journal_pace(cfg: setting.Durable, routers: Count) -> Pace:
+def journal_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
     """Paces segments of the journal."""
-    return Pace(cfg.flush_s, cfg.writes_per_s * JOURNAL_PART, routers)
+    return Throttle(cfg.flush_s, cfg.writes_per_s * JOURNAL_SHARE, routers)
 
 
-def erase_pace(cfg: setting.Durable, routers: Count) -> Pace:
+def erase_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
     """Paces the deletion of what has expired."""
-    least_s = cfg.flush_s * JOURNAL_PART / ERASE_PART
-    return Pace(least_s, cfg.writes_per_s * ERASE_PART, routers)
+    min_interval_s = cfg.flush_s * JOURNAL_SHARE / ERASE_SHARE
+    return Throttle(min_interval_s, cfg.writes_per_s * ERASE_SHARE, routers)
 
 
-def claim_pace(cfg: setting.Durable, routers: Count) -> Pace:
+def claim_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
     """Paces transactions that insert claims."""
-    return Pace(cfg.flush_s, cfg.writes_per_s * CLAIM_PART, routers)
+    return Throttle(cfg.flush_s, cfg.writes_per_s * CLAIM_SHARE, routers)
 
 
-def index_pace(cfg: setting.Durable, routers: Count) -> Pace:
+def index_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
     """Paces transactions that update the index of answers."""
-    return Pace(cfg.flush_s, cfg.writes_per_s * INDEX_PART, routers)
+    return Throttle(cfg.flush_s, cfg.writes_per_s * INDEX_SHARE, routers)
 
 
 def heartbeat_s(cfg: setting.Durable, routers: int) -> float:
     """Gives the interval between two renewals of one router, in s."""
-    return max(cfg.heartbeat_s, routers / (cfg.writes_per_s * HEARTBEAT_PART))
+    return max(cfg.heartbeat_s, routers / (cfg.writes_per_s * HEARTBEAT_SHARE))
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
@@ -20,8 +20,8 @@
 
 __all__ = ['write']
 
-FIRST_RETRY_S = 0.05
-LONGEST_RETRY_S = 2.0
+MIN_RETRY_INTERVAL_S = 0.05
+MAX_RETRY_INTERVAL_S = 2.0
 
 LOG = telemetry_log.get(__name__)
 
@@ -29,7 +29,7 @@
 async def write(
     objects: platform_objects.Objects,
     health: platform_health.StoreHealth,
-    place: tuple[str, int],
+    segment_id: tuple[str, int],
     segment: durable_segment.Segment,
     drop_accepted: Callable[[bool], bool],
 ) -> durable_segment.Segment | None:
@@ -44,7 +44,7 @@
     Args:
       objects: Client of the object store.
       health: Told of each success and failure.
-      place: Name of the log and number of the segment.
+      segment_id: Name of the log and number of the segment.
       segment: What is to be written.
       drop_accepted: Asked after a failure whether the new entries are given
         up; its argument tells whether they may be in the store already.
@@ -55,14 +55,14 @@
     """
     tried = {segment.nonce: segment}
     lost = False
-    retry_s = FIRST_RETRY_S
+    retry_s = MIN_RETRY_INTERVAL_S
     while True:
         try:
-            stored = await _create(objects, place, segment, tried)
+            stored = await _create(objects, segment_id, segment, tried)
         except platform_error.PlatformError as exc:
             lost |= isinstance(exc, platform_error.PlatformAnswerLostError)
             health.failed()
-            LOG.warning('segment_write_failed', log=place[0], why=exc.code)
+            LOG.warning('segment_write_failed', log=segment_id[0], why=exc.code)
         else:
             health.succeeded()
             return stored
@@ -72,31 +72,33 @@
             segment = segment.without_accepted()
             tried[segment.nonce] = segment
         await asyncio.sleep(retry_s * random.uniform(0.5, 1.0))
-        retry_s = min(2 * retry_s, LONGEST_RETRY_S)
+        retry_s = min(2 * retry_s, MAX_RETRY_INTERVAL_S)
 
 
 async def _create(
     objects: platform_objects.Objects,
-    place: tuple[str, int],
+    segment_id: tuple[str, int],
     segment: durable_segment.Segment,
     tried: dict[bytes, durable_segment.Segment],
 ) -> durable_segment.Segment | None:
     data = durable_segment.encode(segment)
     try:
-        await objects.put(durable_log.key_of(*place), data, create_only=True)
+        await objects.put(
+            durable_log.key_of(*segment_id), data, create_only=True
+        )
     except platform_error.ObjectExistsError:
-        return await _read_back(objects, place, tried)
+        return await _read_back(objects, segment_id, tried)
     return segment
 
 
 async def _read_back(
     objects: platform_objects.Objects,
-    place: tuple[str, int],
+    segment_id: tuple[str, int],
     tried: dict[bytes, durable_segment.Segment],
 ) -> durable_segment.Segment | None:
     try:
-        found = await durable_log.read(objects, *place)
+        found = await durable_log.read(objects, *segment_id)
     except error.MalformedSegmentError as exc:
-        LOG.error('segment_malformed', log=place[0], why=exc)
+        LOG.error('segment_malformed', log=segment_id[0], why=exc)
         return None
     return tried.get(found.nonce) if found else None
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
@@ -194,7 +194,7 @@
         return
     while True:
         try:
-            await ctx.journal.dispatching(entry, run)
+            await ctx.journal.record_dispatch(entry, run)
         except request_error.StoreUnavailableError:
             if not active.work.durable:
                 raise
--- a/tests/quetzalsill_router/durable/fakes.py
+++ b/tests/quetzalsill_router/durable/fakes.py
@@ -67,15 +67,15 @@
 
     async def call(self, kind, effect, write=''):
         """Makes a call with the faults in force."""
-        await self.pass_gate()
+        await self.wait_until_running()
         await asyncio.sleep(CALL_S)
         try:
             return await self._attempt(kind, effect, write)
         finally:
             await asyncio.sleep(CALL_S)
-            await self.pass_gate()
+            await self.wait_until_running()
 
-    async def pass_gate(self):
+    async def wait_until_running(self):
         """Waits while the process is paused; for ever once it is dead."""
         if self.dead:
             await asyncio.Event().wait()
@@ -88,13 +88,15 @@
             raise platform_error.PlatformUnavailableError('down')
         if self.platform.silent:
             await asyncio.sleep(TIMEOUT_S)
-            raise _silence(write)
+            raise _timeout_error(write)
         self.platform.counts[kind] += 1
         fault = self._fault(write) if write else 'ok'
         if fault == 'late':
-            asyncio.get_running_loop().call_later(LATE_S, _quietly, effect)
+            asyncio.get_running_loop().call_later(
+                LATE_S, _ignore_errors, effect
+            )
         if fault in ('lost', 'late'):
-            _quietly(effect if fault == 'lost' else lambda: None)
+            _ignore_errors(effect if fault == 'lost' else lambda: None)
             raise platform_error.PlatformAnswerLostError(fault)
         return effect()
 
@@ -163,12 +165,12 @@
         )
 
 
-def _silence(write):
+def _timeout_error(write):
     if write:
         return platform_error.PlatformAnswerLostError('silent')
     return platform_error.PlatformUnavailableError('silent')
 
 
-def _quietly(effect):
+def _ignore_errors(effect):
     with contextlib.suppress(platform_error.PlatformError):
         effect()
--- a/tests/quetzalsill_router/durable/world.py
+++ b/tests/quetzalsill_router/durable/harness.py
@@ -14,7 +14,15 @@
 from quetzalsill_router.durable import registration, setting, state
 from tests.quetzalsill_router.durable import fakes
 
-__all__ = ['CFG', 'Router', 'Sidecar', 'Told', 'World', 'make_entry', 'until']
+__all__ = [
+    'CFG',
+    'Router',
+    'Sidecar',
+    'Response',
+    'Cluster',
+    'make_entry',
+    'wait_until',
+]
 
 ACCOUNT = 'board'
 RUN_S = 3.0
@@ -44,7 +52,7 @@
 
 
 @dataclasses.dataclass
-class Told:
+class Response:
     """What the caller of a request was told at the end.
 
     Attributes:
@@ -70,7 +78,7 @@
         self.name = name
         self.runs = collections.Counter()
         self.incarnation = 1
-        self._forget()
+        self._reset()
 
     def restart(self):
         """Loses what it knew and what was running."""
@@ -78,9 +86,9 @@
         for work in self._work.values():
             if not work.done():
                 work.set_result(None)
-        self._forget()
+        self._reset()
 
-    def _forget(self):
+    def _reset(self):
         self._fences = {}
         self._work = {}
         self._tombstones = set()
@@ -127,11 +135,11 @@
 class Router:
     """One process: its durable state and a plain way to serve requests."""
 
-    def __init__(self, world, node, incarnation, cfg=CFG):
+    def __init__(self, cluster, node, incarnation, cfg=CFG):
         self.node = node
         self.incarnation = incarnation
-        self.link = fakes.Link(world.platform)
-        self._world = world
+        self.link = fakes.Link(cluster.platform)
+        self._cluster = cluster
         self._attempts = itertools.count(1)
         self._tasks = set()
         self.superseded = False
@@ -147,12 +155,12 @@
 
     def serve(self, entry):
         """Serves a request in the background."""
-        told = Told(entry.payload.decode(), entry.idempotency_key)
-        self._world.told.append(told)
-        task = asyncio.create_task(self._serve(entry, told))
+        response = Response(entry.payload.decode(), entry.idempotency_key)
+        self._cluster.responses.append(response)
+        task = asyncio.create_task(self._serve(entry, response))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return told
+        return response
 
     def pause(self):
         """Stops the process as `kill -STOP` does."""
@@ -167,20 +175,20 @@
         self.link.dead = True
         self.link.awake.set()
 
-    async def _serve(self, entry, told):
+    async def _serve(self, entry, response):
         try:
-            answer = await self._to_answer(entry, told)
+            answer = await self._to_answer(entry, response)
         except request_error.RequestError as exc:
             answer = durable_answer.failure(exc)
-        told.ran = answer.ran
-        told.answer = answer.events
+        response.ran = answer.ran
+        response.answer = answer.events
 
-    async def _to_answer(self, entry, told):
+    async def _to_answer(self, entry, response):
         await self.state.journal.accept(entry)
-        told.request = entry.request
+        response.request = entry.request
         if entry.idempotency_key:
             claim = await self.state.claims.claim(entry)
-            told.request = claim.request
+            response.request = claim.request
             if claim.request != entry.request:
                 stored = await self.state.answers.wait(
                     entry.account, claim.request, 120.0
@@ -197,7 +205,7 @@
             try:
                 events = await self._dispatch(entry, entry.run, recover=True)
             except request_error.OverloadedError:
-                sidecar = self._world.sidecars[entry.run.upstream]
+                sidecar = self._cluster.sidecars[entry.run.upstream]
                 known = sidecar.incarnation == entry.run.incarnation
                 if not (known or entry.idempotent):
                     exc = request_error.OutcomeUnknownError()
@@ -212,11 +220,11 @@
 
     async def _run(self, entry):
         for _ in range(TRIES):
-            sidecar = self._world.pick()
+            sidecar = self._cluster.pick()
             attempt = f'{self.node}/{self.incarnation}/{next(self._attempts)}'
             run = durable_entry.Run(attempt, sidecar.name, sidecar.incarnation)
             try:
-                await self.state.journal.dispatching(entry, run)
+                await self.state.journal.record_dispatch(entry, run)
                 events = await self._dispatch(entry, run, recover=False)
             except (
                 request_error.StoreUnavailableError,
@@ -230,29 +238,29 @@
         return durable_answer.failure(request_error.OverloadedError())
 
     async def _dispatch(self, entry, run, recover):
-        await self.link.pass_gate()
-        sidecar = self._world.sidecars[run.upstream]
+        await self.link.wait_until_running()
+        sidecar = self._cluster.sidecars[run.upstream]
         try:
             return await sidecar.dispatch(entry, run, recover)
         finally:
-            await self.link.pass_gate()
+            await self.link.wait_until_running()
 
 
-class World:
+class Cluster:
     """All processes and the platform."""
 
     def __init__(self, nodes, sidecars=2, cfg=CFG):
         self.platform = fakes.Platform()
-        self.told = []
+        self.responses = []
         self.sidecars = {
             f'planner-{n}': Sidecar(f'planner-{n}') for n in range(sidecars)
         }
-        self._turn = itertools.cycle(self.sidecars.values())
+        self._rotation = itertools.cycle(self.sidecars.values())
         self._cfg = cfg
         self.routers = {}
         # Tasks of killed routers wait for ever; without a reference they
         # would be collected while they wait.
-        self._all = []
+        self._started = []
         for node in nodes:
             self.start(node, 1)
 
@@ -260,19 +268,19 @@
         """Starts a router process."""
         router = Router(self, node, incarnation, self._cfg)
         self.routers[node] = router
-        self._all.append(router)
+        self._started.append(router)
         return router
 
     def pick(self):
         """Chooses an upstream, in turn."""
-        return next(self._turn)
+        return next(self._rotation)
 
     def runs(self, name):
         """Counts the runs of a request on all upstreams."""
         return sum(sidecar.runs[name] for sidecar in self.sidecars.values())
 
 
-async def until(condition, step_s=STEP_S):
+async def wait_until(condition, step_s=STEP_S):
     """Waits for a condition and gives its value."""
     while not (value := condition()):  # noqa: ASYNC110 (virtual time)
         await asyncio.sleep(step_s)
--- a/tests/quetzalsill_router/durable/test_cost.py
+++ b/tests/quetzalsill_router/durable/test_cost.py
@@ -7,17 +7,17 @@
 import dataclasses
 import unittest
 
-from tests.quetzalsill_router.durable import virtual, world
+from tests.quetzalsill_router.durable import harness, virtual
 
 ROUTERS = 480
 SPAN_S = 300.0
 TAIL_S = 60.0
 # One router on its part of the budget keeps the pace that each of 480 has.
 CFG = dataclasses.replace(
-    world.CFG,
+    harness.CFG,
     heartbeat_s=3.0,
     retention_s=60.0,
-    writes_per_s=world.CFG.writes_per_s / ROUTERS,
+    writes_per_s=harness.CFG.writes_per_s / ROUTERS,
 )
 READS = ('get', 'scan', 'read')
 WRITES = ('put', 'delete', 'transact')
@@ -25,18 +25,18 @@
 
 async def calls_per_s(requests_per_s, keyed):
     """Counts calls a second by kind while requests are served."""
-    board = world.World(['a'], cfg=CFG)
+    cluster = harness.Cluster(['a'], cfg=CFG)
     await asyncio.sleep(SPAN_S)
-    board.platform.counts.clear()
+    cluster.platform.counts.clear()
     for n in range(int(SPAN_S * requests_per_s)):
         key = f'k{n}' if keyed else ''
-        board.routers['a'].serve(world.make_entry(f'r{n}', key=key))
+        cluster.routers['a'].serve(harness.make_entry(f'r{n}', key=key))
         await asyncio.sleep(1 / requests_per_s)
     counts = collections.Counter(
-        {kind: n / SPAN_S for kind, n in board.platform.counts.items()}
+        {kind: n / SPAN_S for kind, n in cluster.platform.counts.items()}
     )
     await asyncio.sleep(TAIL_S)
-    return counts, all(told.answer for told in board.told)
+    return counts, all(response.answer for response in cluster.responses)
 
 
 def total(counts, kinds):
@@ -46,7 +46,7 @@
 class CostTest(unittest.TestCase):
     """Calls of one of 480 routers."""
 
-    def test_writes_grow_with_routers_alone(self):
+    def test_writes_do_not_grow_with_requests(self):
         """Ten times the requests cost no more writes, within the budget."""
         few, few_answered = virtual.run(calls_per_s, 1, True)
         many, many_answered = virtual.run(calls_per_s, 10, True)
--- a/tests/quetzalsill_router/durable/test_journal.py
+++ b/tests/quetzalsill_router/durable/test_journal.py
@@ -8,13 +8,13 @@
 from quetzalsill.error import base
 from quetzalsill.error import request as request_error
 from quetzalsill_router.durable import answer as durable_answer
-from tests.quetzalsill_router.durable import virtual, world
+from tests.quetzalsill_router.durable import harness, virtual
 
 
 async def one_router():
-    board = world.World(['a'])
+    cluster = harness.Cluster(['a'])
     await asyncio.sleep(1)
-    return board, board.routers['a']
+    return cluster, cluster.routers['a']
 
 
 class AcceptTest(unittest.TestCase):
@@ -27,29 +27,29 @@
         instead of waiting; once the store is back the next one is accepted.
         """
 
-        async def story():
-            board, router = await one_router()
-            board.platform.down = True
-            first = router.serve(world.make_entry('first'))
+        async def scenario():
+            cluster, router = await one_router()
+            cluster.platform.down = True
+            first = router.serve(harness.make_entry('first'))
             await asyncio.sleep(1)
             self.assertIs(first.ran, base.Ran.NO)
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             with self.assertRaises(
                 request_error.StoreUnavailableError
             ) as caught:
-                await router.state.journal.accept(world.make_entry('second'))
-            self.assertEqual(asyncio.get_running_loop().time(), begun)
+                await router.state.journal.accept(harness.make_entry('second'))
+            self.assertEqual(asyncio.get_running_loop().time(), started_at)
             self.assertGreater(caught.exception.retry_after_s, 0)
-            board.platform.down = False
+            cluster.platform.down = False
             await asyncio.sleep(10)
-            third = router.serve(world.make_entry('third'))
+            third = router.serve(harness.make_entry('third'))
             await asyncio.sleep(10)
             self.assertIs(third.ran, base.Ran.YES)
-            self.assertEqual(board.runs('first') + board.runs('second'), 0)
+            self.assertEqual(cluster.runs('first') + cluster.runs('second'), 0)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
-    def test_platform_down_for_those_next_in_line(self):
+    def test_platform_down_refuses_queued_entries(self):
         """Clerks wait two seconds for a refusal that was certain before.
 
         The store refuses the first clerk's manifest; the others come before
@@ -57,18 +57,18 @@
         only the bound on an acceptance ended their wait.
         """
 
-        async def story():
-            board, router = await one_router()
-            board.platform.down = True
-            told = router.serve(world.make_entry('first'))
-            await world.until(lambda: told.ran is base.Ran.NO)
-            begun = asyncio.get_running_loop().time()
+        async def scenario():
+            cluster, router = await one_router()
+            cluster.platform.down = True
+            response = router.serve(harness.make_entry('first'))
+            await harness.wait_until(lambda: response.ran is base.Ran.NO)
+            started_at = asyncio.get_running_loop().time()
             with self.assertRaises(request_error.StoreUnavailableError):
-                await router.state.journal.accept(world.make_entry('next'))
-            waited_s = asyncio.get_running_loop().time() - begun
+                await router.state.journal.accept(harness.make_entry('next'))
+            waited_s = asyncio.get_running_loop().time() - started_at
             self.assertLess(waited_s, 0.2)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_process_is_paused_during_an_acceptance(self):
         """A plan that the store took is told to be in doubt.
@@ -77,14 +77,14 @@
         to the store's answer and to the end of the wait for it.
         """
 
-        async def story():
+        async def scenario():
             _, router = await one_router()
             loop = asyncio.get_running_loop()
-            loop.call_soon(loop.pause, 2 * world.CFG.accept_s)
-            entry = world.make_entry('first')
+            loop.call_soon(loop.pause, 2 * harness.CFG.accept_s)
+            entry = harness.make_entry('first')
             self.assertTrue(await router.state.journal.accept(entry))
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_answer_lost(self):
         """The store takes a manifest and its answer to that is lost.
@@ -93,38 +93,40 @@
         it by its nonce as its own: accepted, and run once.
         """
 
-        async def story():
-            board, router = await one_router()
+        async def scenario():
+            cluster, router = await one_router()
             router.link.faults['journal'].append('lost')
-            told = router.serve(world.make_entry('plan'))
+            response = router.serve(harness.make_entry('plan'))
             await asyncio.sleep(10)
-            self.assertIs(told.ran, base.Ran.YES)
-            self.assertEqual(board.runs('plan'), 1)
+            self.assertIs(response.ran, base.Ran.YES)
+            self.assertEqual(cluster.runs('plan'), 1)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
-    def test_taken_then_silent(self):
+    def test_stored_then_platform_times_out(self):
         """The store takes a manifest, then falls silent for a minute.
 
         The clerk is told that the outcome is unknown, and its id. When the
         store is back the id leads to the settled outcome: not run.
         """
 
-        async def story():
-            board, router = await one_router()
+        async def scenario():
+            cluster, router = await one_router()
             router.link.faults['journal'].append('lost')
-            told = router.serve(world.make_entry('plan'))
-            await world.until(lambda: board.platform.objects)
-            board.platform.silent = True
+            response = router.serve(harness.make_entry('plan'))
+            await harness.wait_until(lambda: cluster.platform.objects)
+            cluster.platform.silent = True
             await asyncio.sleep(60)
-            self.assertIs(told.ran, base.Ran.UNKNOWN)
-            board.platform.silent = False
+            self.assertIs(response.ran, base.Ran.UNKNOWN)
+            cluster.platform.silent = False
             await asyncio.sleep(10)
-            stored = await router.state.answers.get(world.ACCOUNT, 'a.1.1-1-0')
+            stored = await router.state.answers.get(
+                harness.ACCOUNT, 'a.1.1-1-0'
+            )
             self.assertIs(stored.answer.ran, base.Ran.NO)
-            self.assertEqual(board.runs('plan'), 0)
+            self.assertEqual(cluster.runs('plan'), 0)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_late_write_after_refusal(self):
         """A write is on its way for long, and the manifest is given up.
@@ -134,24 +136,24 @@
         finds the manifest that the clerk has sent elsewhere meanwhile.
         """
 
-        async def story():
-            board, router = await one_router()
+        async def scenario():
+            cluster, router = await one_router()
             router.link.faults['journal'].append('late')
-            entry = world.make_entry('plan')
+            entry = harness.make_entry('plan')
             accepting = asyncio.create_task(router.state.journal.accept(entry))
-            await world.until(lambda: entry.request)
+            await harness.wait_until(lambda: entry.request)
             accepting.cancel()
             await asyncio.sleep(20)
             router.kill()
-            board.start('b', 1)
+            cluster.start('b', 1)
             await asyncio.sleep(60)
             with self.assertRaises(request_error.NotFoundError):
-                await board.routers['b'].state.answers.get(
-                    world.ACCOUNT, entry.request
+                await cluster.routers['b'].state.answers.get(
+                    harness.ACCOUNT, entry.request
                 )
-            self.assertEqual(board.runs('plan'), 0)
+            self.assertEqual(cluster.runs('plan'), 0)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_unstorable(self):
         """A caller's text holds half a surrogate pair.
@@ -160,31 +162,31 @@
         which it would have stood, and the journal, go on.
         """
 
-        async def story():
+        async def scenario():
             _, router = await one_router()
-            bad = world.make_entry('bad', key='\ud800')
-            good = router.serve(world.make_entry('good'))
+            bad = harness.make_entry('bad', key='\ud800')
+            good = router.serve(harness.make_entry('good'))
             with self.assertRaises(request_error.BadRequestError):
                 await router.state.journal.accept(bad)
             await asyncio.sleep(10)
             self.assertIs(good.ran, base.Ran.YES)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
-    def test_bound(self):
+    def test_max_unsettled_bytes(self):
         """More is not taken on than can be held."""
 
-        async def story():
-            cfg = world.CFG
+        async def scenario():
+            cfg = harness.CFG
             journal = (await one_router())[1].state.journal
             for n in range(3):
-                await journal.accept(world.make_entry(f'r{n}'))
-            huge = world.make_entry('huge')
+                await journal.accept(harness.make_entry(f'r{n}'))
+            huge = harness.make_entry('huge')
             huge.payload = bytes(cfg.max_unsettled_bytes)
             with self.assertRaises(request_error.OverloadedError):
                 await journal.accept(huge)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
 
 class SettleTest(unittest.TestCase):
@@ -197,47 +199,47 @@
         written, and the clerk who asks again gets the answer of that run.
         """
 
-        async def story():
-            board, router = await one_router()
-            told = router.serve(world.make_entry('plan'))
-            await world.until(lambda: board.runs('plan'))
-            board.platform.down = True
+        async def scenario():
+            cluster, router = await one_router()
+            response = router.serve(harness.make_entry('plan'))
+            await harness.wait_until(lambda: cluster.runs('plan'))
+            cluster.platform.down = True
             await asyncio.sleep(300)
-            board.platform.down = False
+            cluster.platform.down = False
             stored = await router.state.answers.wait(
-                world.ACCOUNT, told.request, 60
+                harness.ACCOUNT, response.request, 60
             )
             self.assertEqual(stored.answer.events, [b'plan planner-0 1'])
-            self.assertEqual(board.runs('plan'), 1)
+            self.assertEqual(cluster.runs('plan'), 1)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_second_outcome(self):
         """Only the first outcome of a request stands."""
 
-        async def story():
+        async def scenario():
             _, router = await one_router()
-            entry = world.make_entry('plan')
+            entry = harness.make_entry('plan')
             await router.state.journal.accept(entry)
             done = durable_answer.Answer(events=[b'1'])
             await router.state.journal.settle(entry, done)
             with self.assertRaises(request_error.SupersededError):
                 await router.state.journal.settle(entry, done)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_other_account(self):
         """An answer is given to its own account alone."""
 
-        async def story():
+        async def scenario():
             _, router = await one_router()
-            told = router.serve(world.make_entry('plan'))
+            response = router.serve(harness.make_entry('plan'))
             for pause_s in (1, 10):
                 await asyncio.sleep(pause_s)
                 with self.assertRaises(request_error.NotFoundError):
-                    await router.state.answers.get('other', told.request)
+                    await router.state.answers.get('other', response.request)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
 
 class StopTest(unittest.TestCase):
@@ -250,18 +252,18 @@
         for the row to lapse.
         """
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             await asyncio.sleep(1)
-            entry = world.make_entry('plan')
-            await board.routers['a'].state.journal.accept(entry)
-            begun = asyncio.get_running_loop().time()
-            await board.routers['a'].state.stop(5)
-            await world.until(lambda: board.runs('plan'))
-            took_s = asyncio.get_running_loop().time() - begun
-            self.assertLess(took_s, world.CFG.ttl_heartbeats - 1)
-
-        virtual.run(story)
+            entry = harness.make_entry('plan')
+            await cluster.routers['a'].state.journal.accept(entry)
+            started_at = asyncio.get_running_loop().time()
+            await cluster.routers['a'].state.stop(5)
+            await harness.wait_until(lambda: cluster.runs('plan'))
+            took_s = asyncio.get_running_loop().time() - started_at
+            self.assertLess(took_s, harness.CFG.ttl_heartbeats - 1)
+
+        virtual.run(scenario)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_router/durable/test_promises.py
+++ b/tests/quetzalsill_router/durable/test_promises.py
@@ -14,10 +14,10 @@
 from quetzalsill.error import base
 from quetzalsill.telemetry import log
 from quetzalsill_router.durable import segment
-from tests.quetzalsill_router.durable import virtual, world
+from tests.quetzalsill_router.durable import harness, virtual
 
 NODES = ['a', 'b', 'c']
-HEAL_S = 600.0
+SETTLE_TIMEOUT_S = 600.0
 STEP_S = 5.0
 LATE_S = 20.0
 EXAMPLES = int(os.environ.get('DURABLE_EXAMPLES', '60'))
@@ -37,7 +37,7 @@
         self.names = 0
 
     async def _start(self):
-        self.world = world.World(NODES)
+        self.cluster = harness.Cluster(NODES)
         await asyncio.sleep(0.5)
 
     def _advance(self, seconds):
@@ -54,8 +54,8 @@
         """A caller sends a request, and the router may fail soon after."""
         self.names += 1
         name = f'r{self.names}'
-        entry = world.make_entry(name, key, idempotent and not key)
-        self.loop.call_soon(self.world.routers[node].serve, entry)
+        entry = harness.make_entry(name, key, idempotent and not key)
+        self.loop.call_soon(self.cluster.routers[node].serve, entry)
         self._advance(wait)
         if then == 'pause':
             self.pause(node)
@@ -70,26 +70,26 @@
     @stateful.rule(node=nodes)
     def pause(self, node):
         """A router is stopped."""
-        self.world.routers[node].pause()
+        self.cluster.routers[node].pause()
 
     @stateful.rule(node=nodes)
     def wake(self, node):
         """A router goes on."""
-        self.world.routers[node].wake()
+        self.cluster.routers[node].wake()
 
     @stateful.rule(node=nodes)
     def kill(self, node):
         """A router is killed."""
-        self.world.routers[node].kill()
+        self.cluster.routers[node].kill()
 
     @stateful.rule(node=nodes)
     def restart(self, node):
         """A router is killed and started again."""
-        self.world.routers[node].kill()
+        self.cluster.routers[node].kill()
         self.loop.run_until_complete(self._restart(node))
 
     async def _restart(self, node):
-        self.world.start(node, self.world.routers[node].incarnation + 1)
+        self.cluster.start(node, self.cluster.routers[node].incarnation + 1)
 
     @stateful.rule(
         node=nodes,
@@ -97,24 +97,24 @@
     )
     def lose_answers(self, node, faults):
         """Answers to writes to come are lost."""
-        self.world.routers[node].link.faults['any'].extend(faults)
+        self.cluster.routers[node].link.faults['any'].extend(faults)
 
     @stateful.rule(how=st.sampled_from(['down', 'silent', 'up']))
     def platform(self, how):
         """The platform fails or comes back."""
-        self.world.platform.down = how == 'down'
-        self.world.platform.silent = how == 'silent'
+        self.cluster.platform.down = how == 'down'
+        self.cluster.platform.silent = how == 'silent'
 
     @stateful.rule(upstream=st.sampled_from(['planner-0', 'planner-1']))
     def restart_sidecar(self, upstream):
         """A sidecar loses its state and its runs."""
-        self.world.sidecars[upstream].restart()
+        self.cluster.sidecars[upstream].restart()
 
     def teardown(self):
         """Mends everything, lets all end, and checks the promises."""
         try:
             self.platform('up')
-            for node, router in list(self.world.routers.items()):
+            for node, router in list(self.cluster.routers.items()):
                 router.wake()
                 if router.link.dead:
                     self.restart(node)
@@ -125,8 +125,8 @@
 
     async def _settle(self):
         """Waits until all is settled, and longer, to see what comes late."""
-        end = self.loop.time() + HEAL_S
-        await world.until(
+        end = self.loop.time() + SETTLE_TIMEOUT_S
+        await harness.wait_until(
             lambda: self._all_settled() or self.loop.time() > end, STEP_S
         )
         await asyncio.sleep(LATE_S)
@@ -141,34 +141,36 @@
             name = entry.payload.decode()
             outcomes = settled[request]
             assert len(outcomes) == 1, (request, name, outcomes)
-            runs = self.world.runs(name)
+            runs = self.cluster.runs(name)
             assert entry.idempotent or runs <= 1, (name, runs)
             if outcomes[0].ran is base.Ran.NO:
                 assert not runs, (name, runs, outcomes)
-        for told in self.world.told:
-            self._check_told(told, accepted, settled)
+        for response in self.cluster.responses:
+            self._check_response(response, accepted, settled)
         self._check_keys(accepted)
 
-    def _check_told(self, told, accepted, settled):
-        if told.ran is base.Ran.NO:
-            assert not self.world.runs(told.name), told
-        if told.ran is base.Ran.YES and told.answer:
-            assert told.answer == settled[told.request][0].events, told
-        if told.request:
-            assert told.request in accepted, told
+    def _check_response(self, response, accepted, settled):
+        if response.ran is base.Ran.NO:
+            assert not self.cluster.runs(response.name), response
+        if response.ran is base.Ran.YES and response.answer:
+            assert response.answer == settled[response.request][0].events, (
+                response
+            )
+        if response.request:
+            assert response.request in accepted, response
 
     def _check_keys(self, accepted):
         runs = collections.Counter()
         for entry in accepted.values():
             if entry.idempotency_key:
                 name = entry.payload.decode()
-                runs[entry.idempotency_key] += self.world.runs(name)
+                runs[entry.idempotency_key] += self.cluster.runs(name)
         assert all(count <= 1 for count in runs.values()), runs
 
     def _records(self):
         accepted = {}
         settled = collections.defaultdict(list)
-        for key, data in self.world.platform.objects.items():
+        for key, data in self.cluster.platform.objects.items():
             _, name, number = key.split('/')
             found = segment.decode(data, name, int(number))
             accepted.update((entry.request, entry) for entry in found.accepted)
--- a/tests/quetzalsill_router/durable/test_segment.py
+++ b/tests/quetzalsill_router/durable/test_segment.py
@@ -54,7 +54,8 @@
         for index, found in enumerate(after.accepted):
             self.assertEqual(found.request, f'a.1.1-7-{index}')
             self.assertEqual(
-                entry.place_of(found.request), entry.Place('a.1.1', 7, index)
+                entry.parse_request_id(found.request),
+                entry.Position('a.1.1', 7, index),
             )
             found.request = ''
         self.assertEqual(after, before)
--- a/tests/quetzalsill_router/durable/test_takeover.py
+++ b/tests/quetzalsill_router/durable/test_takeover.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from quetzalsill.error import base
-from quetzalsill_router.durable import row, segment, state, watch
-from tests.quetzalsill_router.durable import virtual, world
+from quetzalsill_router.durable import liveness, row, segment, state
+from tests.quetzalsill_router.durable import harness, virtual
 
 SETTLE_S = 60.0
 OUTAGES = 10
@@ -16,7 +16,7 @@
 
 async def stored(router, request):
     """Waits for the outcome of a request."""
-    found = await router.state.answers.wait(world.ACCOUNT, request, SETTLE_S)
+    found = await router.state.answers.wait(harness.ACCOUNT, request, SETTLE_S)
     return found.answer
 
 
@@ -31,17 +31,19 @@
         that run and the work is not run again.
         """
 
-        async def story():
-            board = world.World(['a', 'b', 'c'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b', 'c'])
             await asyncio.sleep(1)
-            told = board.routers['a'].serve(world.make_entry('manifest'))
-            await world.until(lambda: board.runs('manifest'))
-            board.routers['a'].kill()
-            answer = await stored(board.routers['b'], told.request)
+            response = cluster.routers['a'].serve(
+                harness.make_entry('manifest')
+            )
+            await harness.wait_until(lambda: cluster.runs('manifest'))
+            cluster.routers['a'].kill()
+            answer = await stored(cluster.routers['b'], response.request)
             self.assertEqual(answer.events, [b'manifest planner-0 1'])
-            self.assertEqual(board.runs('manifest'), 1)
+            self.assertEqual(cluster.runs('manifest'), 1)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_idempotent_run_is_attached(self):
         """A long plan that may be run again has run for two seconds.
@@ -50,18 +52,18 @@
         would do the work twice, so the taker attaches to the run.
         """
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             await asyncio.sleep(1)
-            entry = world.make_entry('plan', idempotent=True)
-            told = board.routers['a'].serve(entry)
+            entry = harness.make_entry('plan', idempotent=True)
+            response = cluster.routers['a'].serve(entry)
             await asyncio.sleep(2)
-            board.routers['a'].kill()
-            answer = await stored(board.routers['b'], told.request)
+            cluster.routers['a'].kill()
+            answer = await stored(cluster.routers['b'], response.request)
             self.assertEqual(answer.events, [b'plan planner-0 1'])
-            self.assertEqual(board.runs('plan'), 1)
+            self.assertEqual(cluster.runs('plan'), 1)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_writer_fails(self):
         """A fault of the program ends the task that writes the journal.
@@ -70,24 +72,26 @@
         requests. All its durable tasks end, so that another one does.
         """
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             await asyncio.sleep(1)
-            broken = board.routers['a']
-            told = broken.serve(world.make_entry('manifest'))
-            await world.until(lambda: board.runs('manifest'))
-            board.platform.put = None
+            broken = cluster.routers['a']
+            response = broken.serve(harness.make_entry('manifest'))
+            await harness.wait_until(lambda: cluster.runs('manifest'))
+            cluster.platform.put = None
             with mock.patch.object(state, 'LOG') as logger:
-                await world.until(lambda: not broken.state.journal.available)
+                await harness.wait_until(
+                    lambda: not broken.state.journal.available
+                )
             logger.error.assert_called_once()
-            del board.platform.put
-            answer = await stored(board.routers['b'], told.request)
-            self.assertEqual(board.runs('manifest'), 1)
+            del cluster.platform.put
+            answer = await stored(cluster.routers['b'], response.request)
+            self.assertEqual(cluster.runs('manifest'), 1)
             self.assertTrue(answer.events)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
-    def test_taker_dies_in_the_middle(self):
+    def test_successor_dies_between_seal_and_adoption(self):
         """A clerk's manifest outlives its router and the router's taker.
 
         Router `a` dies. Its taker seals the log, and dies before it has
@@ -95,26 +99,30 @@
         but no owner, and the third router must see that this seal is void.
         """
 
-        async def story():
-            board = world.World(['a', 'b', 'c'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b', 'c'])
             await asyncio.sleep(1)
-            told = board.routers['a'].serve(world.make_entry('manifest'))
+            response = cluster.routers['a'].serve(
+                harness.make_entry('manifest')
+            )
             await asyncio.sleep(1)
-            board.routers['a'].kill()
-            taker = await world.until(lambda: sealed_by(board, 'a.1.1'))
-            board.routers[taker].kill()
-            (left,) = {'b', 'c'} - {taker}
-            answer = await stored(board.routers[left], told.request)
+            cluster.routers['a'].kill()
+            successor = await harness.wait_until(
+                lambda: sealed_by(cluster, 'a.1.1')
+            )
+            cluster.routers[successor].kill()
+            (left,) = {'b', 'c'} - {successor}
+            answer = await stored(cluster.routers[left], response.request)
             self.assertEqual(answer.events, [b'manifest planner-0 1'])
-            self.assertEqual(board.runs('manifest'), 1)
+            self.assertEqual(cluster.runs('manifest'), 1)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
 
-def sealed_by(board, log):
+def sealed_by(cluster, log):
     """Gives the node that sealed a log; empty if none has."""
     number = 1
-    while data := board.platform.objects.get(f'journal/{log}/{number:08d}'):
+    while data := cluster.platform.objects.get(f'journal/{log}/{number:08d}'):
         maker = segment.decode(data, log, number).sealed_by
         if maker:
             return maker.split('.')[0]
@@ -125,7 +133,7 @@
 class LiveRouterTest(unittest.TestCase):
     """Routers that live though they seem not to."""
 
-    def test_outage_is_no_death(self):
+    def test_outage_causes_no_takeover(self):
         """The store is down again and again while two routers live on.
 
         Neither can renew its row, so both rows stand unchanged for far more
@@ -133,21 +141,21 @@
         take each other over, which would restart every plan in flight.
         """
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             for _ in range(OUTAGES):
                 await asyncio.sleep(5)
-                board.platform.down = True
+                cluster.platform.down = True
                 await asyncio.sleep(60)
-                board.platform.down = False
+                cluster.platform.down = False
             await asyncio.sleep(30)
             keepers = {
                 found.key: found.value['keeper']
-                for found in board.platform.rows.scan('routers')
+                for found in cluster.platform.rows.scan('routers')
             }
             self.assertEqual(keepers, {'a.1.1': '', 'b.1.1': ''})
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_paused_reader(self):
         """A router is stopped while the rows it asked for are on their way.
@@ -156,20 +164,20 @@
         were they taken as the state of now, it would take all others over.
         """
 
-        async def story():
+        async def scenario():
             loop = asyncio.get_running_loop()
             live = row.LogRow('b', 1, 1, '', 'ikeja-hall', 1, ttl_s=4.0)
-            seen = watch.Watch()
-            seen.saw([row.Versioned(7, live)], loop.time())
+            tracker = liveness.LivenessTracker()
+            tracker.observe([row.VersionedRow(7, live)], loop.time())
             await asyncio.sleep(1)
-            asked_at = loop.time()
+            requested_at = loop.time()
             await asyncio.sleep(60)
-            seen.saw([row.Versioned(7, live)], asked_at)
-            self.assertEqual(seen.orphans(), [])
-            seen.saw([row.Versioned(7, live)], loop.time())
-            self.assertEqual(seen.orphans(), [live])
+            tracker.observe([row.VersionedRow(7, live)], requested_at)
+            self.assertEqual(tracker.orphans(), [])
+            tracker.observe([row.VersionedRow(7, live)], loop.time())
+            self.assertEqual(tracker.orphans(), [live])
 
-        virtual.run(story)
+        virtual.run(scenario)
 
 
 class PausedRouterTest(unittest.TestCase):
@@ -178,21 +186,21 @@
     def test_learns_that_it_was_taken_over(self):
         """A plan is told as pending for an hour with its answer stored."""
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             await asyncio.sleep(1)
-            paused = board.routers['a']
-            entry = world.make_entry('manifest')
+            paused = cluster.routers['a']
+            entry = harness.make_entry('manifest')
             paused.serve(entry)
             await asyncio.sleep(1)
             paused.pause()
-            await world.until(lambda: sealed_by(board, 'a.1.1'))
+            await harness.wait_until(lambda: sealed_by(cluster, 'a.1.1'))
             self.assertFalse(paused.superseded)
             paused.wake()
-            await world.until(lambda: paused.superseded)
+            await harness.wait_until(lambda: paused.superseded)
             self.assertFalse(paused.state.journal.owns(entry))
 
-        virtual.run(story)
+        virtual.run(scenario)
 
     def test_wakes_after_takeover(self):
         """The same order goes through two routers while one is paused.
@@ -203,24 +211,26 @@
         send a second truck.
         """
 
-        async def story():
-            board = world.World(['a', 'b'])
+        async def scenario():
+            cluster = harness.Cluster(['a', 'b'])
             await asyncio.sleep(1)
-            paused, other = board.routers['a'], board.routers['b']
-            first = paused.serve(world.make_entry('order', key='k1'))
-            await world.until(lambda: board.platform.rows.scan('claims'))
+            paused, other = cluster.routers['a'], cluster.routers['b']
+            first = paused.serve(harness.make_entry('order', key='k1'))
+            await harness.wait_until(
+                lambda: cluster.platform.rows.scan('claims')
+            )
             paused.pause()
-            second = other.serve(world.make_entry('order-again', key='k1'))
+            second = other.serve(harness.make_entry('order-again', key='k1'))
             await asyncio.sleep(SETTLE_S)
             paused.wake()
             await asyncio.sleep(SETTLE_S)
-            runs = board.runs('order') + board.runs('order-again')
+            runs = cluster.runs('order') + cluster.runs('order-again')
             self.assertEqual(runs, 1)
             self.assertEqual(second.ran, base.Ran.YES)
             self.assertIsNot(first.ran, base.Ran.NO)
             self.assertTrue(paused.state.journal.available)
 
-        virtual.run(story)
+        virtual.run(scenario)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_router/durable/virtual.py
+++ b/tests/quetzalsill_router/durable/virtual.py
@@ -47,9 +47,9 @@
         return self._virtual.now
 
 
-def run(story, *args):
+def run(scenario, *args):
     """Runs a coroutine function on a loop of its own."""
     log.configure('error')
     random.seed(1)
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(story(*args))
+        return runner.run(scenario(*args))
--- a/tests/quetzalsill_router/request/fake.py
+++ b/tests/quetzalsill_router/request/fake.py
@@ -140,7 +140,7 @@
         self.accepted.append(entry)
         return entry.request
 
-    async def dispatching(self, entry, run):
+    async def record_dispatch(self, entry, run):
         self.runs.append((entry.request, run))
 
     async def settle(self, entry, answer):
