--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/gateway.py
@@ -76,23 +76,31 @@
     ) -> exchange_lib.Exchange | None:
         """Returns the routed request, or None if it was refused."""
         request_id = message.first(req.headers, self._core.dialect.request_id)
-        name = request_id or b''
+        logged_id = request_id or b''
         table = self._core.holder.current
         if table is None:
-            _refuse(req, name, responder, UNAVAILABLE, 'no_configuration', 0)
+            _refuse(
+                req, logged_id, responder, UNAVAILABLE, 'no_configuration', 0
+            )
             return None
         host = message.first(req.headers, b'host') or b''
         route = table.match(host, req.path)
         if route is None:
-            _refuse(req, name, responder, NOT_FOUND, 'no_route', table.version)
+            _refuse(
+                req, logged_id, responder, NOT_FOUND, 'no_route', table.version
+            )
             return None
         account = _find_account(table, route, req)
         if table.accounts is not None and not route.public and account is None:
             version = table.version
-            _refuse(req, name, responder, UNAUTHORIZED, 'unknown_key', version)
+            _refuse(
+                req, logged_id, responder, UNAUTHORIZED, 'unknown_key', version
+            )
             return None
         if not request_id:
-            _refuse(req, name, responder, BAD_REQUEST, 'no_id', table.version)
+            _refuse(
+                req, logged_id, responder, BAD_REQUEST, 'no_id', table.version
+            )
             return None
         regions = _allowed_regions(route, account)
         service = _choose_service(table, route, self._core.upstreams, regions)
@@ -113,10 +121,10 @@
     def _deadline_s(
         self, req: message.Request, route: routing_lib.Route
     ) -> float:
-        text = message.first(req.headers, self._core.dialect.deadline_ms)
+        header = message.first(req.headers, self._core.dialect.deadline_ms)
         timeout_s = route.timeout_s
-        if text and text.isdigit():
-            timeout_s = min(timeout_s, int(text) / exchange_lib.MS_PER_S)
+        if header and header.isdigit():
+            timeout_s = min(timeout_s, int(header) / exchange_lib.MS_PER_S)
         return req.received_s + timeout_s
 
     def _record_end(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/listener.py
@@ -60,14 +60,14 @@
         self._can_write: asyncio.Future[None] | None = None
         self._task: asyncio.Task[None] | None = None
         self._refused = False
-        self._busy = False
+        self._serving = False
         self._last_activity_s = 0.0
         self._reset()
 
     @property
     def is_idle(self) -> bool:
         """Whether no request is being received, queued or served."""
-        return not (self._busy or self._requests or self._receiving)
+        return not (self._serving or self._requests or self._receiving)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Starts the connection's task."""
@@ -148,7 +148,7 @@
         if framing and framing[0].isdigit():
             self._check_body(int(framing[0]))
         expects = message.first(self._headers, b'expect')
-        if expects and expects.lower() == b'100-continue' and not self._busy:
+        if expects and expects.lower() == b'100-continue' and not self._serving:
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, body: bytes) -> None:
@@ -197,7 +197,7 @@
 
     def check_timeouts(self, now: float, limits: Limits) -> None:
         """Closes the connection if a timeout has expired."""
-        if self._busy or self._requests:
+        if self._serving or self._requests:
             return
         silent_s = now - self._last_activity_s
         if self._receiving and silent_s > limits.header_s:
@@ -248,7 +248,7 @@
                 self._send_refusal(item)
                 return
             responder = responder_lib.Responder(self, item)
-            self._busy = True
+            self._serving = True
             try:
                 await self._listener.handler(item, responder)
             except Exception as exc:
@@ -256,7 +256,7 @@
                 target = item.target.decode('latin-1')
                 event.note(event.RequestFault(target), exc=exc)
             finally:
-                self._busy = False
+                self._serving = False
                 self._last_activity_s = asyncio.get_running_loop().time()
             if not responder.ended:
                 self._finish(responder)
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/message.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/message.py
@@ -11,7 +11,7 @@
     'end_to_end',
     'first',
     'reason',
-    'relayed',
+    'relayed_headers',
 ]
 
 Headers = list[tuple[bytes, bytes]]
@@ -109,7 +109,7 @@
     return [(key, value) for key, value in headers if key not in dropped]
 
 
-def relayed(head: ResponseHead) -> Headers:
+def relayed_headers(head: ResponseHead) -> Headers:
     """Returns the headers to relay for a response whose body is reframed."""
     return [p for p in end_to_end(head.headers) if p[0] != b'content-length']
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
@@ -32,8 +32,8 @@
 
     def connections(self, address: Address) -> quota.Connections:
         """Returns the number of connections to an address."""
-        kept = self._idle.get(address, ())
-        idle = sum(conn.is_usable for conn in kept)
+        idle_conns = self._idle.get(address, ())
+        idle = sum(conn.is_usable for conn in idle_conns)
         return quota.Connections(self._count[address], idle)
 
     async def acquire(
@@ -60,9 +60,9 @@
           error.ConnectError: No connection could be opened.
         """
         now = asyncio.get_running_loop().time()
-        kept = self._idle.get(address) if repeatable else None
-        while kept:
-            conn = kept.pop()
+        idle_conns = self._idle.get(address) if repeatable else None
+        while idle_conns:
+            conn = idle_conns.pop()
             if conn.is_usable and now - conn.idle_since_s < _max_idle_s(conn):
                 return conn
             conn.abort()
@@ -88,9 +88,11 @@
             `MAX_IDLE_PER_ADDRESS`.
         """
         limit = MAX_IDLE_PER_ADDRESS if max_idle is None else max_idle
-        kept = self._idle.setdefault(conn.address, collections.deque())
-        if conn.is_usable and len(kept) < min(limit, MAX_IDLE_PER_ADDRESS):
-            kept.append(conn)
+        idle_conns = self._idle.setdefault(conn.address, collections.deque())
+        if conn.is_usable and len(idle_conns) < min(
+            limit, MAX_IDLE_PER_ADDRESS
+        ):
+            idle_conns.append(conn)
         else:
             conn.abort()
 
@@ -117,9 +119,9 @@
 
     def _close_oldest_idle(self, address: Address) -> None:
         """Closes the connection that has been idle longest, if any."""
-        kept = self._idle.get(address)
-        while kept:
-            conn = kept.popleft()
+        idle_conns = self._idle.get(address)
+        while idle_conns:
+            conn = idle_conns.popleft()
             was_usable = conn.is_usable
             conn.abort()
             if was_usable:
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/relay.py
@@ -166,7 +166,7 @@
     def _start_response(self, head: message.ResponseHead) -> None:
         if self._req.responder.started:
             return
-        headers = message.relayed(head)
+        headers = message.relayed_headers(head)
         self._req.responder.start(head.status, headers, None)
 
     async def _relay_events(
@@ -260,7 +260,7 @@
             and outcome.verdict is attempt.ResponseClass.FAILED
             and self._req.sends <= 1
         ):
-            headers = message.relayed(outcome.head)
+            headers = message.relayed_headers(outcome.head)
             responder.reply(outcome.head.status, headers, outcome.body)
             return 'upstream_failed'
         exchange.refuse(responder, BAD_GATEWAY, 'upstream_failed')
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/unary.py
@@ -218,7 +218,7 @@
 async def _relay(
     req: exchange.Exchange, sent: attempt.SentRequest, body: bytes
 ) -> None:
-    headers = message.relayed(sent.head)
+    headers = message.relayed_headers(sent.head)
     req.responder.start(sent.head.status, headers, sent.head.length)
     while body:
         req.responder.write(body)
@@ -270,7 +270,7 @@
     if last_response is not None:
         responder.reply(
             last_response.head.status,
-            message.relayed(last_response.head),
+            message.relayed_headers(last_response.head),
             last_response.body,
         )
         served = last_response.response_class is attempt.ResponseClass.SUCCESS
