--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/dialect.py
@@ -54,8 +54,8 @@
     Attributes:
       queued: Requests waiting at the engine.
       running: Requests running.
-      used_tokens: KV cache in use that cannot be evicted.
-      capacity_tokens: Total size of the KV cache.
+      used_tokens: KV cache in use that cannot be evicted, in tokens.
+      capacity_tokens: Total size of the KV cache, in tokens.
       leaving: Whether it accepts no new work.
       leaving_in_s: Time until it is gone, in seconds; None if unknown.
       runs: Its current runs.
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/event/request.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/event/request.py
@@ -41,7 +41,7 @@
       held_ms: Time spent queued for an engine with room.
       gap_cause: Cause of the longest pause: `move`, `recovery`, or empty if
         the gateway knows of none.
-      tokens: KV cache that it was expected to need; 0 if it is no generation.
+      tokens: Expected KV cache use, in tokens; 0 if it is no generation.
     """
 
     request: str
@@ -93,9 +93,9 @@
       outstanding: This gateway's calls to the upstream.
       mean_ms: Mean latency of a call to it.
       runs: Generations running there, from all gateways.
-      reserved_tokens: KV cache that these are expected to need.
+      reserved_tokens: Expected KV cache use of these, in tokens.
       reading_tokens: Prompt tokens that it has yet to prefill.
-      needs_tokens: KV cache that this request is expected to need.
+      needs_tokens: Expected KV cache use of this request, in tokens.
       failures: Decayed count of recent failures there.
       configuration_age_ms: Time since the configuration was last confirmed.
       membership_age_ms: Time since the membership was last confirmed.
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/exchange.py
@@ -46,7 +46,7 @@
         next event.
       gap_cause: `switch_cause` of the longest pause; empty if the run did not
         switch.
-      tokens: KV cache it is expected to need; 0 if it is no generation.
+      tokens: Expected KV cache use, in tokens; 0 if it is no generation.
       retry_after_s: When a refused caller is told to retry, in seconds.
     """
 
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/http/pool.py
@@ -56,7 +56,7 @@
             for no limit. At the limit, an idle one is closed to open a new one.
 
         Raises:
-          error.ConnectionLimitError: All allowed connections are busy.
+          error.ConnectionLimitError: The limit is reached, and none is idle.
           error.ConnectError: No connection could be opened.
         """
         now = asyncio.get_running_loop().time()
@@ -73,8 +73,8 @@
             self._close_oldest_idle(address)
             if self._count[address] >= max_connections:
                 detail = (
-                    f'{address[0]}:{address[1]}: all {max_connections} '
-                    'connections are busy'
+                    f'{address[0]}:{address[1]}: limit of {max_connections} '
+                    'connections reached'
                 )
                 raise error.ConnectionLimitError(detail)
         return await self._open(address, connect_timeout_s)
