--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -79,8 +79,8 @@
     ),
     'destinations-in-the-zone': _gateway(
         'balance/choose.py',
-        'return is_full, crossing, drawn',
-        'return is_full, False, drawn',
+        'return is_full, crossing, tie_break',
+        'return is_full, False, tie_break',
     ),
     'failures-of-all': _gateway(
         'balance/upstream_stats.py',
@@ -88,7 +88,7 @@
         '0.0',
     ),
     'faulty-engines-out': _gateway(
-        'balance/failure_score.py',
+        'balance/faults.py',
         'FAULTY_SCORE = 1.5',
         'FAULTY_SCORE = 1e9',
     ),
@@ -129,7 +129,9 @@
         'await asyncio.Event().wait()',
     ),
     'telling-of-an-outage': _gateway(
-        'source.py', 'if self._lost or self._told:', 'if self._lost:'
+        'source.py',
+        'if self._down_since_s or self._down_peers:',
+        'if self._down_since_s:',
     ),
     'grace-for-lapsed': _gateway(
         'fleet/upstream.py', 'LAPSE_GRACE_S = 2.2', 'LAPSE_GRACE_S = 0.0'
--- a/tests/quetzalsill_gateway/balance/test_failure_score.py
+++ b/tests/quetzalsill_gateway/balance/test_faults.py
@@ -1,8 +1,8 @@
-"""Engines that fail while their health check is good.
+"""Tests of outlier detection: engines that fail with a good health check.
 
-Pattern: one of 24 engines goes down and up by turns. It is always empty, so it
-draws all work; 26 gateways that learn each for itself lose one or two
-generations each to it. Played so, 20 were lost in five seconds.
+Guards against one flapping engine of 24 that attracts all work because it is
+always idle: 26 gateways that each detected it alone lost 20 generations in five
+seconds.
 """
 
 from __future__ import annotations
@@ -10,64 +10,63 @@
 import random
 import unittest
 
-from quetzalsill_gateway.balance import choose, failure_score, upstream_stats
+from quetzalsill_gateway.balance import choose, faults, upstream_stats
 from quetzalsill_gateway.fleet import upstream, usage
 
 GATEWAYS = 26
 
 
 class FailureScoreTest(unittest.TestCase):
-    """How failures fade."""
+    """Decay of the score."""
 
     def test_two_failures_take_it_out_for_a_while(self):
-        seen = failure_score.FailureScore()
-        seen.record_failure(0.0)
+        score = faults.FailureScore()
+        score.record_failure(0.0)
         self.assertIs(
-            failure_score.health_state(seen.decayed(0.1)),
-            failure_score.HealthState.ON_TRIAL,
+            faults.health_state(score.decayed(0.1)),
+            faults.HealthState.ON_TRIAL,
         )
-        seen.record_failure(0.1)
+        score.record_failure(0.1)
         states = [
-            failure_score.health_state(seen.decayed(t))
-            for t in (0.2, 4.0, 60.0)
+            faults.health_state(score.decayed(t)) for t in (0.2, 4.0, 60.0)
         ]
         self.assertEqual(
             states,
             [
-                failure_score.HealthState.FAULTY,
-                failure_score.HealthState.ON_TRIAL,
-                failure_score.HealthState.HEALTHY,
+                faults.HealthState.FAULTY,
+                faults.HealthState.ON_TRIAL,
+                faults.HealthState.HEALTHY,
             ],
         )
 
-    def test_the_more_in_a_row_the_longer(self):
-        def out_s(row):
-            seen = failure_score.FailureScore()
-            for n in range(row):
-                seen.record_failure(n * 0.1)
+    def test_consecutive_failures_exclude_it_for_longer(self):
+        def excluded_s(failures):
+            score = faults.FailureScore()
+            for n in range(failures):
+                score.record_failure(n * 0.1)
             return next(
                 t
                 for t in range(1000)
-                if failure_score.health_state(seen.decayed(t))
-                is not failure_score.HealthState.FAULTY
-                and t > row
+                if faults.health_state(score.decayed(t))
+                is not faults.HealthState.FAULTY
+                and t > failures
             )
 
-        times = [out_s(row) for row in (2, 3, 4, 5)]
+        times = [excluded_s(n) for n in (2, 3, 4, 5)]
         self.assertEqual(times, sorted(times))
         self.assertGreater(times[-1], 2 * times[0])
 
-    def test_a_success_ends_the_row(self):
-        seen = failure_score.FailureScore()
+    def test_a_success_resets_the_count(self):
+        score = faults.FailureScore()
         for _ in range(5):
-            seen.record_failure(0.0)
-        slow = seen.decayed(3.0)
-        seen.record_success()
-        self.assertLess(seen.decayed(3.0), slow)
+            score.record_failure(0.0)
+        before = score.decayed(3.0)
+        score.record_success()
+        self.assertLess(score.decayed(3.0), before)
 
 
 class WithoutFaultyTest(unittest.IsolatedAsyncioTestCase):
-    """Six engines and what 26 gateways have seen of them."""
+    """Six engines, with the failures that 26 gateways have seen."""
 
     async def asyncSetUp(self):
         self.found = [
@@ -92,7 +91,7 @@
         self.assertNotIn(self.found[2], self.healthy())
 
     async def test_one_request_at_a_time_tries_it(self):
-        """Of all gateways about one tries it, and none beside a run there."""
+        """About one gateway at a time probes it, and none beside a run."""
         self.set_failures(2, 1.0)
         tries = sum(
             self.found[2] in self.healthy() for _ in range(GATEWAYS * 40)
@@ -106,7 +105,7 @@
         self.assertEqual(tries, 0)
 
     async def test_never_all_of_a_service_at_once(self):
-        """A cause that all share, such as the network, takes out nobody."""
+        """A common cause such as the network excludes no engine."""
         for number in range(3):
             self.set_failures(number, 5.0)
         self.assertEqual(self.healthy(), self.found)
--- a/tests/quetzalsill_gateway/watch/test_epoch_faults.py
+++ b/tests/quetzalsill_gateway/watch/test_epoch_faults.py
@@ -1,7 +1,7 @@
-"""Epochs that make no sense, of a store or of another gateway.
+"""Tests of invalid epochs reported by a store or by a peer.
 
-One faulty word must not make a gateway deaf to what is true afterwards, take
-anybody out, or have it call the store all the time.
+One faulty report must not make a gateway ignore correct ones afterwards, remove
+upstreams, or cause calls to the store all the time.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class StoreTest(drill.DrillTest):
-    """What the store tells."""
+    """Epochs reported by the store."""
 
     async def is_up_to_date(self):
-        """Checks that edits and notices are known in their time."""
+        """Checks that edits and notices are known in time."""
         self.fleet.configure(7)
         self.fleet.drain_server('server-1')
         await self.within(
@@ -32,14 +32,14 @@
             lambda one: one.config_version == 7 and 'server-1' not in one.ids(),
         )
 
-    def test_an_epoch_that_falls_for_good(self):
-        """Somebody sets the store up anew, and it counts from one again.
+    def test_an_epoch_that_decreases_for_good(self):
+        """The store is set up anew and counts epochs from one again.
 
-        All its answers are then older than what is known. Left out for good,
-        gateways would serve for ever what they knew that day.
+        All its answers are then older than the known epoch. If they were
+        discarded for good, gateways would serve an outdated state for ever.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
@@ -48,15 +48,15 @@
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_epoch_that_jumps_for_one_answer(self):
-        """One answer tells an epoch of a thousand; the next ones tell it not.
+        """One answer reports an epoch a thousand higher; the next ones do not.
 
-        Nothing is known anew meanwhile, but for a second or two.
+        Meanwhile no update is applied, for a second or two.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             await self.fleet.drill(store.snapshot())
             await asyncio.sleep(3.0)
@@ -68,32 +68,33 @@
             await self.is_up_to_date()
             self.assertEqual({o.epochs.newest for o in self.fleet.all}, {1})
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_same_list_under_two_epochs(self):
-        """The copy is of the last moment: nothing was lost, all is the same."""
+        """The copy is current, so that nothing was lost."""
 
-        async def story():
+        async def scenario():
             async with self.always(lambda one: one.ids() == LIVE):
                 for _ in range(3):
                     copy = self.fleet.store.snapshot()
                     await self.fleet.drill(copy, away_s=0.0, rewrite_s=0.0)
                     await asyncio.sleep(1.0)
-            self.assertEqual(self.told(event.UpstreamRemoved), [])
-            self.assertEqual(len(self.told(event.UpstreamAdded)), 20 * 24)
+            self.assertEqual(self.events_of(event.UpstreamRemoved), [])
+            self.assertEqual(len(self.events_of(event.UpstreamAdded)), 20 * 24)
             await self.is_up_to_date()
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_loop_of_lost_histories_is_bounded(self):
-        """The store lists all and says 410 to every feed, in one epoch.
+        """The store answers list calls but refuses every feed with 410.
 
-        Listed at once each time, there would be a call there all the time. A
-        store that is away is asked every two seconds for each table, and three
-        quarters of that at the least; here that is two calls.
+        It stays in one epoch. If a list followed at once each time, there would
+        be a call to the store at any time. The allowed rate is that of a store
+        that is down: a poll every two seconds for each table, with at least
+        three quarters of that between two; here each poll is two calls.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             store.reports_compacted = lambda _: True
             await asyncio.sleep(5.0)
@@ -111,19 +112,19 @@
             self.fleet.configure(8)
             await self.within(2.0, lambda one: one.config_version == 8)
 
-        self.play(story, 1)
+        self.simulate(scenario, 1)
 
 
 class PeerTest(drill.DrillTest):
-    """What another gateway tells."""
+    """Updates from a peer."""
 
     def test_a_faulty_epoch_of_a_peer_does_no_harm_for_long(self):
-        """A datagram tells an epoch that never was, of all that it can.
+        """Every kind of datagram reports an epoch that never existed.
 
-        Taken for good, neither the store nor anyone would be heard again.
+        If it were kept, updates from the store and from peers would be ignored.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
             async with self.always(lambda one: one.ids() == LIVE):
@@ -151,16 +152,17 @@
                 ),
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_an_empty_list_of_a_peer_hides_nothing(self):
-        """A gateway tells of a new epoch, with a list that has no entries.
+        """A peer announces a new epoch with an empty snapshot.
 
-        The list is not taken, for it would leave nobody to serve. Taken for all
-        that has changed, it would hide a server that has gone in that epoch.
+        The snapshot is not applied, since it would leave no upstream to serve.
+        If it were taken for an update without changes, it would hide the
+        removal of a server in that epoch.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             store.restore(store.snapshot())
             self.fleet.remove_server('server-2')
@@ -172,18 +174,18 @@
             left = LIVE - {'server-2'}
             async with self.always(lambda one: left <= one.ids()):
                 await self.within(
-                    drill.KNOWN_S + 2.5, lambda one: one.ids() == left
+                    drill.RECOVERY_S + 2.5, lambda one: one.ids() == left
                 )
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_faulty_order_of_a_peer_ends(self):
-        """A zone is drained at an epoch that never was; it is not for good.
+        """A drain order has an epoch that never existed; it must not last.
 
-        Of the gateways that hear the others only and ask nobody, too.
+        The gateway that receives it only follows its peers and does not poll.
         """
 
-        async def story():
+        async def scenario():
             before = dict(self.fleet.store.calls)
             await asyncio.sleep(3.0)
             calls = self.fleet.store.calls
@@ -198,15 +200,16 @@
                 20.0, lambda one: not one.upstreams.zones.is_drained('z')
             )
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_a_faulty_order_makes_no_news_malformed(self):
-        """One gateway holds it; told with its news, that would be left out.
+    def test_a_faulty_order_makes_no_update_malformed(self):
+        """Guards against a gateway whose updates all peers discard.
 
-        Nobody would hear of an edit from that gateway, whoever watches.
+        It holds a faulty drain order. If its updates contained it, they would
+        be malformed, and no peer would learn of an edit from it while it polls.
         """
 
-        async def story():
+        async def scenario():
             one = self.fleet.all[0]
             faulty = zones.Drain('z', FAR, True)
             one.configuration.handle_update(
@@ -214,18 +217,18 @@
             )
             whole = one.configuration.snapshot()
             data = update_codec.encode(one.node, whole)
-            _, told = update_codec.decode(*frame.unpack(data))
-            self.assertEqual(told.number, one.config_version)
+            _, decoded = update_codec.decode(*frame.unpack(data))
+            self.assertEqual(decoded.number, one.config_version)
 
-        self.play(story, 2)
+        self.simulate(scenario, 2)
 
-    def test_a_faulty_epoch_takes_no_order_back(self):
-        """A zone is drained; a datagram tells an epoch without that order."""
+    def test_a_faulty_epoch_cancels_no_order(self):
+        """A zone is drained; an update with a faulty epoch lacks the order."""
 
         def is_on(one):
             return one.upstreams.zones.is_drained('z')
 
-        async def story():
+        async def scenario():
             self.fleet.drain_zone('z', is_on=True)
             await self.within(1.0, is_on)
             async with self.always(is_on):
@@ -235,25 +238,25 @@
                     )
                 await asyncio.sleep(15.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
-class EpochsTest(unittest.TestCase):
+class EpochTrackerTest(unittest.TestCase):
     """Answers in any order."""
 
-    def play(self, story):
+    def simulate(self, scenario):
         async def work():
-            await story(epoch.EpochTracker())
+            await scenario(epoch.EpochTracker())
 
         clock.run(work)
 
     def test_a_late_answer_changes_nothing(self):
-        """A slow call was sent before the drill and is answered long after.
+        """A slow call was sent before the drill and is answered long after it.
 
-        Believed, it would take the gateway back to what was lost.
+        Its answer would take the gateway back to the lost state.
         """
 
-        async def story(epochs):
+        async def scenario(epochs):
             epochs.observe('get', 1, 0)
             epochs.observe('get', 2, 1)
             for _ in range(100):
@@ -262,10 +265,10 @@
                     epochs.observe('feed', 1, 1)
             self.assertEqual(epochs.newest, 2)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_one_answer_of_an_older_epoch_is_not_believed(self):
-        async def story(epochs):
+        async def scenario(epochs):
             epochs.observe('get', 2, 0)
             for _ in range(10):
                 with self.assertRaises(error.StaleResponseError):
@@ -275,10 +278,10 @@
                 await asyncio.sleep(0.9)
             self.assertEqual(epochs.newest, 2)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_an_epoch_that_fell_counts_when_it_is_told_on_and_on(self):
-        async def story(epochs):
+    def test_a_lower_epoch_counts_once_it_is_reported_for_long(self):
+        async def scenario(epochs):
             epochs.observe('get', 7, 0)
             with self.assertRaises(error.StaleResponseError):
                 epochs.observe('get', 1, 7)
@@ -286,18 +289,18 @@
             epochs.observe('get', 1, 7)
             self.assertEqual(epochs.newest, 1)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_whoever_follows_is_called_back_once_an_epoch(self):
-        async def story(epochs):
+    def test_callbacks_run_once_per_epoch(self):
+        async def scenario(epochs):
             seen = []
             epochs.on_change(lambda: seen.append(epochs.newest))
-            for told in (3, 3, 4, 4, 9):
-                epochs.observe('get', told, epochs.newest)
-            # With the first there was none before it to end.
+            for reported in (3, 3, 4, 4, 9):
+                epochs.observe('get', reported, epochs.newest)
+            # The first epoch ends none before it.
             self.assertEqual(seen, [4, 9])
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_lower_versions.py
+++ b/tests/quetzalsill_gateway/watch/test_lower_versions.py
@@ -1,4 +1,4 @@
-"""A source whose feeds are behind its lists, in one epoch."""
+"""Tests of a source whose feeds are behind its snapshots, in one epoch."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 
 FOR_S = 15.0
 SEEDS = range(20)
-# As of a source that is away: doubled from 0.2 s up to every two seconds, three
-# quarters of that at the least.
+# The same as for a source that is down: doubled from 0.2 s up to two seconds,
+# and at least three quarters of that.
 LEAST_PAUSES_S = (0.15, 0.3, 0.6, 1.2, 1.5)
-# Calls at two at a time: at once, after each of the first pauses, and then.
+# Calls, two at a time: at once, after each of the first pauses, and then at the
+# longest pause.
 FIRST_S = sum(LEAST_PAUSES_S[:-1])
 MOST_CALLS = 2 * (len(LEAST_PAUSES_S) + (FOR_S - FIRST_S) / LEAST_PAUSES_S[-1])
 
-# The clock adds up what the loop slept.
+# The virtual clock sums the times that the loop slept.
 CLOCK_S = 1e-6
 
 
 class LowerVersionsTest(unittest.TestCase):
-    """One gateway before a source that lists 100 and tells on from 50.
+    """One gateway polls a source that lists version 100 but feeds from 50.
 
-    Lists and feeds come from two copies of a store. Each feed is answered at
-    once, what is known is dropped for it, and all is listed again: without a
-    pause there is a call at the source all the time.
+    Lists and feeds come from two replicas of a store. Each feed is answered at
+    once, the known revision is dropped for it, and all is listed again: without
+    a pause there would be a call to the source at any time.
     """
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.calls = 0
         self.ended_s = []
         self.listed_s = []
 
-    async def ask(self, after, wait_s):
+    async def poll(self, after, wait_s):
         self.calls += 1
         loop = asyncio.get_running_loop()
         if after is None:
@@ -55,14 +56,14 @@
             [], revision.Revision(1, version), after is None
         )
 
-    def play(self, follower):
+    def simulate(self, follower):
         for seed in SEEDS:
             with self.subTest(seed):
                 self.calls = 0
                 self.ended_s, self.listed_s = [], []
-                self.play_once(follower, random.Random(seed))
+                self.simulate_once(follower, random.Random(seed))
 
-    def play_once(self, follower, rng):
+    def simulate_once(self, follower, rng):
         async def work():
             task = asyncio.create_task(follower(rng).run())
             await asyncio.sleep(FOR_S)
@@ -81,9 +82,9 @@
             self.assertGreaterEqual(at_s - ended_s, least_s - CLOCK_S)
 
     def test_membership(self):
-        self.play(
+        self.simulate(
             lambda rng: membership.Membership(
-                self.ask,
+                self.poll,
                 upstream.Upstreams(),
                 source.Health(),
                 2.0,
@@ -93,9 +94,9 @@
         )
 
     def test_configuration(self):
-        self.play(
+        self.simulate(
             lambda rng: configuration.Configuration(
-                self.ask,
+                self.poll,
                 watchers._parse_document,
                 source.RoutingTableHolder(),
                 upstream.Upstreams().zones,
--- a/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
+++ b/tests/quetzalsill_gateway/watch/test_overlapping_calls.py
@@ -1,4 +1,4 @@
-"""Answers to calls during which another gateway was answered."""
+"""Tests of answers to calls during which another gateway was answered."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 BOUND_S = 3.0
 CALL_S = 0.2
-# Less than the time in which another gateway asks.
+# Less than the time after which another gateway polls.
 SOON_S = 0.2
 BEFORE, AFTER = revision.Revision(0, 5), revision.Revision(0, 6)
 LEAVING = upstream.Change(
@@ -38,24 +38,24 @@
 
 
 class OverlappingCallsTest(unittest.TestCase):
-    """A gateway hears of another's answer while its own call waits."""
+    """A gateway receives an update from a peer while its own call waits."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
         self.announced = []
 
-    def play(self, follower, answers):
-        """Plays two calls; another gateway tells the same during the second.
+    def simulate(self, follower, answers):
+        """Runs two calls; a peer sends the same update during the second.
 
         Args:
-          follower: Makes the follower, of what answers its calls.
-          answers: What the source answers; nothing behind the last.
+          follower: Creates the follower, given the function that polls.
+          answers: Answers of the source; there is none after the last.
         """
         script = iter(answers)
 
-        async def ask(_, __):
+        async def poll(_, __):
             await asyncio.sleep(CALL_S)
             found = next(script, None)
             if found is None:
@@ -63,30 +63,30 @@
             return found
 
         async def work():
-            # As if nothing had been heard for a while.
+            # As if no update had been received for a while.
             await asyncio.sleep(1.0)
-            one = follower(ask)
+            one = follower(poll)
             one.set_announcer(self.announced.append)
             task = asyncio.create_task(one.run())
-            # The first call; the second begins soon after it.
+            # The first call; the second starts soon after it.
             await asyncio.sleep(1.75 * CALL_S)
-            (told,) = self.announced
+            (sent,) = self.announced
             self.announced.clear()
-            one.handle_update(dataclasses.replace(told, sender='entry-2'))
+            one.handle_update(dataclasses.replace(sent, sender='entry-2'))
             await asyncio.sleep(CALL_S + SOON_S)
             task.cancel()
 
         clock.run(work)
 
-    def membership(self, ask):
+    def membership(self, poll):
         return membership.Membership(
-            ask, upstream.Upstreams(), source.Health(), BOUND_S
+            poll, upstream.Upstreams(), source.Health(), BOUND_S
         )
 
-    def configuration(self, ask):
+    def configuration(self, poll):
         found = upstream.Upstreams()
         return configuration.Configuration(
-            ask,
+            poll,
             watchers._parse_document,
             source.RoutingTableHolder(),
             found.zones,
@@ -96,7 +96,7 @@
         )
 
     def notice(self):
-        """A list of upstreams, and a notice in the answer that follows."""
+        """Returns a list of upstreams, and an answer with a drain notice."""
         found = upstream.Upstream(
             'server-1', 'engines', ('10.0.0.1', 1), 'z', incarnation=1
         )
@@ -106,17 +106,17 @@
             source.PollResult([LEAVING], AFTER, is_snapshot=False),
         )
 
-    def test_a_notice_that_nobody_else_tells(self):
-        """Callers' work goes on to an engine that has said that it leaves.
+    def test_a_notice_that_nobody_else_announces(self):
+        """Guards against work that goes to an engine after its drain notice.
 
-        The one that was answered first told that nothing is new.
+        The gateway that was answered first has announced that nothing is new.
         """
-        self.play(self.membership, self.notice())
+        self.simulate(self.membership, self.notice())
         self.assertIn(LEAVING, [c for n in self.announced for c in n.changes])
 
-    def test_an_edit_that_nobody_else_tells(self):
-        """An edit is in force late everywhere but here."""
-        self.play(
+    def test_an_edit_that_nobody_else_announces(self):
+        """Guards against an edit that all other gateways apply late."""
+        self.simulate(
             self.configuration,
             (
                 source.PollResult(
@@ -127,7 +127,7 @@
                 ),
             ),
         )
-        self.assertIn(2, [told.number for told in self.announced])
+        self.assertIn(2, [sent.number for sent in self.announced])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_gateway/watch/test_stale_updates.py
+++ b/tests/quetzalsill_gateway/watch/test_stale_updates.py
@@ -1,7 +1,7 @@
-"""Word of the past, taken while a gateway has no feed to read on from.
+"""Tests of outdated updates that arrive while no feed can be resumed.
 
-The source has ended the feed, and the list that follows is refused: nothing is
-known up to any revision then, but all that was accepted still is.
+The source has ended the feed and refuses the list that follows: no revision is
+known then, but all that was applied before still is.
 """
 
 from __future__ import annotations
@@ -41,50 +41,50 @@
     return one.upstreams.zones.is_drained('z')
 
 
-class Script:
-    """Answers of a source, one after the other; refuses behind the last."""
+class ScriptedSource:
+    """A source with scripted answers; it refuses calls after the last."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
         self.epochs = epoch.EpochTracker()
 
-    async def ask(self, after, wait_s):
-        asked = self.epochs.newest
+    async def poll(self, after, wait_s):
+        newest_when_sent = self.epochs.newest
         await asyncio.sleep(0.01)
         if not self.answers:
             raise error.SourceError('refused')
         answer = self.answers.pop(0)
-        # Every answer tells the epoch, before anything else is taken of it.
-        told = asked if answer is None else answer.revision.epoch
-        self.epochs.observe('rows', told, asked)
+        # Every answer has its epoch checked before its content is used.
+        reported = newest_when_sent if answer is None else answer.revision.epoch
+        self.epochs.observe('rows', reported, newest_when_sent)
         return answer
 
 
 class StaleUpdateTest(unittest.TestCase):
-    """A gateway whose source has answered 410 and is away since."""
+    """A gateway whose source has answered 410 and is down since."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, follower, story):
+    def simulate(self, follower, scenario):
         async def work():
             self.upstreams = upstream.Upstreams()
             one = follower()
             task = asyncio.create_task(one.run())
             try:
                 await asyncio.sleep(3.0)
-                await story(one)
+                await scenario(one)
             finally:
                 task.cancel()
 
         clock.run(work)
 
     def membership(self, *answers):
-        script = Script(*answers)
+        script = ScriptedSource(*answers)
         return membership.Membership(
-            script.ask,
+            script.poll,
             self.upstreams,
             source.Health(),
             BOUND_S,
@@ -92,9 +92,9 @@
         )
 
     def configuration(self, *answers):
-        script = Script(*answers)
+        script = ScriptedSource(*answers)
         return configuration.Configuration(
-            script.ask,
+            script.poll,
             watchers._parse_document,
             source.RoutingTableHolder(),
             self.upstreams.zones,
@@ -108,11 +108,11 @@
         return {found.id for found in self.upstreams.available(SERVICE)}
 
     def test_a_list_of_before_brings_no_ended_server_back(self):
-        """A server that has ended gets new work again, for good.
+        """Guards against a server that has ended and gets new work for good.
 
-        The store's feed says that it is gone; then the store loses its history
-        and is away. Asked for all, a gateway that was cut off before answers
-        with its list, which still has the server.
+        The feed of the store reports the removal; then the store loses its
+        history and is down. A peer that was partitioned off before answers with
+        its snapshot, which still has the server.
         """
 
         def follower():
@@ -123,7 +123,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertEqual(self.ids(), {STAYS.id})
             one.handle_update(
                 update.MembershipUpdate(
@@ -132,12 +132,13 @@
             )
             self.assertEqual(self.ids(), {STAYS.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_a_list_of_before_drops_no_server(self):
-        """A server that lives gets no work, and its runs move away.
+        """Guards against a running server that gets no work and loses its runs.
 
-        It entered after the list that a gateway tells which was cut off since.
+        It started after the snapshot of a peer that has been partitioned off
+        since.
         """
         later = upstream.Change(ENDED.id, at(60), ENDED.upstream)
 
@@ -148,7 +149,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
             one.handle_update(
                 update.MembershipUpdate(
@@ -157,12 +158,12 @@
             )
             self.assertEqual(self.ids(), {STAYS.id, ENDED.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_a_list_of_the_epoch_before_brings_no_ended_server_back(self):
         """The same across a drill: the list of the new epoch lacks the server.
 
-        A gateway that is cut off from the store tells that of the old one.
+        A gateway without a connection to the store sends that of the old one.
         """
 
         def follower():
@@ -173,7 +174,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             one._epochs.observe('rows-feed', 8, 0)
             await asyncio.sleep(upstream.LAPSE_GRACE_S)
             self.assertEqual(self.ids(), {STAYS.id})
@@ -185,14 +186,14 @@
             await asyncio.sleep(upstream.LAPSE_GRACE_S + 0.1)
             self.assertEqual(self.ids(), {STAYS.id})
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_whole_hides_no_order_that_was_taken_back(self):
-        """A zone stands idle, although operators have taken it back.
+    def test_a_snapshot_hides_no_order_that_was_cancelled(self):
+        """Guards against a zone that stays idle after its order was cancelled.
 
-        The store loses its history and is away. Another gateway that has listed
-        the orders since tells the configuration whole, without the order; taken
-        as all up to there, nobody asks what came before.
+        The store loses its history and is down. A peer that has listed the
+        orders since sends a snapshot of the configuration without the order; if
+        it were taken for complete, the cancellation would never be polled for.
         """
         stands = zones.Drain('z', at(20), True)
 
@@ -203,7 +204,7 @@
                 None,
             )
 
-        async def story(one):
+        async def scenario(one):
             one.handle_update(
                 update.ConfigurationUpdate(
                     at(70),
@@ -214,18 +215,19 @@
                     sender='started-since',
                 )
             )
-            # Either the order is gone, or the gateway is not up to there.
+            # Either the order is cancelled, or that revision is not yet
+            # reached.
             is_on = self.upstreams.zones.is_drained('z')
             self.assertFalse(is_on and one._revision == at(70))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_late_word_takes_no_order_back(self):
-        """Work goes to a drained zone, while the store is away.
+    def test_a_late_update_cancels_no_order(self):
+        """Guards against work in a drained zone while the store is down.
 
-        Two gateways that were cut off before the order was written tell this
-        one what they know, more than five seconds apart. Neither is the source,
-        and neither says that the source has no such order.
+        Two peers that were partitioned off before the order was written send
+        what they know, more than five seconds apart. Neither is the source, and
+        neither shows that the source has no such order.
         """
         stands = zones.Drain('z', at(60), True)
 
@@ -236,19 +238,19 @@
                 source.PollResult([stands], at(60), False),
             )
 
-        async def story(one):
+        async def scenario(one):
             self.assertTrue(self.upstreams.zones.is_drained('z'))
             for _ in range(2):
                 one.handle_update(
                     update.ConfigurationUpdate(at(55), 5, sender='cut-off')
                 )
-                await asyncio.sleep(configuration.AHEAD_S + 1.0)
+                await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
-    def test_a_word_of_the_epoch_before_takes_no_order_back(self):
-        """The same, of gateways that are cut off since before a drill."""
+    def test_an_update_of_an_older_epoch_cancels_no_order(self):
+        """The same with peers partitioned off since before a drill."""
         stands = zones.Drain('z', at(20, 8), True)
 
         def follower():
@@ -257,22 +259,22 @@
                 source.PollResult([document, stands], at(30, 8), True),
             )
 
-        async def story(one):
+        async def scenario(one):
             for _ in range(2):
                 one.handle_update(
                     update.ConfigurationUpdate(at(55), 5, sender='cut-off')
                 )
-                await asyncio.sleep(configuration.AHEAD_S + 1.0)
+                await asyncio.sleep(configuration.MAX_AHEAD_S + 1.0)
             self.assertTrue(self.upstreams.zones.is_drained('z'))
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
     def test_of_two_with_one_number_the_older_does_not_come_again(self):
-        """Keys that operators have withdrawn are good again.
+        """Guards against withdrawn keys that become valid again.
 
-        They have written another document under the same number. The store
-        loses its history and is away; a gateway that was cut off since before
-        tells the document that it has.
+        Operators have written another document with the same number. The store
+        loses its history and is down; a peer that was partitioned off before
+        sends the document that it has.
         """
         first = json.dumps({'version': 5, 'name': 'first'}).encode()
 
@@ -282,7 +284,7 @@
                 source.PollResult([found], at(50), True), None
             )
 
-        async def story(one):
+        async def scenario(one):
             one.handle_update(
                 update.ConfigurationUpdate(
                     at(35),
@@ -295,21 +297,21 @@
             )
             self.assertEqual(one.active.data, DOCUMENT)
 
-        self.play(follower, story)
+        self.simulate(follower, scenario)
 
 
-class FallenEpochTest(drill.DrillTest):
-    """The store tells an older epoch from now on."""
+class LowerEpochTest(drill.DrillTest):
+    """The store reports an older epoch from now on."""
 
     def test_a_drained_zone_stays_drained(self):
-        """New work goes to a zone whose order always stood, on all gateways.
+        """Guards against work in a drained zone, on all gateways.
 
-        Somebody sets the store up anew from what it holds, and it counts from
-        one again. The order as listed is older than the one that is known,
-        which is dropped as faulty some seconds later; nobody lists anew then.
+        The store is set up anew from what it holds and counts epochs from one
+        again. The order as listed is older than the known one, which is dropped
+        as faulty some seconds later; no list follows then.
         """
 
-        async def story():
+        async def scenario():
             await self.fleet.drill(self.fleet.store.snapshot(), epochs=5)
             await asyncio.sleep(3.0)
             self.fleet.drain_zone('z', is_on=True)
@@ -318,25 +320,27 @@
                 await self.fleet.drill(self.fleet.store.snapshot(), epochs=-4)
                 await asyncio.sleep(20.0)
 
-        self.play(story)
+        self.simulate(scenario)
 
 
 class FaultyOrderTest(drill.DrillTest):
-    """A datagram tells an order for a zone of a revision that never was."""
+    """A datagram has a drain order with a revision that never existed."""
 
     def test_the_order_that_stands_is_in_force_again(self):
-        """New work goes for good to a zone that operators have drained.
+        """Guards against work for good in a zone that operators have drained.
 
-        The faulty order takes the place of theirs. Dropped some seconds later
-        by an answer of the store, it leaves nothing, and the zone's own order
-        is not listed again.
+        The faulty order replaces theirs. When an answer of the store drops it
+        some seconds later, no order is left, and that of the zone is not listed
+        again.
         """
         for epochs in (0, 1):
             for is_on in (True, False):
                 with self.subTest(epochs=epochs, is_on=is_on):
-                    self.play(lambda e=epochs, o=is_on: self.story(e, o), 1)
+                    self.simulate(
+                        lambda e=epochs, o=is_on: self.scenario(e, o), 1
+                    )
 
-    async def story(self, epochs, is_on):
+    async def scenario(self, epochs, is_on):
         if epochs:
             await self.fleet.drill(self.fleet.store.snapshot())
             await asyncio.sleep(3.0)
@@ -349,19 +353,19 @@
         self.assertTrue(is_drained(one))
 
 
-class WrongWatcherTest(drill.DrillTest):
-    """One gateway is told another epoch than the others, for good."""
+class WrongEpochTest(drill.DrillTest):
+    """One gateway gets another epoch than the others, for good."""
 
-    def test_the_others_do_not_ask_all_the_time(self):
-        """The store has a dozen times as many calls, until somebody notices.
+    def test_the_others_do_not_poll_all_the_time(self):
+        """Guards against a dozen times as many calls to the store.
 
-        A proxy before one gateway answers with an epoch that never was. Each
-        word of that gateway sends all others to the store within a second,
-        which has told them each time that it is in no such epoch. They are to
-        ask as often as in a drill, three times each, and as usual otherwise.
+        A proxy before one gateway answers with an epoch that never existed.
+        Each update of that gateway sends all others to the store within a
+        second, which has denied the epoch each time. They may poll as often as
+        in a drill, three times each, and as usual otherwise.
         """
 
-        async def story():
+        async def scenario():
             store = self.fleet.store
             await self.fleet.drill(store.snapshot())
             await asyncio.sleep(5.0)
@@ -374,10 +378,10 @@
             found, _ = await self.calls(20.0)
             self.assertLess(found, 2 * usual + 3 * drill.GATEWAYS)
 
-        self.play(story)
+        self.simulate(scenario)
 
     async def calls(self, for_s):
-        """Returns how many calls there are, and who makes the most."""
+        """Returns the number of calls, and the gateway that makes the most."""
         before = dict(self.fleet.store.calls)
         await asyncio.sleep(for_s)
         made = {
--- a/tests/quetzalsill_gateway/watch/test_zone_drain.py
+++ b/tests/quetzalsill_gateway/watch/test_zone_drain.py
@@ -1,9 +1,9 @@
-"""A zone is drained before a fleet that follows one store together.
+"""Tests of draining a zone, in a fleet that follows one store together.
 
-Pattern: operators empty an availability zone, often while the store turns some
-gateways away or has forgotten its history, and take it back later. Whoever goes
-on sending there breaks what operators were promised; the bound is five seconds
-on the platform served so far, and gateways are to need one.
+Operators drain an availability zone, often while the store refuses some
+gateways or has lost its history, and cancel the order later. New work in a
+drained zone breaks what operators were promised; the bound is five seconds on
+the platform served so far, and gateways are to need one.
 """
 
 from __future__ import annotations
@@ -19,42 +19,44 @@
 from quetzalsill_gateway.watch import update
 
 SEED = 5
-# With these an engine's notice was known to 282 and 41 of 285 in time.
-SEEDS_OF_LATE_NEWS = (1, 3)
+# With these seeds a drain notice was known to 282 and 41 of 285 gateways in
+# time.
+LATE_NOTICE_SEEDS = (1, 3)
 STEP_S = 0.005
-# All in touch know within this time; what is allowed is five times as much.
+# Time within which all connected gateways know an order; the allowed time is
+# five times as much.
 KNOWN_S = 1.0
-# Who is cut off from the store and hears nobody asks again within this time of
-# its return (`watch.schedule`).
-BACK_S = 3.5
+# A gateway without connection to store and peers polls the store again within
+# this time of its return (`watch.schedule`).
+RECOVERY_S = 3.5
 ZONE = 'z'
 
 
 class ZoneDrainTest(unittest.TestCase):
-    """What every gateway knows, and when."""
+    """The time at which each gateway knows an order."""
 
     def setUp(self):
-        quiet = mock.patch.object(event, 'note')
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
-    def play(self, story, gateways=24, seed=SEED):
+    def simulate(self, scenario, gateways=24, seed=SEED):
         async def work():
             self.fleet = watchers.Fleet(gateways, 4, seed, 3.0)
             await self.fleet.start()
             try:
-                await story()
+                await scenario()
             finally:
                 self.fleet.stop()
 
         clock.run(work)
 
-    async def within(self, bound_s, is_on, those=None):
+    async def within(self, bound_s, is_on, gateways=None):
         loop = asyncio.get_running_loop()
         end_s = loop.time() + bound_s
         while not all(
             one.upstreams.zones.is_drained(ZONE) == is_on
-            for one in (those or self.fleet.all)
+            for one in (gateways or self.fleet.all)
         ):
             self.assertLess(loop.time(), end_s, 'known too late')
             await asyncio.sleep(STEP_S)
@@ -66,23 +68,23 @@
         for gateways in (2, 24, 68):
             with self.subTest(gateways):
 
-                async def story():
+                async def scenario():
                     self.drain()
                     await self.within(KNOWN_S, True)
                     self.drain(False)
                     await self.within(KNOWN_S, False)
 
-                self.play(story, gateways)
+                self.simulate(scenario, gateways)
 
-    def test_rare_news_is_fast_in_a_large_fleet(self):
+    def test_rare_updates_are_fast_in_a_large_fleet(self):
         """300 gateways; a tenth of datagrams is lost, a twentieth are paused.
 
-        News goes through others there. Whoever is not paused knows an order, a
-        notice and a configuration within half a second, but for one in a
-        hundred, who missed it and hears the next.
+        Updates are relayed there. Of the gateways that are not paused, 99 in a
+        hundred know an order, a notice and a configuration within half a
+        second; the rest missed the update and get the next one.
         """
 
-        async def story():
+        async def scenario():
             fleet = self.fleet
             fleet.network.loss = 0.1
             paused = {f'entry-{n}' for n in range(0, 300, 20)}
@@ -108,24 +110,24 @@
                     self.assertGreaterEqual(known, 0.99 * len(awake))
                 await asyncio.sleep(1.0)
 
-        for seed in (SEED, *SEEDS_OF_LATE_NEWS):
+        for seed in (SEED, *LATE_NOTICE_SEEDS):
             with self.subTest(seed=seed):
-                self.play(story, 300, seed)
+                self.simulate(scenario, 300, seed)
 
     def test_datagrams_are_lost(self):
-        """A fifth of all datagrams; who missed one hears the next."""
+        """A fifth of all datagrams is lost; the next update makes up for it."""
 
-        async def story():
+        async def scenario():
             self.fleet.network.loss = 0.2
             self.drain()
             await self.within(2 * KNOWN_S, True)
 
-        self.play(story, 68)
+        self.simulate(scenario, 68)
 
-    def test_the_store_turns_a_third_away(self):
-        """Those it serves tell the rest."""
+    def test_the_store_refuses_a_third(self):
+        """The gateways that the store serves send updates to the rest."""
 
-        async def story():
+        async def scenario():
             self.fleet.store.mode_for = lambda node: (
                 StoreMode.REFUSES
                 if int(node[6:]) % 3 == 0
@@ -137,24 +139,24 @@
             self.drain(False)
             await self.within(KNOWN_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_the_store_forgets_its_history(self):
-        async def story():
+        async def scenario():
             self.drain()
             self.fleet.store.compact()
             await self.within(KNOWN_S, True)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_it_is_taken_back_while_a_gateway_is_cut_off(self):
-        """Cut off from store and gateways, one keeps to what it knew.
+        """A gateway without store and peers keeps the order that it knows.
 
-        Back, it learns that the order was taken back, and does not tell the
-        others of the one that it held.
+        Once reconnected it learns that the order was cancelled, and does not
+        send its own to the others.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             lost = self.fleet.gateways['entry-3']
@@ -172,20 +174,20 @@
             self.assertTrue(lost.upstreams.zones.is_drained(ZONE))
             self.fleet.network.is_partitioned = lambda _, __: False
             self.fleet.store.mode_for = lambda _: StoreMode.SERVES
-            await self.within(BACK_S, False)
+            await self.within(RECOVERY_S, False)
             await asyncio.sleep(3.0)
             await self.within(STEP_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_knows_before_it_serves(self):
-        """A gateway that starts reads both tables, and only then serves.
+        """A gateway that starts reads both tables before it serves.
 
-        With the configuration in force and the order unknown, its first
-        requests would go to the zone.
+        With an active configuration and the order unknown, its first requests
+        would go to the zone.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             fresh = self.fleet.add_gateway('entry-99')
@@ -193,48 +195,49 @@
                 await asyncio.sleep(STEP_S)
             self.assertTrue(fresh.upstreams.zones.is_drained(ZONE))
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_who_starts_hides_no_order_that_was_taken_back(self):
-        """A zone stands idle, although operators have taken it back.
+        """Guards against a zone that stays idle after its order was cancelled.
 
-        The gateways that watch die, and one starts. It lists the orders that
-        stand and tells the others how far the store has come; they ask for what
-        came behind that, and the order was taken back before.
+        The polling gateways die, and one starts. It lists the current orders
+        and announces the revision of the source; the others poll for what came
+        after that, and the order was cancelled before.
         """
 
-        async def story():
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             before = dict(self.fleet.store.calls)
             await asyncio.sleep(2.0)
             calls = self.fleet.store.calls
-            # Of either table.
+            # The gateways that poll either table.
             for watcher in [one for one in calls if calls[one] > before[one]]:
                 self.fleet.kill(watcher)
             self.drain(False)
             self.fleet.add_gateway('entry-99')
-            await self.within(BACK_S, False)
+            await self.within(RECOVERY_S, False)
 
-        self.play(story)
+        self.simulate(scenario)
 
-    def test_who_starts_in_an_outage_is_told_by_others(self):
-        async def story():
+    def test_who_starts_in_an_outage_gets_the_state_of_peers(self):
+        async def scenario():
             self.drain()
             await self.within(KNOWN_S, True)
             self.fleet.store.mode_for = lambda _: StoreMode.REFUSES
             fresh = self.fleet.add_gateway('entry-99')
             await self.within(2.0, True, [fresh])
 
-        self.play(story)
+        self.simulate(scenario)
 
     def test_a_faulty_version_does_not_hold_for_good(self):
-        """A datagram tells an order of a version that the store never had.
+        """A datagram has an order with a version that the store never had.
 
-        Kept, the zone would stand idle until operators drained it again.
+        If it were kept, the zone would stay idle until operators drained it
+        again.
         """
 
-        async def story():
+        async def scenario():
             one = self.fleet.all[0]
             number = one.config_version
             far = revision.Revision(0, 2**40)
@@ -245,7 +248,7 @@
             self.assertTrue(one.upstreams.zones.is_drained(ZONE))
             await self.within(20.0, False)
 
-        self.play(story, 4)
+        self.simulate(scenario, 4)
 
 
 if __name__ == '__main__':
