--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/balance/admission.py
@@ -161,7 +161,7 @@
         search: search_lib.EngineSearch,
         queue: list[queue_entry.QueueEntry],
     ) -> bool:
-        """Whether a request would wait too long; if so, sets `retry_after_s`."""
+        """Whether it would wait too long; if so, sets `retry_after_s`."""
         entry, req = search.entry, search.req
         now = asyncio.get_running_loop().time()
         rank = entry.rank(now)
