--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
@@ -16,7 +16,7 @@
 from quetzalsill_dev import relay as relay_lib
 from quetzalsill_dev.bench.capacity import fleet, series, size
 from quetzalsill_router import membership
-from quetzalsill_router.durable import setting, throttle
+from quetzalsill_router.durable import pace, setting
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -205,12 +205,10 @@
     """Intervals that routers keep by themselves, as their code gives them."""
     cfg = setting.Durable()
     makers = {
-        'heartbeat': lambda count: throttle.heartbeat_s(cfg, count),
-        'journal': lambda count: _interval(
-            throttle.journal_throttle, cfg, count
-        ),
-        'claims': lambda count: _interval(throttle.claim_throttle, cfg, count),
-        'index': lambda count: _interval(throttle.index_throttle, cfg, count),
+        'heartbeat': lambda count: pace.heartbeat_s(cfg, count),
+        'journal': lambda count: _interval(pace.journal_throttle, cfg, count),
+        'claims': lambda count: _interval(pace.claim_throttle, cfg, count),
+        'index': lambda count: _interval(pace.index_throttle, cfg, count),
     }
     for name, make in makers.items():
         found = series.Series(
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
@@ -11,7 +11,7 @@
 from quetzalsill.telemetry import log as telemetry_log
 
 if TYPE_CHECKING:
-    from quetzalsill_router.durable import throttle as durable_throttle
+    from quetzalsill_router.durable import pace as durable_pace
 
 __all__ = ['ClaimWriter', 'Holder', 'TABLE']
 
@@ -50,7 +50,7 @@
     """Puts the claims of an interval into one transaction."""
 
     def __init__(
-        self, table: platform_table.Table, throttle: durable_throttle.Throttle
+        self, table: platform_table.Table, throttle: durable_pace.Throttle
     ) -> None:
         self._table = table
         self._throttle = throttle
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/erase.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/erase.py
@@ -18,7 +18,7 @@
 
     from quetzalsill.platform import objects as platform_objects
     from quetzalsill_router.durable import entry as durable_entry
-    from quetzalsill_router.durable import throttle as durable_throttle
+    from quetzalsill_router.durable import pace as durable_pace
 
 __all__ = ['Eraser']
 
@@ -58,7 +58,7 @@
         self,
         table: platform_table.Table,
         objects: platform_objects.Objects,
-        throttle: durable_throttle.Throttle,
+        throttle: durable_pace.Throttle,
         own_log: Callable[[], str],
     ) -> None:
         self._table = table
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from quetzalsill_router.durable import throttle as durable_throttle
+    from quetzalsill_router.durable import pace as durable_pace
 
 __all__ = [
     'Index',
@@ -55,7 +55,7 @@
     """Writes pointers to settled outcomes."""
 
     def __init__(
-        self, table: platform_table.Table, throttle: durable_throttle.Throttle
+        self, table: platform_table.Table, throttle: durable_pace.Throttle
     ) -> None:
         self._table = table
         self._throttle = throttle
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
@@ -9,9 +9,9 @@
 from quetzalsill.net import deadline
 from quetzalsill.telemetry import metric
 from quetzalsill_router.durable import error
+from quetzalsill_router.durable import pace as durable_pace
 from quetzalsill_router.durable import queue as durable_queue
 from quetzalsill_router.durable import segment as durable_segment
-from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from quetzalsill_router.durable import answer as durable_answer
@@ -35,7 +35,7 @@
     def __init__(
         self,
         writer: durable_log_writer.LogWriter,
-        throttle: durable_throttle.Throttle,
+        throttle: durable_pace.Throttle,
         cfg: setting.Durable,
     ) -> None:
         self._writer = writer
@@ -66,7 +66,7 @@
         self._check_capacity(entry)
         item = _make_item(entry)
         self._writer.queue.add(item)
-        max_wait_s = durable_throttle.max_wait_s(self._cfg, self._throttle)
+        max_wait_s = durable_pace.max_wait_s(self._cfg, self._throttle)
         try:
             async with deadline.timeout(max_wait_s):
                 await item.done
@@ -105,7 +105,7 @@
             entry.run = run
             return
         self._writer.queue.add(item)
-        max_wait_s = durable_throttle.max_wait_s(self._cfg, self._throttle)
+        max_wait_s = durable_pace.max_wait_s(self._cfg, self._throttle)
         try:
             async with deadline.timeout(max_wait_s):
                 await asyncio.shield(item.done)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -24,7 +24,7 @@
     from collections.abc import Awaitable, Callable, Iterable
 
     from quetzalsill.platform import objects as platform_objects
-    from quetzalsill_router.durable import throttle as durable_throttle
+    from quetzalsill_router.durable import pace as durable_pace
 
 __all__ = ['LogWriter']
 
@@ -68,7 +68,7 @@
         objects: platform_objects.Objects,
         register: Callable[[], Awaitable[str]],
         index: durable_index.Index,
-        throttle: durable_throttle.Throttle,
+        throttle: durable_pace.Throttle,
         on_superseded: Callable[[], None] = lambda: None,
     ) -> None:
         """Makes a writer without an open log.
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
@@ -15,8 +15,8 @@
 from quetzalsill.platform import table as platform_table
 from quetzalsill.telemetry import log as telemetry_log
 from quetzalsill_router.durable import liveness as durable_liveness
+from quetzalsill_router.durable import pace as durable_pace
 from quetzalsill_router.durable import row as durable_row
-from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -81,7 +81,7 @@
     @property
     def interval_s(self) -> float:
         """Gives the interval between two renewals, in s."""
-        return durable_throttle.heartbeat_s(self._cfg, self.count())
+        return durable_pace.heartbeat_s(self._cfg, self.count())
 
     def count(self) -> int:
         """Gives the number of live routers, at least 1."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
@@ -16,10 +16,10 @@
 from quetzalsill_router.durable import journal as durable_journal
 from quetzalsill_router.durable import log_writer as durable_log_writer
 from quetzalsill_router.durable import lookup as durable_lookup
+from quetzalsill_router.durable import pace as durable_pace
 from quetzalsill_router.durable import recovery as durable_recovery
 from quetzalsill_router.durable import registration as durable_registration
 from quetzalsill_router.durable import takeover as durable_takeover
-from quetzalsill_router.durable import throttle as durable_throttle
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -70,9 +70,9 @@
             table, router, cfg
         )
         count = self.registration.count
-        throttle = durable_throttle.journal_throttle(cfg, count)
+        throttle = durable_pace.journal_throttle(cfg, count)
         self._index = durable_index.Index(
-            table, durable_throttle.index_throttle(cfg, count)
+            table, durable_pace.index_throttle(cfg, count)
         )
         self._writer = durable_log_writer.LogWriter(
             objects,
@@ -85,7 +85,7 @@
         self.answers = durable_lookup.Answers(
             table, objects, self._index, self._suspect
         )
-        claim_throttle = durable_throttle.claim_throttle(cfg, count)
+        claim_throttle = durable_pace.claim_throttle(cfg, count)
         self._claim_writer = durable_claim_writer.ClaimWriter(
             table, claim_throttle
         )
@@ -93,7 +93,7 @@
             self._claim_writer,
             self.journal,
             self.answers,
-            lambda: durable_throttle.max_wait_s(cfg, claim_throttle),
+            lambda: durable_pace.max_wait_s(cfg, claim_throttle),
         )
         self._takeover = durable_takeover.Takeover(
             table,
@@ -110,7 +110,7 @@
             durable_erase.Eraser(
                 table,
                 objects,
-                durable_throttle.erase_throttle(cfg, count),
+                durable_pace.erase_throttle(cfg, count),
                 self._own_log,
             ),
             cfg.retention_s,
