--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
@@ -1,19 +1,20 @@
-"""Moves the log of a dead router into that of a live one.
-
-A log passes through these steps; whoever dies between two leaves a state
-from which the next taker goes on:
-
-1. seal: creates the next number of the log. Its former owner can make
-   nothing durable any more; of takers that race, one has made the seal.
-2. adopt: one segment of the taker's own log names the sealed log and its
-   unsettled entries, with their next fence. It is there whole or not at all.
-3. close: the row of the log names the taker as keeper, once the index holds
-   all outcomes of the log.
-
-A seal whose maker died before step 2 is void, and the next taker makes a
-further one. That it is void shows once the maker's own log is closed while
-the sealed one is still open: nothing can be added to a closed log, and all
-logs that it had adopted were closed before it.
+"""Moves the entries of a dead router's log into the log of a live one.
+
+A takeover consists of these steps. If the router that takes over dies between
+two of them, its successor can continue from the state it left:
+
+1. seal: create the log's next segment number. The former owner can no longer
+   make anything durable, and only one of several racing routers creates the
+   seal.
+2. adopt: write one segment to this router's own log that names the sealed log
+   and its unsettled entries, with their next fences. The write is atomic.
+3. close: name this router's log as the keeper in the row of the sealed log,
+   once the index holds all outcomes of that log.
+
+A seal is void if its creator died before step 2; the next successor then
+creates another one. A seal is known to be void once the creator's own log is
+closed while the sealed one is still open: nothing can be added to a closed
+log, and all logs that it had adopted were closed before it.
 """
 
 from __future__ import annotations
@@ -44,13 +45,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Adoption:
-    """A log that was moved and is to be closed.
+    """A log whose entries were moved and which is still to be closed.
 
     Attributes:
       log: The sealed log.
-      seal: Number of its seal.
-      by: Log that has the entries now.
-      replayed: What the sealed log left.
+      seal: Segment number of its seal.
+      by: Log that now has the entries.
+      replayed: Replayed state of the sealed log.
     """
 
     log: str
@@ -82,11 +83,11 @@
           by: Log of this router.
 
         Returns:
-          What was moved; None if it is another router's to move.
+          What was moved; None if another router takes over the log.
 
         Raises:
           SupersededError: This router's log was itself taken over.
-          PlatformError: To be repeated.
+          PlatformError: The call may be retried.
           LogDamagedError, MalformedSegmentError: The log cannot be read.
         """
         found = await durable_row.read(self._table, log)
@@ -104,10 +105,10 @@
         return Adoption(log, seal.number, by, replayed)
 
     async def close(self, adoption: Adoption) -> None:
-        """Names the keeper of an adopted log; repeats until it is done.
+        """Closes an adopted log by naming its keeper; retries until done.
 
-        The logs that the adopted one had itself adopted come first: a log
-        that is closed has left none open.
+        The logs that it had itself adopted are closed first, so that a closed
+        log never leaves an adopted one open.
         """
         await self._index.write(
             [
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/answer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/answer.py
@@ -18,12 +18,12 @@
 
     Attributes:
       code: `done`, or the code of a `quetzalsill.error.request` class.
-      detail: Text of a failure for its reader.
+      detail: Human-readable description of a failure.
       ran: Whether the work ran.
       status: HTTP status; 0 for a failure.
       headers: Header pairs of the answer.
-      events: The answer: one item per event of a generation, or the pieces
-        of a body.
+      events: Content of the answer: one item per event of a generation, or
+        the chunks of a body.
     """
 
     code: str = DONE
@@ -35,10 +35,10 @@
 
     @property
     def size(self) -> int:
-        """Gives the bytes of the answer itself."""
+        """Size of the answer's content, in bytes."""
         return sum(map(len, self.events))
 
 
 def failure(exc: request_error.RequestError) -> Answer:
-    """Makes the outcome of a request that failed."""
+    """Returns the outcome of a request that failed."""
     return Answer(code=exc.code, detail=exc.detail, ran=exc.ran, status=0)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
@@ -1,4 +1,4 @@
-"""Claims: which request holds an idempotency key."""
+"""Claims of idempotency keys by requests."""
 
 from __future__ import annotations
 
@@ -37,25 +37,25 @@
 
     Attributes:
       request: Request that holds the key. If it is not the entry's own, the
-        entry is a repeat and was settled as not run.
+        entry is a duplicate and was settled as not run.
     """
 
     request: str
 
 
 class Claims:
-    """One row per idempotency key, inserted before the first dispatch.
+    """Claims idempotency keys: one row per key, inserted before the dispatch.
 
-    The row names the accepted request that holds the key. Whether that was
-    dispatched, settled or taken over stands in the journal, so the row needs
-    no further writes, and a router that lost its journal in a pause cannot
-    dispatch for a key that it still believes to hold.
+    The row names the accepted request that holds the key. Whether that request
+    was dispatched, settled or taken over is recorded in the journal, so the
+    row needs no further writes. A router that lost its journal while it was
+    paused cannot dispatch for a key that it still believes it holds.
 
     Args:
       writer: Writes the rows.
       journal: Journal of this router.
-      answers: Tells whether the holder of a key was settled as not run.
-      max_wait_s: Gives the longest wait for the platform, in s.
+      answers: Looks up whether the holder of a key was settled as not run.
+      max_wait_s: Returns the longest wait for the platform, in s.
     """
 
     def __init__(
@@ -73,17 +73,17 @@
     async def claim(self, entry: durable_entry.Entry) -> Claim:
         """Claims the key of an entry that was accepted here.
 
-        A key whose holder was settled as not run passes to the entry, so
-        that a caller may repeat what was refused.
+        If the holder of the key was settled as not run, the key passes to the
+        entry, so that a caller can retry a refused request.
 
         Raises:
           ConflictError: The key is held by a request with another digest;
             the entry was settled as not run.
           StoreUnavailableError: Not claimed; the entry was settled as not
             run.
-          OutcomeUnknownError: Not claimed, and the platform is silent; the
-            entry will not be run by this router.
-          SupersededError: Another router has taken the entry over.
+          OutcomeUnknownError: Not claimed, and the platform does not respond;
+            this router will not run the entry.
+          SupersededError: Another router has taken over the entry.
         """
         try:
             async with deadline.timeout(self._max_wait_s()):
@@ -99,8 +99,8 @@
     async def reclaim(self, entry: durable_entry.Entry) -> Claim:
         """Claims the key of an entry that was taken over.
 
-        It may have been claimed and run before, so it is not refused when
-        the platform fails; this repeats until the platform answers.
+        The entry may already have been claimed and run, so it is not refused
+        if the platform fails; the claim is retried until it responds.
 
         Raises:
           ConflictError: See `claim`.
@@ -136,7 +136,7 @@
     async def _may_replace(
         self, entry: durable_entry.Entry, holder: durable_claim_writer.Holder
     ) -> bool:
-        """Whether the holder surely did not run, or has expired."""
+        """Whether the holder certainly did not run, or has expired."""
         try:
             stored = await self._answers.get(entry.account, holder.request)
         except request_error.NotFoundError:
@@ -160,23 +160,25 @@
     async def _settle_unclaimed(
         self, entry: durable_entry.Entry
     ) -> request_error.RequestError:
-        """Settles an entry that was not claimed as not run.
+        """Settles an entry whose key was not claimed as not run.
 
-        Until that is durable this router may die and a taker run the entry,
-        so only then may the caller be told that it did not run.
+        Until that is durable this router may die and its successor may run
+        the entry, so the caller must not be told earlier that it did not run.
         """
-        exc = self._journal.unavailable_error('the key could not be claimed')
+        exc = self._journal.unavailable_error(
+            'the idempotency key could not be claimed'
+        )
         try:
             async with deadline.timeout(self._max_wait_s()):
                 await self._journal.settle(entry, durable_answer.failure(exc))
         except TimeoutError:
             return request_error.OutcomeUnknownError(
-                f'the fate of {entry.request} is not settled'
+                f'the outcome of {entry.request} is not settled'
             )
         return exc
 
 
 def key_of(account: str, idempotency_key: str) -> str:
-    """Gives the key of the row; a caller's key may hold anything."""
+    """Returns the row key; hashed, as a caller's key may hold any text."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     return f'{account}/{digest[:KEY_DIGITS]}'
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim_writer.py
@@ -1,4 +1,4 @@
-"""Writes claim rows in groups."""
+"""Writes claim rows in batches."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Holder:
-    """Who holds a key.
+    """The request that holds a key.
 
     Attributes:
       request: Id of the request.
@@ -47,7 +47,7 @@
 
 
 class ClaimWriter:
-    """Puts the claims of an interval into one transaction."""
+    """Writes the claims that arrive within an interval in one transaction."""
 
     def __init__(
         self, table: platform_table.Table, throttle: durable_pace.Throttle
@@ -60,13 +60,14 @@
     async def put(
         self, key: str, expected: Holder, request: str, digest: str
     ) -> Holder:
-        """Makes a request the holder of a key, if the row did not change.
+        """Makes a request the holder of a key if the row has not changed.
 
         Returns:
-          The holder now: the request, or who was there first.
+          The current holder: the request, or the one that claimed the key
+          first.
 
         Raises:
-          PlatformError: The row may or may not be written.
+          PlatformError: The row may or may not have been written.
         """
         done = asyncio.get_running_loop().create_future()
         pending = _PendingClaim(key, expected.version, request, digest, done)
@@ -75,17 +76,18 @@
         return await done
 
     async def run(self) -> None:
-        """Writes until cancelled."""
+        """Writes pending claims until cancelled."""
         while True:
             await self._wakeup.wait()
             await self._throttle.acquire()
             await self._write(self._take_batch())
 
     def _take_batch(self) -> list[_PendingClaim]:
-        """Takes the wishes of the next transaction, one for each key.
+        """Removes and returns the next transaction's claims, one per key.
 
-        The conditions of a transaction are checked before its writes, so
-        two repeats of a request in one would both succeed and both run.
+        The conditions of a transaction are checked before its writes, so two
+        claims of one key in the same transaction would both succeed, and both
+        requests would run.
         """
         batch: dict[str, _PendingClaim] = {}
         postponed = []
@@ -100,11 +102,11 @@
         return list(batch.values())
 
     async def _write(self, batch: list[_PendingClaim]) -> None:
-        """Writes a group; who finds its key held leaves it.
+        """Writes a batch and drops claims whose key is already held.
 
-        A claim whose answer was lost is repeated. If it had taken effect
-        its row has changed, and the condition fails with its own request as
-        the holder, which its claimant reads as success.
+        A transaction whose response was lost is retried. If it had taken
+        effect, the row has changed and the condition fails with the claim's
+        own request as the holder, which the caller treats as success.
         """
         tries = 0
         while batch:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/entry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/entry.py
@@ -1,4 +1,4 @@
-"""An accepted request as the journal keeps it."""
+"""An accepted request as stored in the journal."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Position:
-    """Where the acceptance of a request stands.
+    """Position of an accepted request in a log.
 
     Attributes:
       log: Name of the log.
-      segment: Number of the segment in the log, from 1.
-      index: Number of the entry in the segment, from 0.
+      segment: Number of the segment in the log, starting at 1.
+      index: Index of the entry in the segment, starting at 0.
     """
 
     log: str
@@ -28,10 +28,10 @@
 
 
 def parse_request_id(request: str) -> Position:
-    """Reads the place out of a request id.
+    """Parses a request id into the position of its entry.
 
     Raises:
-      NotFoundError: The id is not one that a journal gave.
+      NotFoundError: The id was not issued by a journal.
     """
     parts = request.rsplit('-', 2)
     if len(parts) != 3 or not (parts[1].isdecimal() and parts[2].isdecimal()):
@@ -41,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Run:
-    """Where an entry was dispatched, or is about to be.
+    """The upstream to which an entry was or is about to be dispatched.
 
     Attributes:
       attempt: Id of the attempt.
       upstream: Name of the upstream.
       incarnation: Incarnation of the upstream's sidecar.
-      engine: Incarnation of the engine there; 0 if unknown.
+      engine: Incarnation of the upstream's engine; 0 if unknown.
     """
 
     attempt: str
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """An accepted request, with all that another router needs to run it.
+    """An accepted request, with everything another router needs to run it.
 
     Attributes:
       account: Client account.
@@ -66,23 +66,25 @@
       model: Model or service name.
       kind: `completion`, `chat` or `call`.
       payload: Body of the request.
-      stream: The caller asked for events rather than one document.
-      durable: The profile promises that the request is never lost.
-      idempotent: The work may be run again.
+      stream: The caller requested events rather than a single document.
+      durable: The profile guarantees that the request is never lost.
+      idempotent: The work may be run more than once.
       idempotency_key: The caller's key; empty if none.
-      digest: Digest of all that makes two requests the same.
-      accepted_ms: Wall clock at acceptance, in ms since the epoch. It must
-        outlast the host, so it cannot be monotonic; it only bounds.
-      deadline_ms: Wall clock of the deadline, in ms since the epoch.
+      digest: Digest of everything that determines whether two requests are
+        equal.
+      accepted_ms: Wall-clock time of acceptance, in ms since the epoch. It
+        must remain valid on other hosts, so it cannot be monotonic; it is
+        used only as a bound.
+      deadline_ms: Wall-clock time of the deadline, in ms since the epoch.
       method: HTTP method of a call; empty otherwise.
       path: Path of a call below its service; empty otherwise.
       headers: Header pairs of a call, in order.
       trace: W3C traceparent.
       request: Id of the request; set by `Journal.accept`.
-      run: Newest dispatch; None while there was none. An entry accepted
+      run: Latest dispatch; None before the first one. An entry accepted
         with a run needs no `Journal.record_dispatch` for that run.
-      fence: Ownership epoch of the entry; grows with each takeover and goes
-        into each Dispatch.
+      fence: Ownership epoch of the entry; increases with each takeover and is
+        sent in each Dispatch.
     """
 
     account: str
@@ -106,10 +108,10 @@
     fence: int = 1
 
     def remaining_s(self, now_ms: int) -> float:
-        """Gives the seconds left, never more than at acceptance.
+        """Returns the seconds left, at most as many as at acceptance.
 
-        The clocks of two hosts may differ; the bound keeps a clock that is
-        behind from prolonging the deadline.
+        The clocks of two hosts may differ; the limit prevents a clock that is
+        behind from extending the deadline.
         """
         allowed = self.deadline_ms - self.accepted_ms
         left = min(self.deadline_ms - now_ms, allowed)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/erase.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/erase.py
@@ -1,4 +1,4 @@
-"""Erases expired segments with all that leads to them."""
+"""Erases expired segments with their claims, index rows and log rows."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _ClaimedKey:
-    """The row of an idempotency key and the request that claimed it."""
+    """Row key of an idempotency key and the request that claimed it."""
 
     key: str
     request: str
@@ -39,19 +39,20 @@
 
 
 class Eraser:
-    """Erases for one router, as long as its own log is open.
+    """Erases expired data for one router while its own log is open.
 
-    A keeper that was paused may wake when another one has taken its place
-    and a key that it is about to free has been claimed anew. A row that was
-    deleted and made again can bear the same version, so the version of the
-    claim is no proof. Each transaction is therefore bound to the version of
-    the router's own row as well, read before: its taker has changed it.
+    A paused keeper may resume after another router has taken over its log and
+    a key that it is about to release has been claimed again. A row that was
+    deleted and inserted again can have the same version, so the version of the
+    claim alone is not sufficient. Each transaction is therefore also
+    conditional on the previously read version of the router's own row, which a
+    takeover changes.
 
     Args:
       table: Client of the table.
       objects: Client of the object store.
-      throttle: Spaces the deletions.
-      own_log: Gives the log of this router; empty while none is open.
+      throttle: Limits the rate of deletions.
+      own_log: Returns the log of this router; empty while none is open.
     """
 
     def __init__(
@@ -69,15 +70,15 @@
     async def erase(
         self, log: str, first: int, last: int
     ) -> AsyncIterator[int]:
-        """Erases segments; yields the number of each once it is gone.
+        """Erases segments; yields the number of each once it is erased.
 
-        Seals stay: they are a few bytes, and a former owner that was paused
-        for longer than the retention must still find its log ended.
+        Seals are kept: they take a few bytes, and a former owner that was
+        paused for longer than the retention must still find its log sealed.
 
         Raises:
-          PlatformError: To be repeated from the same segment on.
+          PlatformError: The call may be retried from the same segment on.
           SupersededError: This router's log is not open.
-          MalformedSegmentError: The object is no segment; it stays.
+          MalformedSegmentError: The object is not a segment; it is kept.
         """
         for numbers in _split_by_index_row(first, last):
             present = []
@@ -98,7 +99,7 @@
                 yield number
 
     async def delete_log_row(self, row: durable_row.LogRow) -> None:
-        """Deletes the row of a log whose segments are erased."""
+        """Deletes the row and last index row of a log that was erased."""
         await self._delete_index_row(row.log, row.last)
         await self._delete_row(durable_row.TABLE, row.log)
 
@@ -126,14 +127,17 @@
     async def _claim_condition(
         self, claimed: _ClaimedKey
     ) -> AsyncIterator[platform_table.Condition]:
-        """Gives the claim of a request, if it still holds its key."""
+        """Yields a condition on the claim if the request still holds it."""
         table = durable_claim_writer.TABLE
         row = await self._table.get(table, claimed.key)
         if row is not None and row.value['request'] == claimed.request:
             yield platform_table.Condition(table, claimed.key, row.version)
 
     async def _own_log_condition(self) -> platform_table.Condition:
-        """Binds what is read after this to this router's log being open."""
+        """Returns the condition that this router's log is still open.
+
+        It must be read before the rows that the transaction deletes.
+        """
         log = self._own_log()
         found = await durable_row.read(self._table, log)
         if found is None or found.row.keeper:
@@ -161,7 +165,7 @@
 
 
 def _split_by_index_row(first: int, last: int) -> Iterator[range]:
-    """Cuts a span of segments where the rows of the index are cut."""
+    """Splits a range of segments at the boundaries of index rows."""
     while first <= last:
         end = min(last, durable_index.last_segment_of_row(first))
         yield range(first, end + 1)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/error.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/error.py
@@ -1,4 +1,4 @@
-"""Failures of the log that a router keeps in the platform."""
+"""Errors of the log that a router stores in the platform."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class MalformedRowError(base.QuetzalsillError):
-    """A row in the table is not of the known form."""
+    """A table row does not have the expected format."""
 
     code = 'malformed_row'
 
 
 class MalformedSegmentError(base.QuetzalsillError):
-    """An object in a log is not a segment of the known form."""
+    """An object in a log is not a segment of a known format."""
 
     code = 'malformed_segment'
 
 
 class LogDamagedError(base.QuetzalsillError):
-    """A segment that a log still needs is missing from the object store."""
+    """A segment that is still required is missing from the object store."""
 
     code = 'log_damaged'
     advice = 'Restore the named object; its requests cannot be recovered.'
 
 
 class UnstorableRecordError(base.QuetzalsillError):
-    """A record holds a value that has no form as bytes."""
+    """A record holds a value that cannot be serialized."""
 
     code = 'unstorable_record'
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/expiry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/expiry.py
@@ -1,8 +1,9 @@
-"""Finds the segments that have outlived the retention, and erases them.
+"""Finds segments that are older than the retention and erases them.
 
-Time is measured by the clock of whoever keeps a log, from when it wrote or
-adopted a segment; a takeover starts it anew. No clocks of two hosts are
-compared, so a wrong one cannot make an answer expire early.
+Age is measured by the clock of the router that owns a log, from the time at
+which it wrote or adopted a segment; a takeover restarts the period. Clocks of
+different hosts are never compared, so a wrong clock cannot make an answer
+expire early.
 """
 
 from __future__ import annotations
@@ -30,20 +31,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Checkpoint:
-    """At a time, a segment was the newest."""
+    """The newest segment at a given time."""
 
     at: float
     number: int
 
 
 class Expiry:
-    """Erases what has expired of the own log and of the logs kept.
+    """Erases expired segments of this router's log and of adopted logs.
 
     Args:
-      writer: Writes the own log.
+      writer: Writes this router's log.
       liveness: Knows the logs that this router keeps.
       eraser: Erases segments.
-      retention_s: Least age of what is erased, in s.
+      retention_s: Minimum age of erased segments, in s.
     """
 
     def __init__(
@@ -65,11 +66,11 @@
 
     @property
     def first(self) -> int:
-        """Gives the oldest segment of the own log that is not erased."""
+        """Oldest segment of this router's log that is not erased."""
         return self._first if self._log == self._writer.log else 1
 
     async def run(self) -> None:
-        """Looks for what has expired until cancelled."""
+        """Erases expired segments periodically until cancelled."""
         while True:
             await asyncio.sleep(self._retention_s / CHECKS_PER_RETENTION)
             try:
@@ -78,7 +79,7 @@
                 LOG.warning('expiry_failed', why=exc)
 
     async def erase_expired(self) -> None:
-        """Erases what has expired now."""
+        """Erases the segments that have expired by now."""
         if not self._writer.log:
             return
         now = asyncio.get_running_loop().time()
@@ -113,7 +114,7 @@
                 await self._erase_kept(row)
 
     async def _erase_kept(self, row: durable_row.LogRow) -> None:
-        """Erases a closed log; a repetition goes on where this one failed."""
+        """Erases a closed log; a retry continues where this call failed."""
         log = row.log
         first = self._erased.get(log, row.first - 1) + 1
         async for number in self._eraser.erase(log, first, row.last):
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/index.py
@@ -1,9 +1,9 @@
-"""Index of answers: in which segment the outcome of a request stands.
+"""Index of answers: maps a request to the segment that holds its outcome.
 
-A row covers a few neighbouring segments of acceptance and grows as their
-entries are settled. The log is the truth and the index only a way to find
-it, so rows are written late and in groups, and whoever takes a log over
-writes what its owner did not come to.
+A row covers the requests accepted in a few adjacent segments and grows as they
+are settled. The log is authoritative and the index only locates outcomes in
+it, so rows are written later, in batches, and a router that takes over a log
+writes the pointers that its owner had not written yet.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 SEGMENTS_PER_ROW = 16
 MAX_ROWS_PER_TRANSACTION = 32
 RETRY_S = 0.5
-# Bounds the memory of what waits for the table while only that is down.
+# Limits the memory of queued pointers while only the table is down.
 MAX_QUEUED = 200_000
 
 LOG = telemetry_log.get(__name__)
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pointer:
-    """Says that the outcome of a request stands in a segment."""
+    """The segment that holds the outcome of a request."""
 
     request: str
     log: str
@@ -66,29 +66,29 @@
     def add(
         self, pointers: Sequence[Pointer], on_durable: Callable[[], None]
     ) -> None:
-        """Queues pointers; calls `release` once they are durable."""
+        """Queues pointers and calls `on_durable` once they are durable."""
         self._queued.update((pointer.request, pointer) for pointer in pointers)
         self._on_durable.append(on_durable)
         self._wakeup.set()
 
     @property
     def full(self) -> bool:
-        """Whether so much waits for the table that no more may come."""
+        """Whether the queue of pointers has reached its limit."""
         return len(self._queued) >= MAX_QUEUED
 
     def find_queued(self, request: str) -> Pointer | None:
-        """Finds a pointer that is not durable yet."""
+        """Returns a queued pointer that is not durable yet."""
         return self._queued.get(request)
 
     async def run(self) -> None:
-        """Writes what is queued, until cancelled."""
+        """Writes queued pointers until cancelled."""
         while True:
             await self._wakeup.wait()
             await self._throttle.acquire()
             await self.flush()
 
     async def flush(self) -> None:
-        """Writes what is queued now; repeats until the platform took it."""
+        """Writes the currently queued pointers; retries until it succeeds."""
         self._wakeup.clear()
         pointers = list(self._queued.values())
         releases, self._on_durable = self._on_durable, []
@@ -100,10 +100,10 @@
             release()
 
     async def write(self, pointers: Sequence[Pointer]) -> None:
-        """Adds pointers to their rows; repeats until the platform took it.
+        """Adds pointers to their rows; retries until it succeeds.
 
-        Repeating is harmless: a row is a union of pointers, and a request
-        has one outcome only.
+        The write is idempotent: a row is a union of pointers, and a request
+        has exactly one outcome.
         """
         by_row = sorted(pointers, key=_row_key_of)
         rows = [
@@ -140,11 +140,11 @@
 
 
 async def find(table: platform_table.Table, request: str) -> Pointer | None:
-    """Looks up the outcome of a request; None if there is no pointer.
+    """Looks up the outcome of a request; returns None if not indexed.
 
     Raises:
-      NotFoundError: The id is not one that a journal gave.
-      PlatformUnavailableError: The platform does not answer.
+      NotFoundError: The id was not issued by a journal.
+      PlatformUnavailableError: The platform does not respond.
     """
     position = durable_entry.parse_request_id(request)
     row = await table.get(TABLE, row_key(position.log, position.segment))
@@ -156,12 +156,12 @@
 
 
 def row_key(log: str, segment: int) -> str:
-    """Gives the key of the row for entries accepted in a segment."""
+    """Returns the key of the row for entries accepted in a segment."""
     return f'{log}/{segment // SEGMENTS_PER_ROW:08d}'
 
 
 def last_segment_of_row(segment: int) -> int:
-    """Gives the last segment that has the same row as this one."""
+    """Returns the last segment that shares this segment's row."""
     return segment | (SEGMENTS_PER_ROW - 1)
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
@@ -1,4 +1,4 @@
-"""The journal of accepted requests, as the router uses it."""
+"""The router's interface to its journal of accepted requests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Journal:
-    """Makes acceptances, dispatches and outcomes durable, in groups."""
+    """Makes acceptances, dispatches and outcomes durable, in batches."""
 
     def __init__(
         self,
@@ -44,24 +44,24 @@
 
     @property
     def available(self) -> bool:
-        """Whether the platform takes new entries, as far as is known."""
+        """Whether the platform accepts new entries, as far as is known."""
         return self._writer.available
 
     async def accept(self, entry: durable_entry.Entry) -> str:
-        """Stores an entry and names it; returns once it is durable.
+        """Stores an entry and assigns its id; returns once it is durable.
 
         Returns:
           The request id, also set in the entry.
 
         Raises:
           StoreUnavailableError: Not accepted, will never run.
-          OverloadedError: Too much is unsettled here; not accepted.
+          OverloadedError: Too many unsettled requests here; not accepted.
           BadRequestError: The entry cannot be stored.
-          OutcomeUnknownError: The platform's answer was lost and it stays
-            silent; `entry.request` is set. This router will not run the
-            entry: it settles it as not run once the platform is back, or
-            the id is not found, which means the same. Only if this router
-            dies before may a taker run it.
+          OutcomeUnknownError: The platform's response was lost and it does
+            not respond to retries; `entry.request` is set. This router will
+            not run the entry: once the platform is back, either it settles
+            the entry as not run or the id is not found, which means the same.
+            Only if this router dies before that may its successor run it.
         """
         self._check_capacity(entry)
         item = _make_item(entry)
@@ -83,17 +83,18 @@
     async def record_dispatch(
         self, entry: durable_entry.Entry, run: durable_entry.Run
     ) -> None:
-        """Records where an entry is about to be dispatched.
+        """Records the run to which an entry is about to be dispatched.
 
-        Returns once it is durable; for an idempotent entry, at once: its
-        record follows soon, so that a taker can attach to the run instead
-        of running it anew, but nothing depends on it.
+        Returns once the record is durable. For an idempotent entry it returns
+        immediately and the record is written shortly after: it lets a
+        successor attach to the run instead of starting another one, but is
+        not required for correctness.
 
         Raises:
-          SupersededError: Another router has taken the entry over, or it is
+          SupersededError: Another router has taken over the entry, or it is
             settled; it must not be dispatched here.
-          StoreUnavailableError: Not recorded in time; must not be
-            dispatched. The call may be repeated.
+          StoreUnavailableError: Not recorded in time; the entry must not be
+            dispatched. The call may be retried.
         """
         self._writer.check_owned(entry)
         if entry.run == run:
@@ -112,7 +113,7 @@
         except TimeoutError:
             self._writer.queue.remove(item)
             raise self._writer.unavailable_error(
-                'dispatch not recorded'
+                'the dispatch was not recorded in time'
             ) from None
 
     async def settle(
@@ -120,20 +121,20 @@
     ) -> None:
         """Settles an entry; returns once the outcome is durable.
 
-        The platform being down delays it: the outcome stays queued and is
-        written when the platform is back, also if the wait is cancelled.
-        The caller may be answered meanwhile.
+        While the platform is down the outcome stays queued; it is written
+        when the platform is back, even if the wait is cancelled. The caller
+        may receive its answer before that.
 
         Raises:
-          SupersededError: Another router has taken the entry over, or it is
-            settled; the outcome is dropped.
+          SupersededError: Another router has taken over the entry, or it is
+            already settled; the outcome is dropped.
         """
         await asyncio.shield(self.settle_later(entry, answer))
 
     def settle_later(
         self, entry: durable_entry.Entry, answer: durable_answer.Answer
     ) -> asyncio.Future[None]:
-        """Queues an outcome without waiting for it; see `settle`."""
+        """Queues an outcome without waiting until it is durable."""
         return self._writer.settle_later(entry, answer)
 
     async def adopt(
@@ -145,9 +146,9 @@
         """Moves the entries of a sealed log here; returns once durable.
 
         Args:
-          by: Log of this router that made the seal.
+          by: Log of this router that created the seal.
           adopted: The sealed log and its seal.
-          entries: Its unsettled entries, with their new fences.
+          entries: Unsettled entries of that log, with their new fences.
 
         Raises:
           SupersededError: This router's log was itself taken over.
@@ -159,17 +160,17 @@
         await asyncio.shield(item.done)
 
     def unpin_adopted(self, log: str) -> None:
-        """Notes that the row of an adopted log is closed."""
+        """Releases the segments kept until an adopted log's row is closed."""
         self._writer.unpin_adopted(log)
 
     def unavailable_error(
         self, detail: str
     ) -> request_error.StoreUnavailableError:
-        """Makes the failure of what could not be stored."""
+        """Returns the error for a record that could not be stored."""
         return self._writer.unavailable_error(detail)
 
     def owns(self, entry: durable_entry.Entry) -> bool:
-        """Whether the entry has no outcome, and no takeover is known."""
+        """Whether the entry is unsettled and not known to be taken over."""
         return self._writer.unsettled.owns(entry)
 
     def _check_capacity(self, entry: durable_entry.Entry) -> None:
@@ -192,24 +193,26 @@
             )
 
     def _handle_timeout(self, item: durable_queue.Item) -> str:
-        """Ends a wait for acceptance that reached its bound."""
+        """Ends a wait for acceptance that timed out."""
         entry = item.record
         if self._writer.unsettled.owns(entry):
             return entry.request
         if self._abandon(item):
             REFUSED.inc({'reason': 'store'})
-            raise self._writer.unavailable_error('the platform is slow')
+            raise self._writer.unavailable_error(
+                'the platform did not respond in time'
+            )
         REFUSED.inc({'reason': 'unknown'})
         raise request_error.OutcomeUnknownError(
             f'acceptance of {entry.request} is not settled'
         )
 
     def _abandon(self, item: durable_queue.Item) -> bool:
-        """Gives an entry up; True if it is certain that none will run it.
+        """Abandons an entry; returns True if it certainly never runs.
 
-        A wait can end in the same turn of the event loop in which the entry
-        became durable. It is held then, and nobody would ever settle it, so
-        it is withdrawn here.
+        A wait can end in the same event loop iteration in which the entry
+        becomes durable. The entry is then in the log and no caller would ever
+        settle it, so it is settled here as not run.
         """
         item.abandoned = True
         if self._writer.unsettled.owns(item.record):
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/liveness.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/liveness.py
@@ -1,4 +1,4 @@
-"""What a router has seen of the logs of all routers."""
+"""Tracks which routers are alive by observing the rows of their logs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Observation:
-    """A row and since when it stands unchanged, by this reader's clock."""
+    """A row and how long it has been unchanged, by the reader's clock."""
 
     versioned: durable_row.VersionedRow
     since: float
@@ -24,7 +24,7 @@
 
 
 class LivenessTracker:
-    """Judges which routers live by whether their rows change."""
+    """Determines which routers are alive by whether their rows change."""
 
     def __init__(self) -> None:
         self._observations: dict[str, _Observation] = {}
@@ -32,12 +32,12 @@
     def observe(
         self, rows: Iterable[durable_row.VersionedRow], requested_at: float
     ) -> None:
-        """Takes in rows that were read.
+        """Records rows that were read.
 
         Args:
           rows: The rows.
           requested_at: Time of the event loop's clock when the read was sent;
-            the rows stood so at that time or later.
+            the rows had these values at that time or later.
         """
         for versioned in rows:
             log = versioned.row.log
@@ -51,15 +51,15 @@
                 )
 
     def retain(self, logs: set[str]) -> None:
-        """Forgets rows that are gone."""
+        """Drops the observations of all logs that are not given."""
         for log in self._observations.keys() - logs:
             del self._observations[log]
 
     def reset(self) -> None:
-        """Judges anew.
+        """Restarts all observation periods.
 
-        While the platform does not answer the rows of live routers do not
-        change either, so the time of an outage must not count.
+        While the platform is down the rows of live routers do not change
+        either, so the time of an outage must not count.
         """
         now = asyncio.get_running_loop().time()
         for observation in self._observations.values():
@@ -67,7 +67,7 @@
             observation.unchanged_s = 0.0
 
     def live_rows(self) -> list[durable_row.LogRow]:
-        """Gives the newest row of each live node."""
+        """Returns the newest row of each live node."""
         newest: dict[str, durable_row.LogRow] = {}
         for row in self._open_rows():
             known = newest.get(row.node)
@@ -76,7 +76,7 @@
         return [row for row in newest.values() if not self._is_expired(row)]
 
     def orphans(self) -> list[durable_row.LogRow]:
-        """Gives the open logs that no live router writes."""
+        """Returns the open logs that no live router writes."""
         newest: dict[str, tuple[int, int]] = {}
         for row in self._open_rows():
             order = max(newest.get(row.node, (0, 0)), _order(row))
@@ -88,7 +88,10 @@
         ]
 
     def kept_by(self, log: str) -> list[durable_row.LogRow]:
-        """Gives the closed logs that came to a log, also by way of others."""
+        """Returns the closed logs whose entries moved to a log, transitively.
+
+        A log is kept by another one directly, or through a chain of keepers.
+        """
         rows = {name: s.versioned.row for name, s in self._observations.items()}
         return [
             row
@@ -104,7 +107,7 @@
         )
 
     def unchanged_s(self, log: str) -> float:
-        """Gives how long a row was seen unchanged."""
+        """Returns for how long a row was observed unchanged, in s."""
         return self._observations[log].unchanged_s
 
     def _open_rows(self) -> Iterator[durable_row.LogRow]:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
@@ -1,8 +1,8 @@
-"""Reading and sealing the log of any router.
+"""Reads and seals the log of any router.
 
-The segments of a log are numbered from 1 without gaps, but for the oldest,
-which expire. The first number that does not exist is therefore found by a
-few reads and no list of the whole log.
+Segments are numbered from 1 without gaps, except that the oldest ones expire.
+The end of a log can therefore be found with a few reads, without listing the
+whole log.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
     """The end of a log.
 
     Attributes:
-      number: Number of the seal among the segments.
-      by: Log of the router that sealed.
+      number: Segment number of the seal.
+      by: Log of the router that created the seal.
     """
 
     number: int
@@ -50,13 +50,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ReplayedLog:
-    """What a sealed log leaves to its taker.
+    """State of a sealed log that its successor takes over.
 
     Attributes:
-      entries: Unsettled entries, with the newest run and fence known.
+      entries: Unsettled entries, with the latest recorded run and fence.
       settled: Settled requests with the numbers of the segments that hold
         the outcomes; the index may lack them.
-      adopted: Logs that were moved to this one; their rows may be open.
+      adopted: Logs whose entries were moved to this one; their rows may still
+        be open.
     """
 
     entries: list[durable_entry.Entry]
@@ -65,18 +66,18 @@
 
 
 def key_of(log: str, number: int) -> str:
-    """Gives the object key of a segment."""
+    """Returns the object key of a segment."""
     return f'journal/{log}/{number:08d}'
 
 
 async def read(
     objects: platform_objects.Objects, log: str, number: int
 ) -> durable_segment.Segment | None:
-    """Reads a segment; None if there is none.
+    """Reads a segment; returns None if it does not exist.
 
     Raises:
-      MalformedSegmentError: The object is no segment.
-      PlatformUnavailableError: The store does not answer.
+      MalformedSegmentError: The object is not a segment.
+      PlatformUnavailableError: The store does not respond.
     """
     data = await objects.get(key_of(log, number))
     if data is None:
@@ -87,7 +88,7 @@
 async def read_entry(
     objects: platform_objects.Objects, position: durable_entry.Position
 ) -> durable_entry.Entry | None:
-    """Reads an entry where it was accepted; None if there is none."""
+    """Reads an entry from the segment that accepted it; None if not found."""
     segment = await read(objects, position.log, position.segment)
     if segment is None or position.index >= len(segment.accepted):
         return None
@@ -97,7 +98,13 @@
 async def last_number(
     objects: platform_objects.Objects, log: str, known: int
 ) -> int:
-    """Finds the newest segment, from one known to have existed (0 if none)."""
+    """Finds the newest segment by exponential and then binary search.
+
+    Args:
+      objects: Client of the object store.
+      log: Name of the log.
+      known: A segment known to have existed; 0 if none.
+    """
     step = 1
     while await objects.get(key_of(log, known + step)) is not None:
         known += step
@@ -115,18 +122,18 @@
 async def seal(
     objects: platform_objects.Objects, log: str, after: int, by: str
 ) -> Seal:
-    """Ends a log behind a segment, or finds who did.
+    """Seals a log after a given segment, or finds an existing seal.
 
-    Only one create of a number succeeds. So the former owner, paused just
-    before its write, finds the number taken when it wakes; and of two
-    takers that race, one finds the seal of the other.
+    Only one create of a number succeeds. A former owner that was paused just
+    before its write finds the number taken when it resumes, and of two
+    routers that race to take over, one finds the seal of the other.
 
     Returns:
-      The seal found or made; `by` tells whose it is.
+      The seal that was found or created; `by` names the sealing log.
 
     Raises:
-      PlatformUnavailableError, PlatformAnswerLostError: To be repeated; a
-        seal that took effect after all is found by the repetition.
+      PlatformUnavailableError, PlatformAnswerLostError: The call may be
+        retried; a retry finds the seal if the first write took effect.
     """
     number = after + 1
     mine = durable_segment.Segment(sealed_by=by)
@@ -146,12 +153,12 @@
 async def replay(
     objects: platform_objects.Objects, log: str, end: int
 ) -> ReplayedLog:
-    """Reads what a log that is sealed at `end` leaves.
+    """Replays a log that is sealed at `end`.
 
     Raises:
-      LogDamagedError: A segment or entry that is needed is missing.
-      MalformedSegmentError: An object is no segment.
-      PlatformUnavailableError: The store does not answer.
+      LogDamagedError: A required segment or entry is missing.
+      MalformedSegmentError: An object is not a segment.
+      PlatformUnavailableError: The store does not respond.
     """
     last, newest = await _last_record_segment(objects, log, end)
     if newest is None:
@@ -180,7 +187,7 @@
 async def _last_record_segment(
     objects: platform_objects.Objects, log: str, end: int
 ) -> tuple[int, durable_segment.Segment | None]:
-    """Steps back over seals to the newest segment with records."""
+    """Returns the newest segment with records, skipping trailing seals."""
     for number in range(end - 1, 0, -1):
         segment = await _read_required(objects, log, number)
         if not segment.sealed_by:
@@ -200,7 +207,7 @@
 async def _read_segments(
     objects: platform_objects.Objects, log: str, first: int, last: int
 ) -> AsyncIterator[tuple[int, durable_segment.Segment]]:
-    """Reads segments, a few at once: answers in them may be large."""
+    """Reads segments, a few concurrently: their answers may be large."""
     for start in range(first, last + 1, MAX_CONCURRENT_READS):
         numbers = range(start, min(start + MAX_CONCURRENT_READS, last + 1))
         reads = (_read_required(objects, log, number) for number in numbers)
@@ -213,7 +220,7 @@
     entries: dict[str, durable_entry.Entry],
     requests: Iterable[str],
 ) -> None:
-    """Fetches entries accepted below the floor or in an adopted log."""
+    """Loads entries accepted below the floor or in an adopted log."""
     missing = [request for request in requests if request not in entries]
     positions = [durable_entry.parse_request_id(request) for request in missing]
     for log, number in {
@@ -226,4 +233,4 @@
                 entries[request] = by_request[request]
     for request in missing:
         if request not in entries:
-            raise error.LogDamagedError(f'entry {request}')
+            raise error.LogDamagedError(f'entry {request} is missing')
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes a router's log, segment by segment."""
+"""Writes the log of a router, one segment at a time."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
 
 
 class LogWriter:
-    """Writes what is queued, one segment at a time.
+    """Writes queued records, one segment at a time (group commit).
 
-    All that waits when a segment is cut goes into one object; while that is
-    on its way the next collects.
+    Each segment takes everything queued so far, up to its maximum size; new
+    records queue up while it is being written.
 
     Attributes:
       log: Name of the log; empty while none is open.
       last: Number of the newest segment.
-      queue: Records that wait.
+      queue: Records that wait to be written.
       unsettled: Entries in the log without an outcome.
-      health: Whether the object store takes the segments.
+      health: Whether the object store accepts segments.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         throttle: durable_pace.Throttle,
         on_superseded: Callable[[], None] = lambda: None,
     ) -> None:
-        """Makes a writer without an open log.
+        """Creates a writer without an open log.
 
         Args:
           objects: Client of the object store.
-          register: Registers a new log in the platform and gives its name;
-            repeats until the platform took it.
-          index: Told of each outcome.
-          throttle: Spaces the segments.
-          on_superseded: Called once another router has taken the log over.
+          register: Registers a new log in the platform and returns its name;
+            retries until it succeeds.
+          index: Index to which each outcome is added.
+          throttle: Limits the rate of segments.
+          on_superseded: Called when another router has taken over the log.
         """
         self.log = ''
         self.last = 0
@@ -97,21 +97,21 @@
 
     @property
     def available(self) -> bool:
-        """Whether the platform takes new entries, as far as is known."""
+        """Whether the platform accepts new entries, as far as is known."""
         return bool(self.log) and self.health.up and not self._index.full
 
     @property
     def floor(self) -> int:
-        """Gives the least segment that a taker would read."""
+        """Lowest segment that a takeover would read."""
         return self.unsettled.floor(self.last + 1)
 
     def settle_later(
         self, entry: durable_entry.Entry, answer: durable_answer.Answer
     ) -> asyncio.Future[None]:
-        """Queues an outcome; its future is done once it is durable.
+        """Queues an outcome; the returned future is done once it is durable.
 
         Raises:
-          SupersededError: The entry is not held here, or has an outcome.
+          SupersededError: The entry is not owned here or is already settled.
         """
         self.check_owned(entry)
         waiting = _make_item(entry, answer)
@@ -120,10 +120,10 @@
         return waiting.done
 
     def check_owned(self, entry: durable_entry.Entry) -> None:
-        """Checks that an entry is held here and has no outcome.
+        """Checks that an entry is owned here and has no outcome.
 
         Raises:
-          SupersededError: It is not, or has one.
+          SupersededError: The entry is not owned here or is already settled.
         """
         if not self.unsettled.owns(entry):
             detail = f'request {entry.request} is settled or taken over'
@@ -132,24 +132,24 @@
     def unavailable_error(
         self, detail: str
     ) -> request_error.StoreUnavailableError:
-        """Makes the failure of what could not be stored."""
+        """Returns the error for a record that could not be stored."""
         return request_error.StoreUnavailableError(
             detail, retry_after_s=self.health.retry_after_s()
         )
 
     def unpin_adopted(self, log: str) -> None:
-        """Notes that the row of an adopted log is closed."""
+        """Releases the segments kept until an adopted log's row is closed."""
         release = self._adopted.pop(log, None)
         if release is not None:
             release()
 
     def probe(self) -> None:
-        """Writes a segment soon, so that a seal is found."""
+        """Forces a segment write, which detects whether the log is sealed."""
         self._probe_requested = True
         self.queue.wakeup.set()
 
     async def run(self) -> None:
-        """Opens a log and writes it, and a new one after each seal."""
+        """Opens a log and writes to it; opens a new one after each seal."""
         while True:
             self.log = await self._register()
             self.last = 0
@@ -157,7 +157,7 @@
             await self._write_until_sealed()
 
     async def drain(self, within_s: float) -> None:
-        """Waits until all records are durable, at most `within_s`."""
+        """Waits up to `within_s` seconds until all records are durable."""
         waiting = [item.done for item in (*self._in_flight, *self.queue)]
         if waiting:
             self.queue.wakeup.set()
@@ -197,10 +197,11 @@
         return stored
 
     def _drop_accepted(self, lost: bool) -> bool:
-        """Gives up new entries whose write failed, if that may be.
+        """Drops new entries whose write failed, if that is safe.
 
-        Entries that surely are not in the store are refused at once. After
-        a lost answer they are kept while anybody waits for them.
+        Entries that are certainly not in the store are refused immediately.
+        After a lost response they are kept as long as any caller waits for
+        them.
         """
         if not self.health.up:
             self._refuse(self.queue.take_entries())
@@ -215,7 +216,7 @@
             item.fail(self.unavailable_error('the platform does not answer'))
 
     def _apply(self, stored: durable_segment.Segment) -> None:
-        """Acts on a segment that is in the log now."""
+        """Updates the state after a segment was written to the log."""
         self.last += 1
         items, self._in_flight = self._in_flight, []
         for item in items:
@@ -249,12 +250,14 @@
         item.succeed()
 
     def settle_as_not_run(self, entry: durable_entry.Entry) -> None:
-        """Settles an entry that nobody waits for as not run."""
-        exc = request_error.StoreUnavailableError('not accepted in time')
+        """Settles an entry whose caller has stopped waiting as not run."""
+        exc = request_error.StoreUnavailableError(
+            'the request was not accepted in time'
+        )
         self.settle_later(entry, durable_answer.failure(exc))
 
     def _drop_log(self) -> None:
-        """Lets go of all that another router has taken over."""
+        """Discards the state of a log that another router has taken over."""
         SUPERSEDED.inc({})
         LOG.warning(
             'journal_superseded', log=self.log, held=len(self.unsettled)
@@ -286,7 +289,7 @@
 def _make_item(
     entry: durable_entry.Entry, answer: durable_answer.Answer
 ) -> durable_queue.Item:
-    """Makes the item of an outcome, or of the failure to store it."""
+    """Returns the item of an outcome, or of a failure if it is unstorable."""
     settled = durable_segment.Settled(entry.request, entry.account, answer)
     try:
         return durable_queue.make_item(settled)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
@@ -1,7 +1,8 @@
-"""Looks a request up by its id, through any router.
+"""Looks up requests by id, through any router.
 
-The id names the place where the request was accepted, so that a pending
-request costs one read; the index leads from it to the outcome.
+The id encodes the position at which the request was accepted, so that reading
+the entry of a pending request takes a single read. The index maps the id to
+the outcome.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Stored:
-    """What the platform holds of a request.
+    """The stored state of a request.
 
     Attributes:
       request: Id of the request.
@@ -44,14 +45,14 @@
 
 
 class Answers:
-    """Reads what is stored of requests.
+    """Reads the stored state of requests.
 
     Args:
       table: Client of the table.
       objects: Client of the object store.
-      index: Index of this router, which knows its newest outcomes first.
-      suspect: Told the log of a request that is waited for, so that the
-        death of its router is found soon.
+      index: Index of this router; has its newest outcomes before the table.
+      suspect: Called with the log of a request that a caller waits for, so
+        that the death of its router is detected soon.
     """
 
     def __init__(
@@ -67,13 +68,13 @@
         self._suspect = suspect
 
     async def get(self, account: str, request: str) -> Stored:
-        """Looks a request up.
+        """Looks up a request.
 
         Raises:
           NotFoundError: No such request of this account was accepted, or it
             has expired.
-          StoreUnavailableError: The platform did not answer; this says
-            nothing of the request (`ran` is unknown).
+          StoreUnavailableError: The platform did not respond; this says
+            nothing about the request (`ran` is unknown).
         """
         try:
             return await self._get(account, request)
@@ -88,8 +89,8 @@
         """Waits for the outcome of a request.
 
         Returns:
-          What is stored after `within_s` at most; its answer is None if the
-          request was still pending then.
+          The stored state after at most `within_s` seconds; its answer is
+          None if the request is still pending.
 
         Raises:
           NotFoundError: See `get`.
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/pace.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/pace.py
@@ -1,15 +1,15 @@
-"""Pacing of writes, so that all routers together stay under a budget.
-
-The platform takes several hundred writes a second from all routers, so the
-interval between two writes of one router grows with their number. Each kind
-of write has its part of `writes_per_s`.
-
-At the pace of 480 routers, counted by `test_cost` with 1 and with 7 requests
-a second on each: 250 writes and 202 reads a second for all 480 together, and
-349 writes with an idempotency key on every request. Writes do not grow with
-requests. A key costs one read when it expires: 2,486 reads a second at 7 keyed
-requests a second on each, which is where the platform's two thousand reads
-end first.
+"""Throttles writes so that all routers together stay within a budget.
+
+The platform handles several hundred writes per second from all routers, so
+the interval between two writes of one router grows with the number of routers.
+Each kind of write gets a share of `writes_per_s`.
+
+With 480 routers that each serve 1 or 7 requests per second, `test_cost` counts
+250 writes and 202 reads per second in total, and 349 writes if every request
+has an idempotency key. The number of writes does not depend on the request
+rate. A key costs one read when it expires: at 7 requests with a key per second
+and router this makes 2,486 reads per second, so the platform's limit of two
+thousand reads is reached first.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     'journal_throttle',
 ]
 
-# A segment is written once and deleted once, and for each few segments a row
-# of the index and the claims are deleted too. Erasing must be the faster.
+# Each segment is written once and deleted once, and deletions also include an
+# index row per few segments and the claims, so erasing needs the larger share.
 JOURNAL_SHARE = 0.25
 ERASE_SHARE = 0.3
 CLAIM_SHARE = 0.25
@@ -44,10 +44,10 @@
 
 
 class Throttle:
-    """A token bucket: an interval between writes, and a few saved up.
+    """A token bucket that limits the rate of writes and allows short bursts.
 
-    The acceptance, claim and dispatch of a request are writes that follow
-    each other; after a lull they go at once.
+    The acceptance, claim and dispatch of a request are consecutive writes; the
+    burst lets them proceed without delay after an idle period.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
 
     @property
     def interval_s(self) -> float:
-        """Gives the interval for the present number of routers."""
+        """Interval between writes for the current number of routers, in s."""
         return max(self._min_interval_s, self._routers() / self._writes_per_s)
 
     async def acquire(self) -> None:
-        """Waits until the next write may go."""
+        """Waits until the next write is allowed."""
         now = asyncio.get_running_loop().time()
         interval_s = self.interval_s
         earned = (now - self._updated_at) / interval_s
@@ -77,34 +77,34 @@
 
 
 def max_wait_s(cfg: setting.Durable, throttle: Throttle) -> float:
-    """Gives the longest wait for a paced write, in s.
+    """Returns the longest wait for a throttled write, in s.
 
-    A record waits for the write under way and for the next to be due.
+    A record waits for the write in progress and until the next one is due.
     """
     return cfg.accept_s + 2 * throttle.interval_s
 
 
 def journal_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
-    """Paces segments of the journal."""
+    """Creates the throttle for journal segments."""
     return Throttle(cfg.flush_s, cfg.writes_per_s * JOURNAL_SHARE, routers)
 
 
 def erase_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
-    """Paces the deletion of what has expired."""
+    """Creates the throttle for deletions of expired data."""
     min_interval_s = cfg.flush_s * JOURNAL_SHARE / ERASE_SHARE
     return Throttle(min_interval_s, cfg.writes_per_s * ERASE_SHARE, routers)
 
 
 def claim_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
-    """Paces transactions that insert claims."""
+    """Creates the throttle for transactions that insert claims."""
     return Throttle(cfg.flush_s, cfg.writes_per_s * CLAIM_SHARE, routers)
 
 
 def index_throttle(cfg: setting.Durable, routers: RouterCount) -> Throttle:
-    """Paces transactions that update the index of answers."""
+    """Creates the throttle for transactions that update the answer index."""
     return Throttle(cfg.flush_s, cfg.writes_per_s * INDEX_SHARE, routers)
 
 
 def heartbeat_s(cfg: setting.Durable, routers: int) -> float:
-    """Gives the interval between two renewals of one router, in s."""
+    """Returns the interval between two renewals of one router, in s."""
     return max(cfg.heartbeat_s, routers / (cfg.writes_per_s * HEARTBEAT_SHARE))
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/queue.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/queue.py
@@ -1,4 +1,4 @@
-"""Records that wait to be written to the log, and their groups."""
+"""Queue of records to be written to the log, and their batches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Adoption:
-    """Entries of a sealed log that are moved here, all or none."""
+    """Entries of a sealed log that are moved to this log atomically."""
 
     adopted: durable_segment.Adopted
     entries: list[durable_entry.Entry]
@@ -36,13 +36,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Item:
-    """A record on its way into the log.
+    """A record that is queued for or being written to the log.
 
     Attributes:
       record: The record.
-      size: Its bytes.
-      done: Result None once the record is durable, or why it is not.
-      abandoned: Nobody waits any more; an entry must not run.
+      size: Size of the record, in bytes.
+      done: Resolves to None once the record is durable, or to the error that
+        prevented it.
+      abandoned: The caller has stopped waiting; an entry must not run.
     """
 
     record: Record
@@ -52,36 +53,37 @@
 
     @property
     def is_entry(self) -> bool:
-        """Whether it is a new entry, which can be refused as not run."""
+        """Whether this is a new entry, which can be refused as not run."""
         return isinstance(self.record, durable_entry.Entry)
 
     def fail(self, exc: Exception) -> None:
-        """Tells who waits that the record is not durable."""
+        """Fails the future: the record is not durable."""
         if not self.done.done():
             self.done.set_exception(exc)
 
     def succeed(self) -> None:
-        """Tells who waits that the record is durable."""
+        """Resolves the future: the record is durable."""
         if not self.done.done():
             self.done.set_result(None)
 
 
 def make_item(record: Record) -> Item:
-    """Makes the item of a record; needs a running event loop.
+    """Creates the item of a record; requires a running event loop.
 
     Raises:
-      UnstorableRecordError: The record holds a value that cannot be packed.
+      UnstorableRecordError: The record holds a value that cannot be
+        serialized.
     """
     size = _size_of(record)
     done = asyncio.get_running_loop().create_future()
-    # Not everybody waits for a record; a failure that nobody fetches is not
-    # an error of the program.
+    # Not every caller awaits its record. Retrieving the exception here keeps
+    # asyncio from reporting it as never retrieved.
     done.add_done_callback(lambda fut: fut.cancelled() or fut.exception())
     return Item(record, size, done)
 
 
 class Queue:
-    """Items in the order in which they are to be written."""
+    """FIFO queue of items to be written."""
 
     def __init__(self) -> None:
         self._items: collections.deque[Item] = collections.deque()
@@ -95,7 +97,7 @@
         return iter(self._items)
 
     def add(self, new: Item, within_s: float = 0.0) -> None:
-        """Queues an item, to go along with another or after `within_s`."""
+        """Queues an item, written with the next batch or after `within_s`."""
         self._items.append(new)
         self.queued_bytes += new.size
         if within_s:
@@ -105,7 +107,7 @@
             self.wakeup.set()
 
     def remove(self, old: Item) -> bool:
-        """Takes an item back; False if it is being written already."""
+        """Removes an item; returns False if it is no longer queued."""
         if old not in self._items:
             return False
         self._items.remove(old)
@@ -113,7 +115,7 @@
         return True
 
     def take_next_batch(self) -> list[Item]:
-        """Takes the items of the next segment."""
+        """Removes and returns the items of the next segment."""
         taken: list[Item] = []
         free_bytes = MAX_SEGMENT_BYTES
         while self._items and (not taken or self._items[0].size <= free_bytes):
@@ -124,18 +126,18 @@
         return taken
 
     def release_bytes(self, items: Iterable[Item]) -> None:
-        """Frees the memory of items that were cut and are done."""
+        """Subtracts the size of removed items that have been written."""
         self.queued_bytes -= sum(old.size for old in items)
 
     def take_entries(self) -> list[Item]:
-        """Takes the new entries and leaves the other records."""
+        """Removes and returns the new entries; other records stay queued."""
         entries = [item for item in self._items if item.is_entry]
         for item in entries:
             self.remove(item)
         return entries
 
     def take_all(self) -> list[Item]:
-        """Takes all items."""
+        """Removes and returns all items."""
         taken = list(self._items)
         self._items.clear()
         self.release_bytes(taken)
@@ -145,7 +147,7 @@
 def build_segment(
     items: list[Item], log: str, number: int, floor: int
 ) -> durable_segment.Segment:
-    """Makes the segment of some items, and names its new entries."""
+    """Builds a segment from items and assigns ids to its new entries."""
     segment = durable_segment.Segment(floor=floor)
     for record in (item.record for item in items):
         match record:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/recovery.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/recovery.py
@@ -1,4 +1,4 @@
-"""Has the entries of adopted logs recovered, a bounded number at once."""
+"""Recovers the entries of adopted logs with bounded concurrency."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 class Recovery:
-    """Recovers entries in the background.
+    """Recovers entries in background tasks.
 
-    `recover(entry)` brings an entry to its outcome and ends with
-    `Journal.settle`. If `entry.run` is set and the entry is not idempotent,
-    it asks that sidecar (Dispatch with `recover`, the attempt of the run,
-    the fence of the entry), and dispatches anew only once that run is proved
-    not to have been.
+    `recover(entry)` completes an entry and ends with `Journal.settle`. If
+    `entry.run` is set and the entry is not idempotent, it first queries that
+    run's sidecar (Dispatch with `recover`, the attempt of the run and the
+    fence of the entry). It dispatches the entry again only if that run is
+    proven not to have taken place.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, entries: Iterable[durable_entry.Entry]) -> None:
-        """Starts to recover entries that the journal holds now."""
+        """Starts recovering entries that the journal has adopted."""
         for entry in entries:
             task = asyncio.create_task(self._recover_until_settled(entry))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Cancels what is not done; the journal keeps it."""
+        """Cancels unfinished recoveries; their entries stay in the journal."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -74,11 +74,11 @@
                 except request_error.SupersededError:
                     return
                 except asyncio.CancelledError:
-                    # A caller may cancel the request that is recovered; only
-                    # if this task is cancelled itself is that its end.
+                    # A caller may cancel the request being recovered. Stop
+                    # only if this task itself is cancelled.
                     if asyncio.current_task().cancelling():
                         raise
-                except Exception as exc:  # A fault in one must not strand it.
+                except Exception as exc:  # Retry: the entry must be settled.
                     LOG.error(
                         'recovery_failed', request=entry.request, exc_info=exc
                     )
@@ -87,7 +87,10 @@
         RECOVERED.inc({})
 
     async def _try_recover(self, entry: durable_entry.Entry) -> None:
-        """Claims the key first: the dead router may not have come to it."""
+        """Recovers an entry; claims its key first if it is not yet claimed.
+
+        The dead router may have accepted the entry without claiming its key.
+        """
         if entry.idempotency_key:
             try:
                 claim = await self._claims.reclaim(entry)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/registration.py
@@ -1,7 +1,8 @@
-"""A router's row in the platform, and what it sees of the others.
+"""Registration of a router in the platform, and the routers seen alive.
 
-No clocks are compared between hosts. A reader judges another router by its
-own observation: the row stood at one version over the row's `ttl_s`.
+Clocks of different hosts are never compared. A reader considers another router
+dead if it observed the router's row at the same version for longer than the
+row's `ttl_s`.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Router:
-    """A router as its row shows it.
+    """A router as registered in its row.
 
     Attributes:
       node: Name of the router.
-      incarnation: Grows with each start of the router.
+      incarnation: Increases with each start of the router.
       address: IP:PORT of its HTTP listener.
       availability_zone: Availability zone of its entry host.
-      revision: Configuration in force there.
+      revision: Active configuration revision of the router.
     """
 
     node: str
@@ -51,18 +52,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SegmentRange:
-    """The segments of a log: the oldest kept and the newest."""
+    """Range of a log's segments: the oldest one retained and the newest."""
 
     first: int
     last: int
 
 
 class Registration:
-    """Registers the logs of this router and keeps the newest one alive.
+    """Registers the logs of this router and renews the current one.
 
     Attributes:
-      router: This router; its holder keeps `revision` up to date.
-      liveness: What was seen of all routers.
+      router: This router; the caller keeps `revision` up to date.
+      liveness: Tracks the rows of all routers.
     """
 
     def __init__(
@@ -80,15 +81,15 @@
 
     @property
     def interval_s(self) -> float:
-        """Gives the interval between two renewals, in s."""
+        """Interval between two renewals, in s."""
         return durable_pace.heartbeat_s(self._cfg, self.count())
 
     def count(self) -> int:
-        """Gives the number of live routers, at least 1."""
+        """Returns the number of live routers, at least 1."""
         return len(self.live_routers())
 
     def live_routers(self) -> list[Router]:
-        """Gives the routers seen alive, this one included."""
+        """Returns the routers seen alive, including this one."""
         others = [
             Router(
                 row.node,
@@ -103,11 +104,11 @@
         return [self.router, *others]
 
     async def register(self) -> str:
-        """Inserts the row of a new log; repeats until the platform took it.
+        """Inserts the row of a new log; retries until it succeeds.
 
-        A process that is replaced by a newer one of the same node loses its
-        log to a taker. It waits here while the newer one lives: with a new
-        log it would be taken over again at once.
+        If a newer process of the same node has replaced this one, another
+        router takes over its log. This process then waits until the newer one
+        is gone: a new log would be taken over again immediately.
 
         Returns:
           The name of the log.
@@ -127,8 +128,8 @@
             try:
                 await self._table.transact([condition], [write])
             except platform_error.ConditionFailedError:
-                # No other process has this name, incarnation and epoch, so
-                # the row is ours from a try whose answer was lost.
+                # No other process has this name, incarnation and epoch, so an
+                # earlier attempt whose response was lost inserted the row.
                 break
             except platform_error.PlatformError as exc:
                 LOG.warning('registration_failed', why=exc.code)
@@ -144,7 +145,7 @@
         """Renews the row until cancelled.
 
         Args:
-          span: Gives the segments of the present log.
+          span: Returns the segment range of the current log.
           on_closed: Called if another router has closed the log.
         """
         while True:
@@ -158,7 +159,7 @@
                     on_closed()
 
     async def release(self, span: SegmentRange) -> None:
-        """Lets others take the log at once, after a graceful stop."""
+        """Marks the log for immediate takeover, after a graceful stop."""
         if self._log:
             await durable_row.compare_and_set(
                 self._table,
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/row.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/row.py
@@ -1,4 +1,4 @@
-"""The platform's row of one log: its router's registration as well."""
+"""The table row of a log, which also registers the router that writes it."""
 
 from __future__ import annotations
 
@@ -36,15 +36,16 @@
     Attributes:
       node: Name of the router.
       incarnation: Incarnation of the router.
-      epoch: Grows with each log of an incarnation.
+      epoch: Increases with each log of an incarnation.
       address: IP:PORT of the router's HTTP listener.
       availability_zone: Availability zone of its entry host.
-      revision: Configuration in force there.
-      ttl_s: Time without a renewal after which the router counts as dead.
-      first: Least segment that has not expired.
+      revision: Active configuration revision of the router.
+      ttl_s: Time without a renewal after which the router is considered dead.
+      first: Lowest segment that has not expired.
       last: Newest segment at the last renewal.
-      released: The router has stopped; the log may be taken at once.
-      keeper: Log to which the entries were moved; empty while it is open.
+      released: The router has stopped; the log may be taken over immediately.
+      keeper: Log to which the entries were moved; empty while this log is
+        open.
     """
 
     node: str
@@ -61,7 +62,7 @@
 
     @property
     def log(self) -> str:
-        """Gives the name of the log, which is the key of the row."""
+        """Name of the log, which is the key of the row."""
         return f'{self.node}.{self.incarnation}.{self.epoch}'
 
 
@@ -70,20 +71,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class VersionedRow:
-    """A row and the version at which it stands."""
+    """A row and its version in the table."""
 
     version: int
     row: LogRow
 
 
 def parse(value: Any) -> LogRow:
-    """Checks the value of a row.
+    """Parses the value of a row.
 
-    Keys that are not known are left out: while versions of the router are
-    mixed, an older one must still take the log of a newer one over.
+    Unknown keys are ignored: during a rolling upgrade an older router must be
+    able to take over the log of a newer one.
 
     Raises:
-      MalformedRowError: It is not the row of a log.
+      MalformedRowError: The value is not the row of a log.
     """
     try:
         return LogRow(
@@ -94,13 +95,13 @@
 
 
 async def read(table: platform_table.Table, log: str) -> VersionedRow | None:
-    """Reads the row of a log; None if it is absent."""
+    """Reads the row of a log; returns None if it does not exist."""
     found = await table.get(TABLE, log)
     return found and VersionedRow(found.version, parse(found.value))
 
 
 async def scan(table: platform_table.Table) -> list[VersionedRow]:
-    """Reads the rows of all logs; leaves malformed ones out."""
+    """Reads the rows of all logs and skips malformed ones."""
     rows = await table.scan(TABLE)
     return list(itertools.chain.from_iterable(map(_parse_if_valid, rows)))
 
@@ -117,19 +118,21 @@
     log: str,
     update: Callable[[LogRow], LogRow | None],
 ) -> LogRow | None:
-    """Changes a row by compare-and-set.
+    """Updates a row by compare-and-set and retries on a conflict.
 
     Args:
       table: Client of the table.
       log: Name of the log.
-      update: Gives the new row, or None to leave it as it is. After a lost
-        answer it may be asked again about a row that it made.
+      update: Returns the new row, or None to leave the row unchanged. If the
+        response to a write was lost, it may be called with a row that it
+        returned earlier.
 
     Returns:
-      The row as it stands now; None if it is absent.
+      The current row; None if it does not exist.
 
     Raises:
-      PlatformUnavailableError, PlatformAnswerLostError: To be repeated.
+      PlatformUnavailableError, PlatformAnswerLostError: The call may be
+        retried.
     """
     while True:
         found = await read(table, log)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/segment.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/segment.py
@@ -1,6 +1,6 @@
-"""Segments of a log and their form as bytes.
+"""Log segments and their serialized format.
 
-A segment is a msgpack array of a form number and the fields of `Segment`;
+A segment is a msgpack array of a format version and the fields of `Segment`;
 each record in it is an array of its fields in order of declaration.
 """
 
@@ -33,8 +33,8 @@
 FORMAT_VERSION = 1
 NONCE_BYTES = 16
 
-# The place of an entry follows from where it stands, and its run and fence
-# are records of their own.
+# The id of an entry follows from its position in the log; the run and the
+# fence are stored separately.
 ENTRY_FIELDS = tuple(
     field.name
     for field in dataclasses.fields(durable_entry.Entry)
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Dispatched:
-    """Who owns an entry from here on, and where it last was dispatched.
+    """A dispatch of an entry, or a change of its owner.
 
     Attributes:
       request: Id of the request.
-      fence: Ownership epoch.
-      run: Newest dispatch; None while there was none.
+      fence: Ownership epoch from this record on.
+      run: Latest dispatch; None before the first one.
     """
 
     request: str
@@ -66,7 +66,7 @@
 
     Attributes:
       request: Id of the request.
-      account: Client account, which alone may read the answer.
+      account: Client account; only it may read the answer.
       answer: The outcome.
     """
 
@@ -77,11 +77,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Adopted:
-    """The entries of a sealed log have been moved to this one.
+    """Records that the entries of a sealed log were moved to this one.
 
     Attributes:
       log: Name of the sealed log.
-      seal: Number of the seal under which they were moved.
+      seal: Segment number of the seal under which they were moved.
     """
 
     log: str
@@ -93,10 +93,10 @@
     """One object of a log.
 
     Attributes:
-      nonce: Tells this write from all others, so that the writer knows its
-        own work when the answer to the write was lost.
-      floor: Least number of the segments that a takeover must read.
-      sealed_by: Log of the router that ends this log here; empty in a
+      nonce: Identifies this write, so that the writer recognizes its own
+        segment if the response to the write was lost.
+      floor: Lowest segment that a takeover must read.
+      sealed_by: Log of the router that sealed this log here; empty in a
         segment with records.
       accepted: New entries; their indices are part of their ids.
       dispatched: Dispatches and changes of owner.
@@ -117,20 +117,21 @@
     adopted: list[Adopted] = dataclasses.field(default_factory=list)
 
     def without_accepted(self) -> Segment:
-        """Gives another write of the same records, less the new entries."""
+        """Returns a new write of the same records without the new entries."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         return dataclasses.replace(self, nonce=nonce, accepted=[])
 
 
 def packed_size(record: durable_entry.Entry | Dispatched | Settled) -> int:
-    """Gives the bytes of a record.
+    """Returns the serialized size of a record, in bytes.
 
-    Records are packed once before they are queued, so that a value which
-    cannot be packed, such as half a surrogate pair in a caller's text, fails
-    its own request and not the segment of many.
+    Records are serialized once before they are queued. A value that cannot be
+    serialized, such as a lone surrogate in a caller's text, then fails only
+    its own request instead of a segment with many records.
 
     Raises:
-      UnstorableRecordError: It holds a value that cannot be packed.
+      UnstorableRecordError: The record holds a value that cannot be
+        serialized.
     """
     try:
         return len(msgpack.packb(_from_record(record)))
@@ -139,7 +140,7 @@
 
 
 def encode(segment: Segment) -> bytes:
-    """Packs a segment."""
+    """Serializes a segment."""
     values = [
         FORMAT_VERSION,
         segment.nonce,
@@ -154,15 +155,15 @@
 
 
 def decode(data: bytes, log: str, number: int) -> Segment:
-    """Unpacks the segment with a number in a log.
+    """Deserializes the segment of a log with a given number.
 
     Raises:
-      MalformedSegmentError: It is not a segment.
+      MalformedSegmentError: The data is not a segment.
     """
     try:
         form, *fields = msgpack.unpackb(data)
         if form != FORMAT_VERSION:
-            raise error.MalformedSegmentError(f'form {form}')
+            raise error.MalformedSegmentError(f'unknown format {form}')
         return _to_segment(fields, log, number)
     except (ValueError, TypeError, msgpack.UnpackException) as exc:
         detail = f'{log}/{number}: {exc}'
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/setting.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/setting.py
@@ -1,4 +1,4 @@
-"""Settings of what a router keeps in the platform."""
+"""Settings of a router's durable state."""
 
 from __future__ import annotations
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/state.py
@@ -1,4 +1,4 @@
-"""All that a router keeps in the platform, put together."""
+"""Assembles the durable state of a router."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class DurableState:
-    """What one router keeps in the platform.
+    """The state that a router stores in the platform.
 
     Attributes:
       journal: Accepted requests, their dispatches and outcomes.
-      claims: Holders of idempotency keys.
-      answers: Looks requests up by id.
-      registration: The routers seen alive; `registration.router.revision` is
-        to be kept up to date by its holder.
+      claims: Claims of idempotency keys.
+      answers: Looks up requests by id.
+      registration: The routers seen alive; the caller must keep
+        `registration.router.revision` up to date.
     """
 
     def __init__(
@@ -55,16 +55,16 @@
         recover: durable_recovery.Recover,
         on_superseded: Callable[[], None] = lambda: None,
     ) -> None:
-        """Prepares the state; `start` starts its tasks.
+        """Creates the state; `start` starts its tasks.
 
         Args:
           table: Client of the table service.
           objects: Client of the object store.
           router: This router.
           cfg: Settings.
-          recover: Serves an entry that was taken over.
-          on_superseded: Called once another router has taken over what this
-            one holds.
+          recover: Completes an entry that was taken over.
+          on_superseded: Called when another router has taken over this
+            router's log.
         """
         self.registration = durable_registration.Registration(
             table, router, cfg
@@ -118,7 +118,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Starts the tasks; the platform may be down meanwhile."""
+        """Starts the tasks; the platform may be down at that time."""
         renewal = self.registration.run(self._segment_range, self._writer.probe)
         self._spawn(self._writer.run())
         self._spawn(self._index.run())
@@ -128,10 +128,10 @@
         self._spawn(self._expiry.run())
 
     async def stop(self, within_s: float) -> None:
-        """Writes what is queued, hands the rest over and ends the tasks.
+        """Writes queued records, ends the tasks and releases the log.
 
         Args:
-          within_s: Bound of the wait for the platform.
+          within_s: Longest wait for the queued records, in s.
         """
         await self._writer.drain(within_s)
         for task in self._tasks:
@@ -160,11 +160,11 @@
         self._tasks.append(task)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Ends all tasks if one has failed.
+        """Cancels all tasks if one has failed.
 
-        With the writer gone but the row renewed, what was accepted would
-        neither be settled here nor taken over. So new requests are refused,
-        the row lapses, and another router takes the log.
+        If the writer had failed while the row was still renewed, accepted
+        requests would neither be settled here nor taken over. So new requests
+        are refused, the row expires, and another router takes over the log.
         """
         if task.cancelled() or task.exception() is None:
             return
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
@@ -1,4 +1,4 @@
-"""Finds the logs of dead routers and takes them over."""
+"""Detects the logs of dead routers and takes them over."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 __all__ = ['Takeover']
 
-# Bounds what the scans of all rows cost the link of a node.
+# Limits the bandwidth that scans of all rows take on a node's link.
 ROW_BYTES = 250
 SCAN_BYTES_PER_S = 1500
 
@@ -39,10 +39,10 @@
 
     Args:
       table: Client of the table.
-      routers: Registration of this router, which judges the others.
-      adopter: Seals, adopts and closes.
+      routers: Registration of this router; determines which routers live.
+      adopter: Seals, adopts and closes logs.
       recovery: Recovers adopted entries.
-      own_log: Gives the log of this router; empty while none is open.
+      own_log: Returns the log of this router; empty while none is open.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         self._scan_at = 0.0
 
     def suspect(self, log: str) -> None:
-        """Looks at a log soon: somebody waits for a request in it."""
+        """Checks a log soon, as a caller waits for a request in it."""
         self._suspects.add(log)
 
     async def run(self) -> None:
-        """Watches and takes over until cancelled."""
+        """Checks and takes over logs until cancelled."""
         try:
             while True:
                 await self.check()
@@ -78,7 +78,7 @@
             await self._stop()
 
     async def check(self) -> None:
-        """Reads rows that are due and starts the takeovers that are due."""
+        """Reads the rows that are due and starts the takeovers that are due."""
         requested_at = asyncio.get_running_loop().time()
         liveness = self._routers.liveness
         try:
@@ -123,7 +123,7 @@
                 self._tasks[log] = task
 
     def _delay_s(self, log: str) -> float:
-        """Gives how long others go first, so that not all come at once."""
+        """Returns a delay by rank, so that routers do not race for a log."""
         nodes = [router.node for router in self._routers.live_routers()]
         nodes.sort(key=lambda node: _weight(node, log))
         rank = nodes.index(self._routers.router.node)
@@ -135,8 +135,8 @@
             if adoption is not None:
                 TAKEOVERS.inc({})
                 self._recovery.start(adoption.replayed.entries)
-                # Stays in `_taking` until the row is closed, so that no scan
-                # that still saw it open has it adopted twice.
+                # The log stays in `_tasks` until its row is closed, so that a
+                # scan that still saw the row open cannot adopt it twice.
                 await self._adopter.close(adoption)
         except (
             platform_error.PlatformError,
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/unsettled.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/unsettled.py
@@ -1,4 +1,4 @@
-"""The unsettled entries of a router, and the segments they still need."""
+"""The unsettled entries of a router, and the segments that they require."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 __all__ = ['UnsettledEntries']
 
-# A taker reads from the floor to the end of a log. An entry that holds the
-# floor further back than this is recorded anew, without its payload.
+# A takeover reads a log from its floor to its end. If the floor lags by more
+# than MAX_REPLAY_SEGMENTS, old entries are recorded again, without payload.
 MAX_REPLAY_SEGMENTS = 64
 REWRITE_AGE_SEGMENTS = 32
 
@@ -27,10 +27,10 @@
 
 
 class UnsettledEntries:
-    """Entries by request id, and a count of what pins each segment.
+    """Entries by request id, and the number of references to each segment.
 
     Attributes:
-      payload_bytes: Memory of the payloads.
+      payload_bytes: Total size of the payloads.
     """
 
     def __init__(self) -> None:
@@ -42,15 +42,15 @@
         return len(self._tracked)
 
     def floor(self, next_number: int) -> int:
-        """Gives the least segment that a taker must read.
+        """Returns the lowest segment that a takeover must read.
 
         Args:
-          next_number: Number of the segment that is written next.
+          next_number: Number of the segment to be written next.
         """
         return min(self._pins, default=next_number)
 
     def track(self, entry: durable_entry.Entry, number: int) -> None:
-        """Takes up an entry that was recorded in a segment."""
+        """Adds an entry that was recorded in a segment."""
         self._tracked[entry.request] = _Tracked(entry, number)
         self._pins[number] += 1
         self.payload_bytes += len(entry.payload)
@@ -58,7 +58,7 @@
     def record_rewrite(
         self, request: str, number: int, run: durable_entry.Run | None
     ) -> None:
-        """Notes that an entry was recorded anew, with its newest run."""
+        """Notes that an entry was recorded again, with its latest run."""
         tracked = self._tracked.get(request)
         if tracked is not None:
             tracked.entry.run = run
@@ -67,7 +67,7 @@
             self._pins[number] += 1
 
     def owns(self, entry: durable_entry.Entry) -> bool:
-        """Whether the entry is held here and has no outcome yet."""
+        """Whether the entry is tracked here and has no outcome yet."""
         tracked = self._tracked.get(entry.request)
         return (
             tracked is not None
@@ -76,23 +76,23 @@
         )
 
     def settling(self, request: str) -> None:
-        """Notes that the outcome is on its way to the log."""
+        """Notes that the outcome has been queued for the log."""
         self._tracked[request].settling = True
 
     def remove(self, request: str) -> None:
-        """Lets go of an entry whose outcome is in the log."""
+        """Removes an entry whose outcome is in the log."""
         tracked = self._tracked.pop(request, None)
         if tracked is not None:
             self._unpin(tracked.number)
             self.payload_bytes -= len(tracked.entry.payload)
 
     def pin(self, number: int) -> Callable[[], None]:
-        """Keeps a segment above the floor until the result is called."""
+        """Keeps the floor from passing a segment until the result is called."""
         self._pins[number] += 1
         return lambda: self._unpin(number)
 
     def entries_to_rewrite(self, next_number: int) -> list[durable_entry.Entry]:
-        """Gives the entries to be recorded anew, so that the floor rises."""
+        """Returns the entries to record again so that the floor can rise."""
         if next_number - self.floor(next_number) <= MAX_REPLAY_SEGMENTS:
             return []
         return [
@@ -102,7 +102,7 @@
         ]
 
     def oldest_segment(self, log: str, default: int) -> int:
-        """Gives the least segment of a log in which an entry was accepted."""
+        """Returns a log's lowest segment that accepted a tracked entry."""
         positions = map(durable_entry.parse_request_id, self._tracked)
         numbers = (
             position.segment for position in positions if position.log == log
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
@@ -1,4 +1,4 @@
-"""Writes one segment, whatever the store does."""
+"""Writes one segment and resolves writes whose response was lost."""
 
 from __future__ import annotations
 
@@ -33,25 +33,26 @@
     segment: durable_segment.Segment,
     drop_accepted: Callable[[bool], bool],
 ) -> durable_segment.Segment | None:
-    """Creates a segment; repeats until the store has settled it.
+    """Creates a segment; retries until the outcome is known.
 
-    A write whose answer was lost may take effect at any later time. It is
-    settled by creating the same number again: either this one succeeds, and
-    the late one never can, or the number is taken and is read back. That
-    holds also if the new write lacks the new entries of the lost one, so
-    entries that are given up can be told apart: in the log, or never.
+    A write whose response was lost may take effect at any later time. Creating
+    the same number again resolves it: either the retry succeeds, and the
+    delayed write never can, or the number is taken and the segment is read
+    back. This also holds if the retry omits the new entries of the lost write,
+    so an entry that was dropped is known to be either in the log or never in
+    it.
 
     Args:
       objects: Client of the object store.
-      health: Told of each success and failure.
+      health: Notified of each success and failure.
       segment_id: Name of the log and number of the segment.
-      segment: What is to be written.
-      drop_accepted: Asked after a failure whether the new entries are given
-        up; its argument tells whether they may be in the store already.
+      segment: The segment to write.
+      drop_accepted: Called after a failure; returns whether to drop the new
+        entries. Its argument tells whether they may already be in the store.
 
     Returns:
-      The segment that stands in the log, with or without its new entries;
-      None if the log was sealed by another router.
+      The segment that is in the log, with or without its new entries; None
+      if the log was sealed by another router.
     """
     tried = {segment.nonce: segment}
     lost = False
@@ -66,8 +67,8 @@
         else:
             health.succeeded()
             return stored
-        # Asked after each failure: entries that queue behind this segment
-        # have to be refused too, once the platform shows to be down.
+        # Called after each failure: once the platform is known to be down,
+        # the entries queued behind this segment must be refused as well.
         if drop_accepted(lost) and segment.accepted:
             segment = segment.without_accepted()
             tried[segment.nonce] = segment
