--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/adoption.py
@@ -136,8 +136,8 @@
         return seal
 
     async def _is_void(self, log: str, seal: durable_log.Seal) -> bool:
-        maker = await durable_row.read(self._table, seal.by)
-        if maker is not None and not maker.row.keeper:
+        creator = await durable_row.read(self._table, seal.by)
+        if creator is not None and not creator.row.keeper:
             return False
         sealed = await durable_row.read(self._table, log)
         return sealed is not None and not sealed.row.keeper
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
@@ -122,16 +122,16 @@
         self, entry: durable_entry.Entry
     ) -> durable_claim_writer.Holder:
         key = key_of(entry.account, entry.idempotency_key)
-        before = durable_claim_writer.Holder()
+        expected = durable_claim_writer.Holder()
         while True:
             holder = await self._writer.put(
-                key, before, entry.request, entry.digest
+                key, expected, entry.request, entry.digest
             )
             if holder.request == entry.request:
                 return holder
             if holder.version and not await self._may_replace(entry, holder):
                 return holder
-            before = holder
+            expected = holder
 
     async def _may_replace(
         self, entry: durable_entry.Entry, holder: durable_claim_writer.Holder
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log.py
@@ -136,10 +136,10 @@
         retried; a retry finds the seal if the first write took effect.
     """
     number = after + 1
-    mine = durable_segment.Segment(sealed_by=by)
+    seal_segment = durable_segment.Segment(sealed_by=by)
     while True:
         try:
-            data = durable_segment.encode(mine)
+            data = durable_segment.encode(seal_segment)
             await objects.put(key_of(log, number), data, create_only=True)
         except platform_error.ObjectExistsError:
             found = await read(objects, log, number)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -115,7 +115,7 @@
         """
         self.check_owned(entry)
         waiting = _make_item(entry, answer)
-        self.unsettled.settling(entry.request)
+        self.unsettled.mark_settling(entry.request)
         self.queue.add(waiting)
         return waiting.done
 
@@ -181,8 +181,10 @@
         self, items: list[durable_queue.Item]
     ) -> durable_segment.Segment | None:
         number = self.last + 1
-        carried = map(_rewrite_item, self.unsettled.entries_to_rewrite(number))
-        self._in_flight = [*carried, *items]
+        rewritten = map(
+            _rewrite_item, self.unsettled.entries_to_rewrite(number)
+        )
+        self._in_flight = [*rewritten, *items]
         segment = durable_queue.build_segment(
             self._in_flight, self.log, number, self.floor
         )
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/lookup.py
@@ -112,10 +112,10 @@
         if pointer is None:
             pointer = await durable_index.find(self._table, request)
         if pointer is None:
-            return await self._pending(account, request)
-        return await self._settled(account, pointer)
+            return await self._read_pending(account, request)
+        return await self._read_settled(account, pointer)
 
-    async def _settled(
+    async def _read_settled(
         self, account: str, pointer: durable_index.Pointer
     ) -> Stored:
         segment = await durable_log.read(
@@ -128,7 +128,7 @@
             f'no request {pointer.request!r}'
         )
 
-    async def _pending(self, account: str, request: str) -> Stored:
+    async def _read_pending(self, account: str, request: str) -> Stored:
         position = durable_entry.parse_request_id(request)
         entry = await durable_log.read_entry(self._objects, position)
         if entry is None or entry.account != account:
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/takeover.py
@@ -108,18 +108,18 @@
                     self._suspects.add(found.row.keeper)
 
     def _start_due(self, now: float) -> None:
-        own = self._own_log()
+        own_log = self._own_log()
         orphans = {
             row.log
             for row in self._routers.liveness.orphans()
-            if row.log != own
+            if row.log != own_log
         }
         for log in self._orphaned_since.keys() - orphans:
             del self._orphaned_since[log]
         for log in orphans - self._tasks.keys():
             orphaned_since = self._orphaned_since.setdefault(log, now)
-            if own and now - orphaned_since >= self._delay_s(log):
-                task = asyncio.create_task(self._take_over(log, own))
+            if own_log and now - orphaned_since >= self._delay_s(log):
+                task = asyncio.create_task(self._take_over(log, own_log))
                 self._tasks[log] = task
 
     def _delay_s(self, log: str) -> float:
@@ -129,9 +129,9 @@
         rank = nodes.index(self._routers.router.node)
         return rank * self._routers.interval_s
 
-    async def _take_over(self, log: str, own: str) -> None:
+    async def _take_over(self, log: str, own_log: str) -> None:
         try:
-            adoption = await self._adopter.adopt(log, own)
+            adoption = await self._adopter.adopt(log, own_log)
             if adoption is not None:
                 TAKEOVERS.inc({})
                 self._recovery.start(adoption.replayed.entries)
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/unsettled.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/unsettled.py
@@ -75,7 +75,7 @@
             and not tracked.settling
         )
 
-    def settling(self, request: str) -> None:
+    def mark_settling(self, request: str) -> None:
         """Notes that the outcome has been queued for the log."""
         self._tracked[request].settling = True
 
--- a/tests/quetzalsill_router/durable/fakes.py
+++ b/tests/quetzalsill_router/durable/fakes.py
@@ -13,9 +13,9 @@
 
 __all__ = ['Link', 'Objects', 'Platform', 'Table']
 
-CALL_S = 0.001
+CALL_LATENCY_S = 0.001
 TIMEOUT_S = 0.5
-LATE_S = 1.5
+LATE_WRITE_DELAY_S = 1.5
 
 
 class Platform:
@@ -68,11 +68,11 @@
     async def call(self, kind, effect, write=''):
         """Makes a call with the faults in force."""
         await self.wait_until_running()
-        await asyncio.sleep(CALL_S)
+        await asyncio.sleep(CALL_LATENCY_S)
         try:
             return await self._attempt(kind, effect, write)
         finally:
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_LATENCY_S)
             await self.wait_until_running()
 
     async def wait_until_running(self):
@@ -93,7 +93,7 @@
         fault = self._fault(write) if write else 'ok'
         if fault == 'late':
             asyncio.get_running_loop().call_later(
-                LATE_S, _ignore_errors, effect
+                LATE_WRITE_DELAY_S, _ignore_errors, effect
             )
         if fault in ('lost', 'late'):
             _ignore_errors(effect if fault == 'lost' else lambda: None)
--- a/tests/quetzalsill_router/durable/harness.py
+++ b/tests/quetzalsill_router/durable/harness.py
@@ -27,7 +27,7 @@
 ACCOUNT = 'board'
 RUN_S = 3.0
 RETRY_S = 0.2
-TRIES = 50
+MAX_ATTEMPTS = 50
 STEP_S = 0.0005
 
 CFG = setting.Durable(heartbeat_s=1.0, accept_s=2.0, ttl_heartbeats=4)
@@ -219,7 +219,7 @@
         await self.state.journal.settle(entry, await self._run(entry))
 
     async def _run(self, entry):
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             sidecar = self._cluster.pick()
             attempt = f'{self.node}/{self.incarnation}/{next(self._attempts)}'
             run = durable_entry.Run(attempt, sidecar.name, sidecar.incarnation)
--- a/tests/quetzalsill_router/durable/test_claim.py
+++ b/tests/quetzalsill_router/durable/test_claim.py
@@ -23,14 +23,14 @@
             cluster = harness.Cluster(['a'])
             await asyncio.sleep(1)
             router = cluster.routers['a']
-            response = [
+            responses = [
                 router.serve(harness.make_entry(name, key='k'))
                 for name in ('order', 'again')
             ]
             await asyncio.sleep(20)
             self.assertEqual(cluster.runs('order') + cluster.runs('again'), 1)
-            self.assertEqual(response[0].request, response[1].request)
-            self.assertEqual(response[0].answer, response[1].answer)
+            self.assertEqual(responses[0].request, responses[1].request)
+            self.assertEqual(responses[0].answer, responses[1].answer)
 
         virtual.run(scenario)
 
--- a/tests/quetzalsill_router/durable/test_cost.py
+++ b/tests/quetzalsill_router/durable/test_cost.py
@@ -10,8 +10,8 @@
 from tests.quetzalsill_router.durable import harness, virtual
 
 ROUTERS = 480
-SPAN_S = 300.0
-TAIL_S = 60.0
+MEASURED_S = 300.0
+DRAIN_S = 60.0
 # One router on its part of the budget keeps the pace that each of 480 has.
 CFG = dataclasses.replace(
     harness.CFG,
@@ -26,16 +26,16 @@
 async def calls_per_s(requests_per_s, keyed):
     """Counts calls a second by kind while requests are served."""
     cluster = harness.Cluster(['a'], cfg=CFG)
-    await asyncio.sleep(SPAN_S)
+    await asyncio.sleep(MEASURED_S)
     cluster.platform.counts.clear()
-    for n in range(int(SPAN_S * requests_per_s)):
+    for n in range(int(MEASURED_S * requests_per_s)):
         key = f'k{n}' if keyed else ''
         cluster.routers['a'].serve(harness.make_entry(f'r{n}', key=key))
         await asyncio.sleep(1 / requests_per_s)
     counts = collections.Counter(
-        {kind: n / SPAN_S for kind, n in cluster.platform.counts.items()}
+        {kind: n / MEASURED_S for kind, n in cluster.platform.counts.items()}
     )
-    await asyncio.sleep(TAIL_S)
+    await asyncio.sleep(DRAIN_S)
     return counts, all(response.answer for response in cluster.responses)
 
 
--- a/tests/quetzalsill_router/durable/test_promises.py
+++ b/tests/quetzalsill_router/durable/test_promises.py
@@ -19,7 +19,7 @@
 NODES = ['a', 'b', 'c']
 SETTLE_TIMEOUT_S = 600.0
 STEP_S = 5.0
-LATE_S = 20.0
+LATE_EVENTS_S = 20.0
 EXAMPLES = int(os.environ.get('DURABLE_EXAMPLES', '60'))
 
 nodes = st.sampled_from(NODES)
@@ -129,7 +129,7 @@
         await harness.wait_until(
             lambda: self._all_settled() or self.loop.time() > end, STEP_S
         )
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(LATE_EVENTS_S)
 
     def _all_settled(self):
         accepted, settled = self._records()
