--- a/tests/quetzalsill_router/durable/__init__.py
+++ b/tests/quetzalsill_router/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what a router keeps in the platform."""
+"""Tests of a router's durable state."""
--- a/tests/quetzalsill_router/durable/fakes.py
+++ b/tests/quetzalsill_router/durable/fakes.py
@@ -1,4 +1,4 @@
-"""The platform in memory, with the faults of one router's link to it."""
+"""In-memory platform with injected faults per router."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class Platform:
-    """Rows and objects that all routers share.
+    """Rows and objects shared by all routers.
 
     Attributes:
       down: Calls are refused without effect.
       silent: Calls time out without effect.
-      counts: Calls that were answered, by kind.
+      counts: Number of answered calls, by kind.
     """
 
     def __init__(self):
@@ -35,7 +35,7 @@
         self.counts = collections.Counter()
 
     def transact(self, conditions, writes):
-        """Runs a transaction as the stand-in does."""
+        """Runs a transaction like the platform stand-in."""
         return standin.transact(self.rows, conditions, writes)
 
     def put(self, key, data, create_only):
@@ -46,15 +46,15 @@
 
 
 class Link:
-    """The way of one router to the platform and the sidecars.
+    """Connection of one router process to the platform and the sidecars.
 
     Attributes:
-      faults: Faults of the writes to come, in order, by the table they go
-        to (`journal` for objects, `any` for all): `lost` (takes effect, the
-        answer is lost), `late` (the answer is lost and the write takes
-        effect some time later), `ok`.
-      awake: Cleared while the process is paused: nothing leaves it and no
-        answer reaches it.
+      faults: Faults of upcoming writes, in order, by the table they go to
+        (`journal` for objects, `any` for all): `lost` (the write takes
+        effect, the response is lost), `late` (the response is lost and the
+        write takes effect later), `ok`.
+      awake: Cleared while the process is paused: it neither sends requests
+        nor receives responses.
       dead: The process was killed.
     """
 
@@ -66,7 +66,7 @@
         self.dead = False
 
     async def call(self, kind, effect, write=''):
-        """Makes a call with the faults in force."""
+        """Makes a call, subject to the active faults."""
         await self.wait_until_running()
         await asyncio.sleep(CALL_LATENCY_S)
         try:
@@ -76,7 +76,7 @@
             await self.wait_until_running()
 
     async def wait_until_running(self):
-        """Waits while the process is paused; for ever once it is dead."""
+        """Waits while the process is paused; forever once it is dead."""
         if self.dead:
             await asyncio.Event().wait()
         await self.awake.wait()
--- a/tests/quetzalsill_router/durable/harness.py
+++ b/tests/quetzalsill_router/durable/harness.py
@@ -1,4 +1,4 @@
-"""Routers with the real durable state, around fake sidecars."""
+"""Simulated cluster: routers with the real durable state, fake sidecars."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def make_entry(name, key='', idempotent=False, digest='d'):
-    """Makes an entry whose payload is its name."""
+    """Creates an entry whose payload is its name."""
     return durable_entry.Entry(
         account=ACCOUNT,
         profile='patient',
@@ -53,15 +53,14 @@
 
 @dataclasses.dataclass
 class Response:
-    """What the caller of a request was told at the end.
+    """The response that the caller of a request received.
 
     Attributes:
       name: Name of the request.
       key: Its idempotency key.
-      ran: Whether it ran, as the caller was told; None if the caller heard
-        nothing.
-      request: The id that the caller was given; empty if none.
-      answer: The events that it got.
+      ran: Whether it ran, according to the response; None without one.
+      request: The request id that the caller received; empty if none.
+      answer: The events that the caller received.
     """
 
     name: str
@@ -72,7 +71,7 @@
 
 
 class Sidecar:
-    """Keeps to what the real one promises: fences, tombstones, one run."""
+    """Fake with the guarantees of the real one: fences, tombstones, one run."""
 
     def __init__(self, name):
         self.name = name
@@ -81,7 +80,7 @@
         self._reset()
 
     def restart(self):
-        """Loses what it knew and what was running."""
+        """Loses its state and its runs."""
         self.incarnation += 1
         for work in self._work.values():
             if not work.done():
@@ -97,10 +96,10 @@
         """Runs an entry, or attaches to its run.
 
         Returns:
-          The answer's events; None if the run was lost.
+          The events of the answer; None if the run was lost.
 
         Raises:
-          OverloadedError: Not run under this attempt, and never will be.
+          OverloadedError: This attempt did not run and never will.
         """
         self._check(entry, run)
         work = self._work.get(entry.request)
@@ -133,7 +132,7 @@
 
 
 class Router:
-    """One process: its durable state and a plain way to serve requests."""
+    """A router process: its durable state and a minimal request handler."""
 
     def __init__(self, cluster, node, incarnation, cfg=CFG):
         self.node = node
@@ -163,15 +162,15 @@
         return response
 
     def pause(self):
-        """Stops the process as `kill -STOP` does."""
+        """Pauses the process, like `kill -STOP`."""
         self.link.awake.clear()
 
     def wake(self):
-        """Lets the process go on."""
+        """Resumes the process."""
         self.link.awake.set()
 
     def kill(self):
-        """Ends the process: nothing leaves it any more."""
+        """Kills the process: it sends nothing any more."""
         self.link.dead = True
         self.link.awake.set()
 
@@ -247,7 +246,7 @@
 
 
 class Cluster:
-    """All processes and the platform."""
+    """All router processes, the sidecars and the platform."""
 
     def __init__(self, nodes, sidecars=2, cfg=CFG):
         self.platform = fakes.Platform()
@@ -258,8 +257,8 @@
         self._rotation = itertools.cycle(self.sidecars.values())
         self._cfg = cfg
         self.routers = {}
-        # Tasks of killed routers wait for ever; without a reference they
-        # would be collected while they wait.
+        # Tasks of killed routers wait forever; without a reference they would
+        # be garbage-collected while waiting.
         self._started = []
         for node in nodes:
             self.start(node, 1)
@@ -272,7 +271,7 @@
         return router
 
     def pick(self):
-        """Chooses an upstream, in turn."""
+        """Returns the next sidecar, round robin."""
         return next(self._rotation)
 
     def runs(self, name):
@@ -281,7 +280,7 @@
 
 
 async def wait_until(condition, step_s=STEP_S):
-    """Waits for a condition and gives its value."""
+    """Waits until a condition holds and returns its value."""
     while not (value := condition()):  # noqa: ASYNC110 (virtual time)
         await asyncio.sleep(step_s)
     return value
--- a/tests/quetzalsill_router/durable/test_claim.py
+++ b/tests/quetzalsill_router/durable/test_claim.py
@@ -10,13 +10,14 @@
 
 
 class RepeatTest(unittest.TestCase):
-    """The same key comes twice."""
+    """Two requests with the same idempotency key."""
 
     def test_concurrent_repeat_on_one_router(self):
-        """An app sends an order twice within a millisecond.
+        """Two claims of one key must not go into the same transaction.
 
-        Both claims go into one transaction. Its conditions are checked
-        before its writes, so both would succeed and two trucks would go.
+        A request is sent twice within a millisecond. The conditions of a
+        transaction are checked before its writes, so both claims would
+        succeed and both requests would run.
         """
 
         async def scenario():
@@ -35,10 +36,10 @@
         virtual.run(scenario)
 
     def test_answer_lost_after_the_write(self):
-        """An order is claimed, but the store's answer to that is lost.
+        """A claim whose response was lost is recognized as the router's own.
 
-        The router repeats the claim and finds the key held. The holder is
-        its own request, so it must go on instead of waiting for itself.
+        The retry finds the key held by its own request. The router must then
+        run the request instead of waiting for itself.
         """
 
         async def scenario():
@@ -55,7 +56,7 @@
         virtual.run(scenario)
 
     def test_same_key_with_different_body(self):
-        """A key comes again with another body: refused, and not run."""
+        """A request that reuses a key with another body is refused, not run."""
 
         async def scenario():
             cluster = harness.Cluster(['a', 'b'])
@@ -71,11 +72,11 @@
         virtual.run(scenario)
 
     def test_refused_key_is_free(self):
-        """An order is refused as not run, so its repeat must be served.
+        """The key of a request that was refused as not run can be reused.
 
-        The table is down when the key is to be claimed: the order is
-        refused. When the retailer sends it again, the key must be free even
-        though the first claim may have reached the table after all.
+        The responses to the claim are lost, so the request is refused. The
+        retry must be served even though the first claim reaches the table
+        later.
         """
 
         async def scenario():
--- a/tests/quetzalsill_router/durable/test_cost.py
+++ b/tests/quetzalsill_router/durable/test_cost.py
@@ -1,4 +1,4 @@
-"""Counts the calls to the platform, at the pace of 480 routers."""
+"""Counts calls to the platform at the write rate of one of 480 routers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ROUTERS = 480
 MEASURED_S = 300.0
 DRAIN_S = 60.0
-# One router on its part of the budget keeps the pace that each of 480 has.
+# One router with 1/480 of the budget writes at the rate of each of 480.
 CFG = dataclasses.replace(
     harness.CFG,
     heartbeat_s=3.0,
@@ -24,7 +24,7 @@
 
 
 async def calls_per_s(requests_per_s, keyed):
-    """Counts calls a second by kind while requests are served."""
+    """Returns calls per second by kind, and whether all got an answer."""
     cluster = harness.Cluster(['a'], cfg=CFG)
     await asyncio.sleep(MEASURED_S)
     cluster.platform.counts.clear()
@@ -44,10 +44,13 @@
 
 
 class CostTest(unittest.TestCase):
-    """Calls of one of 480 routers."""
+    """Platform calls of one of 480 routers."""
 
     def test_writes_do_not_grow_with_requests(self):
-        """Ten times the requests cost no more writes, within the budget."""
+        """Ten times the requests stay within the budget of writes.
+
+        The number of writes must grow with routers, not with requests.
+        """
         few, few_answered = virtual.run(calls_per_s, 1, True)
         many, many_answered = virtual.run(calls_per_s, 10, True)
         self.assertTrue(few_answered and many_answered)
--- a/tests/quetzalsill_router/durable/test_expiry.py
+++ b/tests/quetzalsill_router/durable/test_expiry.py
@@ -1,4 +1,4 @@
-"""Tests of the end of what was kept."""
+"""Tests of the expiry of stored requests."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ExpiryTest(unittest.TestCase):
-    """Requests older than the retention."""
+    """Requests that are older than the retention."""
 
     def test_settled_requests_are_erased(self):
-        """Answers, keys and index rows go, also those of a dead router."""
+        """Answers, claims and index rows are erased, also of a dead router."""
 
         async def scenario():
             cluster = harness.Cluster(['a', 'b'], cfg=CFG)
@@ -55,10 +55,10 @@
         virtual.run(scenario)
 
     def test_unsettled_request_is_kept(self):
-        """A plan that waits longer than the retention is still recovered.
+        """An unsettled request older than the retention is still recovered.
 
-        Its record lies far behind the end of the log, with much settled
-        since, when its router dies. Erasing its segment would lose it.
+        Many requests were settled after it when its router dies, so its record
+        is far from the end of the log. Erasing its segment would lose it.
         """
 
         async def scenario():
--- a/tests/quetzalsill_router/durable/test_journal.py
+++ b/tests/quetzalsill_router/durable/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the journal while the platform fails."""
+"""Tests of the journal during platform failures."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     """Acceptance of requests."""
 
     def test_platform_down(self):
-        """The store is down when a clerk sends a manifest.
+        """While the store is down requests are refused immediately.
 
-        The clerk is told at once that it did not run and when to come back,
-        instead of waiting; once the store is back the next one is accepted.
+        The refusal says that the request did not run and when to retry. Once
+        the store is back, requests are accepted again.
         """
 
         async def scenario():
@@ -50,11 +50,11 @@
         virtual.run(scenario)
 
     def test_platform_down_refuses_queued_entries(self):
-        """Clerks wait two seconds for a refusal that was certain before.
+        """Requests queued when the store goes down are refused early.
 
-        The store refuses the first clerk's manifest; the others come before
-        its second failure shows that the store is down. They queued, and
-        only the bound on an acceptance ended their wait.
+        They arrive between the first write failure and the second, which
+        marks the store as down. Without the check after each failure they
+        would wait for the acceptance timeout of two seconds.
         """
 
         async def scenario():
@@ -71,10 +71,11 @@
         virtual.run(scenario)
 
     def test_process_is_paused_during_an_acceptance(self):
-        """A plan that the store took is told to be in doubt.
+        """A stored request is accepted even if its timeout fires as well.
 
-        The router is paused for longer than an acceptance may take, and wakes
-        to the store's answer and to the end of the wait for it.
+        The router is paused for longer than the acceptance timeout. When it
+        resumes, the store's response and the timeout are due together; the
+        outcome must not be reported as unknown.
         """
 
         async def scenario():
@@ -87,10 +88,10 @@
         virtual.run(scenario)
 
     def test_answer_lost(self):
-        """The store takes a manifest and its answer to that is lost.
+        """A segment write whose response was lost is recognized by its nonce.
 
-        The router creates the same segment again, finds it taken, and knows
-        it by its nonce as its own: accepted, and run once.
+        The retry finds the segment number taken. The router must recognize
+        the segment as its own, accept the request and run it once.
         """
 
         async def scenario():
@@ -104,10 +105,10 @@
         virtual.run(scenario)
 
     def test_stored_then_platform_times_out(self):
-        """The store takes a manifest, then falls silent for a minute.
+        """The store stores a request, then does not respond for a minute.
 
-        The clerk is told that the outcome is unknown, and its id. When the
-        store is back the id leads to the settled outcome: not run.
+        The caller receives the request id and an unknown outcome. When the
+        store is back, the request must be settled as not run.
         """
 
         async def scenario():
@@ -129,11 +130,11 @@
         virtual.run(scenario)
 
     def test_late_write_after_refusal(self):
-        """A write is on its way for long, and the manifest is given up.
+        """A delayed write must not store a request that was given up.
 
-        The router writes the same segment without the manifest. When the
-        late write arrives the number is taken, so nobody, a taker neither,
-        finds the manifest that the clerk has sent elsewhere meanwhile.
+        The router writes the same segment number without the request. When
+        the delayed write arrives the number is taken, so no router, not even
+        a successor, finds the request and runs it.
         """
 
         async def scenario():
@@ -156,10 +157,10 @@
         virtual.run(scenario)
 
     def test_unstorable(self):
-        """A caller's text holds half a surrogate pair.
+        """A request that cannot be serialized fails alone.
 
-        It has no form as UTF-8. Its own request is refused; the segment in
-        which it would have stood, and the journal, go on.
+        A lone surrogate has no UTF-8 encoding. Only its own request may be
+        refused, not the others in the same segment.
         """
 
         async def scenario():
@@ -174,7 +175,7 @@
         virtual.run(scenario)
 
     def test_max_unsettled_bytes(self):
-        """More is not taken on than can be held."""
+        """A request that exceeds `max_unsettled_bytes` is refused."""
 
         async def scenario():
             cfg = harness.CFG
@@ -190,13 +191,13 @@
 
 
 class SettleTest(unittest.TestCase):
-    """Outcomes while the platform fails."""
+    """Outcomes during platform failures."""
 
     def test_platform_down_for_minutes(self):
-        """The store is down when a plan is finished, for five minutes.
+        """An outcome is kept while the store is down for five minutes.
 
-        The outcome waits in the router. When the store is back it is
-        written, and the clerk who asks again gets the answer of that run.
+        It stays queued in the router and is written when the store is back;
+        the request must not run again.
         """
 
         async def scenario():
@@ -215,7 +216,7 @@
         virtual.run(scenario)
 
     def test_second_outcome(self):
-        """Only the first outcome of a request stands."""
+        """A second outcome of a request is rejected."""
 
         async def scenario():
             _, router = await one_router()
@@ -229,7 +230,7 @@
         virtual.run(scenario)
 
     def test_other_account(self):
-        """An answer is given to its own account alone."""
+        """An answer is returned only to its own account."""
 
         async def scenario():
             _, router = await one_router()
@@ -246,10 +247,10 @@
     """A graceful stop."""
 
     def test_hands_over(self):
-        """A router stops with a plan that has not begun.
+        """A stopped router hands over its unsettled requests immediately.
 
-        Its row is released, so another one takes the plan without waiting
-        for the row to lapse.
+        Its row is released, so another router takes over without waiting for
+        the row to expire.
         """
 
         async def scenario():
--- a/tests/quetzalsill_router/durable/test_promises.py
+++ b/tests/quetzalsill_router/durable/test_promises.py
@@ -1,4 +1,4 @@
-"""Property test: the promises hold whatever happens to routers and store."""
+"""Property test of the durability guarantees under arbitrary faults."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         then=st.sampled_from(['go on', 'pause', 'kill']),
     )
     def submit(self, node, key, idempotent, wait, then):
-        """A caller sends a request, and the router may fail soon after."""
+        """Sends a request; the router may fail shortly after."""
         self.names += 1
         name = f'r{self.names}'
         entry = harness.make_entry(name, key, idempotent and not key)
@@ -64,27 +64,27 @@
 
     @stateful.rule(wait=st.sampled_from([0.001, 0.01, 0.1, 1.0, 3.0, 20.0]))
     def advance(self, wait):
-        """Time goes by."""
+        """Advances the clock."""
         self._advance(wait)
 
     @stateful.rule(node=nodes)
     def pause(self, node):
-        """A router is stopped."""
+        """Pauses a router."""
         self.cluster.routers[node].pause()
 
     @stateful.rule(node=nodes)
     def wake(self, node):
-        """A router goes on."""
+        """Resumes a router."""
         self.cluster.routers[node].wake()
 
     @stateful.rule(node=nodes)
     def kill(self, node):
-        """A router is killed."""
+        """Kills a router."""
         self.cluster.routers[node].kill()
 
     @stateful.rule(node=nodes)
     def restart(self, node):
-        """A router is killed and started again."""
+        """Kills a router and starts a new process."""
         self.cluster.routers[node].kill()
         self.loop.run_until_complete(self._restart(node))
 
@@ -96,22 +96,22 @@
         faults=st.lists(st.sampled_from(['ok', 'lost', 'late']), max_size=6),
     )
     def lose_answers(self, node, faults):
-        """Answers to writes to come are lost."""
+        """Loses the responses to upcoming writes."""
         self.cluster.routers[node].link.faults['any'].extend(faults)
 
     @stateful.rule(how=st.sampled_from(['down', 'silent', 'up']))
     def platform(self, how):
-        """The platform fails or comes back."""
+        """Makes the platform fail or recover."""
         self.cluster.platform.down = how == 'down'
         self.cluster.platform.silent = how == 'silent'
 
     @stateful.rule(upstream=st.sampled_from(['planner-0', 'planner-1']))
     def restart_sidecar(self, upstream):
-        """A sidecar loses its state and its runs."""
+        """Restarts a sidecar, which loses its state and its runs."""
         self.cluster.sidecars[upstream].restart()
 
     def teardown(self):
-        """Mends everything, lets all end, and checks the promises."""
+        """Ends all faults, waits for all outcomes and checks the guarantees."""
         try:
             self.platform('up')
             for node, router in list(self.cluster.routers.items()):
@@ -124,7 +124,7 @@
             self._close()
 
     async def _settle(self):
-        """Waits until all is settled, and longer, to see what comes late."""
+        """Waits until all requests are settled, and then for late events."""
         end = self.loop.time() + SETTLE_TIMEOUT_S
         await harness.wait_until(
             lambda: self._all_settled() or self.loop.time() > end, STEP_S
@@ -179,7 +179,7 @@
         return accepted, settled
 
     def _close(self):
-        # A task of a killed router waits for ever, also while it ends.
+        # A cancelled task of a killed router waits forever again as it ends.
         while tasks := asyncio.all_tasks(self.loop):
             for task in tasks:
                 task.cancel()
--- a/tests/quetzalsill_router/durable/test_segment.py
+++ b/tests/quetzalsill_router/durable/test_segment.py
@@ -1,4 +1,4 @@
-"""Property tests of the form of segments."""
+"""Property tests of the serialized format of segments."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class SegmentTest(unittest.TestCase):
-    """Segments as bytes."""
+    """Serialization of segments."""
 
     @SETTINGS
     @hypothesis.given(segments)
@@ -67,7 +67,7 @@
             segment.decode(data[:-1], 'a.1.1', 1)
         except error.MalformedSegmentError:
             return
-        self.fail('a cut segment was read')
+        self.fail('a truncated segment was decoded')
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_router/durable/test_takeover.py
+++ b/tests/quetzalsill_router/durable/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of a dead or paused router's requests."""
+"""Tests of the takeover of a dead or paused router's requests."""
 
 from __future__ import annotations
 
@@ -21,14 +21,13 @@
 
 
 class DeadRouterTest(unittest.TestCase):
-    """A router that is gone for good."""
+    """A router that was killed."""
 
     def test_answer_through_another_router(self):
-        """A clerk sends a manifest and its router dies while it runs.
+        """The answer of a dead router's request is available at another one.
 
-        The clerk asks another router by the request id. The taker attaches
-        to the run that the journal names, so the clerk gets the answer of
-        that run and the work is not run again.
+        The router dies while the request runs. Its successor must attach to
+        the run recorded in the journal instead of running the request again.
         """
 
         async def scenario():
@@ -46,10 +45,10 @@
         virtual.run(scenario)
 
     def test_idempotent_run_is_attached(self):
-        """A long plan that may be run again has run for two seconds.
+        """The successor attaches to the run of an idempotent request.
 
-        Its router dies. Nothing forbids to start it anew, but the engine
-        would do the work twice, so the taker attaches to the run.
+        The run is two seconds old when its router dies. Another run would be
+        allowed but would make the engine do the work twice.
         """
 
         async def scenario():
@@ -66,10 +65,10 @@
         virtual.run(scenario)
 
     def test_writer_fails(self):
-        """A fault of the program ends the task that writes the journal.
+        """An exception in the journal writer ends all durable tasks.
 
-        The router lives on, and were its row renewed nobody would take its
-        requests. All its durable tasks end, so that another one does.
+        If the router still renewed its row, no other router would take over
+        its requests.
         """
 
         async def scenario():
@@ -92,11 +91,11 @@
         virtual.run(scenario)
 
     def test_successor_dies_between_seal_and_adoption(self):
-        """A clerk's manifest outlives its router and the router's taker.
+        """A request survives its router and the router's first successor.
 
-        Router `a` dies. Its taker seals the log, and dies before it has
-        adopted it, because the store loses sight of it. The log has a seal
-        but no owner, and the third router must see that this seal is void.
+        Router `a` dies. Its successor seals the log and is killed before it
+        has adopted it. The log then has a seal but no owner, and the third
+        router must detect that this seal is void.
         """
 
         async def scenario():
@@ -131,14 +130,14 @@
 
 
 class LiveRouterTest(unittest.TestCase):
-    """Routers that live though they seem not to."""
+    """Live routers that appear to be dead."""
 
     def test_outage_causes_no_takeover(self):
-        """The store is down again and again while two routers live on.
+        """Repeated store outages must not cause takeovers of live routers.
 
-        Neither can renew its row, so both rows stand unchanged for far more
-        than their time to live. When the store is back the routers must not
-        take each other over, which would restart every plan in flight.
+        Neither router can renew its row, so both rows stay unchanged for much
+        longer than their time to live. A takeover would restart all requests
+        in progress.
         """
 
         async def scenario():
@@ -158,10 +157,11 @@
         virtual.run(scenario)
 
     def test_paused_reader(self):
-        """A router is stopped while the rows it asked for are on their way.
+        """Rows read before a pause must not count as the current state.
 
-        It wakes a minute later and reads them. They stood so a minute ago;
-        were they taken as the state of now, it would take all others over.
+        A router is paused while a read is in progress and resumes a minute
+        later. If it treated the rows as current, it would consider all other
+        routers dead and take them over.
         """
 
         async def scenario():
@@ -181,10 +181,14 @@
 
 
 class PausedRouterTest(unittest.TestCase):
-    """A router that is stopped and goes on later."""
+    """A router that is paused and resumed."""
 
     def test_learns_that_it_was_taken_over(self):
-        """A plan is told as pending for an hour with its answer stored."""
+        """A resumed router detects that its log was taken over.
+
+        Otherwise it would report a request as pending, in one case for an
+        hour, although its answer is stored.
+        """
 
         async def scenario():
             cluster = harness.Cluster(['a', 'b'])
@@ -203,12 +207,11 @@
         virtual.run(scenario)
 
     def test_wakes_after_takeover(self):
-        """The same order goes through two routers while one is paused.
+        """A resumed router must not run a request that was taken over.
 
-        Router `a` is stopped after it has claimed the key and before its
-        dispatch is recorded. The retailer's app repeats the order through
-        `b`. `a` wakes, still believes that it holds the key, and must not
-        send a second truck.
+        Router `a` is paused after it has claimed the key and before its
+        dispatch is recorded. The caller repeats the request through `b`. When
+        `a` resumes it still believes it holds the key, and must not dispatch.
         """
 
         async def scenario():
--- a/tests/quetzalsill_router/durable/virtual.py
+++ b/tests/quetzalsill_router/durable/virtual.py
@@ -14,7 +14,7 @@
 
 
 class StalledError(Exception):
-    """Nothing is left that could happen, yet somebody waits."""
+    """No timer or event is pending, but a task is still waiting."""
 
 
 class _Selector(selectors.SelectSelector):
@@ -30,25 +30,25 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs hours of timers in no time, in the same order each time."""
+    """Runs hours of timers without waiting, in a deterministic order."""
 
     def __init__(self):
         self._virtual = _Selector()
         super().__init__(self._virtual)
-        # Else a timer due within the clock's resolution would run early.
+        # Otherwise a timer due within the clock's resolution would run early.
         self._clock_resolution = 1e-9
 
     def pause(self, duration_s):
-        """Lets the time pass as if the process did not run."""
+        """Advances the clock as if the process had been suspended."""
         self._virtual.now += duration_s
 
     def time(self):
-        """Gives the virtual time in seconds."""
+        """Returns the virtual time in seconds."""
         return self._virtual.now
 
 
 def run(scenario, *args):
-    """Runs a coroutine function on a loop of its own."""
+    """Runs a coroutine function on a new loop with a fixed random seed."""
     log.configure('error')
     random.seed(1)
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
