--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/claim.py
@@ -165,15 +165,13 @@
         Until that is durable this router may die and its successor may run
         the entry, so the caller must not be told earlier that it did not run.
         """
-        exc = self._journal.unavailable_error(
-            'the idempotency key could not be claimed'
-        )
+        exc = self._journal.unavailable_error('the key could not be claimed')
         try:
             async with deadline.timeout(self._max_wait_s()):
                 await self._journal.settle(entry, durable_answer.failure(exc))
         except TimeoutError:
             return request_error.OutcomeUnknownError(
-                f'the outcome of {entry.request} is not settled'
+                f'the fate of {entry.request} is not settled'
             )
         return exc
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/journal.py
@@ -113,7 +113,7 @@
         except TimeoutError:
             self._writer.queue.remove(item)
             raise self._writer.unavailable_error(
-                'the dispatch was not recorded in time'
+                'dispatch not recorded'
             ) from None
 
     async def settle(
@@ -199,9 +199,7 @@
             return entry.request
         if self._abandon(item):
             REFUSED.inc({'reason': 'store'})
-            raise self._writer.unavailable_error(
-                'the platform did not respond in time'
-            )
+            raise self._writer.unavailable_error('the platform is slow')
         REFUSED.inc({'reason': 'unknown'})
         raise request_error.OutcomeUnknownError(
             f'acceptance of {entry.request} is not settled'
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -253,9 +253,7 @@
 
     def settle_as_not_run(self, entry: durable_entry.Entry) -> None:
         """Settles an entry whose caller has stopped waiting as not run."""
-        exc = request_error.StoreUnavailableError(
-            'the request was not accepted in time'
-        )
+        exc = request_error.StoreUnavailableError('not accepted in time')
         self.settle_later(entry, durable_answer.failure(exc))
 
     def _drop_log(self) -> None:
