--- a/tests/quetzalsill_platform/drill.py
+++ b/tests/quetzalsill_platform/drill.py
@@ -7,61 +7,66 @@
 
 from tests.quetzalsill_platform import fixture
 
-__all__ = ['BETWEEN', 'CALLS_PER_S', 'OK', 'DrillTest']
+__all__ = ['VERSION_GAP', 'MAX_CALLS_PER_S', 'OK', 'DrillTestCase']
 
 OK = 200
 # Versions that the store gives out between a copy and its loss.
-BETWEEN = 20
+VERSION_GAP = 20
 # What the store's rates leave each of its gateways, where they leave least.
-CALLS_PER_S = 6000 / 28
+MAX_CALLS_PER_S = 6000 / 28
 
 
-class DrillTest(fixture.PathTest):
+class DrillTestCase(fixture.GatewayTestCase):
     """One gateway on a store that tells its era."""
 
     era = 1
 
-    def desks_known(self):
+    def known_servers(self):
         """Returns the plain servers to which the gateway sends."""
-        found = self.process.core.upstreams.available('desk')
-        return {upstream.id for upstream in found}
+        available = self.process.core.upstreams.available('desk')
+        return {upstream.id for upstream in available}
 
     def version(self):
         return self.process.core.holder.current.version
 
-    def enter_desk(self, number, **more):
-        desk = self.desks[number - 1]
-        self.store.put('servers', desk.id, desk.entry('desk', 'zone-a', **more))
+    def register_server(self, number, **kwargs):
+        server = self.http_servers[number - 1]
+        self.store.put(
+            'servers', server.id, server.entry('desk', 'zone-a', **kwargs)
+        )
 
-    async def mark(self, name):
+    async def wait_for_marker(self, name):
         """Writes an entry and waits until the gateway has come so far.
 
         Everything that was written before, in both tables, is known then.
         """
-        spare = self.desks[0].entry('spare', 'zone-a')
-        self.store.put('servers', name, spare)
+        entry = self.http_servers[0].entry('spare', 'zone-a')
+        self.store.put('servers', name, entry)
         self.store.put('op', 'evacuate/' + name, {})
         upstreams = self.process.core.upstreams
-        await self.until(lambda: upstreams.get(name) is not None)
-        await self.until(lambda: upstreams.zones.is_drained(name))
+        await self.wait_until(lambda: upstreams.get(name) is not None)
+        await self.wait_until(lambda: upstreams.zones.is_drained(name))
 
-    async def lose(self, copy):
+    async def restore_in_outage(self, snapshot):
         """The store is away until the gateway sees it, and holds the copy."""
         self.store.down = 'busy'
-        await self.until(lambda: self.process.core.health.is_down)
-        self.store.come_back(copy)
+        await self.wait_until(lambda: self.process.core.health.is_down)
+        self.store.come_back(snapshot)
 
-    def drill(self, copy, **more):
+    def drill(self, snapshot, **kwargs):
         """Begins a drill that is played to its end in the background."""
         task = asyncio.create_task(
-            self.store.restore(copy, random.Random(7), **more)
+            self.store.restore(snapshot, random.Random(7), **kwargs)
         )
         self.addAsyncCleanup(asyncio.wait, [task])
         return task
 
     async def served_by(self, count=4):
         """Returns who serves a number of requests."""
-        answers = [await self.ask('/safe/') for _ in range(count)]
-        self.assertEqual({one.status for one in answers}, {OK})
-        stamps = [one.headers['x-quetzalsill-server-stamp'] for one in answers]
+        responses = [await self.request('/safe/') for _ in range(count)]
+        self.assertEqual({response.status for response in responses}, {OK})
+        stamps = [
+            response.headers['x-quetzalsill-server-stamp']
+            for response in responses
+        ]
         return {stamp.partition('.')[0] for stamp in stamps}
--- a/tests/quetzalsill_platform/fixture.py
+++ b/tests/quetzalsill_platform/fixture.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from quetzalsill_platform import directory, follow, headers
+from quetzalsill_platform import directory, headers, polling
 from quetzalsill_platform import engine as engine_calls
 from quetzalsill_platform import store as platform_store
 
@@ -13,13 +13,13 @@
 from quetzalsill_dev.users_platform import caller, engine, plain_server, store
 from quetzalsill_gateway import deployment, run, settings, source
 
-__all__ = ['PathTest', 'configuration', 'route']
+__all__ = ['GatewayTestCase', 'configuration', 'route']
 
-BOUND_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 ANYWHERE = '127.0.0.1:0'
 
 
-def route(name, prefix, kind, service, **more):
+def route(name, prefix, kind, service, **kwargs):
     """Returns a route of the operators' configuration."""
     return {
         'name': name,
@@ -32,7 +32,7 @@
         'service': service,
         'maxAttempts': 2,
         'public': False,
-    } | more
+    } | kwargs
 
 
 ROUTES = [
@@ -64,8 +64,11 @@
 
 def services(**engine):
     """Returns the services, with other figures of the engines."""
-    desk, writers = SERVICES
-    return [dict(desk), writers | {'engine': writers['engine'] | engine}]
+    http_service, engine_service = SERVICES
+    return [
+        dict(http_service),
+        engine_service | {'engine': engine_service['engine'] | engine},
+    ]
 
 
 def configuration(
@@ -81,7 +84,7 @@
     }
 
 
-class PathTest(unittest.IsolatedAsyncioTestCase):
+class GatewayTestCase(unittest.IsolatedAsyncioTestCase):
     """Store, two plain servers, three engines and one gateway.
 
     Attributes:
@@ -102,27 +105,31 @@
         self.store = store.Store()
         self.store.era = self.era
         await self.serve(self.store.server)
-        self.desks = [plain_server.PlainServer(f'desk-{n}') for n in (1, 2)]
+        self.http_servers = [
+            plain_server.PlainServer(f'desk-{n}') for n in (1, 2)
+        ]
         self.fleet = engine.Fleet()
         self.engines = [
             engine.Engine(self.fleet, f'engine-{n}') for n in (1, 2, 3)
         ]
-        for upstream in (*self.desks, *self.engines):
+        for upstream in (*self.http_servers, *self.engines):
             await upstream.start()
             self.addAsyncCleanup(upstream.server.stop)
         document = configuration(5, engine=self.engine)
         for service in document['services']:
             service.update(self.services.get(service['name'], {}))
         self.store.put('op', 'config', document)
-        for desk in self.desks:
-            self.store.put('servers', desk.id, desk.entry('desk', 'zone-a'))
-        for writer in self.engines:
-            self.enter(writer)
+        for server in self.http_servers:
+            self.store.put('servers', server.id, server.entry('desk', 'zone-a'))
+        for replica in self.engines:
+            self.register(replica)
         self.process = await self.start_gateway()
 
-    def enter(self, writer):
+    def register(self, replica):
         """Writes an engine's row."""
-        self.store.put('servers', writer.id, writer.entry('writers', 'zone-a'))
+        self.store.put(
+            'servers', replica.id, replica.entry('writers', 'zone-a')
+        )
 
     async def serve(self, server):
         """Starts a server for the time of the test."""
@@ -142,56 +149,62 @@
         )
 
         def sources(cfg, conns):
-            of_store = platform_store.Store(conns, settings.address(cfg.store))
+            store_client = platform_store.Store(
+                conns, settings.address(cfg.store)
+            )
             return source.Sources(
-                follow.configuration_of(of_store),
-                follow.read_document,
-                follow.membership_of(of_store),
-                lambda node, address: directory.join(of_store, node, address),
-                of_store.epochs,
+                polling.configuration_poll(store_client),
+                polling.parse_document,
+                polling.membership_poll(store_client),
+                lambda node, address: directory.join(
+                    store_client, node, address
+                ),
+                store_client.epochs,
             )
 
         process = run.Process(
             cfg,
-            deployment.Deployment(headers.DIALECT, sources, engine_calls.calls),
+            deployment.Deployment(
+                headers.DIALECT, sources, engine_calls.make_calls
+            ),
         )
         await process.start()
         self.addAsyncCleanup(process.close)
         if wait:
-            await self.until(process.is_ready)
+            await self.wait_until(process.is_ready)
             upstreams = process.core.upstreams
-            await self.until(lambda: len(upstreams.all()) == 5)
+            await self.wait_until(lambda: len(upstreams.all()) == 5)
         return process
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         """Waits until something holds."""
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
 
     def caller(self):
         """Returns a caller of the gateway."""
-        found = caller.Caller('127.0.0.1', self.process.callers.port)
-        self.addCleanup(lambda: found._writer and found.leave())
-        return found
+        client = caller.Caller('127.0.0.1', self.process.callers.port)
+        self.addCleanup(lambda: client._writer and client.leave())
+        return client
 
-    async def ask(self, target, **more):
+    async def request(self, target, **kwargs):
         """Asks on a connection of its own."""
-        async with asyncio.timeout(BOUND_S):
-            return await self.caller().ask(target, **more)
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            return await self.caller().ask(target, **kwargs)
 
     def script(self, *scripts):
         """Says what becomes of the next requests, whoever gets them."""
         shared = list(scripts)
-        for desk in self.desks:
-            desk.scripts = shared
+        for server in self.http_servers:
+            server.scripts = shared
 
     @property
     def runs(self):
         """Every run at a plain server."""
-        return [seen for desk in self.desks for seen in desk.runs]
+        return [seen for server in self.http_servers for seen in server.runs]
 
-    def whole(self, request_id, length=10):
+    def expected_stream(self, request_id, length=10):
         """Returns the stream that a request should get."""
         return b''.join(
             engine.event(request_id, n) for n in range(1, length + 1)
--- a/tests/quetzalsill_platform/partition.py
+++ b/tests/quetzalsill_platform/partition.py
@@ -20,15 +20,16 @@
 
     Attributes:
       write_s: Time of a write; one partition makes one after another.
-      most_waiting_s: A write that would wait longer is refused.
-      answer_s: Time of any answer, on top.
-      call_s: After this time a caller gives up; its write is made all the same.
+      max_queue_s: A write that would wait longer is refused.
+      response_time_s: Time of any answer, on top.
+      call_timeout_s: Time after which the client gives up; its write is still
+        applied.
     """
 
     write_s: float = 0.005
-    most_waiting_s: float = 1.0
-    answer_s: float = 0.004
-    call_s: float = 0.6
+    max_queue_s: float = 1.0
+    response_time_s: float = 0.004
+    call_timeout_s: float = 0.6
 
 
 class Table:
@@ -38,29 +39,29 @@
       reads: Calls that read.
       writes: Calls that write, whatever became of them.
       refused: Writes that were refused.
-      unanswered: Writes that were made after their callers had given up.
-      held: Addresses by name.
+      late: Writes that were made after their callers had given up.
+      entries: Addresses by name.
     """
 
     def __init__(self, rng: random.Random, rates: Rates) -> None:
-        self.reads = self.writes = self.refused = self.unanswered = 0
-        self.held: dict[str, str] = {}
+        self.reads = self.writes = self.refused = self.late = 0
+        self.entries: dict[str, str] = {}
         self._rng = rng
         self._rates = rates
-        self._free_s = 0.0
+        self._idle_at_s = 0.0
         self._version = 0
 
     async def read(self, _: str) -> rows_lib.Changes:
         """Returns all rows, as they are when the store gets to the call."""
         self.reads += 1
-        await self._travel()
-        newest = revision.Revision(0, self._version)
-        found = [
-            rows_lib.Row(name, newest, {'address': address})
-            for name, address in self.held.items()
+        await self._network_delay()
+        current = revision.Revision(0, self._version)
+        rows = [
+            rows_lib.Row(name, current, {'address': address})
+            for name, address in self.entries.items()
         ]
-        await self._travel()
-        return rows_lib.Changes(found, newest)
+        await self._network_delay()
+        return rows_lib.Changes(rows, current)
 
     async def write(self, _: str, key: str, value: dict[str, str]) -> None:
         """Writes a row.
@@ -69,31 +70,31 @@
           error.SourceError: It was refused, or was not answered in time.
         """
         self.writes += 1
-        begun_s = _now()
-        await self._travel()
-        self._free_s = max(self._free_s, _now())
-        if self._free_s - _now() > self._rates.most_waiting_s:
+        started_s = _now()
+        await self._network_delay()
+        self._idle_at_s = max(self._idle_at_s, _now())
+        if self._idle_at_s - _now() > self._rates.max_queue_s:
             self.refused += 1
-            await self._travel()
+            await self._network_delay()
             raise error.SourceError('rows-tx: 429')
-        self._free_s += self._rates.write_s
+        self._idle_at_s += self._rates.write_s
         loop = asyncio.get_running_loop()
-        loop.call_at(self._free_s, self._enter, key, value['address'])
-        ends_s = begun_s + self._rates.call_s
-        if self._free_s > ends_s:
-            self.unanswered += 1
-            await asyncio.sleep(ends_s - _now())
+        loop.call_at(self._idle_at_s, self._apply, key, value['address'])
+        timeout_at_s = started_s + self._rates.call_timeout_s
+        if self._idle_at_s > timeout_at_s:
+            self.late += 1
+            await asyncio.sleep(timeout_at_s - _now())
             raise error.SourceError('rows-tx: upstream_silent')
-        await asyncio.sleep(self._free_s - _now())
-        await self._travel()
+        await asyncio.sleep(self._idle_at_s - _now())
+        await self._network_delay()
 
-    def _enter(self, name: str, address: str) -> None:
+    def _apply(self, name: str, address: str) -> None:
         self._version += 1
-        self.held[name] = address
+        self.entries[name] = address
 
-    async def _travel(self) -> None:
+    async def _network_delay(self) -> None:
         share = self._rng.uniform(0.8, 1.2) / 2
-        await asyncio.sleep(self._rates.answer_s * share)
+        await asyncio.sleep(self._rates.response_time_s * share)
 
 
 def _now() -> float:
--- a/tests/quetzalsill_platform/test_adapter.py
+++ b/tests/quetzalsill_platform/test_adapter.py
@@ -19,9 +19,9 @@
     adapter,
     configuration,
     engine,
-    follow,
     headers,
     membership,
+    polling,
     rows,
 )
 
@@ -86,11 +86,11 @@
 )
 
 
-def dumped(document):
+def encode_document(document):
     return json.dumps(document).encode()
 
 
-def filled(**changed):
+def fill_template(**changed):
     """Returns the settings file as the platform lays it."""
     values = VALUES | changed
     text = re.sub(
@@ -106,12 +106,12 @@
     """The settings file that the platform fills in."""
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = pathlib.Path(folder.name) / 'gateway.json'
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = pathlib.Path(directory.name) / 'gateway.json'
 
     def test_the_template_fits(self):
-        self.path.write_text(filled())
+        self.path.write_text(fill_template())
         cfg = load.load_file(settings_lib.Settings, str(self.path))
         self.assertEqual(settings_lib.address(cfg.store), ('10.200.1.7', 8742))
         self.assertEqual(cfg.peers, '10.1.0.19:7200')
@@ -126,7 +126,7 @@
             'bounds.warmupOverage|json': '1.5',
             'bounds.warmupAllowance|json': '5',
         }
-        self.path.write_text(filled(**bounds))
+        self.path.write_text(fill_template(**bounds))
         cfg = load.load_file(settings_lib.Settings, str(self.path))
         self.assertEqual(cfg.warmup, settings_lib.Warmup(1.5, 5))
 
@@ -134,27 +134,27 @@
         """A field is missing or wrong: one line names it, nothing starts."""
         registry = plugin_registry.Registry()
         plugin.register(registry)
-        for field, value, word in (
+        for field, value, keyword in (
             ('platform.address|json', '"nowhere"', 'store'),
             ('bounds.graceS|json', '"long"', 'grace_s'),
             ('bounds.retryBudgetRatio|json', '7', 'ratio'),
             ('nodeName|json', 'null', 'name'),
         ):
             with self.subTest(field), contextlib.ExitStack() as stack:
-                self.path.write_text(filled(**{field: value}))
+                self.path.write_text(fill_template(**{field: value}))
                 stack.enter_context(
                     mock.patch.object(plugin_registry, 'REGISTRY', registry)
                 )
                 stack.enter_context(mock.patch.object(registry, 'load'))
-                told = stack.enter_context(
+                stderr = stack.enter_context(
                     contextlib.redirect_stderr(io.StringIO())
                 )
-                ended = stack.enter_context(self.assertRaises(SystemExit))
+                raised = stack.enter_context(self.assertRaises(SystemExit))
                 command.cli(['gateway', '--settings', str(self.path)])
             self.assertEqual(
-                ended.exception.code, exit_code.ExitCode.INVALID_SETTINGS
+                raised.exception.code, exit_code.ExitCode.INVALID_SETTINGS
             )
-            self.assertIn(word, told.getvalue())
+            self.assertIn(keyword, stderr.getvalue())
 
     def test_the_adapter_registers_itself(self):
         registry = plugin_registry.Registry()
@@ -224,8 +224,12 @@
         self.assertEqual(found.address, ('10.0.0.1', 80))
         self.assertTrue(found.leaving)
         self.assertEqual(found.incarnation, 1_760_000_000_000)
-        old = {name: ENTRY[name] for name in ENTRY if name != 'born'}
-        self.assertEqual(membership.decode('i-1', old).incarnation, 0)
+        without_incarnation = {
+            name: ENTRY[name] for name in ENTRY if name != 'born'
+        }
+        self.assertEqual(
+            membership.decode('i-1', without_incarnation).incarnation, 0
+        )
 
     def test_what_no_server_writes_names_no_server(self):
         """Another writer leaves an entry under a server's id.
@@ -233,12 +237,20 @@
         Taken for a server, it would get requests of a service that it does not
         answer for, or none of those that the server could have served.
         """
-        odd = [{}, 7, None, [], 'text', (), {'service': 's', 'address': 7}]
-        odd += [
+        invalid_entries = [
+            {},
+            7,
+            None,
+            [],
+            'text',
+            (),
+            {'service': 's', 'address': 7},
+        ]
+        invalid_entries += [
             {name: value for name, value in ENTRY.items() if name != missing}
             for missing in ('service', 'address', 'zone', 'slots', 'state')
         ]
-        odd += [
+        invalid_entries += [
             ENTRY | {name: value}
             for name, values in (
                 ('service', ('', 7, None, True)),
@@ -250,27 +262,29 @@
             )
             for value in values
         ]
-        for raw in odd:
+        for raw in invalid_entries:
             with self.subTest(raw), self.assertRaises(error.SourceError):
                 membership.decode('i-1', raw)
 
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(st.one_of(st.binary(max_size=60), DOCUMENTS.map(dumped)))
+    @given(st.one_of(st.binary(max_size=60), DOCUMENTS.map(encode_document)))
     def test_whatever_the_bytes_no_exception_leaves_the_adapter(self, data):
-        known = upstream_lib.Upstream('good', 's', ('10.0.0.9', 80), 'zone-a')
-        found = asyncio.run(self.followed(data, known))
-        self.assertEqual(found.get('good'), known)
-        self.assertFalse(known.leaving)
+        existing = upstream_lib.Upstream(
+            'good', 's', ('10.0.0.9', 80), 'zone-a'
+        )
+        found = asyncio.run(self.upstreams_after(data, existing))
+        self.assertEqual(found.get('good'), existing)
+        self.assertFalse(existing.leaving)
 
-    async def followed(self, data, known):
+    async def upstreams_after(self, data, existing):
         """Returns the upstreams after an answer with a row of some bytes."""
         upstreams = upstream_lib.Upstreams()
-        upstreams.put(known, revision.Revision(0, 1))
+        upstreams.put(existing, revision.Revision(0, 1))
         text = base64.b64encode(data).decode()
         raw = {'key': 'i-1', 'ver': 2, 'value': text}
         answer = rows.decode(0, {'rows': [raw], 'ver': 2})
         with mock.patch.object(event, 'note'):
-            for change in follow.changes_of(answer):
+            for change in polling.membership_changes(answer):
                 upstreams.apply(change)
         return upstreams
 
@@ -280,15 +294,17 @@
         self.assertEqual((report.queued, report.used_tokens), (0, 4))
         self.assertEqual(report.leaves_s, 0.0)
         late = engine.decode_report(raw | {'leaves_ms': 1e300})
-        self.assertEqual(late.leaves_s, engine.MOST_LEFT_S)
+        self.assertEqual(late.leaves_s, engine.MAX_LEAVING_IN_S)
         for figure in (float('inf'), float('nan'), 'x', None):
             with self.assertRaises(http_error.MalformedAnswerError):
                 engine.decode_report(raw | {'queued': figure})
 
     def test_reports(self):
         raw = {'queued': 1, 'active': 2, 'kvUsed': 3, 'kvTotal': 4}
-        more = {'state': 'draining', 'leaves_ms': 1500}
-        report = engine.decode_report(raw | more | {'runs': [['a', 10, 2, 5]]})
+        draining = {'state': 'draining', 'leaves_ms': 1500}
+        report = engine.decode_report(
+            raw | draining | {'runs': [['a', 10, 2, 5]]}
+        )
         self.assertEqual((report.leaving, report.leaves_s), (True, 1.5))
         self.assertEqual(report.runs[0].request_id, 'a')
         self.assertIsNone(engine.decode_report(raw).leaves_s)
@@ -300,8 +316,8 @@
                 engine.decode_report(broken)
 
     def test_prompts(self):
-        read = headers.DIALECT.prompt
-        prompt = read(
+        parse = headers.DIALECT.prompt
+        prompt = parse(
             [
                 (b'x-quetzalsill-token-usage', b'1460, 80'),
                 (b'x-quetzalsill-length-hint', b'33'),
@@ -309,13 +325,13 @@
         )
         self.assertEqual((prompt.input_tokens, prompt.output_limit), (1460, 80))
         self.assertEqual(prompt.output_hint, 33)
-        nonsense = read([(b'x-quetzalsill-token-usage', b'a,-3,,')])
+        nonsense = parse([(b'x-quetzalsill-token-usage', b'a,-3,,')])
         self.assertEqual(nonsense.input_tokens, 0)
 
     def test_the_template_is_json_with_comments(self):
         text = ''.join(
             line
-            for line in filled().splitlines(keepends=True)
+            for line in fill_template().splitlines(keepends=True)
             if not line.lstrip().startswith('//')
         )
         self.assertEqual(json.loads(text)['deployment'], 'platform')
--- a/tests/quetzalsill_platform/test_missing_signs.py
+++ b/tests/quetzalsill_platform/test_ambiguous_responses.py
@@ -15,17 +15,17 @@
 LENGTH = 60
 # Wide apart from the gateway's patience for an order, on a busy machine too.
 PAUSE_S = 0.6
-ORDER_S = 1.5
-WORKS_ON_S = 5.0
+STOP_DELAY_S = 1.5
+KEEPS_RUNNING_S = 5.0
 
 
 class _Unframed(scripted.Exchange):
     """An answer without length or chunks: it ends with its connection."""
 
     def head(self, status, headers):
-        left = dict(headers)
-        left.pop('Transfer-Encoding', None)
-        super().head(status, left)
+        unframed_headers = dict(headers)
+        unframed_headers.pop('Transfer-Encoding', None)
+        super().head(status, unframed_headers)
 
     def chunk(self, data):
         if data:
@@ -38,58 +38,58 @@
     """An engine that is hard to read.
 
     Attributes:
-      works_on: Carries no order to stop a run out, and answers 409.
-      refusal: Body of that answer.
-      refusals: How many such answers it gives; it resets further orders.
+      keeps_running: Carries no order to stop a run out, and answers 409.
+      refusal_body: Body of that answer.
+      refusal_count: How many such answers it gives; it resets further orders.
       pause_s: The process is paused so long behind such an answer.
-      order_s: Time that an order to stop a run is under way.
-      breaks_off: An order to stop finds the stream broken off, and the engine
-        at work behind it.
-      loses_answers: Stops a run by order, and its answer is lost.
+      stop_delay_s: Time that an order to stop a run is under way.
+      breaks_at_stop: The stream breaks when a stop command arrives, while the
+        engine keeps running it.
+      drops_stop_response: Stops a run by order, and its answer is lost.
       is_framed: Whether its streams tell where they end.
     """
 
-    works_on = False
-    refusal = b''
-    refusals = 1_000_000
+    keeps_running = False
+    refusal_body = b''
+    refusal_count = 1_000_000
     pause_s = 0.0
-    order_s = 0.0
-    breaks_off = False
-    loses_answers = False
+    stop_delay_s = 0.0
+    breaks_at_stop = False
+    drops_stop_response = False
     is_framed = True
 
     async def _move(self, call):
-        order = json.loads(call.body)
-        run = self._runs.get(order['id'])
-        is_at_work = run is not None and run.running
-        if is_at_work and order.get('last'):
-            if self.breaks_off:
+        command = json.loads(call.body)
+        run = self._runs.get(command['id'])
+        is_running = run is not None and run.running
+        if is_running and command.get('last'):
+            if self.breaks_at_stop:
                 self.break_after = run.made + 1
-            await asyncio.sleep(self.order_s)
-            if self.loses_answers:
+            await asyncio.sleep(self.stop_delay_s)
+            if self.drops_stop_response:
                 run.running = False
                 self._fleet.end(run.request_id, self.id)
                 call.abort()
                 return
-            if self.works_on and not self.refusals:
+            if self.keeps_running and not self.refusal_count:
                 call.abort()
                 return
-            if self.works_on:
-                self.refusals -= 1
-                call.answer(409, self.refusal)
+            if self.keeps_running:
+                self.refusal_count -= 1
+                call.answer(409, self.refusal_body)
                 time.sleep(self.pause_s)
                 return
         await super()._move(call)
 
-    async def _stream(self, call, *args, **more):
+    async def _stream(self, call, *args, **kwargs):
         if not self.is_framed:
             call = _Unframed(
                 call.method, call.target, call.headers, call.body, call.writer
             )
-        await super()._stream(call, *args, **more)
+        await super()._stream(call, *args, **kwargs)
 
 
-class _Fixture(test_streams.StreamFixture):
+class _AmbiguousTestCase(test_streams.StreamTestCase):
     """Engines that are hard to read."""
 
     async def asyncSetUp(self):
@@ -97,7 +97,7 @@
             await super().asyncSetUp()
 
 
-class BackedUpTest(_Fixture):
+class BackedUpTest(_AmbiguousTestCase):
     """Runs whose memory is to be sent to a second engine as it grows."""
 
     engine = {'backups': True, 'linkMbps': 2700.0}
@@ -109,26 +109,30 @@
         only, so that none was sent. That the engine made an event was taken
         for a copy, and an engine that looks for it late began the plan again.
         """
-        for writer in self.engines:
-            writer.break_after, writer.full = 1, True
-            writer.ignores_copies = True
-        answer = await self.stream(request_id='n1', headers=test_backups.LONG)
-        self.assertFalse(answer.whole)
+        for replica in self.engines:
+            replica.break_after, replica.full = 1, True
+            replica.ignores_copies = True
+        response = await self.stream(
+            request_id='n1', headers=test_backups.LONG_HEADERS
+        )
+        self.assertFalse(response.whole)
         self.assertEqual(len(self.fleet.started['n1']), 1)
 
-    async def break_off(self, request_id):
+    async def interrupt_stream(self, request_id):
         """Breaks a plan off while its engine works on; returns the answer."""
-        for writer in self.engines:
-            writer.length, writer.break_after = 80, 20
-            writer.works_on_s, writer.works_on = WORKS_ON_S, True
-        asked = asyncio.create_task(
-            self.stream(request_id=request_id, headers=test_backups.LONG)
+        for replica in self.engines:
+            replica.length, replica.break_after = 80, 20
+            replica.works_on_s, replica.keeps_running = KEEPS_RUNNING_S, True
+        pending = asyncio.create_task(
+            self.stream(
+                request_id=request_id, headers=test_backups.LONG_HEADERS
+            )
         )
-        source = await self.until_working()
-        for writer in self.engines:
-            if writer is not source:
-                writer.break_after = None
-        return await asked
+        source = await self.wait_until_working()
+        for replica in self.engines:
+            if replica is not source:
+                replica.break_after = None
+        return await pending
 
     async def test_a_refusal_in_plain_text_is_one(self):
         """An engine works on behind a broken connection, and says so in text.
@@ -137,11 +141,11 @@
         Read as JSON first, the answer was taken for none, the engine for one
         that is gone, and two engines worked on the plan.
         """
-        for writer in self.engines:
-            writer.refusal = b'another order is under way\n'
-        answer = await self.break_off('n2')
+        for replica in self.engines:
+            replica.refusal_body = b'another order is under way\n'
+        response = await self.interrupt_stream('n2')
         self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.whole)
 
     async def test_a_refusal_that_comes_as_the_patience_ends(self):
         """The gateway wakes from a pause to a refusal and to its patience.
@@ -150,11 +154,11 @@
         answer was there, the engine taken for one that is gone, and two
         engines worked on the plan.
         """
-        for writer in self.engines:
-            writer.pause_s = PAUSE_S
-        answer = await self.break_off('n3')
+        for replica in self.engines:
+            replica.pause_s = PAUSE_S
+        response = await self.interrupt_stream('n3')
         self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.whole)
 
     async def test_a_refusal_counts_though_the_next_order_is_lost(self):
         """An engine says that it works on, and resets the order after that.
@@ -162,11 +166,11 @@
         The lost answer was believed over the one that had come: the engine was
         taken for one that is gone, and two engines worked on the plan.
         """
-        for writer in self.engines:
-            writer.refusals = 1
-        answer = await self.break_off('n8')
+        for replica in self.engines:
+            replica.refusal_count = 1
+        response = await self.interrupt_stream('n8')
         self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.whole)
 
     async def test_a_refusal_that_comes_late(self):
         """An engine works on behind a broken connection, and is slow to answer.
@@ -175,25 +179,25 @@
         not carry it out. Silence for a moment was taken for an engine that is
         gone, and two engines worked on the plan.
         """
-        for writer in self.engines:
-            writer.order_s = ORDER_S
-        answer = await self.break_off('n4')
+        for replica in self.engines:
+            replica.stop_delay_s = STOP_DELAY_S
+        response = await self.interrupt_stream('n4')
         self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.whole)
 
 
-async def leave_with_a_run(test, request_id):
+async def drain_engine_with_run(test, request_id):
     """Has the engine of a plan leave; returns the plan's answer."""
-    for writer in test.engines:
-        writer.length = LENGTH
-    asked = asyncio.create_task(test.stream(request_id=request_id))
-    source = await test.until_working()
+    for replica in test.engines:
+        replica.length = LENGTH
+    pending = asyncio.create_task(test.stream(request_id=request_id))
+    source = await test.wait_until_working()
     source.leaving, source.leaves_ms = True, 1900
-    test.enter(source)
-    return await asked
+    test.register(source)
+    return await pending
 
 
-class MovedTest(_Fixture):
+class MovedTest(_AmbiguousTestCase):
     """Runs that are moved as their engine leaves."""
 
     async def test_a_run_that_broke_off_before_the_order_to_stop_it(self):
@@ -204,12 +208,12 @@
         stream was taken for the stop: the plan went on from the first copy,
         and two engines worked on it.
         """
-        for writer in self.engines:
-            writer.breaks_off, writer.works_on_s = True, WORKS_ON_S
-            writer.order_s, writer.works_on = ORDER_S, True
-        answer = await leave_with_a_run(self, 'n5')
+        for replica in self.engines:
+            replica.breaks_at_stop, replica.works_on_s = True, KEEPS_RUNNING_S
+            replica.stop_delay_s, replica.keeps_running = STOP_DELAY_S, True
+        response = await drain_engine_with_run(self, 'n5')
         self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(answer.whole)
+        self.assertFalse(response.whole)
 
     async def test_a_stopped_run_whose_answer_was_lost_is_not_whole(self):
         """A plan is stopped by order, and the answer to the order is lost.
@@ -218,11 +222,11 @@
         nothing came of the order was taken for a run that was not stopped:
         its caller got a part of the plan as the whole.
         """
-        for writer in self.engines:
-            writer.is_framed, writer.loses_answers = False, True
-        answer = await leave_with_a_run(self, 'n6')
-        if answer.whole:
-            self.assertEqual(answer.body, self.whole('n6', LENGTH))
+        for replica in self.engines:
+            replica.is_framed, replica.drops_stop_response = False, True
+        response = await drain_engine_with_run(self, 'n6')
+        if response.whole:
+            self.assertEqual(response.body, self.expected_stream('n6', LENGTH))
 
     async def test_a_stopped_run_that_may_not_switch_is_not_whole(self):
         """A plan is stopped by order after as many switches as it may make.
@@ -230,14 +234,14 @@
         Its stream ends with its connection, and nothing goes on; its caller
         got a part of the plan as the whole.
         """
-        bound = mock.patch.object(continuation, 'MAX_SWITCHES', 0)
-        bound.start()
-        self.addCleanup(bound.stop)
-        for writer in self.engines:
-            writer.is_framed = False
-        answer = await leave_with_a_run(self, 'n7')
-        if answer.whole:
-            self.assertEqual(answer.body, self.whole('n7', LENGTH))
+        patcher = mock.patch.object(continuation, 'MAX_SWITCHES', 0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
+        for replica in self.engines:
+            replica.is_framed = False
+        response = await drain_engine_with_run(self, 'n7')
+        if response.whole:
+            self.assertEqual(response.body, self.expected_stream('n7', LENGTH))
 
     async def test_room_kept_for_a_move_is_given_back(self):
         """A caller leaves while its plan's last copy is under way.
@@ -246,24 +250,26 @@
         was kept for the plan at its destination stays taken for good: the
         engine looks fuller with each such caller.
         """
-        bound = mock.patch.object(continuation, 'FINAL_COPY_TIMEOUT_S', ORDER_S)
-        bound.start()
-        self.addCleanup(bound.stop)
-        for writer in self.engines:
-            writer.length, writer.last_copy_s = LENGTH, PAUSE_S
+        patcher = mock.patch.object(
+            continuation, 'FINAL_COPY_TIMEOUT_S', STOP_DELAY_S
+        )
+        patcher.start()
+        self.addCleanup(patcher.stop)
+        for replica in self.engines:
+            replica.length, replica.last_copy_s = LENGTH, PAUSE_S
         caller = self.caller()
         await caller.open()
         headers = test_streams.PROMPT
         caller.send('/plan/', method='POST', body=b'x', headers=headers)
-        source = await self.until_working()
+        source = await self.wait_until_working()
         source.leaving, source.leaves_ms = True, 1900
-        self.enter(source)
-        await self.until(lambda: self.working() is None)
+        self.register(source)
+        await self.wait_until(lambda: self.working_engine() is None)
         caller.leave()
-        await self.until(lambda: any(e._copies for e in self.engines))
+        await self.wait_until(lambda: any(e._copies for e in self.engines))
         core = self.process.core
         moving = self.process._gateway._migration._moving
-        await self.until(lambda: not moving)
+        await self.wait_until(lambda: not moving)
         for found in core.upstreams.all():
             self.assertEqual(core.stats_table.of(found).reserved_tokens, 0)
 
--- a/tests/quetzalsill_platform/test_backups.py
+++ b/tests/quetzalsill_platform/test_backups.py
@@ -8,19 +8,19 @@
 from tests.quetzalsill_platform import test_streams
 
 # Long enough that a copy of its memory pays, and too short.
-LONG = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '400'}
-SHORT = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '10'}
+LONG_HEADERS = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '400'}
+SHORT_HEADERS = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '10'}
 
 
-class BackupTest(test_streams.StreamFixture):
+class BackupTest(test_streams.StreamTestCase):
     """Engines that send the memory of their runs to others as it grows."""
 
     engine = {'backups': True, 'linkMbps': 2700.0}
 
     async def crash(self, request_id):
         """Crashes the engine of a stream once it has made events."""
-        source = await self.until_working()
-        await self.until(lambda: source._runs[request_id].made >= 20)
+        source = await self.wait_until_working()
+        await self.wait_until(lambda: source._runs[request_id].made >= 20)
         await source.crash()
         return source
 
@@ -30,11 +30,13 @@
         Its memory was sent to a second engine while it grew. The caller sees
         one answer, no event missing or doubled; nothing is generated anew.
         """
-        for writer in self.engines:
-            writer.length = 80
-        asked = asyncio.create_task(self.stream(request_id='b1', headers=LONG))
+        for replica in self.engines:
+            replica.length = 80
+        pending = asyncio.create_task(
+            self.stream(request_id='b1', headers=LONG_HEADERS)
+        )
         source = await self.crash('b1')
-        self.assert_whole(await asked, 'b1', 80)
+        self.assert_complete(await pending, 'b1', 80)
         self.assertEqual(self.fleet.started['b1'], [source.id])
         self.assertEqual(self.fleet.doubled, set())
 
@@ -44,28 +46,32 @@
         Gone on with from its backup at once, the plan would be at work twice.
         The engine is ordered to stop it before anything goes on elsewhere.
         """
-        for writer in self.engines:
-            writer.length, writer.break_after = 80, 20
-            writer.works_on_s = 5.0
-        asked = asyncio.create_task(self.stream(request_id='b2', headers=LONG))
-        source = await self.until_working()
-        for writer in self.engines:
-            if writer is not source:
-                writer.break_after = None
-        self.assert_whole(await asked, 'b2', 80)
+        for replica in self.engines:
+            replica.length, replica.break_after = 80, 20
+            replica.works_on_s = 5.0
+        pending = asyncio.create_task(
+            self.stream(request_id='b2', headers=LONG_HEADERS)
+        )
+        source = await self.wait_until_working()
+        for replica in self.engines:
+            if replica is not source:
+                replica.break_after = None
+        self.assert_complete(await pending, 'b2', 80)
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_without_a_copy_the_stream_is_cut_and_not_run_again(self):
         """Engine and backup are lost; the plan must not start anew."""
-        for writer in self.engines:
-            writer.length, writer.full = 80, True
-        asked = asyncio.create_task(self.stream(request_id='b3', headers=LONG))
+        for replica in self.engines:
+            replica.length, replica.full = 80, True
+        pending = asyncio.create_task(
+            self.stream(request_id='b3', headers=LONG_HEADERS)
+        )
         source = await self.crash('b3')
-        self.assertFalse((await asked).whole)
+        self.assertFalse((await pending).whole)
         self.assertEqual(self.fleet.started['b3'], [source.id])
 
     async def test_a_short_run_is_not_backed_up(self):
-        await self.stream(request_id='b4', headers=SHORT)
+        await self.stream(request_id='b4', headers=SHORT_HEADERS)
         sent = [headers for e in self.engines for headers in e.requests]
         self.assertFalse([h for h in sent if 'x-quetzalsill-kv-backup' in h])
 
--- a/tests/quetzalsill_platform/test_deadline.py
+++ b/tests/quetzalsill_platform/test_deadline.py
@@ -13,7 +13,7 @@
 HEADERS = {'X-Quetzalsill-Token-Usage': '1000,400'}
 
 
-class _Desk(plain_server.PlainServer):
+class _PausedServer(plain_server.PlainServer):
     """A server right behind whose answer the process is paused."""
 
     async def _answer(self, call, *args):
@@ -21,7 +21,7 @@
         time.sleep(DEADLINE_S)
 
 
-class _Engine(engine.Engine):
+class _PausedEngine(engine.Engine):
     """An engine right behind whose last event the process is paused."""
 
     async def _generate(self, call):
@@ -29,18 +29,18 @@
         time.sleep(DEADLINE_S)
 
 
-class DeadlineTest(fixture.PathTest):
+class DeadlineTest(fixture.GatewayTestCase):
     """The gateway wakes from a pause to an answer, and past its deadline."""
 
     async def asyncSetUp(self):
         with (
-            mock.patch.object(plain_server, 'PlainServer', _Desk),
-            mock.patch.object(engine, 'Engine', _Engine),
+            mock.patch.object(plain_server, 'PlainServer', _PausedServer),
+            mock.patch.object(engine, 'Engine', _PausedEngine),
         ):
             await super().asyncSetUp()
 
-    async def order(self, target, request_id):
-        return await self.ask(
+    async def send(self, target, request_id):
+        return await self.request(
             target,
             method='POST',
             request_id=request_id,
@@ -50,20 +50,20 @@
 
     async def test_an_order_that_was_answered(self):
         """A shop is told that its order timed out, though it is confirmed."""
-        answer = await self.order('/unsafe/', 'o1')
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        response = await self.send('/unsafe/', 'o1')
+        self.assertEqual((response.status, response.whole), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['o1'])
 
     async def test_a_plan_that_is_complete(self):
         """A plan is cut off before its last event, which is there."""
-        answer = await self.order('/plan/', 'p1')
-        self.assertEqual((answer.status, answer.whole), (200, True))
-        self.assertEqual(answer.body, self.whole('p1'))
+        response = await self.send('/plan/', 'p1')
+        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual(response.body, self.expected_stream('p1'))
 
     async def test_a_query_that_was_answered(self):
         """A query is sent to a second server with its answer in hand."""
-        answer = await self.order('/safe/', 'q1')
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        response = await self.send('/safe/', 'q1')
+        self.assertEqual((response.status, response.whole), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['q1'])
 
 
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -29,7 +29,7 @@
     """What the header may hold."""
 
     def setUp(self):
-        self.reader = era.Reader()
+        self.reader = era.EpochReader()
 
     def test_a_store_that_never_sends_it_stays_in_its_first_epoch(self):
         for _ in range(3):
@@ -66,17 +66,17 @@
         from a version that has been given out again.
         """
 
-        async def story():
+        async def scenario():
             self.reader.read(header(b'2'), 0)
             for _ in range(10):
                 with self.assertRaises(error.MalformedSourceError) as caught:
                     self.reader.read(header(), 2)
                 self.assertIn('store-era', str(caught.exception))
-                await asyncio.sleep(era.MISSED_S / 2)
+                await asyncio.sleep(era.MISSING_HEADER_GRACE_S / 2)
                 self.reader.read(header(b'2'), 2)
-                await asyncio.sleep(era.MISSED_S)
+                await asyncio.sleep(era.MISSING_HEADER_GRACE_S)
 
-        clock.run(story)
+        clock.run(scenario)
 
     def test_a_store_that_no_longer_sends_it_is_heard_again(self):
         """One faulty answer has the header, of a store that never sends it.
@@ -84,14 +84,14 @@
         Everything after would be left out, for as long as the gateway runs.
         """
 
-        async def story():
+        async def scenario():
             self.reader.read(header(b'2'), 0)
             with self.assertRaises(error.MalformedSourceError):
                 self.reader.read(header(), 2)
-            await asyncio.sleep(era.MISSED_S + 1.0)
+            await asyncio.sleep(era.MISSING_HEADER_GRACE_S + 1.0)
             self.assertEqual(self.reader.read(header(), 2), 2)
 
-        clock.run(story)
+        clock.run(scenario)
 
 
 class RowsTest(unittest.TestCase):
@@ -100,8 +100,8 @@
     def test_a_field_of_another_kind_is_a_failure_that_names_it(self):
         row = {'key': 'a', 'ver': 3, 'value': 'e30='}
         good = {'rows': [row], 'ver': 5}
-        at = revision.Revision(2, 5)
-        self.assertEqual(rows.decode(2, good).revision, at)
+        expected = revision.Revision(2, 5)
+        self.assertEqual(rows.decode(2, good).revision, expected)
         for version in (HUGE, -1, 1.5, '7', None, True, [], float('inf')):
             for raw in (
                 good | {'ver': version},
@@ -123,21 +123,21 @@
 
     async def asyncSetUp(self):
         self.status, self.version = 200, 5
-        self.headers, self.more = {}, {}
+        self.headers, self.extra_fields = {}, {}
         self.server = scripted.ScriptedServer(self.answer)
         await self.server.start()
         self.addAsyncCleanup(self.server.stop)
         conns = pool.Pool()
         self.store = store_lib.Store(conns, self.server.address)
-        quiet = mock.patch.object(event, 'note')
-        self.note = quiet.start()
-        self.addCleanup(quiet.stop)
+        patcher = mock.patch.object(event, 'note')
+        self.note = patcher.start()
+        self.addCleanup(patcher.stop)
 
     async def answer(self, call):
-        body = {'rows': [], 'ver': self.version} | self.more
+        body = {'rows': [], 'ver': self.version} | self.extra_fields
         call.answer(self.status, json.dumps(body).encode(), self.headers)
 
-    def told(self, kind):
+    def events_of(self, kind):
         events = [call.args[0] for call in self.note.call_args_list]
         return [one for one in events if isinstance(one, kind)]
 
@@ -181,7 +181,7 @@
         with self.assertRaises(error.StaleAnswerError):
             await self.store.read('t')
         self.assertEqual(self.store.epochs.newest, 2)
-        self.assertEqual(len(self.told(event.AnswerStale)), 1)
+        self.assertEqual(len(self.events_of(event.AnswerStale)), 1)
 
     async def test_a_call_of_before_says_nothing_of_an_epoch_that_fell(self):
         """A slow call is answered long after the drill, and its epoch counts.
@@ -189,10 +189,10 @@
         What falls is believed only of calls that were sent later, and here at
         once.
         """
-        held = asyncio.Event()
+        released = asyncio.Event()
         for module, name, value in (
             (epoch_lib, 'DOWNGRADE_AFTER_S', -1.0),
-            (store_lib, 'CALL_S', 60.0),
+            (store_lib, 'CALL_TIMEOUT_S', 60.0),
         ):
             patch = mock.patch.object(module, name, value)
             patch.start()
@@ -206,7 +206,7 @@
                 call.answer(200, body, {'Store-Era': '2'})
                 return
             at_server.set()
-            await held.wait()
+            await released.wait()
             call.answer(200, body, {'Store-Era': '1'})
 
         self.server._handler = answer
@@ -214,7 +214,7 @@
         await at_server.wait()
         await self.store.read('t')
         self.assertEqual(self.store.epochs.newest, 2)
-        held.set()
+        released.set()
         with self.assertRaises(error.StaleAnswerError):
             await slow
         self.assertEqual(self.store.epochs.newest, 2)
@@ -229,9 +229,9 @@
         pages = iter(((1, True), (2, False)))
 
         async def answer(call):
-            number, is_cut = next(pages)
+            number, is_truncated = next(pages)
             self.in_epoch(number)
-            self.more = {'rows': [row], 'truncated': is_cut}
+            self.extra_fields = {'rows': [row], 'truncated': is_truncated}
             await type(self).answer(self, call)
 
         self.server._handler = answer
@@ -248,8 +248,8 @@
         pages = iter(((5, True), (9, False)))
 
         async def answer(call):
-            self.version, is_cut = next(pages)
-            self.more = {'rows': [row], 'truncated': is_cut}
+            self.version, is_truncated = next(pages)
+            self.extra_fields = {'rows': [row], 'truncated': is_truncated}
             await type(self).answer(self, call)
 
         self.server._handler = answer
@@ -269,9 +269,9 @@
         for _ in range(5):
             with self.assertRaises(error.MalformedSourceError):
                 await self.store.read('t')
-        [told] = self.told(event.AnswerMalformed)
-        self.assertIn('store-era', told.reason)
-        self.assertTrue(told.advice)
+        [logged] = self.events_of(event.AnswerMalformed)
+        self.assertIn('store-era', logged.reason)
+        self.assertTrue(logged.advice)
         self.assertEqual(self.store.epochs.newest, 1)
 
 
--- a/tests/quetzalsill_platform/test_era_path.py
+++ b/tests/quetzalsill_platform/test_era_path.py
@@ -10,7 +10,7 @@
 from tests.quetzalsill_platform import fixture
 
 
-class EraPathTest(fixture.PathTest):
+class EraPathTest(fixture.GatewayTestCase):
     """The parts of a process hear of it from each other."""
 
     era = 1
@@ -21,35 +21,48 @@
         Left to itself, that would go on from a version that was given out
         again; its feed tells of no failure.
         """
-        told = []
-        write = event.note
+        events = []
+        original_note = event.note
         with mock.patch.object(
-            event, 'note', lambda one: (told.append(one), write(one))
+            event,
+            'note',
+            lambda logged: (events.append(logged), original_note(logged)),
         ):
             self.store.era += 1
-            await self.until(
+            await self.wait_until(
                 lambda: (
                     {
-                        one.table
-                        for one in told
-                        if isinstance(one, event.TableListed)
+                        logged.table
+                        for logged in events
+                        if isinstance(logged, event.TableListed)
                     }
                     == {'configuration', 'membership'}
                 )
             )
-            self.assertEqual((await self.ask('/safe/')).status, 200)
+            self.assertEqual((await self.request('/safe/')).status, 200)
             await asyncio.sleep(0.2)
-        entered = [one for one in told if isinstance(one, event.EpochEntered)]
-        self.assertEqual([(one.before, one.epoch) for one in entered], [(1, 2)])
-        ahead = [one for one in told if isinstance(one, event.VersionAhead)]
+        epochs_entered = [
+            logged
+            for logged in events
+            if isinstance(logged, event.EpochEntered)
+        ]
+        self.assertEqual(
+            [(logged.before, logged.epoch) for logged in epochs_entered],
+            [(1, 2)],
+        )
+        ahead = [
+            logged
+            for logged in events
+            if isinstance(logged, event.VersionAhead)
+        ]
         self.assertEqual(ahead, [])
 
     async def test_a_refusal_that_tells_of_it_is_enough(self):
         self.store.down = 'busy'
         self.store.era += 1
         epochs = self.process.epochs
-        await self.until(lambda: epochs.newest == 2)
-        self.assertEqual((await self.ask('/safe/')).status, 200)
+        await self.wait_until(lambda: epochs.newest == 2)
+        self.assertEqual((await self.request('/safe/')).status, 200)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_names.py
+++ b/tests/quetzalsill_platform/test_names.py
@@ -8,7 +8,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 FOLDER = ROOT / 'platform'
-MOST_LINES = 1500
+MAX_LINES = 1500
 # Names of calls, headers, tables and fields that only the platform uses.
 NAMES = re.compile(
     r'x-quetzalsill|kv-(from|move|fetch|handle|backup)|rows-(get|feed|tx)'
@@ -34,7 +34,7 @@
         lines = sum(
             len(path.read_text().splitlines()) for path in FOLDER.rglob('*.py')
         )
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -16,39 +16,47 @@
 from tests.quetzalsill_platform import fixture
 
 
-class ProcessTest(fixture.PathTest):
+class ProcessTest(fixture.GatewayTestCase):
     """What the balancer, on-call engineers and the host see."""
 
-    async def asked(self, path):
-        found = caller.Caller('127.0.0.1', self.process.asked.port)
-        return await found.ask(path)
+    async def fetch_from_readiness_port(self, path):
+        client = caller.Caller('127.0.0.1', self.process.asked.port)
+        return await client.ask(path)
 
     async def test_readiness_and_metrics(self):
-        self.assertEqual((await self.asked('/-/readyz')).status, 200)
-        await self.ask('/safe/')
-        told = (await self.asked('/metrics')).body.decode()
-        self.assertIn('quetzalsill_gateway_requests_total{', told)
-        self.assertIn('quetzalsill_gateway_upstreams{state="live"} 5', told)
-        self.assertEqual((await self.asked('/other')).status, 404)
+        self.assertEqual(
+            (await self.fetch_from_readiness_port('/-/readyz')).status, 200
+        )
+        await self.request('/safe/')
+        metrics = (
+            await self.fetch_from_readiness_port('/metrics')
+        ).body.decode()
+        self.assertIn('quetzalsill_gateway_requests_total{', metrics)
+        self.assertIn('quetzalsill_gateway_upstreams{state="live"} 5', metrics)
+        self.assertEqual(
+            (await self.fetch_from_readiness_port('/other')).status, 404
+        )
 
     async def test_a_stop_ends_within_its_grace(self):
-        for writer in self.engines:
-            writer.length = 100_000
+        for replica in self.engines:
+            replica.length = 100_000
         streaming = asyncio.create_task(
-            self.ask('/plan/', method='POST', request_id='p2')
+            self.request('/plan/', method='POST', request_id='p2')
         )
-        await self.until(lambda: self.fleet.started.get('p2'))
+        await self.wait_until(lambda: self.fleet.started.get('p2'))
         with mock.patch.object(event, 'note') as note:
-            async with asyncio.timeout(fixture.BOUND_S):
+            async with asyncio.timeout(fixture.WAIT_TIMEOUT_S):
                 await self.process.stop()
-                answer = await streaming
-        self.assertFalse(answer.whole)
-        told = [call.args[0] for call in note.call_args_list]
-        ends = [one for one in told if isinstance(one, event.RequestEnded)]
-        self.assertEqual([one.outcome for one in ends], ['stopped'])
+                response = await streaming
+        self.assertFalse(response.whole)
+        logged = [call.args[0] for call in note.call_args_list]
+        request_ends = [
+            one for one in logged if isinstance(one, event.RequestEnded)
+        ]
+        self.assertEqual([one.outcome for one in request_ends], ['stopped'])
 
 
-class GracefulStopTest(fixture.PathTest):
+class GracefulStopTest(fixture.GatewayTestCase):
     """A gateway with time to end what is under way, and for new callers."""
 
     grace_s = 10.0
@@ -66,13 +74,13 @@
         }
         stopping = asyncio.create_task(self.process.stop())
         await asyncio.sleep(0.02)
-        long = await self.ask(
+        long = await self.request(
             '/plan/', method='POST', request_id='p3', headers=prompt
         )
         self.assertEqual(long.status, 503)
         self.assertIn('retry-after', long.headers)
         self.assertNotIn('p3', self.fleet.started)
-        short = await self.ask('/plan/', method='POST', request_id='p4')
+        short = await self.request('/plan/', method='POST', request_id='p4')
         self.assertEqual((short.status, short.whole), (200, True))
         await stopping
 
@@ -82,24 +90,24 @@
         It is not ready at once, serves new callers while the balancer still
         sends them, and ends the stream whole before it goes.
         """
-        for writer in self.engines:
-            writer.length = 50
+        for replica in self.engines:
+            replica.length = 50
         streaming = asyncio.create_task(
-            self.ask('/plan/', method='POST', request_id='p1')
+            self.request('/plan/', method='POST', request_id='p1')
         )
-        await self.until(lambda: self.fleet.started.get('p1'))
+        await self.wait_until(lambda: self.fleet.started.get('p1'))
         idle = self.caller()
         await idle.open()
         stopping = asyncio.create_task(self.process.stop())
         await asyncio.sleep(0.02)
         self.assertFalse(self.process.is_ready())
-        late = await self.ask('/safe/')
+        late = await self.request('/safe/')
         self.assertEqual((late.status, late.whole), (200, True))
         self.assertEqual(late.headers['connection'], 'close')
-        answer = await streaming
-        self.assertTrue(answer.whole)
-        self.assertEqual(answer.body, self.whole('p1', 50))
-        async with asyncio.timeout(fixture.BOUND_S):
+        response = await streaming
+        self.assertTrue(response.whole)
+        self.assertEqual(response.body, self.expected_stream('p1', 50))
+        async with asyncio.timeout(fixture.WAIT_TIMEOUT_S):
             await stopping
         self.assertEqual((await idle.read()).status, 0)
 
@@ -111,9 +119,9 @@
         self.settings = settings_lib.Settings(
             node=None, listen='a', ready='b', store='c'
         )
-        self.found = copy.deepcopy(self.settings)
+        self.loaded = copy.deepcopy(self.settings)
         self.applied = asyncio.Event()
-        self.notes = []
+        self.events = []
         patch = mock.patch.object(event, 'note', self.note)
         patch.start()
         self.addCleanup(patch.stop)
@@ -121,36 +129,36 @@
         self.addCleanup(loop.remove_signal_handler, signal.SIGHUP)
         reload.on_hangup(self.settings, self.read, lambda _s: None)
 
-    def note(self, told):
-        self.notes.append(told)
+    def note(self, logged):
+        self.events.append(logged)
         self.applied.set()
 
     def read(self):
-        if isinstance(self.found, Exception):
-            raise self.found
-        return self.found
+        if isinstance(self.loaded, Exception):
+            raise self.loaded
+        return self.loaded
 
-    async def hang_up(self):
+    async def send_sighup(self):
         self.applied.clear()
         os.kill(os.getpid(), signal.SIGHUP)
-        async with asyncio.timeout(fixture.BOUND_S):
+        async with asyncio.timeout(fixture.WAIT_TIMEOUT_S):
             await self.applied.wait()
-        return self.notes[-1]
+        return self.events[-1]
 
     async def test_what_may_change_changes_and_the_rest_waits(self):
-        self.found.retry.allowance = 7
-        self.found.listen = 'elsewhere'
-        told = await self.hang_up()
-        self.assertEqual(told, event.SettingsReloaded('retry', 'listen'))
+        self.loaded.retry.allowance = 7
+        self.loaded.listen = 'elsewhere'
+        logged = await self.send_sighup()
+        self.assertEqual(logged, event.SettingsReloaded('retry', 'listen'))
         self.assertEqual(self.settings.retry.allowance, 7)
         self.assertEqual(self.settings.listen, 'a')
 
     async def test_settings_that_do_not_fit_are_left_out(self):
         fault = schema_error.InvalidKeyError('f', 'retry.ratio', '7', '0 to 1')
-        self.found = schema_error.InvalidDocumentError('f', [fault])
-        told = await self.hang_up()
-        self.assertIsInstance(told, event.SettingsInvalid)
-        self.assertIn('retry.ratio', told.faults)
+        self.loaded = schema_error.InvalidDocumentError('f', [fault])
+        logged = await self.send_sighup()
+        self.assertIsInstance(logged, event.SettingsInvalid)
+        self.assertIn('retry.ratio', logged.faults)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_sent_once.py
+++ b/tests/quetzalsill_platform/test_sent_once.py
@@ -12,7 +12,7 @@
 from quetzalsill_gateway.http import pool
 from tests.quetzalsill_platform import (
     fixture,
-    test_missing_signs,
+    test_ambiguous_responses,
     test_streams,
 )
 
@@ -23,7 +23,7 @@
 VERSION = 6
 
 
-class SentOnceTest(test_streams.StreamFixture):
+class SentOnceTest(test_streams.StreamTestCase):
     """The bound on upstreams leaves room for a further one."""
 
     async def asyncSetUp(self):
@@ -31,7 +31,7 @@
         document = fixture.configuration(VERSION, ROUTES, engine=self.engine)
         self.store.put('op', 'config', document)
         holder = self.process.core.holder
-        await self.until(lambda: holder.current.version == VERSION)
+        await self.wait_until(lambda: holder.current.version == VERSION)
 
     async def test_an_order_that_may_have_run_is_not_sent_again(self):
         """A server takes an order, and what it answers proves nothing.
@@ -44,77 +44,85 @@
         ):
             with self.subTest(script):
                 self.script(script)
-                await self.ask('/unsafe/', request_id=f'o{number}')
-                ran = [one for one, *_ in self.runs if one == f'o{number}']
-                self.assertEqual(len(ran), 1)
+                await self.request('/unsafe/', request_id=f'o{number}')
+                run_ids = [one for one, *_ in self.runs if one == f'o{number}']
+                self.assertEqual(len(run_ids), 1)
 
     async def test_an_order_that_was_turned_away_first_is_sent_once(self):
         """One server sheds an order; the next takes it and says nothing."""
         self.script('shed', 'reset')
-        answer = await self.ask('/unsafe/', request_id='t1')
-        self.assertEqual(answer.status, 502)
+        response = await self.request('/unsafe/', request_id='t1')
+        self.assertEqual(response.status, 502)
         self.assertEqual([one for one, *_ in self.runs], ['t1'])
 
     async def test_a_plan_that_may_have_run_does_not_begin_again(self):
         """An engine resets a plan as it begins it; its route allows three."""
-        for writer in self.engines:
-            writer.reset_as_begun = 9
-        answer = await self.stream(request_id='t2')
-        self.assertEqual(answer.status, 502)
+        for replica in self.engines:
+            replica.reset_as_begun = 9
+        response = await self.stream(request_id='t2')
+        self.assertEqual(response.status, 502)
         self.assertEqual(len(self.fleet.started['t2']), 1)
 
 
-class UnframedTest(test_streams.StreamFixture):
+class UnframedTest(test_streams.StreamTestCase):
     """Engines whose streams end with their connections."""
 
     async def asyncSetUp(self):
-        with mock.patch.object(engine, 'Engine', test_missing_signs.Engine):
+        with mock.patch.object(
+            engine, 'Engine', test_ambiguous_responses.Engine
+        ):
             await super().asyncSetUp()
-        for writer in self.engines:
-            writer.is_framed = False
+        for replica in self.engines:
+            replica.is_framed = False
 
     async def test_a_stopped_run_goes_on_where_its_end_tells_nothing(self):
         """A plan is stopped in order to move, and its stream just ends.
 
         Taken for whole, its caller would get the first events as all of it.
         """
-        answer = await test_missing_signs.leave_with_a_run(self, 'u1')
-        self.assert_whole(answer, 'u1', test_missing_signs.LENGTH)
-        requests = [sent for writer in self.engines for sent in writer.requests]
+        response = await test_ambiguous_responses.drain_engine_with_run(
+            self, 'u1'
+        )
+        self.assert_complete(response, 'u1', test_ambiguous_responses.LENGTH)
+        requests = [
+            sent for replica in self.engines for sent in replica.requests
+        ]
         self.assertEqual(len(requests), 2)
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
     """What the answer to an order to stop says of the run."""
 
-    async def refused(self, status, body=b''):
+    async def is_refused(self, status, body=b''):
         """Whether an answer says that the engine may have the run."""
 
-        async def answer(call):
+        async def response(call):
             call.answer(status, body)
 
-        server = scripted.ScriptedServer(answer)
+        server = scripted.ScriptedServer(response)
         await server.start()
         self.addAsyncCleanup(server.stop)
-        asked = upstream.Upstream('e', 'writers', server.address, 'z')
-        calls = engine_calls.calls(pool.Pool())
-        return (await calls.move(asked, 'r', asked, True)).refused
+        engine_upstream = upstream.Upstream('e', 'writers', server.address, 'z')
+        calls = engine_calls.make_calls(pool.Pool())
+        return (
+            await calls.move(engine_upstream, 'r', engine_upstream, True)
+        ).refused
 
     async def test_engines_that_do_not_carry_an_order_out_have_the_run(self):
         for status in (409, 429, 500, 503):
             with self.subTest(status):
-                self.assertTrue(await self.refused(status))
+                self.assertTrue(await self.is_refused(status))
 
     async def test_strangers_at_the_address_do_not(self):
         """The address went to another service, which knows no such order."""
         for status in (400, 401, 404, 405, 421):
             with self.subTest(status):
-                self.assertFalse(await self.refused(status))
+                self.assertFalse(await self.is_refused(status))
 
     async def test_a_run_that_was_stopped_without_a_copy_is_not_refused(self):
         """The destination has no room; the source keeps what it stopped."""
         self.assertFalse(
-            await self.refused(503, b'{"handle": "h", "created":3}')
+            await self.is_refused(503, b'{"handle": "h", "created":3}')
         )
 
 
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -11,14 +11,14 @@
 from tests.quetzalsill_platform import fixture
 
 
-class ConfigurationTest(fixture.PathTest):
+class ConfigurationTest(fixture.GatewayTestCase):
     """Versions of the configuration."""
 
     def version(self):
         return self.process.core.holder.current.version
 
-    async def until_version(self, version):
-        await self.until(lambda: self.version() == version)
+    async def wait_until_version(self, version):
+        await self.wait_until(lambda: self.version() == version)
 
     async def test_a_change_is_in_force_soon_and_never_reverts(self):
         """An old version is written behind a newer one.
@@ -30,13 +30,15 @@
         self.store.put(
             'op', 'config', fixture.configuration(9, routes, accounts)
         )
-        await self.until_version(9)
+        await self.wait_until_version(9)
         self.store.put('op', 'config', fixture.configuration(6))
         self.store.put('op', 'other', {'not': 'a configuration'})
-        answer = await self.ask('/new/', key='key-2')
+        answer = await self.request('/new/', key='key-2')
         self.assertEqual(answer.status, 200)
-        self.assertEqual((await self.ask('/safe/', key='key-2')).status, 404)
-        self.assertEqual((await self.ask('/new/', key='key-1')).status, 401)
+        self.assertEqual(
+            (await self.request('/safe/', key='key-2')).status, 404
+        )
+        self.assertEqual((await self.request('/new/', key='key-1')).status, 401)
         self.assertEqual(self.version(), 9)
 
     async def test_one_that_cannot_be_held_is_left_out(self):
@@ -46,23 +48,23 @@
         self.addCleanup(broken['routes'][0].update, {'routeType': 'safe'})
         with mock.patch.object(event, 'note') as note:
             self.store.put('op', 'config', broken)
-            await self.until(lambda: note.called)
-        [[told]] = [call.args for call in note.call_args_list]
-        self.assertIsInstance(told, event.ConfigurationInvalid)
-        self.assertIn('routeType', told.reason)
-        self.assertIn('stays in force', told.advice)
+            await self.wait_until(lambda: note.called)
+        [[logged]] = [call.args for call in note.call_args_list]
+        self.assertIsInstance(logged, event.ConfigurationInvalid)
+        self.assertIn('routeType', logged.reason)
+        self.assertIn('stays in force', logged.advice)
         self.assertEqual(self.version(), 5)
 
     async def test_dropped_history_is_recovered_from(self):
         self.store.lose_history()
         self.store.put('op', 'config', fixture.configuration(11))
-        await self.until_version(11)
+        await self.wait_until_version(11)
 
     async def test_the_newest_state_serves_through_an_outage(self):
         for down in ('busy', 'silent'):
             with self.subTest(down):
                 self.store.down = down
-                self.assertEqual((await self.ask('/safe/')).status, 200)
+                self.assertEqual((await self.request('/safe/')).status, 200)
                 self.assertTrue(self.process.is_ready())
                 self.store.down = ''
 
@@ -74,30 +76,30 @@
         """
         self.store.down = 'busy'
         self.process = await self.start_gateway(wait=False)
-        answer = await self.ask('/unsafe/')
+        answer = await self.request('/unsafe/')
         self.assertEqual(answer.status, 503)
         self.assertIn('retry-after', answer.headers)
         self.assertFalse(self.process.is_ready())
         self.store.down = ''
-        await self.until(self.process.is_ready)
+        await self.wait_until(self.process.is_ready)
 
 
-class MembershipTest(fixture.PathTest):
+class MembershipTest(fixture.GatewayTestCase):
     """Entries of upstreams."""
 
-    def ids(self, service='desk'):
+    def available_ids(self, service='desk'):
         found = self.process.core.upstreams.available(service)
         return {upstream.id for upstream in found}
 
     async def test_a_draining_upstream_gets_nothing_new(self):
-        desk = self.desks[0]
+        server = self.http_servers[0]
         self.store.put(
-            'servers', desk.id, desk.entry('desk', 'zone-a', 'draining')
+            'servers', server.id, server.entry('desk', 'zone-a', 'draining')
         )
-        await self.until(lambda: self.ids() == {'desk-2'})
+        await self.wait_until(lambda: self.available_ids() == {'desk-2'})
         for _ in range(8):
-            self.assertEqual((await self.ask('/safe/')).status, 200)
-        self.assertEqual(desk.runs, [])
+            self.assertEqual((await self.request('/safe/')).status, 200)
+        self.assertEqual(server.runs, [])
 
     async def test_bytes_that_cannot_be_read_hide_no_other_entry(self):
         """Another writer leaves bytes under the id of a good server.
@@ -107,11 +109,13 @@
         """
         for raw in (b'\xff\x00', b'{', b'7', b'[' * 5000, b'null'):
             self.store._note('servers', 'desk-1', raw)
-            await self.until(lambda: self.ids() == {'desk-2'})
-            self.assertEqual((await self.ask('/safe/')).status, 200)
-            desk = self.desks[0]
-            self.store.put('servers', desk.id, desk.entry('desk', 'zone-a'))
-            await self.until(lambda: self.ids() == {'desk-1', 'desk-2'})
+            await self.wait_until(lambda: self.available_ids() == {'desk-2'})
+            self.assertEqual((await self.request('/safe/')).status, 200)
+            server = self.http_servers[0]
+            self.store.put('servers', server.id, server.entry('desk', 'zone-a'))
+            await self.wait_until(
+                lambda: self.available_ids() == {'desk-1', 'desk-2'}
+            )
 
     async def test_a_server_that_starts_again_under_its_id_serves(self):
         """A server leaves, and starts again under its id and address.
@@ -119,22 +123,26 @@
         Its notice to leave was of the start before; kept in mind, the new one
         would never get a request.
         """
-        desk = self.desks[0]
-        first = desk.entry('desk', 'zone-a', 'draining') | {'born': 1000}
-        self.store.put('servers', desk.id, first)
-        await self.until(lambda: self.ids() == {'desk-2'})
-        again = desk.entry('desk', 'zone-a') | {'born': 2000}
-        self.store.put('servers', desk.id, again)
-        await self.until(lambda: self.ids() == {'desk-1', 'desk-2'})
-        self.store.put('servers', desk.id, first)
-        self.store.put('servers', 'marker', first | {'born': 1})
+        server = self.http_servers[0]
+        draining_entry = server.entry('desk', 'zone-a', 'draining') | {
+            'born': 1000
+        }
+        self.store.put('servers', server.id, draining_entry)
+        await self.wait_until(lambda: self.available_ids() == {'desk-2'})
+        restarted_entry = server.entry('desk', 'zone-a') | {'born': 2000}
+        self.store.put('servers', server.id, restarted_entry)
+        await self.wait_until(
+            lambda: self.available_ids() == {'desk-1', 'desk-2'}
+        )
+        self.store.put('servers', server.id, draining_entry)
+        self.store.put('servers', 'marker', draining_entry | {'born': 1})
         upstreams = self.process.core.upstreams
-        await self.until(lambda: upstreams.get('marker') is not None)
-        self.assertEqual(self.ids(), {'desk-1', 'desk-2'})
+        await self.wait_until(lambda: upstreams.get('marker') is not None)
+        self.assertEqual(self.available_ids(), {'desk-1', 'desk-2'})
 
     async def test_a_removed_upstream_gets_nothing_new(self):
         self.store.remove('servers', 'desk-2')
-        await self.until(lambda: self.ids() == {'desk-1'})
+        await self.wait_until(lambda: self.available_ids() == {'desk-1'})
 
     async def test_lapsed_entries_that_come_back_are_kept(self):
         """The store lets every entry lapse while it is away.
@@ -143,15 +151,15 @@
         return. Taken at its word, the lapse would leave nobody to serve.
         """
         self.store.down = 'busy'
-        await self.until(lambda: self.process.core.health.is_down)
-        for desk in self.desks:
-            self.store.remove('servers', desk.id)
+        await self.wait_until(lambda: self.process.core.health.is_down)
+        for server in self.http_servers:
+            self.store.remove('servers', server.id)
         self.store.down = ''
-        await self.until(lambda: not self.process.core.health.is_down)
-        self.assertEqual((await self.ask('/safe/')).status, 200)
-        desk = self.desks[0]
-        self.store.put('servers', desk.id, desk.entry('desk', 'zone-a'))
-        await self.until(lambda: self.ids() == {'desk-1'})
+        await self.wait_until(lambda: not self.process.core.health.is_down)
+        self.assertEqual((await self.request('/safe/')).status, 200)
+        server = self.http_servers[0]
+        self.store.put('servers', server.id, server.entry('desk', 'zone-a'))
+        await self.wait_until(lambda: self.available_ids() == {'desk-1'})
 
     async def test_an_address_used_again_runs_nothing(self):
         """A server ends; its address goes to one of another service.
@@ -159,24 +167,26 @@
         The gateway still has the old entry. The new server sees an id that is
         not its own and runs nothing, and the caller is served elsewhere.
         """
-        stranger = plain_server.PlainServer('stranger')
-        await stranger.start()
-        self.addAsyncCleanup(stranger.server.stop)
-        entry = stranger.entry('desk', 'zone-a')
+        other_server = plain_server.PlainServer('stranger')
+        await other_server.start()
+        self.addAsyncCleanup(other_server.server.stop)
+        entry = other_server.entry('desk', 'zone-a')
         self.store.remove('servers', 'desk-1')
         self.store.put('servers', 'desk-old', entry)
-        await self.until(lambda: self.ids() == {'desk-2', 'desk-old'})
+        await self.wait_until(
+            lambda: self.available_ids() == {'desk-2', 'desk-old'}
+        )
         for _ in range(8):
-            self.assertEqual((await self.ask('/unsafe/')).status, 200)
-        self.assertEqual(stranger.runs, [])
+            self.assertEqual((await self.request('/unsafe/')).status, 200)
+        self.assertEqual(other_server.runs, [])
 
     async def test_an_entry_that_makes_no_sense_is_left_out(self):
         self.store.put('servers', 'odd', {'service': 'desk'})
         self.store.put('servers', 'odd-2', {'service': 'desk', 'address': 'x'})
-        desk = self.desks[0]
-        self.store.put('servers', 'desk-3', desk.entry('desk', 'zone-a'))
-        await self.until(lambda: 'desk-3' in self.ids())
-        self.assertNotIn('odd', self.ids())
+        server = self.http_servers[0]
+        self.store.put('servers', 'desk-3', server.entry('desk', 'zone-a'))
+        await self.wait_until(lambda: 'desk-3' in self.available_ids())
+        self.assertNotIn('odd', self.available_ids())
 
     def test_the_wait_for_lapsed_entries_fits_the_platforms_two_seconds(self):
         self.assertGreater(upstream_lib.LAPSE_GRACE_S, 2.0)
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -16,17 +16,21 @@
 }
 
 
-class StreamFixture(fixture.PathTest):
+class StreamTestCase(fixture.GatewayTestCase):
     """Asks for streams, and looks where they run."""
 
-    async def stream(self, target='/plan/', headers=PROMPT, **more):
-        return await self.ask(target, method='POST', headers=headers, **more)
+    async def stream(self, target='/plan/', headers=PROMPT, **kwargs):
+        return await self.request(
+            target, method='POST', headers=headers, **kwargs
+        )
 
-    def assert_whole(self, answer, request_id, length=10):
-        self.assertEqual((answer.status, answer.whole), (200, True))
-        self.assertEqual(answer.body, self.whole(request_id, length))
+    def assert_complete(self, response, request_id, length=10):
+        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual(
+            response.body, self.expected_stream(request_id, length)
+        )
 
-    def working(self):
+    def working_engine(self):
         """Returns the engine with a run."""
         return next(
             (
@@ -38,21 +42,21 @@
             None,
         )
 
-    async def until_working(self):
-        await self.until(self.working)
-        return self.working()
+    async def wait_until_working(self):
+        await self.wait_until(self.working_engine)
+        return self.working_engine()
 
-    def engines_of(self, request_id):
+    def first_engine_of(self, request_id):
         return self.fleet.started[request_id][0]
 
 
-class StreamTest(StreamFixture):
+class StreamTest(StreamTestCase):
     """Whole streams, and those of engines that break, refuse or leave."""
 
     async def test_a_stream_arrives_whole(self):
-        answer = await self.stream(request_id='s1')
-        self.assert_whole(answer, 's1')
-        self.assertEqual(self.fleet.started['s1'], [self.engines_of('s1')])
+        response = await self.stream(request_id='s1')
+        self.assert_complete(response, 's1')
+        self.assertEqual(self.fleet.started['s1'], [self.first_engine_of('s1')])
 
     async def test_a_broken_stream_never_looks_whole(self):
         """An engine breaks a plan off in the middle of an event.
@@ -60,11 +64,11 @@
         The plan may run once only, so nothing takes its place. The caller
         gets the whole events, and an end that is no end.
         """
-        for writer in self.engines:
-            writer.break_after = 4
-        answer = await self.stream(request_id='s2')
-        self.assertFalse(answer.whole)
-        self.assertEqual(answer.body, self.whole('s2', 4))
+        for replica in self.engines:
+            replica.break_after = 4
+        response = await self.stream(request_id='s2')
+        self.assertFalse(response.whole)
+        self.assertEqual(response.body, self.expected_stream('s2', 4))
         self.assertEqual(len(self.fleet.started['s2']), 1)
 
     async def test_a_resumable_stream_goes_on_elsewhere(self):
@@ -72,23 +76,23 @@
 
         The caller sees one answer, each event once and in order.
         """
-        for writer in self.engines:
-            writer.break_after = 4
-        asked = asyncio.create_task(self.stream('/verdict/', request_id='s3'))
-        await self.until(lambda: self.fleet.started.get('s3'))
-        for writer in self.engines:
-            if writer.id != self.engines_of('s3'):
-                writer.break_after = None
-        answer = await asked
-        self.assert_whole(answer, 's3')
+        for replica in self.engines:
+            replica.break_after = 4
+        pending = asyncio.create_task(self.stream('/verdict/', request_id='s3'))
+        await self.wait_until(lambda: self.fleet.started.get('s3'))
+        for replica in self.engines:
+            if replica.id != self.first_engine_of('s3'):
+                replica.break_after = None
+        response = await pending
+        self.assert_complete(response, 's3')
         self.assertEqual(len(self.fleet.started['s3']), 2)
 
     async def test_a_refusal_is_true_and_says_when_to_come_back(self):
-        for writer in self.engines:
-            writer.refuse = 503
-        answer = await self.stream(request_id='s4')
-        self.assertEqual(answer.status, 503)
-        self.assertIn('retry-after', answer.headers)
+        for replica in self.engines:
+            replica.refuse = 503
+        response = await self.stream(request_id='s4')
+        self.assertEqual(response.status, 503)
+        self.assertIn('retry-after', response.headers)
         self.assertNotIn('s4', self.fleet.started)
 
     async def test_another_start_at_an_address_is_sent_little(self):
@@ -97,19 +101,19 @@
         It is always empty, and was sent request after request, each of which
         it turned away: 234 of them, and the bound on repeats was broken.
         """
-        reborn = self.engines[0]
-        reborn.id = 'another-start'
+        restarted = self.engines[0]
+        restarted.id = 'another-start'
         core = self.process.core
-        for writer in self.engines[1:]:
-            busy = core.stats_table.of(core.upstreams.get(writer.id))
-            busy.reservations.add(
+        for replica in self.engines[1:]:
+            stats = core.stats_table.of(core.upstreams.get(replica.id))
+            stats.reservations.add(
                 upstream_stats.Reservation(0, 15_000, is_prefilling=False)
             )
         for number in range(8):
-            answer = await self.stream(request_id=f's{number}')
-            self.assertEqual(answer.status, 200)
-        self.assertGreaterEqual(len(reborn.requests), 1)
-        self.assertLessEqual(len(reborn.requests), 3)
+            response = await self.stream(request_id=f's{number}')
+            self.assertEqual(response.status, 200)
+        self.assertGreaterEqual(len(restarted.requests), 1)
+        self.assertLessEqual(len(restarted.requests), 3)
 
     async def test_runs_of_a_leaving_engine_go_on_with_their_memory(self):
         """An engine is taken away 1.5 s after its notice, a plan runs longer.
@@ -117,23 +121,23 @@
         The plan's memory goes to another engine; the caller sees one answer,
         no event missing or doubled, and no two engines work on it at once.
         """
-        for writer in self.engines:
-            writer.length = 100
-        asked = asyncio.create_task(self.stream(request_id='s5'))
-        source = await self.until_working()
+        for replica in self.engines:
+            replica.length = 100
+        pending = asyncio.create_task(self.stream(request_id='s5'))
+        source = await self.wait_until_working()
         source.leaving, source.leaves_ms = True, 1500
-        self.enter(source)
-        answer = await asked
-        self.assert_whole(answer, 's5', 100)
+        self.register(source)
+        response = await pending
+        self.assert_complete(response, 's5', 100)
         self.assertEqual(self.fleet.started['s5'], [source.id])
         self.assertEqual(self.fleet.doubled, set())
-        continued = [
+        destinations = [
             e.id
             for e in self.engines
             if any('kv-from' in headers for headers in e.requests)
         ]
-        self.assertEqual(len(continued), 1)
-        self.assertNotEqual(continued, [source.id])
+        self.assertEqual(len(destinations), 1)
+        self.assertNotEqual(destinations, [source.id])
 
     async def test_a_busy_link_makes_no_pause(self):
         """A run has stopped, and its last tokens wait for a busy link.
@@ -141,17 +145,17 @@
         Its first copy is at the destination. The run goes on from that one,
         which lacks a few tokens, in place of pausing until the link is free.
         """
-        for writer in self.engines:
-            writer.length, writer.last_copy_s = 80, 60.0
+        for replica in self.engines:
+            replica.length, replica.last_copy_s = 80, 60.0
         # Waited for like any other switch, it would come after the deadline.
-        patience = mock.patch.object(continuation, 'STOP_TIMEOUT_S', 60.0)
-        patience.start()
-        self.addCleanup(patience.stop)
-        asked = asyncio.create_task(self.stream(request_id='m1'))
-        source = await self.until_working()
+        patcher = mock.patch.object(continuation, 'STOP_TIMEOUT_S', 60.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
+        pending = asyncio.create_task(self.stream(request_id='m1'))
+        source = await self.wait_until_working()
         source.leaving, source.leaves_ms = True, 1900
-        self.enter(source)
-        self.assert_whole(await asked, 'm1', 80)
+        self.register(source)
+        self.assert_complete(await pending, 'm1', 80)
         self.assertEqual(self.fleet.started['m1'], [source.id])
         self.assertEqual(self.fleet.doubled, set())
 
@@ -161,15 +165,15 @@
         The run is not stopped in vain: it goes on where it is, and ends whole
         if the engine stays long enough.
         """
-        for writer in self.engines:
-            writer.length = 60
-            writer.full = True
-        asked = asyncio.create_task(self.stream(request_id='s6'))
-        source = await self.until_working()
+        for replica in self.engines:
+            replica.length = 60
+            replica.full = True
+        pending = asyncio.create_task(self.stream(request_id='s6'))
+        source = await self.wait_until_working()
         source.leaving = True
-        self.enter(source)
-        answer = await asked
-        self.assert_whole(answer, 's6', 60)
+        self.register(source)
+        response = await pending
+        self.assert_complete(response, 's6', 60)
 
     async def test_engines_are_asked_while_the_store_is_away(self):
         """The store is down when an engine gets its notice.
@@ -177,36 +181,36 @@
         The notice reaches nobody but the engine; its report tells it to the
         gateway that has a run there, and the run is moved in time.
         """
-        for writer in self.engines:
-            writer.length = 100
-        asked = asyncio.create_task(self.stream(request_id='s7'))
-        source = await self.until_working()
+        for replica in self.engines:
+            replica.length = 100
+        pending = asyncio.create_task(self.stream(request_id='s7'))
+        source = await self.wait_until_working()
         self.store.down = 'busy'
         source.leaving, source.leaves_ms = True, 1900
         upstreams = self.process.core.upstreams
-        await self.until(lambda: upstreams.get(source.id).leaving)
-        answer = await asked
-        self.assert_whole(answer, 's7', 100)
+        await self.wait_until(lambda: upstreams.get(source.id).leaving)
+        response = await pending
+        self.assert_complete(response, 's7', 100)
         self.assertEqual(self.fleet.started['s7'], [source.id])
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_no_engine_is_asked_while_the_store_answers(self):
-        answer = await self.stream(request_id='s8')
-        self.assert_whole(answer, 's8')
+        response = await self.stream(request_id='s8')
+        self.assert_complete(response, 's8')
         self.assertEqual(sum(e.reports for e in self.engines), 0)
 
     async def test_a_caller_that_leaves_ends_the_run(self):
         """A caller gives a long plan up; its engine must not go on."""
-        for writer in self.engines:
-            writer.length = 10_000
+        for replica in self.engines:
+            replica.length = 10_000
         caller = self.caller()
         await caller.open()
         caller.send('/plan/', method='POST', body=b'x', headers=PROMPT)
-        await self.until_working()
+        await self.wait_until_working()
         caller.leave()
-        await self.until(lambda: self.working() is None)
+        await self.wait_until(lambda: self.working_engine() is None)
         live = self.process.core.live
-        await self.until(
+        await self.wait_until(
             lambda: (
                 not any(live.of(e) for e in self.process.core.upstreams.all())
             )
--- a/tests/quetzalsill_platform/test_plain_calls.py
+++ b/tests/quetzalsill_platform/test_unary_calls.py
@@ -10,20 +10,20 @@
 PREFIX = 'x-quetzalsill-'
 
 
-class ForwardTest(fixture.PathTest):
+class ForwardTest(fixture.GatewayTestCase):
     """What reaches a server, and what comes back."""
 
     async def test_method_path_query_and_body_arrive_unchanged(self):
         target = '/safe/a%2Fb/?x=1&y=%20&empty='
-        answer = await self.ask(
+        response = await self.request(
             target, method='POST', body=b'\x00\xff body', request_id='r1'
         )
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        self.assertEqual((response.status, response.whole), (200, True))
         [(request_id, seen, headers, body)] = self.runs
         self.assertEqual((request_id, seen), ('r1', target))
         self.assertEqual(body, b'\x00\xff body')
         self.assertEqual(headers['host'], 'shop.example')
-        self.assertIn(PREFIX + 'server-stamp', answer.headers)
+        self.assertIn(PREFIX + 'server-stamp', response.headers)
 
     async def test_only_the_system_sets_what_is_its_own(self):
         """A caller names itself another account and asks for favours.
@@ -45,8 +45,8 @@
             'X-Secret': 'hop',
             'X-Kept': 'kept',
         }
-        answer = await self.ask('/safe/', headers=forged)
-        self.assertEqual(answer.status, 200)
+        response = await self.request('/safe/', headers=forged)
+        self.assertEqual(response.status, 200)
         [(_, _, headers, _)] = self.runs
         self.assertEqual(headers[PREFIX + 'tenant'], 'first')
         self.assertIn(headers[PREFIX + 'expect-instance'], ('desk-1', 'desk-2'))
@@ -57,23 +57,27 @@
             self.assertNotIn(name, headers)
 
     async def test_the_deadline_is_what_is_left(self):
-        await self.ask('/safe/', deadline_ms=900)
-        await self.ask('/safe/', deadline_ms=60_000)
-        lefts = [int(seen[2][PREFIX + 'deadline-ms']) for seen in self.runs]
-        self.assertLessEqual(min(lefts), 900)
-        self.assertLessEqual(max(lefts), 4000, "the route's own timeout")
+        await self.request('/safe/', deadline_ms=900)
+        await self.request('/safe/', deadline_ms=60_000)
+        remaining_ms = [
+            int(seen[2][PREFIX + 'deadline-ms']) for seen in self.runs
+        ]
+        self.assertLessEqual(min(remaining_ms), 900)
+        self.assertLessEqual(max(remaining_ms), 4000, "the route's own timeout")
 
     async def test_unknown_route_key_and_id_are_told(self):
-        for target, more, status in (
+        for target, kwargs, status in (
             ('/none/', {}, 404),
             ('/safe/', {'host': 'other.example'}, 404),
             ('/safe/', {'key': ''}, 401),
             ('/safe/', {'key': 'key-9'}, 401),
             ('/public/', {'key': ''}, 200),
         ):
-            with self.subTest(target=target, more=more):
-                answer = await self.ask(target, **more)
-                self.assertEqual((answer.status, answer.whole), (status, True))
+            with self.subTest(target=target, kwargs=kwargs):
+                response = await self.request(target, **kwargs)
+                self.assertEqual(
+                    (response.status, response.whole), (status, True)
+                )
 
     async def test_pipelined_requests_are_answered_in_order(self):
         caller = self.caller()
@@ -84,7 +88,7 @@
             self.assertTrue(body.endswith(request_id.encode()), body)
 
 
-class MisbehaviourTest(fixture.PathTest):
+class MisbehaviourTest(fixture.GatewayTestCase):
     """What a caller gets when a server misbehaves."""
 
     async def test_idempotent_work_is_sent_once_more(self):
@@ -105,8 +109,8 @@
         ):
             with self.subTest(script):
                 self.script(script)
-                answer = await self.ask('/safe/')
-                self.assertEqual((answer.status, answer.whole), (200, True))
+                response = await self.request('/safe/')
+                self.assertEqual((response.status, response.whole), (200, True))
 
     async def test_what_is_turned_away_counts_as_sent_again(self):
         """A server has started again, and turns a request away as not its own.
@@ -116,7 +120,7 @@
         budget = self.process.core.budget
         before = len(budget._retries.get('desk', ()))
         self.script('moved')
-        self.assertEqual((await self.ask('/unsafe/')).status, 200)
+        self.assertEqual((await self.request('/unsafe/')).status, 200)
         self.assertEqual(len(budget._retries['desk']), before + 1)
 
     async def test_work_at_most_once_runs_once(self):
@@ -129,25 +133,27 @@
             with self.subTest(script):
                 self.script(script)
                 before = len(self.runs)
-                answer = await self.ask('/unsafe/', method='POST', body=b'1')
-                self.assertEqual(answer.status, 502)
+                response = await self.request(
+                    '/unsafe/', method='POST', body=b'1'
+                )
+                self.assertEqual(response.status, 502)
                 self.assertEqual(len(self.runs), before + 1)
                 self.script()
 
     async def test_a_true_refusal_says_when_to_come_back(self):
         self.script('shed')
-        answer = await self.ask('/unsafe/')
-        self.assertEqual(answer.status, 503)
-        self.assertGreater(float(answer.headers['retry-after']), 0)
+        response = await self.request('/unsafe/')
+        self.assertEqual(response.status, 503)
+        self.assertGreater(float(response.headers['retry-after']), 0)
         self.assertEqual(self.runs, [])
-        self.assertNotIn(PREFIX + 'server-stamp', answer.headers)
+        self.assertNotIn(PREFIX + 'server-stamp', response.headers)
 
     async def test_a_servers_own_failure_is_handed_on_unchanged(self):
         self.script('fail')
-        answer = await self.ask('/unsafe/', request_id='r7')
-        self.assertEqual((answer.status, answer.whole), (500, True))
-        self.assertIn(PREFIX + 'server-stamp', answer.headers)
-        self.assertTrue(answer.body.endswith(b':r7'))
+        response = await self.request('/unsafe/', request_id='r7')
+        self.assertEqual((response.status, response.whole), (500, True))
+        self.assertIn(PREFIX + 'server-stamp', response.headers)
+        self.assertTrue(response.body.endswith(b':r7'))
 
     async def test_a_failure_is_handed_on_though_the_second_send_is_refused(
         self,
@@ -157,8 +163,8 @@
         The first server's own answer stands; a 503 would say "not run".
         """
         self.script('fail', 'shed')
-        answer = await self.ask('/safe/')
-        self.assertEqual(answer.status, 500)
+        response = await self.request('/safe/')
+        self.assertEqual(response.status, 500)
 
     async def test_extra_answers_belong_to_no_request(self):
         """A server answers an earlier request twice.
@@ -171,21 +177,24 @@
                 self.script(script)
                 for number in range(6):
                     request_id = f'{script}-{number}'
-                    answer = await self.ask('/safe/', request_id=request_id)
-                    self.assertEqual(answer.status, 200)
+                    response = await self.request(
+                        '/safe/', request_id=request_id
+                    )
+                    self.assertEqual(response.status, 200)
                     self.assertTrue(
-                        answer.body.endswith(request_id.encode()), answer.body
+                        response.body.endswith(request_id.encode()),
+                        response.body,
                     )
 
     async def test_an_answer_without_length_is_whole_at_its_end(self):
         self.script('unframed')
-        answer = await self.ask('/unsafe/')
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        response = await self.request('/unsafe/')
+        self.assertEqual((response.status, response.whole), (200, True))
 
     async def test_silence_ends_at_the_deadline(self):
         self.script('hang', 'hang', 'hang')
-        answer = await self.ask('/unsafe/', deadline_ms=200)
-        self.assertEqual((answer.status, answer.whole), (504, True))
+        response = await self.request('/unsafe/', deadline_ms=200)
+        self.assertEqual((response.status, response.whole), (504, True))
         self.assertEqual(len(self.runs), 1)
 
     async def test_a_caller_that_leaves_ends_the_work(self):
@@ -197,16 +206,20 @@
         caller = self.caller()
         await caller.open()
         caller.send('/unsafe/')
-        await self.until(lambda: self.runs)
+        await self.wait_until(lambda: self.runs)
         stats_table = self.process.core.stats_table
-        found = self.process.core.upstreams.available('desk')
+        upstreams = self.process.core.upstreams.available('desk')
         caller.leave()
-        await self.until(
-            lambda: not any(stats_table.of(desk).outstanding for desk in found)
+        await self.wait_until(
+            lambda: (
+                not any(
+                    stats_table.of(server).outstanding for server in upstreams
+                )
+            )
         )
 
 
-class HangingTest(fixture.PathTest):
+class HangingTest(fixture.GatewayTestCase):
     """Servers that hang, and take few connections from all callers together."""
 
     services = {'desk': {'maxConnections': 3}}
@@ -222,10 +235,10 @@
         for caller in callers:
             await caller.open()
             caller.send('/unsafe/', deadline_ms=3000)
-        await self.until(lambda: len(self.runs) == 4)
-        answer = await self.ask('/unsafe/', deadline_ms=3000)
-        self.assertEqual(answer.status, 503)
-        self.assertGreater(float(answer.headers['retry-after']), 0)
+        await self.wait_until(lambda: len(self.runs) == 4)
+        response = await self.request('/unsafe/', deadline_ms=3000)
+        self.assertEqual(response.status, 503)
+        self.assertGreater(float(response.headers['retry-after']), 0)
         self.assertEqual(len(self.runs), 4)
 
     async def test_a_call_that_hangs_is_known_before_its_deadline(self):
@@ -237,15 +250,15 @@
         caller = self.caller()
         await caller.open()
         caller.send('/unsafe/', deadline_ms=3000)
-        await self.until(lambda: self.runs)
+        await self.wait_until(lambda: self.runs)
         stats_table = self.process.core.stats_table
-        [hung] = [
-            desk
-            for desk in self.process.core.upstreams.available('desk')
-            if stats_table.of(desk).outstanding
+        [hanging] = [
+            server
+            for server in self.process.core.upstreams.available('desk')
+            if stats_table.of(server).outstanding
         ]
-        stats = stats_table.of(hung)
-        await self.until(lambda: stats.hangs.consecutive)
+        stats = stats_table.of(hanging)
+        await self.wait_until(lambda: stats.hangs.consecutive)
         self.assertEqual(stats.outstanding, 1)
 
     async def test_a_call_waits_for_a_moment_for_a_connection(self):
@@ -254,8 +267,8 @@
         for caller in callers:
             await caller.open()
             caller.send('/unsafe/', deadline_ms=3000)
-        await self.until(lambda: len(self.runs) == 4)
-        waiting = asyncio.create_task(self.ask('/unsafe/'))
+        await self.wait_until(lambda: len(self.runs) == 4)
+        waiting = asyncio.create_task(self.request('/unsafe/'))
         await asyncio.sleep(0.02)
         callers[0].leave()
         self.assertEqual((await waiting).status, 200)
--- a/tests/quetzalsill_platform/test_zone_drain.py
+++ b/tests/quetzalsill_platform/test_zone_drain.py
@@ -9,19 +9,19 @@
 PREFIX = 'x-quetzalsill-'
 
 
-class ZoneDrainTest(fixture.PathTest):
+class ZoneDrainTest(fixture.GatewayTestCase):
     """`desk-1` and `engine-1` in one zone, all others in another."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.move(self.desks[0], 'desk')
-        self.move(self.engines[0], 'writers')
+        self.move_to_zone_b(self.http_servers[0], 'desk')
+        self.move_to_zone_b(self.engines[0], 'writers')
         upstreams = self.process.core.upstreams
-        await self.until(
+        await self.wait_until(
             lambda: upstreams.get('engine-1').availability_zone == 'zone-b'
         )
 
-    def move(self, server, service):
+    def move_to_zone_b(self, server, service):
         """Enters a server anew, in the other zone."""
         self.store.remove('servers', server.id)
         self.store.put('servers', server.id, server.entry(service, 'zone-b'))
@@ -29,13 +29,15 @@
     async def drain(self, zone, value=None):
         self.store.put('op', f'evacuate/{zone}', {} if value is None else value)
         zones = self.process.core.upstreams.zones
-        await self.until(lambda: zones.is_drained(zone))
+        await self.wait_until(lambda: zones.is_drained(zone))
 
     async def served_by(self, target, count=8):
         """Returns who serves a number of requests."""
-        answers = [await self.ask(target) for _ in range(count)]
-        self.assertEqual({one.status for one in answers}, {200})
-        stamps = [one.headers[PREFIX + 'server-stamp'] for one in answers]
+        responses = [await self.request(target) for _ in range(count)]
+        self.assertEqual({response.status for response in responses}, {200})
+        stamps = [
+            response.headers[PREFIX + 'server-stamp'] for response in responses
+        ]
         return {stamp.partition('.')[0] for stamp in stamps}
 
     async def test_nothing_new_goes_to_it_until_it_is_taken_back(self):
@@ -44,17 +46,17 @@
         self.assertEqual(await self.served_by('/unsafe/'), {'desk-2'})
         self.store.remove('op', 'evacuate/zone-b')
         zones = self.process.core.upstreams.zones
-        await self.until(lambda: not zones.is_drained('zone-b'))
-        self.desks[1].scripts = ['hang'] * 2
+        await self.wait_until(lambda: not zones.is_drained('zone-b'))
+        self.http_servers[1].scripts = ['hang'] * 2
         self.assertIn('desk-1', await self.served_by('/safe/', 12))
 
     async def test_a_repeat_does_not_go_there_either(self):
         """The only server left fails; the other is in the drained zone."""
         await self.drain('zone-b')
-        self.desks[1].scripts = ['fail']
-        answer = await self.ask('/safe/')
-        self.assertEqual(answer.status, 500)
-        self.assertEqual(self.desks[0].runs, [])
+        self.http_servers[1].scripts = ['fail']
+        response = await self.request('/safe/')
+        self.assertEqual(response.status, 500)
+        self.assertEqual(self.http_servers[0].runs, [])
 
     async def test_all_zones_drained_is_a_true_refusal(self):
         """Nobody may serve: callers are told at once, and when to come back.
@@ -64,25 +66,25 @@
         await self.drain('zone-a')
         await self.drain('zone-b')
         for target in ('/unsafe/', '/plan/'):
-            answer = await self.ask(target, deadline_ms=4000)
-            self.assertEqual(answer.status, 503)
-            self.assertGreater(float(answer.headers['retry-after']), 0)
+            response = await self.request(target, deadline_ms=4000)
+            self.assertEqual(response.status, 503)
+            self.assertGreater(float(response.headers['retry-after']), 0)
         self.assertEqual(self.runs, [])
 
     async def test_runs_that_are_there_go_on(self):
-        for writer in self.engines[1:]:
-            self.store.remove('servers', writer.id)
+        for replica in self.engines[1:]:
+            self.store.remove('servers', replica.id)
         upstreams = self.process.core.upstreams
-        await self.until(lambda: len(upstreams.available('writers')) == 1)
+        await self.wait_until(lambda: len(upstreams.available('writers')) == 1)
         caller = self.caller()
         await caller.open()
         caller.send('/plan/', request_id='p1')
         live = self.process.core.live
         engine = upstreams.get('engine-1')
-        await self.until(lambda: live.of(engine))
+        await self.wait_until(lambda: live.of(engine))
         await self.drain('zone-b')
-        answer = await caller.read()
-        self.assertEqual((answer.status, answer.whole), (200, True))
+        response = await caller.read()
+        self.assertEqual((response.status, response.whole), (200, True))
 
     async def test_whatever_the_value_the_key_is_the_order(self):
         """The value is of another writer; the key says all that there is."""
@@ -95,7 +97,7 @@
         self.store.put('op', 'evacuate/' + 'x' * 201, {})
         await self.drain('zone-b')
         drains = self.process.core.upstreams.zones.drains
-        self.assertEqual([one.zone for one in drains], ['zone-b'])
+        self.assertEqual([response.zone for response in drains], ['zone-b'])
 
     async def test_a_gateway_that_starts_knows_it_before_it_serves(self):
         await self.drain('zone-b')
@@ -103,7 +105,7 @@
         self.assertEqual(await self.served_by('/safe/', 4), {'desk-2'})
 
 
-class RegionTest(fixture.PathTest):
+class RegionTest(fixture.GatewayTestCase):
     """Requests that are bound to regions."""
 
     async def test_a_request_outside_its_regions_is_refused_as_not_run(self):
@@ -111,18 +113,18 @@
 
         Sent elsewhere, data would leave the region that it is bound to.
         """
-        bound = [
+        routes = [
             route | {'allowedRegions': ['far']}
             if route['name'] == 'safe'
             else route
             for route in fixture.ROUTES
         ]
-        self.store.put('op', 'config', fixture.configuration(6, bound))
+        self.store.put('op', 'config', fixture.configuration(6, routes))
         holder = self.process.core.holder
-        await self.until(lambda: holder.current.version == 6)
-        answer = await self.ask('/safe/')
-        self.assertEqual((answer.status, self.runs), (503, []))
-        self.assertEqual((await self.ask('/unsafe/')).status, 200)
+        await self.wait_until(lambda: holder.current.version == 6)
+        response = await self.request('/safe/')
+        self.assertEqual((response.status, self.runs), (503, []))
+        self.assertEqual((await self.request('/unsafe/')).status, 200)
 
     async def test_account_and_route_both_bind(self):
         accounts = [
@@ -132,8 +134,8 @@
         document = fixture.configuration(6, accounts=accounts)
         self.store.put('op', 'config', document)
         holder = self.process.core.holder
-        await self.until(lambda: holder.current.version == 6)
-        self.assertEqual((await self.ask('/unsafe/')).status, 503)
+        await self.wait_until(lambda: holder.current.version == 6)
+        self.assertEqual((await self.request('/unsafe/')).status, 503)
 
 
 if __name__ == '__main__':
