--- a/tests/quetzalsill_platform/drill.py
+++ b/tests/quetzalsill_platform/drill.py
@@ -1,4 +1,4 @@
-"""A gateway on a store that tells its era and has drills."""
+"""Test case for restore drills of a store that sends its era."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 __all__ = ['VERSION_GAP', 'MAX_CALLS_PER_S', 'OK', 'DrillTestCase']
 
 OK = 200
-# Versions that the store gives out between a copy and its loss.
+# Versions assigned between a snapshot and its restore.
 VERSION_GAP = 20
-# What the store's rates leave each of its gateways, where they leave least.
+# Smallest share of a store's rate limit that a gateway has in any deployment.
 MAX_CALLS_PER_S = 6000 / 28
 
 
 class DrillTestCase(fixture.GatewayTestCase):
-    """One gateway on a store that tells its era."""
+    """One gateway on a store that sends its era."""
 
     era = 1
 
     def known_servers(self):
-        """Returns the plain servers to which the gateway sends."""
+        """Returns the ids of the HTTP servers that the gateway uses."""
         available = self.process.core.upstreams.available('desk')
         return {upstream.id for upstream in available}
 
@@ -36,9 +36,9 @@
         )
 
     async def wait_for_marker(self, name):
-        """Writes an entry and waits until the gateway has come so far.
+        """Writes a marker to both tables and waits until the gateway knows it.
 
-        Everything that was written before, in both tables, is known then.
+        The gateway then knows everything that was written before.
         """
         entry = self.http_servers[0].entry('spare', 'zone-a')
         self.store.put('servers', name, entry)
@@ -48,13 +48,16 @@
         await self.wait_until(lambda: upstreams.zones.is_drained(name))
 
     async def restore_in_outage(self, snapshot):
-        """The store is away until the gateway sees it, and holds the copy."""
+        """Takes the store down until the gateway notices, then restores it.
+
+        The store stays down.
+        """
         self.store.down = 'busy'
         await self.wait_until(lambda: self.process.core.health.is_down)
         self.store.come_back(snapshot)
 
     def drill(self, snapshot, **kwargs):
-        """Begins a drill that is played to its end in the background."""
+        """Starts a restore drill in the background and returns its task."""
         task = asyncio.create_task(
             self.store.restore(snapshot, random.Random(7), **kwargs)
         )
@@ -62,7 +65,7 @@
         return task
 
     async def served_by(self, count=4):
-        """Returns who serves a number of requests."""
+        """Sends a number of requests; returns the ids of the servers."""
         responses = [await self.request('/safe/') for _ in range(count)]
         self.assertEqual({response.status for response in responses}, {OK})
         stamps = [
--- a/tests/quetzalsill_platform/fixture.py
+++ b/tests/quetzalsill_platform/fixture.py
@@ -1,4 +1,4 @@
-"""A gateway over the adapter, with stand-ins of the platform around it."""
+"""Test case with a gateway that uses the adapter, and a simulated platform."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def route(name, prefix, kind, service, **kwargs):
-    """Returns a route of the operators' configuration."""
+    """Returns a route in the operators' format."""
     return {
         'name': name,
         'host': 'shop.example',
@@ -63,7 +63,7 @@
 
 
 def services(**engine):
-    """Returns the services, with other figures of the engines."""
+    """Returns the services, with some engine settings replaced."""
     http_service, engine_service = SERVICES
     return [
         dict(http_service),
@@ -74,7 +74,7 @@
 def configuration(
     version, routes=ROUTES, accounts=ACCOUNTS, engine=None, **limits
 ):
-    """Returns a configuration as operators write it."""
+    """Returns a configuration in the operators' format."""
     return {
         'version': version,
         'routes': routes,
@@ -85,14 +85,15 @@
 
 
 class GatewayTestCase(unittest.IsolatedAsyncioTestCase):
-    """Store, two plain servers, three engines and one gateway.
+    """Starts a store, two HTTP servers, three engines and one gateway.
 
     Attributes:
-      engine: Figures of the engines that differ from `SERVICES`.
-      services: Figures of services that differ, by name.
-      era: First era of the store; None if it tells none.
+      engine: Engine settings that differ from `SERVICES`.
+      services: Service settings that differ, by the service's name.
+      era: First era of the store; None if it sends none.
       grace_s: Longest time that the gateway takes to stop, in seconds.
-      leave_s: How long it serves new callers after a stop was requested.
+      leave_s: How long it serves new callers after a stop was requested, in
+        seconds.
     """
 
     engine: dict[str, object] = {}
@@ -126,18 +127,18 @@
         self.process = await self.start_gateway()
 
     def register(self, replica):
-        """Writes an engine's row."""
+        """Writes an engine's entry to the store."""
         self.store.put(
             'servers', replica.id, replica.entry('writers', 'zone-a')
         )
 
     async def serve(self, server):
-        """Starts a server for the time of the test."""
+        """Starts a server that is stopped when the test ends."""
         await server.start()
         self.addAsyncCleanup(server.stop)
 
     async def start_gateway(self, *, wait=True):
-        """Starts a gateway and waits until it is ready."""
+        """Starts a gateway and, by default, waits until it is ready."""
         cfg = settings.Settings(
             node=section.Node('entry-1', 'zone-a'),
             listen=ANYWHERE,
@@ -177,35 +178,35 @@
         return process
 
     async def wait_until(self, condition):
-        """Waits until something holds."""
+        """Polls until a condition is true."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
 
     def caller(self):
-        """Returns a caller of the gateway."""
+        """Returns a client of the gateway that is not connected yet."""
         client = caller.Caller('127.0.0.1', self.process.callers.port)
         self.addCleanup(lambda: client._writer and client.leave())
         return client
 
     async def request(self, target, **kwargs):
-        """Asks on a connection of its own."""
+        """Sends a request on a new connection and returns the response."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self.caller().ask(target, **kwargs)
 
     def script(self, *scripts):
-        """Says what becomes of the next requests, whoever gets them."""
+        """Sets how the next requests fail, whichever server gets them."""
         shared = list(scripts)
         for server in self.http_servers:
             server.scripts = shared
 
     @property
     def runs(self):
-        """Every run at a plain server."""
+        """All requests that the HTTP servers ran."""
         return [seen for server in self.http_servers for seen in server.runs]
 
     def expected_stream(self, request_id, length=10):
-        """Returns the stream that a request should get."""
+        """Returns the complete stream for a request."""
         return b''.join(
             engine.event(request_id, n) for n in range(1, length + 1)
         )
--- a/tests/quetzalsill_platform/partition.py
+++ b/tests/quetzalsill_platform/partition.py
@@ -1,4 +1,4 @@
-"""A store's table with the rates of a sheet, for gateways that enter it."""
+"""A simulated store table with the latencies and limits of the data sheet."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Rates:
-    """What the store bears.
+    """Latencies and limits of the store.
 
     Attributes:
-      write_s: Time of a write; one partition makes one after another.
-      max_queue_s: A write that would wait longer is refused.
-      response_time_s: Time of any answer, on top.
+      write_s: Duration of a write; a partition applies writes sequentially.
+      max_queue_s: A write that would queue for longer is refused.
+      response_time_s: Round-trip time that is added to every call.
       call_timeout_s: Time after which the client gives up; its write is still
         applied.
     """
@@ -33,13 +33,13 @@
 
 
 class Table:
-    """Stands in for `quetzalsill_platform.store.Store`, with one partition.
+    """Replaces `quetzalsill_platform.store.Store`, with a single partition.
 
     Attributes:
-      reads: Calls that read.
-      writes: Calls that write, whatever became of them.
-      refused: Writes that were refused.
-      late: Writes that were made after their callers had given up.
+      reads: Number of read calls.
+      writes: Number of write calls, whatever their outcome.
+      refused: Number of refused writes.
+      late: Number of writes that were applied after their clients timed out.
       entries: Addresses by name.
     """
 
@@ -52,7 +52,7 @@
         self._version = 0
 
     async def read(self, _: str) -> rows_lib.Changes:
-        """Returns all rows, as they are when the store gets to the call."""
+        """Returns all rows as of the call's arrival at the store."""
         self.reads += 1
         await self._network_delay()
         current = revision.Revision(0, self._version)
@@ -67,7 +67,7 @@
         """Writes a row.
 
         Raises:
-          error.SourceError: It was refused, or was not answered in time.
+          error.SourceError: The write was refused or timed out.
         """
         self.writes += 1
         started_s = _now()
--- a/tests/quetzalsill_platform/test_adapter.py
+++ b/tests/quetzalsill_platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""Translation of what the platform says, and of what it says wrongly."""
+"""Decoding of valid and invalid platform data."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from tests.quetzalsill_platform import fixture
 
 TEMPLATE = pathlib.Path(__file__).parents[2] / 'platform' / 'gateway.json'
-# What the platform fills in, by placeholder.
+# Values that the platform substitutes, by placeholder.
 VALUES = {
     'zones|json': '{"hall-1": "metro", "hall-2": "metro"}',
     'nodeName|json': '"edge-1"',
@@ -91,7 +91,7 @@
 
 
 def fill_template(**changed):
-    """Returns the settings file as the platform lays it."""
+    """Returns the settings file as the platform renders it."""
     values = VALUES | changed
     text = re.sub(
         r'\{\{#([^}]+)\}\}(.*?)\{\{/\1\}\}',
@@ -103,7 +103,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """The settings file that the platform fills in."""
+    """The settings file that the platform renders."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -131,7 +131,7 @@
         self.assertEqual(cfg.warmup, settings_lib.Warmup(1.5, 5))
 
     def test_what_does_not_fit_ends_with_its_field_and_mend(self):
-        """A field is missing or wrong: one line names it, nothing starts."""
+        """An invalid field is named in the error, and nothing starts."""
         registry = plugin_registry.Registry()
         plugin.register(registry)
         for field, value, keyword in (
@@ -163,7 +163,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The operators' document."""
+    """The operators' configuration document."""
 
     def test_routes_services_accounts_and_limits(self):
         split = fixture.route('split', '/s/', 'safe', 'desk')
@@ -217,7 +217,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    """Entries, reports and headers."""
+    """Server entries, engine reports and request headers."""
 
     def test_entries(self):
         found = membership.decode('i-1', ENTRY | {'state': 'draining'})
@@ -232,10 +232,10 @@
         )
 
     def test_what_no_server_writes_names_no_server(self):
-        """Another writer leaves an entry under a server's id.
+        """Another writer stores an entry under a server's id.
 
-        Taken for a server, it would get requests of a service that it does not
-        answer for, or none of those that the server could have served.
+        If it were used as a server, it would get requests for a service that it
+        does not provide, or lose those that the server could have served.
         """
         invalid_entries = [
             {},
@@ -277,7 +277,7 @@
         self.assertFalse(existing.leaving)
 
     async def upstreams_after(self, data, existing):
-        """Returns the upstreams after an answer with a row of some bytes."""
+        """Returns the upstreams after a response with a row of these bytes."""
         upstreams = upstream_lib.Upstreams()
         upstreams.put(existing, revision.Revision(0, 1))
         text = base64.b64encode(data).decode()
--- a/tests/quetzalsill_platform/test_ambiguous_responses.py
+++ b/tests/quetzalsill_platform/test_ambiguous_responses.py
@@ -1,4 +1,4 @@
-"""Runs whose engine gives no sign, or one that is hard to read."""
+"""Runs whose engine responds ambiguously to a stop command, or not at all."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from tests.quetzalsill_platform import test_backups, test_streams
 
 LENGTH = 60
-# Wide apart from the gateway's patience for an order, on a busy machine too.
+# Far enough from the gateway's timeout for stop commands to be safe from
+# scheduling delays on a busy machine.
 PAUSE_S = 0.6
 STOP_DELAY_S = 1.5
 KEEPS_RUNNING_S = 5.0
 
 
 class _Unframed(scripted.Exchange):
-    """An answer without length or chunks: it ends with its connection."""
+    """A response without length or chunks, which ends with its connection."""
 
     def head(self, status, headers):
         unframed_headers = dict(headers)
@@ -35,18 +36,19 @@
 
 
 class Engine(engine.Engine):
-    """An engine that is hard to read.
+    """An engine with ambiguous responses.
 
     Attributes:
-      keeps_running: Carries no order to stop a run out, and answers 409.
-      refusal_body: Body of that answer.
-      refusal_count: How many such answers it gives; it resets further orders.
-      pause_s: The process is paused so long behind such an answer.
-      stop_delay_s: Time that an order to stop a run is under way.
+      keeps_running: Refuses to stop a run and responds with 409.
+      refusal_body: Body of that response.
+      refusal_count: Number of such responses; the connections of further stop
+        commands are reset.
+      pause_s: Time for which the process pauses after such a response.
+      stop_delay_s: Time until a stop command is processed.
       breaks_at_stop: The stream breaks when a stop command arrives, while the
         engine keeps running it.
-      drops_stop_response: Stops a run by order, and its answer is lost.
-      is_framed: Whether its streams tell where they end.
+      drops_stop_response: Stops a run, but the response to the command is lost.
+      is_framed: Whether its streams have a length or chunks.
     """
 
     keeps_running = False
@@ -90,7 +92,7 @@
 
 
 class _AmbiguousTestCase(test_streams.StreamTestCase):
-    """Engines that are hard to read."""
+    """Starts engines that respond ambiguously."""
 
     async def asyncSetUp(self):
         with mock.patch.object(engine, 'Engine', Engine):
@@ -98,16 +100,16 @@
 
 
 class BackedUpTest(_AmbiguousTestCase):
-    """Runs whose memory is to be sent to a second engine as it grows."""
+    """Runs whose KV cache is sent to a second engine as it grows."""
 
     engine = {'backups': True, 'linkMbps': 2700.0}
 
     async def test_a_run_without_a_copy_does_not_begin_at_its_backup(self):
-        """Engines make one event of a plan and reset it; it began at others.
+        """Engines reset a run after one event, before a backup exists.
 
-        No engine has room for a copy, and memory goes a few times a second
-        only, so that none was sent. That the engine made an event was taken
-        for a copy, and an engine that looks for it late began the plan again.
+        No engine has room for a copy, and copies are sent only a few times a
+        second, so none was made. One event must not count as proof of a copy:
+        an engine that looks for the copy late would start the run again.
         """
         for replica in self.engines:
             replica.break_after, replica.full = 1, True
@@ -119,7 +121,7 @@
         self.assertEqual(len(self.fleet.started['n1']), 1)
 
     async def interrupt_stream(self, request_id):
-        """Breaks a plan off while its engine works on; returns the answer."""
+        """Breaks a stream whose engine keeps running; returns the response."""
         for replica in self.engines:
             replica.length, replica.break_after = 80, 20
             replica.works_on_s, replica.keeps_running = KEEPS_RUNNING_S, True
@@ -135,11 +137,11 @@
         return await pending
 
     async def test_a_refusal_in_plain_text_is_one(self):
-        """An engine works on behind a broken connection, and says so in text.
+        """The engine refuses a stop command with a plain-text body.
 
-        It answers 409 to the order to stop, with a line of text for a body.
-        Read as JSON first, the answer was taken for none, the engine for one
-        that is gone, and two engines worked on the plan.
+        It keeps running after its connection broke, and responds with 409. If
+        the body had to be JSON, the engine would count as gone, and two engines
+        would work on the run.
         """
         for replica in self.engines:
             replica.refusal_body = b'another order is under way\n'
@@ -147,12 +149,12 @@
         self.assertEqual(self.fleet.doubled, set())
         self.assertFalse(response.whole)
 
-    async def test_a_refusal_that_comes_as_the_patience_ends(self):
-        """The gateway wakes from a pause to a refusal and to its patience.
+    async def test_a_refusal_that_races_the_timeout(self):
+        """A refusal and the command's timeout are due in one loop iteration.
 
-        Both come in one turn of its loop. The order was given up although its
-        answer was there, the engine taken for one that is gone, and two
-        engines worked on the plan.
+        Both are pending when the gateway resumes from a pause. If the timeout
+        won, the engine would count as gone, and two engines would work on the
+        run.
         """
         for replica in self.engines:
             replica.pause_s = PAUSE_S
@@ -161,10 +163,10 @@
         self.assertFalse(response.whole)
 
     async def test_a_refusal_counts_though_the_next_order_is_lost(self):
-        """An engine says that it works on, and resets the order after that.
+        """An engine refuses one stop command and resets the next one.
 
-        The lost answer was believed over the one that had come: the engine was
-        taken for one that is gone, and two engines worked on the plan.
+        If the reset overrode the refusal, the engine would count as gone, and
+        two engines would work on the run.
         """
         for replica in self.engines:
             replica.refusal_count = 1
@@ -173,11 +175,10 @@
         self.assertFalse(response.whole)
 
     async def test_a_refusal_that_comes_late(self):
-        """An engine works on behind a broken connection, and is slow to answer.
+        """An engine keeps running and is slow to refuse the stop command.
 
-        It can be reached, takes the order, and would say later that it does
-        not carry it out. Silence for a moment was taken for an engine that is
-        gone, and two engines worked on the plan.
+        It is reachable and accepts the command. If a moment without a response
+        counted as an engine that is gone, two engines would work on the run.
         """
         for replica in self.engines:
             replica.stop_delay_s = STOP_DELAY_S
@@ -187,7 +188,7 @@
 
 
 async def drain_engine_with_run(test, request_id):
-    """Has the engine of a plan leave; returns the plan's answer."""
+    """Drains the engine of a stream; returns the stream's response."""
     for replica in test.engines:
         replica.length = LENGTH
     pending = asyncio.create_task(test.stream(request_id=request_id))
@@ -198,15 +199,15 @@
 
 
 class MovedTest(_AmbiguousTestCase):
-    """Runs that are moved as their engine leaves."""
+    """Runs that are moved because their engine is draining."""
 
     async def test_a_run_that_broke_off_before_the_order_to_stop_it(self):
-        """A plan breaks off while the order to stop it is under way.
+        """A stream breaks while the stop command is in transit.
 
-        A first copy was made while it went on. Its connection breaks, the
-        engine works on, and refuses the order when it comes. The end of the
-        stream was taken for the stop: the plan went on from the first copy,
-        and two engines worked on it.
+        The first copy was made while the run continued. The connection breaks,
+        and the engine keeps running and refuses the command. If the end of the
+        stream counted as the stop, the run would resume from the first copy,
+        and two engines would work on it.
         """
         for replica in self.engines:
             replica.breaks_at_stop, replica.works_on_s = True, KEEPS_RUNNING_S
@@ -216,11 +217,11 @@
         self.assertFalse(response.whole)
 
     async def test_a_stopped_run_whose_answer_was_lost_is_not_whole(self):
-        """A plan is stopped by order, and the answer to the order is lost.
+        """A run is stopped, and the response to the command is lost.
 
-        Its stream tells no end of its own, and ends with its connection. That
-        nothing came of the order was taken for a run that was not stopped:
-        its caller got a part of the plan as the whole.
+        Its stream is unframed and ends with its connection. If the missing
+        response meant that the run was not stopped, the caller would get a
+        truncated stream as a complete one.
         """
         for replica in self.engines:
             replica.is_framed, replica.drops_stop_response = False, True
@@ -229,10 +230,10 @@
             self.assertEqual(response.body, self.expected_stream('n6', LENGTH))
 
     async def test_a_stopped_run_that_may_not_switch_is_not_whole(self):
-        """A plan is stopped by order after as many switches as it may make.
+        """A run is stopped when it may not switch engines any more.
 
-        Its stream ends with its connection, and nothing goes on; its caller
-        got a part of the plan as the whole.
+        Its unframed stream ends with its connection, and the run does not
+        resume. The caller must not get the truncated stream as a complete one.
         """
         patcher = mock.patch.object(continuation, 'MAX_SWITCHES', 0)
         patcher.start()
@@ -244,11 +245,11 @@
             self.assertEqual(response.body, self.expected_stream('n7', LENGTH))
 
     async def test_room_kept_for_a_move_is_given_back(self):
-        """A caller leaves while its plan's last copy is under way.
+        """A caller disconnects during the final copy of its run.
 
-        The order succeeds, and nobody goes on from the copy. The room that
-        was kept for the plan at its destination stays taken for good: the
-        engine looks fuller with each such caller.
+        The move succeeds, and nobody resumes from the copy. If the reservation
+        at the destination were kept, the engine would look fuller with each
+        such caller.
         """
         patcher = mock.patch.object(
             continuation, 'FINAL_COPY_TIMEOUT_S', STOP_DELAY_S
--- a/tests/quetzalsill_platform/test_backups.py
+++ b/tests/quetzalsill_platform/test_backups.py
@@ -1,4 +1,4 @@
-"""Runs that go on from a copy of their memory at a second engine."""
+"""Runs that resume from a KV cache copy at a second engine."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 
 from tests.quetzalsill_platform import test_streams
 
-# Long enough that a copy of its memory pays, and too short.
+# Expected lengths at which a run is backed up, and is not.
 LONG_HEADERS = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '400'}
 SHORT_HEADERS = test_streams.PROMPT | {'X-Quetzalsill-Length-Hint': '10'}
 
 
 class BackupTest(test_streams.StreamTestCase):
-    """Engines that send the memory of their runs to others as it grows."""
+    """Engines that send their runs' KV cache to others as it grows."""
 
     engine = {'backups': True, 'linkMbps': 2700.0}
 
     async def crash(self, request_id):
-        """Crashes the engine of a stream once it has made events."""
+        """Crashes the engine of a stream once it has made 20 events."""
         source = await self.wait_until_working()
         await self.wait_until(lambda: source._runs[request_id].made >= 20)
         await source.crash()
         return source
 
     async def test_a_plan_outlives_the_crash_of_its_engine(self):
-        """An engine crashes in the middle of a plan that may run once only.
+        """An engine crashes in the middle of an at-most-once run.
 
-        Its memory was sent to a second engine while it grew. The caller sees
-        one answer, no event missing or doubled; nothing is generated anew.
+        The run resumes from its KV cache copy at a second engine. The caller
+        gets one response without missing or duplicate events, and no event is
+        generated again.
         """
         for replica in self.engines:
             replica.length = 80
@@ -41,10 +42,10 @@
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_a_run_whose_connection_broke_is_stopped_first(self):
-        """The connection to an engine is reset; the engine does not notice.
+        """The connection to an engine is reset, and the engine keeps running.
 
-        Gone on with from its backup at once, the plan would be at work twice.
-        The engine is ordered to stop it before anything goes on elsewhere.
+        Resuming from the backup at once would have two engines work on the run,
+        so the engine gets a stop command first.
         """
         for replica in self.engines:
             replica.length, replica.break_after = 80, 20
@@ -60,7 +61,7 @@
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_without_a_copy_the_stream_is_cut_and_not_run_again(self):
-        """Engine and backup are lost; the plan must not start anew."""
+        """Engine and backup are lost; the run must not start again."""
         for replica in self.engines:
             replica.length, replica.full = 80, True
         pending = asyncio.create_task(
--- a/tests/quetzalsill_platform/test_deadline.py
+++ b/tests/quetzalsill_platform/test_deadline.py
@@ -1,4 +1,4 @@
-"""Answers that come as the deadline of their request passes."""
+"""Responses that arrive just as the request's deadline passes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _PausedServer(plain_server.PlainServer):
-    """A server right behind whose answer the process is paused."""
+    """A server whose process pauses right after it responds."""
 
     async def _answer(self, call, *args):
         await super()._answer(call, *args)
@@ -22,7 +22,7 @@
 
 
 class _PausedEngine(engine.Engine):
-    """An engine right behind whose last event the process is paused."""
+    """An engine whose process pauses right after the last event."""
 
     async def _generate(self, call):
         await super()._generate(call)
@@ -30,7 +30,7 @@
 
 
 class DeadlineTest(fixture.GatewayTestCase):
-    """The gateway wakes from a pause to an answer, and past its deadline."""
+    """The gateway resumes after the deadline, with a response to read."""
 
     async def asyncSetUp(self):
         with (
@@ -49,19 +49,19 @@
         )
 
     async def test_an_order_that_was_answered(self):
-        """A shop is told that its order timed out, though it is confirmed."""
+        """A confirmed order would be reported as timed out."""
         response = await self.send('/unsafe/', 'o1')
         self.assertEqual((response.status, response.whole), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['o1'])
 
     async def test_a_plan_that_is_complete(self):
-        """A plan is cut off before its last event, which is there."""
+        """A stream would be cut off although its last event has arrived."""
         response = await self.send('/plan/', 'p1')
         self.assertEqual((response.status, response.whole), (200, True))
         self.assertEqual(response.body, self.expected_stream('p1'))
 
     async def test_a_query_that_was_answered(self):
-        """A query is sent to a second server with its answer in hand."""
+        """A query would be retried although its response has arrived."""
         response = await self.send('/safe/', 'q1')
         self.assertEqual((response.status, response.whole), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['q1'])
--- a/tests/quetzalsill_platform/test_directory.py
+++ b/tests/quetzalsill_platform/test_directory.py
@@ -1,4 +1,4 @@
-"""Gateways that enter the directory, against the rates of the store."""
+"""Gateways register in the directory within the limits of the store."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from quetzalsill_gateway import error
 from tests.quetzalsill_platform import partition
 
-# From power to the first call that is served.
+# Longest time from power-on to the first served call.
 MAX_START_S = 2.0
 RETRY_S = 1.0
 MAX_START_SKEW_S = 0.01
 
 
 def address(number):
-    """Returns where a gateway listens."""
+    """Returns the address of a gateway."""
     return f'10.1.{number // 256}.{number % 256}:7000'
 
 
 class StartScenario:
-    """Gateways that start at the same moment.
+    """Gateways that start at the same time.
 
     Attributes:
       table: The directory.
-      read_at_s: When each had read it.
-      found: Names that each has found.
+      read_at_s: When each gateway had read the directory.
+      found: Gateways that each one has found.
     """
 
     def __init__(self, gateways, *, entries=None, seed=1):
@@ -42,12 +42,12 @@
         self.found = {}
 
     def start_all(self):
-        """Starts all of them; returns once each has read the directory."""
+        """Starts all gateways; returns once each has read the directory."""
         clock.run(self._start_all)
         return self
 
     def all_pairs_found(self):
-        """Whether of each two gateways at least one has found the other."""
+        """Whether in each pair of gateways at least one found the other."""
         return all(
             b in self.found[a] or a in self.found[b]
             for a, b in itertools.combinations(self._addresses, 2)
@@ -73,16 +73,15 @@
 
 
 class SimultaneousStartTest(unittest.TestCase):
-    """All gateways lose power, and start at once."""
+    """All gateways restart at once after a power loss."""
 
     def test_what_stands_there_is_not_written_again(self):
-        """All 300 hosts of a fleet lose power and are back within a moment.
+        """All 300 hosts of a fleet restart while the directory is up to date.
 
-        Each writes the entry that stands in the directory already, all in one
-        partition of the store. It makes them one after another, refuses those
-        that would wait for a second, and answers others after they were given
-        up; a third of the gateways know nobody for a second and more, and
-        send nothing to a cold server for as long.
+        If each wrote its entry again, the writes would queue in one partition
+        of the store. Some would be refused after a second, others applied after
+        their timeout; a third of the gateways would know no peer for over a
+        second, and send nothing to a cold server in that time.
         """
         entries = {f'entry-{n}': address(n) for n in range(300)}
         start = StartScenario(300, entries=entries).start_all()
@@ -94,10 +93,10 @@
         self.assertTrue(start.all_pairs_found())
 
     def test_a_write_whose_answer_is_late_is_not_made_again(self):
-        """300 gateways that nobody knows yet start in the same moment.
+        """300 gateways that are not registered yet start at the same time.
 
-        Some writes are made after the gateway has given them up. Made again at
-        each try, they would keep the store from those of others.
+        Some writes are applied after their timeout. Repeating them at each
+        retry would delay the writes of other gateways.
         """
         start = StartScenario(300).start_all()
         table = start.table
@@ -107,7 +106,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    """What one gateway writes."""
+    """Entries that gateways write."""
 
     def test_of_two_that_start_together_one_finds_the_other(self):
         for seed in range(50):
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -1,4 +1,4 @@
-"""The store's header that counts how often it came back from an older copy."""
+"""Tests of the header in which the store sends its epoch."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def header(*values):
-    """Returns headers in which it stands that often."""
+    """Returns headers with one epoch header for each value."""
     return [(b'date', b'x')] + [(era.HEADER, value) for value in values]
 
 
 class ReaderTest(unittest.TestCase):
-    """What the header may hold."""
+    """Valid, invalid and missing values of the header."""
 
     def setUp(self):
         self.reader = era.EpochReader()
@@ -40,10 +40,10 @@
             self.assertEqual(self.reader.read(header(text), 0), epoch)
 
     def test_anything_else_is_a_failure_that_names_it(self):
-        """Text, a sign, a fraction, digits of other scripts, a huge number.
+        """Rejects text, signs, fractions, non-ASCII digits and huge numbers.
 
-        Read as some number all the same, an epoch would end that has not, or
-        one that has would go on.
+        Accepting them as some number would start an epoch too early or keep an
+        old one.
         """
         wrong = (b'', b'x', b'-1', b'+1', b'1.0', b' 1 2', b'1e3', b'0x1')
         for text in (*wrong, '٣'.encode(), b'%d' % HUGE, b'9' * 5000):
@@ -60,10 +60,10 @@
             self.reader.read(header(b'3', b'4'), 3)
 
     def test_a_store_that_leaves_it_out_is_not_believed(self):
-        """A proxy drops the header from some answers.
+        """A proxy drops the header from some responses.
 
-        Taken for the epoch before, an answer of a later one would be read on
-        from a version that has been given out again.
+        If such a response counted for the previous epoch, the gateway would
+        continue from a version that has been assigned again.
         """
 
         async def scenario():
@@ -79,9 +79,9 @@
         clock.run(scenario)
 
     def test_a_store_that_no_longer_sends_it_is_heard_again(self):
-        """One faulty answer has the header, of a store that never sends it.
+        """A store that never sends the header sends it once by mistake.
 
-        Everything after would be left out, for as long as the gateway runs.
+        Without a time limit, every later response would be rejected.
         """
 
         async def scenario():
@@ -95,7 +95,7 @@
 
 
 class RowsTest(unittest.TestCase):
-    """Fields that the store writes."""
+    """Metadata fields that the store itself writes."""
 
     def test_a_field_of_another_kind_is_a_failure_that_names_it(self):
         row = {'key': 'a', 'ver': 3, 'value': 'e30='}
@@ -119,7 +119,7 @@
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """Calls at a store whose answers are written here."""
+    """Calls to a store with scripted responses."""
 
     async def asyncSetUp(self):
         self.status, self.version = 200, 5
@@ -146,10 +146,10 @@
         self.status = status
 
     async def test_every_answer_tells_it(self):
-        """The first to tell of a drill is whatever call comes first.
+        """Any response may be the first one of a new epoch.
 
-        While the store is still away that is a refusal; its epoch counts, as
-        that of a lost history, and of a write does.
+        While the store is unavailable it is a refusal; the epoch of a refusal,
+        of lost history and of a write all count.
         """
         seen = []
         self.store.epochs.on_change(
@@ -184,10 +184,10 @@
         self.assertEqual(len(self.events_of(event.AnswerStale)), 1)
 
     async def test_a_call_of_before_says_nothing_of_an_epoch_that_fell(self):
-        """A slow call is answered long after the drill, and its epoch counts.
+        """A response from before a restore arrives long after it.
 
-        What falls is believed only of calls that were sent later, and here at
-        once.
+        A lower epoch is accepted only from calls that were sent later; the
+        test sets the delay before it is accepted to zero.
         """
         released = asyncio.Event()
         for module, name, value in (
@@ -220,10 +220,10 @@
         self.assertEqual(self.store.epochs.newest, 2)
 
     async def test_pages_of_two_epochs_are_no_list(self):
-        """The store comes back between two pages of one list.
+        """The store is restored between two pages of one listing.
 
-        Put together, they lack what the copy lacks in the one, and hold what
-        is gone in the other.
+        Combined, the pages would lack rows that the snapshot lacks, and hold
+        rows that are gone.
         """
         row = {'key': 'a', 'ver': 1, 'value': 'e30='}
         pages = iter(((1, True), (2, False)))
@@ -239,10 +239,10 @@
             await self.store.read('t')
 
     async def test_a_long_list_is_as_of_its_first_page(self):
-        """A row of the first page changes while the second is read.
+        """A row of the first page changes while the second one is read.
 
-        Taken as of the second, the list would hide that change for good: the
-        feed is read on from behind it.
+        If the listing had the second page's revision, the change feed would
+        continue after the change and never report it.
         """
         row = {'key': 'a', 'ver': 1, 'value': 'e30='}
         pages = iter(((5, True), (9, False)))
@@ -262,7 +262,7 @@
             await self.store.write('t', 'k', 1)
 
     async def test_a_faulty_answer_is_logged_once_a_minute(self):
-        """Each gateway asks several times a second, for as long as it lasts."""
+        """Each gateway polls several times a second while the fault lasts."""
         self.in_epoch(1)
         await self.store.read('t')
         self.headers = {}
--- a/tests/quetzalsill_platform/test_era_path.py
+++ b/tests/quetzalsill_platform/test_era_path.py
@@ -1,4 +1,4 @@
-"""A whole gateway before a store whose answers tell how often it came back."""
+"""A gateway process whose store enters a new epoch."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class EraPathTest(fixture.GatewayTestCase):
-    """The parts of a process hear of it from each other."""
+    """A new epoch reaches all parts of the process."""
 
     era = 1
 
     async def test_both_tables_are_listed_anew_and_work_goes_on(self):
-        """One call tells of it, to the watch of the other table as well.
+        """One call reports the epoch, and the other table is listed again too.
 
-        Left to itself, that would go on from a version that was given out
-        again; its feed tells of no failure.
+        The other watch would otherwise continue from a version that has been
+        assigned again, and its feed reports no error.
         """
         events = []
         original_note = event.note
--- a/tests/quetzalsill_platform/test_moves.py
+++ b/tests/quetzalsill_platform/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves whose orders, answers and ends of streams come in a bad order."""
+"""Moves in which commands, responses and stream ends race."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from tests.quetzalsill_platform import test_streams
 
 LENGTH = 60
-# Patience for a last copy, the copy's time and the pause behind it: wide apart,
-# so that their order is sure on a busy machine too.
+# Timeout of a final copy, its duration, and the pause after it: far enough
+# apart to keep their order on a busy machine.
 FINAL_COPY_TIMEOUT_S = 0.5
 FINAL_COPY_S = 0.2
 PAUSE_S = 0.6
-# A short run ends long before such an order to stop it arrives, and the
-# patience for a last copy ends in between.
+# A short run ends long before the delayed stop command arrives, and the timeout
+# of the final copy ends in between.
 SHORT_LENGTH = 10
 STOP_DELAY_S = 1.0
-# Sooner than the last copy, and than the patience for it.
+# Shorter than the final copy and its timeout.
 CRASH_DELAY_S = 0.05
 
 
 class _Engine(engine.Engine):
-    """An engine that acts around orders to stop a run.
+    """An engine that delays stop commands, pauses after them, or crashes.
 
     Attributes:
-      stop_delay_s: Time that such an order is under way.
-      pause_s: The process is paused so long behind the answer to one.
-      crash_delay_s: It is gone so long after one, unanswered; 0 if it stays.
+      stop_delay_s: Time until a stop command is processed.
+      pause_s: Time for which the process pauses after its response to one.
+      crash_delay_s: Time from a stop command to a crash, without a response; 0
+        for no crash.
     """
 
     stop_delay_s = 0.0
@@ -55,7 +56,7 @@
 
 
 class MoveTest(test_streams.StreamTestCase):
-    """One run of an engine that leaves."""
+    """A run whose engine is draining."""
 
     async def asyncSetUp(self):
         with mock.patch.object(engine, 'Engine', _Engine):
@@ -67,7 +68,7 @@
         self.addCleanup(patcher.stop)
 
     async def drain_engine_with_run(self, request_id, length):
-        """Asks for a plan whose engine then leaves; gives engine and answer."""
+        """Drains a stream's engine; returns the engine and pending response."""
         for replica in self.engines:
             replica.length = length
         pending = asyncio.create_task(self.stream(request_id=request_id))
@@ -76,13 +77,12 @@
         self.register(source)
         return source, pending
 
-    async def test_a_last_copy_that_comes_as_the_patience_ends(self):
-        """A plan is cut off although its memory is at another engine.
+    async def test_a_final_copy_that_races_its_timeout(self):
+        """The response to a stop command and its timeout are due at once.
 
-        Its engine leaves, and the run is stopped. The gateway is paused for a
-        moment, and wakes to the engine's answer and to the end of its patience
-        in one turn of its loop: the wait is given up, the answer is there. It
-        was taken for an order that had failed.
+        The gateway resumes from a pause and finds both in one loop iteration.
+        If the command counted as failed although its response is there, the
+        stream would be cut off although its KV cache is at another engine.
         """
         for replica in self.engines:
             replica.last_copy_s, replica.pause_s = FINAL_COPY_S, PAUSE_S
@@ -92,11 +92,11 @@
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_a_run_that_ends_before_the_order_to_stop_it(self):
-        """A plan comes to its last event, and its answer is cut off.
+        """A run completes while the stop command is in transit.
 
-        Its engine leaves; the run was copied once, and ends while the order
-        to stop it is on a slow way. It is taken for a stopped one all the
-        same: sent on to the destination, which has dropped the copy by then.
+        It was copied once. If it counted as stopped, it would be sent to the
+        destination, which has dropped the copy by then, and its complete
+        response would be cut off.
         """
         for replica in self.engines:
             replica.stop_delay_s = STOP_DELAY_S
@@ -111,11 +111,10 @@
         self.assertEqual(len(requests), 1)
 
     async def test_an_engine_that_goes_during_the_last_copy(self):
-        """A plan is cut off although a copy of it is at another engine.
+        """An engine stops a run and crashes before the final copy is complete.
 
-        Its engine leaves and stops the run, and is gone before the last copy
-        is through. Had it gone a little later, the run would have been gone
-        on with from the first copy.
+        The run must resume from the first copy, as it would after a slightly
+        later crash, and not be cut off.
         """
         for replica in self.engines:
             replica.crash_delay_s = CRASH_DELAY_S
--- a/tests/quetzalsill_platform/test_names.py
+++ b/tests/quetzalsill_platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder."""
+"""The platform's names are used in the adapter only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 FOLDER = ROOT / 'platform'
 MAX_LINES = 1500
-# Names of calls, headers, tables and fields that only the platform uses.
+# Names of calls, headers, tables and fields that are specific to the platform.
 NAMES = re.compile(
     r'x-quetzalsill|kv-(from|move|fetch|handle|backup)|rows-(get|feed|tx)'
     r'|server-stamp|not-executed|expect-instance|attempt-id|length-hint'
@@ -20,7 +20,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    """A name of the platform in the product ties it to one deployment."""
+    """A platform name in the gateway would tie it to one deployment."""
 
     def test_the_gateway_knows_none(self):
         package = ROOT / 'packages' / 'quetzalsill-gateway' / 'src'
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -1,4 +1,4 @@
-"""A gateway's readiness, metrics, stop and reload."""
+"""Tests of a gateway's readiness, metrics, stop and reload."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ProcessTest(fixture.GatewayTestCase):
-    """What the balancer, on-call engineers and the host see."""
+    """Readiness, metrics and a stop that exceeds its grace period."""
 
     async def fetch_from_readiness_port(self, path):
         client = caller.Caller('127.0.0.1', self.process.asked.port)
@@ -57,16 +57,16 @@
 
 
 class GracefulStopTest(fixture.GatewayTestCase):
-    """A gateway with time to end what is under way, and for new callers."""
+    """A stop with time to finish requests and to serve new callers."""
 
     grace_s = 10.0
     leave_s = 3.0
 
     async def test_a_stopping_gateway_takes_no_run_that_outlasts_it(self):
-        """A long plan comes just before its gateway ends.
+        """A long run is requested shortly before the gateway exits.
 
-        Taken, it would be cut off in the middle, and may not run again. It is
-        refused truly and at once, so that its caller asks another gateway.
+        If it were accepted, it would be cut off, and may not run again. It is
+        refused at once as not run, so that the caller tries another gateway.
         """
         prompt = {
             'X-Quetzalsill-Token-Usage': '1000,4000',
@@ -85,10 +85,10 @@
         await stopping
 
     async def test_a_graceful_stop_cuts_no_request(self):
-        """A gateway is stopped with a stream under way and callers around.
+        """A gateway is stopped during a stream and with an idle connection.
 
-        It is not ready at once, serves new callers while the balancer still
-        sends them, and ends the stream whole before it goes.
+        It becomes unready at once, serves new callers while the balancer still
+        sends them, and completes the stream before it exits.
         """
         for replica in self.engines:
             replica.length = 50
@@ -113,7 +113,7 @@
 
 
 class ReloadTest(unittest.IsolatedAsyncioTestCase):
-    """SIGHUP, which would end a process that does not know it."""
+    """SIGHUP reloads the settings, where its default would end the process."""
 
     async def asyncSetUp(self):
         self.settings = settings_lib.Settings(
--- a/tests/quetzalsill_platform/test_run_once.py
+++ b/tests/quetzalsill_platform/test_run_once.py
@@ -1,4 +1,4 @@
-"""Generations that may run once only, at engines that fail as they begin."""
+"""At-most-once generations at engines that fail when they start a run."""
 
 from __future__ import annotations
 
@@ -9,18 +9,17 @@
 
 
 class RunOnceTest(test_streams.StreamTestCase):
-    """Engines with backups that end what they have just begun."""
+    """Engines with backups that fail runs, or refuse to stop them."""
 
     engine = {'backups': True, 'linkMbps': 2700.0}
 
     async def test_a_run_that_made_nothing_is_not_sent_to_its_backup(self):
-        """Engines reset a plan as they begin it; it began at nine of them.
+        """Engines reset a run when they start it, before its first event.
 
-        The first ends the run before its first event. The gateway sent it on
-        to the backup that it had asked for, and from there to the next. None
-        was ever sent memory of it: what had been asked for was taken for what
-        exists. Each of these sends named a backup and followed a part without
-        an event; none went on to an end. The caller gets 502.
+        A backup that was only requested must not count as one that exists. If
+        it did, the gateway would send the run on from backup to backup, none of
+        which holds its KV cache: a run was once started at nine engines and
+        completed at none. The caller gets 502.
         """
         for replica in self.engines:
             replica.reset_as_begun, replica.ignores_copies = 9, True
@@ -31,11 +30,11 @@
         self.assertEqual(len(self.fleet.started['o1']), 1)
 
     async def interrupt_stream(self, request_id, busy_orders):
-        """Breaks a plan off while its engine works on; returns the answer.
+        """Breaks a stream whose engine keeps running; returns the response.
 
         Args:
           request_id: Id of the request.
-          busy_orders: How many orders to stop its engine does not carry out.
+          busy_orders: Number of stop commands that the engine refuses.
         """
         for replica in self.engines:
             replica.length, replica.break_after = 80, 20
@@ -52,19 +51,18 @@
         return await pending
 
     async def test_a_run_that_was_not_stopped_does_not_go_on(self):
-        """An engine works on behind a broken connection, and says 409.
+        """An engine keeps running after its connection broke, and sends 409.
 
-        It has the run, and another order for it under way, so that it does not
-        stop it. The gateway went on at the backup all the same, and two engines
-        worked on the plan. Its answer says that the run is there: the caller's
-        stream ends, and looks like it.
+        It has the run, but does not stop it, as another command for it is in
+        progress. If the gateway resumed at the backup, two engines would work
+        on the run. The caller's stream ends, visibly incomplete.
         """
         response = await self.interrupt_stream('o2', busy_orders=1_000_000)
         self.assertFalse(response.whole)
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_an_engine_is_told_again_to_stop_a_run(self):
-        """The order under way ends, and a later one is carried out."""
+        """The command in progress ends, and a later stop command succeeds."""
         response = await self.interrupt_stream('o3', busy_orders=2)
         self.assert_complete(response, 'o3', 80)
         self.assertEqual(self.fleet.doubled, set())
--- a/tests/quetzalsill_platform/test_sent_once.py
+++ b/tests/quetzalsill_platform/test_sent_once.py
@@ -1,4 +1,4 @@
-"""Work that may be done once, on routes that may ask several upstreams."""
+"""At-most-once requests on routes that allow several attempts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SentOnceTest(test_streams.StreamTestCase):
-    """The bound on upstreams leaves room for a further one."""
+    """The limit of attempts would allow another one."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -34,10 +34,10 @@
         await self.wait_until(lambda: holder.current.version == VERSION)
 
     async def test_an_order_that_may_have_run_is_not_sent_again(self):
-        """A server takes an order, and what it answers proves nothing.
+        """A server accepts an order, and its response is inconclusive.
 
-        Its route allows three servers. Sent to a second one, the order would
-        be carried out twice.
+        The route allows three attempts. A second one could execute the order
+        twice.
         """
         for number, script in enumerate(
             ('reset', 'truncate', 'garbage', 'fail', 'false_503', 'no_receipt')
@@ -49,14 +49,14 @@
                 self.assertEqual(len(run_ids), 1)
 
     async def test_an_order_that_was_turned_away_first_is_sent_once(self):
-        """One server sheds an order; the next takes it and says nothing."""
+        """One server sheds an order; the next accepts it without a response."""
         self.script('shed', 'reset')
         response = await self.request('/unsafe/', request_id='t1')
         self.assertEqual(response.status, 502)
         self.assertEqual([one for one, *_ in self.runs], ['t1'])
 
     async def test_a_plan_that_may_have_run_does_not_begin_again(self):
-        """An engine resets a plan as it begins it; its route allows three."""
+        """An engine resets a run when it starts it; the route allows three."""
         for replica in self.engines:
             replica.reset_as_begun = 9
         response = await self.stream(request_id='t2')
@@ -65,7 +65,7 @@
 
 
 class UnframedTest(test_streams.StreamTestCase):
-    """Engines whose streams end with their connections."""
+    """Engines with unframed streams, which end with their connections."""
 
     async def asyncSetUp(self):
         with mock.patch.object(
@@ -76,9 +76,10 @@
             replica.is_framed = False
 
     async def test_a_stopped_run_goes_on_where_its_end_tells_nothing(self):
-        """A plan is stopped in order to move, and its stream just ends.
+        """A run is stopped for a move, and its unframed stream ends.
 
-        Taken for whole, its caller would get the first events as all of it.
+        If the stream counted as complete, the caller would get only the first
+        events.
         """
         response = await test_ambiguous_responses.drain_engine_with_run(
             self, 'u1'
@@ -91,10 +92,10 @@
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    """What the answer to an order to stop says of the run."""
+    """Which responses to a stop command mean that the engine has the run."""
 
     async def is_refused(self, status, body=b''):
-        """Whether an answer says that the engine may have the run."""
+        """Whether a response means that the engine may still have the run."""
 
         async def response(call):
             call.answer(status, body)
@@ -114,13 +115,13 @@
                 self.assertTrue(await self.is_refused(status))
 
     async def test_strangers_at_the_address_do_not(self):
-        """The address went to another service, which knows no such order."""
+        """Another service, which lacks the command, now has the address."""
         for status in (400, 401, 404, 405, 421):
             with self.subTest(status):
                 self.assertFalse(await self.is_refused(status))
 
     async def test_a_run_that_was_stopped_without_a_copy_is_not_refused(self):
-        """The destination has no room; the source keeps what it stopped."""
+        """The destination is full; the source keeps the stopped run."""
         self.assertFalse(
             await self.is_refused(503, b'{"handle": "h", "created":3}')
         )
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -1,4 +1,4 @@
-"""A gateway while the store comes back from an older copy, under a new era."""
+"""Tests of a gateway while its store is restored from an older snapshot."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from tests.quetzalsill_platform import drill as drill_lib
 from tests.quetzalsill_platform import fixture
 
-# Within this an order to drain a zone is in force, on every deployment.
+# Longest time until a zone drain takes effect, in any deployment.
 DRAINED_S = 5.0
 SLOW_S = 3600.0
 WITHOUT_KEY_1 = [{'name': 'first', 'apiKeys': ['key-2']}]
 
 
 class FeedTest(drill_lib.DrillTestCase):
-    """A feed that is read on from a version given out again."""
+    """A change feed that continues from a version that is assigned again."""
 
     async def test_an_upstream_leaves_under_a_version_given_out_again(self):
-        """Requests go on to a server that has said that it leaves.
+        """A draining server keeps getting requests.
 
-        The gateway has read up to 30; the store is back with 10, the notice is
-        written as 11, and others' writes bring the counter past 30. Read on
-        from 30, the feed tells neither an error nor the notice.
+        The gateway has read up to version 30; the store is restored to 10, the
+        drain is written as 11, and other writes take the counter past 30. A
+        feed that continues from 30 reports neither an error nor the drain.
         """
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
@@ -36,10 +36,10 @@
         self.assertEqual(await self.served_by(8), {'desk-2'})
 
     async def test_an_upstream_comes_back_under_a_lower_version(self):
-        """A server that serves again never gets a request.
+        """A server that is registered again never gets a request.
 
-        It left at 31. The store is back with 10, it is entered as 11, and the
-        counter goes past 31 before the gateway asks again.
+        It was removed at version 31. The store is restored to 10, the server is
+        registered as 11, and the counter passes 31 before the next poll.
         """
         self.store.remove('servers', 'desk-1')
         snapshot = self.store.snapshot()
@@ -57,7 +57,7 @@
         )
 
     async def test_an_upstream_comes_back_while_the_counter_is_behind(self):
-        """As before, but the store answers 410 to the version known here."""
+        """As above, but the store responds with 410 to the known version."""
         self.store.remove('servers', 'desk-1')
         snapshot = self.store.snapshot()
         self.register_server(1)
@@ -73,11 +73,11 @@
         )
 
     async def test_a_configuration_under_a_version_given_out_again(self):
-        """A key that operators withdraw in a drill is served for ever.
+        """A key that is revoked during a drill stays valid forever.
 
-        No call fails, since the store is back at once. The configuration is
-        written under a version below the one that the gateway has read to, and
-        the watch that waits there is never told that it was passed over.
+        No call fails, as the store is back at once. The configuration is
+        written with a version below the one that the gateway has read up to,
+        and the watch that waits there never learns of it.
         """
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
@@ -93,7 +93,7 @@
         )
 
     async def test_a_configuration_after_an_outage(self):
-        """As before, after an outage that the gateway has seen."""
+        """As above, after an outage that the gateway has noticed."""
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
         await self.wait_for_marker('before')
@@ -108,9 +108,10 @@
         )
 
     async def test_who_follows_goes_by_the_epoch_of_the_store(self):
-        """A drill is seen by one call, and every table is listed for it.
+        """All watches share the store's epoch.
 
-        With an epoch of its own for each, each would wait for its own feed.
+        One response with a new epoch then makes the gateway list every table. A
+        watch with its own epoch would wait for a response of its own feed.
         """
         await self.wait_for_marker('spare')
         watches = (self.process.membership, self.process.configuration)
@@ -119,11 +120,11 @@
 
 
 class ZoneTest(drill_lib.DrillTestCase):
-    """Drained zones.
+    """Zone drains during a restore.
 
-    `desk-1` is in the gateway's own zone, which is the one that is drained:
-    as long as it may, the gateway sends there before it sends to `desk-2`,
-    which is known to answer slowly.
+    `desk-1` is in the gateway's own zone, which is the one that is drained. As
+    long as it is allowed, the gateway prefers it to `desk-2`, which has a high
+    recorded latency.
     """
 
     async def asyncSetUp(self):
@@ -136,7 +137,7 @@
         await self.wait_until(
             lambda: upstreams.get('desk-2').availability_zone == 'zone-b'
         )
-        # However long the test's process is paused, `desk-1` is faster.
+        # `desk-1` stays faster, however long the test's process is paused.
         server_2 = upstreams.get('desk-2')
         self.process.core.stats_table.of(server_2).mean_latency_s = SLOW_S
         self.assertEqual(await self.served_by(), {'desk-1'})
@@ -153,10 +154,10 @@
         )
 
     async def test_a_drain_that_the_copy_lacks_holds(self):
-        """Requests go to a zone that is drained, for a second of a drill.
+        """A drained zone gets requests for a second during a restore.
 
-        The order came behind the copy; operators write it again a second after
-        the store's return, which by itself takes nothing back.
+        The drain is newer than the snapshot, and operators write it again a
+        second after the restore. The restore itself must not cancel the drain.
         """
         snapshot = self.store.snapshot()
         self.drain()
@@ -168,10 +169,10 @@
         self.assertEqual(await self.served_by(), {'desk-2'})
 
     async def test_a_drain_that_was_taken_back_is_not_for_ever(self):
-        """A zone stays empty although operators have taken it back.
+        """A zone gets no requests although its drain was cancelled.
 
-        The copy holds the order, and its end is written under a version given
-        out again, below the one that the gateway knows for it.
+        The snapshot holds the drain, and the cancellation is written with a
+        reassigned version, below the one that the gateway knows for the drain.
         """
         self.drain()
         snapshot = self.store.snapshot()
@@ -187,10 +188,10 @@
         self.assertEqual(await self.served_by(), {'desk-1'})
 
     async def test_an_order_under_a_lower_version_is_in_force_in_time(self):
-        """A zone is drained just after a drill, and requests still go there.
+        """A zone that is drained just after a restore still gets requests.
 
-        The gateway knows an older order for it under a higher version of the
-        era before.
+        The gateway knows an older drain of the zone with a higher version of
+        the previous era.
         """
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
@@ -206,10 +207,10 @@
         self.assertEqual(await self.served_by(8), {'desk-2'})
 
     async def test_an_order_under_a_version_given_out_again(self):
-        """A zone is drained in a drill, and requests go there for ever.
+        """A zone that is drained during a restore gets requests forever.
 
-        The store is back before any call has failed, and the watch that waits
-        at a later version of the era before is not told the order.
+        The store is back before any call fails, and the watch that waits at a
+        later version of the previous era does not get the drain.
         """
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
@@ -223,7 +224,7 @@
 
 
 class KeyTest(drill_lib.DrillTestCase):
-    """A key is withdrawn around the moment of the copy."""
+    """A key is revoked shortly before or after the snapshot."""
 
     async def withdraw(self):
         document = fixture.configuration(6, accounts=WITHOUT_KEY_1)
@@ -231,7 +232,7 @@
         await self.wait_until(lambda: self.version() == 6)
 
     async def assert_refused_until_done(self, drill):
-        """Asks with the withdrawn key until a drill is over."""
+        """Sends requests with the revoked key until a drill is over."""
         while not drill.done():
             response = await self.request('/safe/', key='key-1')
             self.assertEqual(response.status, 401)
@@ -244,15 +245,16 @@
         return (await self.request('/safe/', key='key-2')).status
 
     async def test_withdrawn_just_before_the_copy(self):
-        """The copy holds the newest configuration: nothing changes."""
+        """The snapshot holds the newest configuration: nothing changes."""
         await self.withdraw()
         drill = self.drill(self.store.snapshot(), away_s=0.3, rewrite_s=1.0)
         await self.assert_refused_until_done(drill)
 
     async def test_withdrawn_just_after_the_copy(self):
-        """A withdrawn key is served again, until operators write once more.
+        """A revoked key is accepted again until the next configuration.
 
-        The copy holds the configuration before, which reverts nothing.
+        The snapshot holds the previous configuration, which must not replace
+        the newer one.
         """
         snapshot = self.store.snapshot()
         await self.withdraw()
@@ -265,7 +267,7 @@
         )
 
     async def test_two_drills_within_three_seconds(self):
-        """The second comes while rows are still written again for the first."""
+        """The second drill starts while rows are rewritten after the first."""
         snapshot = self.store.snapshot()
         await self.withdraw()
         first = self.drill(snapshot, away_s=0.2, rewrite_s=2.0)
@@ -281,10 +283,10 @@
 
 
 class CallerTest(drill_lib.DrillTestCase):
-    """Callers through a drill, beside an outage that is as long."""
+    """Requests during a drill, compared to an outage of the same length."""
 
     async def failures_during(self, disturbance):
-        """Returns statuses of requests that fail until a trouble is over."""
+        """Returns the statuses of requests that fail during a disturbance."""
         failed = []
         while not disturbance.done():
             responses = await asyncio.gather(
@@ -305,7 +307,7 @@
         self.store.down = ''
 
     async def register_all_after_snapshot(self):
-        """Returns a copy without any entry; all are entered, and known."""
+        """Registers all servers after a snapshot; returns the snapshot."""
         for server in (*self.http_servers, *self.engines):
             self.store.remove('servers', server.id)
         snapshot = self.store.snapshot()
@@ -330,34 +332,34 @@
         self.assertLessEqual(len(failed), len(lost_in_outage), failed)
 
     async def test_a_copy_without_any_server_takes_nobody_out(self):
-        """All servers were entered behind the copy, as after a release.
+        """All servers registered after the snapshot, as after a release.
 
-        They live and enter themselves again within the two seconds that they
-        have. Taken at its word, the copy leaves nobody to serve.
+        They are alive and register again within the two seconds that they have.
+        If the snapshot were applied at once, no server would be left.
         """
         snapshot = await self.register_all_after_snapshot()
         drill = self.drill(snapshot, away_s=0.5, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_a_drill_that_nobody_sees_takes_nobody_out(self):
-        """As before, but the store is back before any call has failed.
+        """As above, but the store is back before any call fails.
 
-        Watches that waited are answered under the new era: the gateway has
-        seen no outage after which entries get time to come back.
+        Waiting watches get responses of the new era: the gateway notices no
+        outage after which entries would get time to be registered again.
         """
         snapshot = await self.register_all_after_snapshot()
         drill = self.drill(snapshot, down='', away_s=0.0, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_watches_that_are_cut_take_nobody_out(self):
-        """As before, but watches that waited are broken off."""
+        """As above, but the connections of waiting watches are broken."""
         self.store.cuts_watches = True
         snapshot = await self.register_all_after_snapshot()
         drill = self.drill(snapshot, down='reset', away_s=0.1, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_an_entry_that_is_missing_in_the_end_is_gone(self):
-        """A server ends while the store is away; nobody enters it again."""
+        """A server stops during the outage and does not register again."""
         snapshot = self.store.snapshot()
         self.register_server(1)
         await self.wait_for_marker('before')
--- a/tests/quetzalsill_platform/test_store_eras.py
+++ b/tests/quetzalsill_platform/test_store_eras.py
@@ -1,4 +1,4 @@
-"""A gateway on a store whose era is none, or that has never any history."""
+"""Tests of a gateway on a store with an invalid era or without history."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from quetzalsill_dev.users_platform import store as store_lib
 from tests.quetzalsill_platform import drill as drill_lib
 
-# How long a store that misbehaves is watched.
+# Time for which the gateway is observed during a fault.
 OBSERVATION_S = 2.0
-# Beyond what a float counts one by one, as other programs' JSON does.
+# Above the largest integer that JSON decoders with doubles represent exactly.
 HUGE_VERSION = 2**53 + 1
 
 
 class FaultTest(drill_lib.DrillTestCase):
-    """A store whose era is no era, or that has never any history."""
+    """A store that sends an invalid era, or never has any history."""
 
     async def call_rate_while_serving(self):
-        """Asks for a while; returns calls at the store in each second."""
+        """Sends requests for a while; returns the store's calls per second."""
         before = sum(self.store.calls.values())
         end_s = asyncio.get_running_loop().time() + OBSERVATION_S
         while asyncio.get_running_loop().time() < end_s:
@@ -30,11 +30,11 @@
         return (sum(self.store.calls.values()) - before) / OBSERVATION_S
 
     async def check(self, fault, *, expected):
-        """Plays a fault with a change under it, and the end of the fault.
+        """Removes a server during a fault, then ends the fault.
 
         Args:
-          fault: Its name in the stand-in.
-          expected: Plain servers that the gateway must know under the fault.
+          fault: Name of the fault in the simulated store.
+          expected: HTTP servers that the gateway must know during the fault.
         """
         self.store.era_fault = fault
         self.store.remove('servers', 'desk-1')
@@ -47,14 +47,14 @@
         self.assertTrue(self.process.is_ready())
 
     async def test_a_header_that_is_missing_once_it_was_told(self):
-        """Something between answers for the store, with rows of its own.
+        """A proxy responds in place of the store, with rows of its own.
 
-        An answer without the era that was told before changes nothing.
+        A response without the era that was sent before must change nothing.
         """
         await self.check('absent', expected={'desk-1', 'desk-2'})
 
     async def test_a_header_that_is_no_whole_number(self):
-        """A faulty store tells text, a fraction and a negative number."""
+        """A faulty store sends text, a fraction and a negative number."""
         for fault in ('text', 'fraction', 'negative'):
             with self.subTest(fault):
                 self.register_server(1)
@@ -65,15 +65,15 @@
                 await self.check(fault, expected=both)
 
     async def test_a_header_that_falls(self):
-        """An answer of an era that is over arrives late, or is a fault's."""
+        """A response of an earlier era arrives late, or is faulty."""
         await self.check('falls', expected={'desk-1', 'desk-2'})
 
     async def test_a_header_that_is_huge(self):
-        """Four hundred digits: believed, no later era would ever count."""
+        """If an era of 400 digits were accepted, no later era would count."""
         await self.check('huge', expected={'desk-1', 'desk-2'})
 
     async def test_an_era_that_jumps_is_believed(self):
-        """Several drills came while the gateway was cut off from the store."""
+        """Several restores happen while the gateway cannot reach the store."""
         self.store.era = 8
         self.store.remove('servers', 'desk-1')
         self.assertLess(
@@ -82,10 +82,10 @@
         await self.wait_until(lambda: self.known_servers() == {'desk-2'})
 
     async def test_a_version_beyond_what_others_can_count(self):
-        """The counter jumps beyond 2^53, and a drill brings it back.
+        """The counter jumps beyond 2^53, and a restore resets it.
 
-        Whatever is made of such a version, callers are served, and what is
-        written under the next era counts.
+        However the gateway treats such a version, it serves requests, and
+        applies what is written in the next era.
         """
         snapshot = self.store.snapshot()
         self.store.skip(HUGE_VERSION)
@@ -98,7 +98,7 @@
         await self.wait_until(lambda: self.known_servers() == {'desk-2'})
 
     async def test_the_same_list_under_two_eras(self):
-        """A drill in which nothing was written since the copy."""
+        """A restore without any writes since the snapshot."""
         before = self.process.core.upstreams.all()
         for _ in range(3):
             self.store.come_back(self.store.snapshot())
@@ -109,7 +109,7 @@
         self.assertEqual(unavailable, [])
 
     async def test_history_that_is_gone_for_ever(self):
-        """Each watch gets 410; read anew without pause, it would be a storm."""
+        """Each watch gets 410; listing without pauses would flood the store."""
         self.store.always_gone = True
         self.store.remove('servers', 'desk-1')
         self.assertLess(
@@ -123,7 +123,7 @@
         )
 
     async def test_a_store_that_begins_to_tell_its_era(self):
-        """Its program is replaced by one that has drills."""
+        """The store is upgraded to a release that sends its era."""
         self.store.era = None
         self.process = await self.start_gateway()
         await self.wait_for_marker('before')
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -1,4 +1,4 @@
-"""What a gateway believes while the platform's store misbehaves."""
+"""Tests of a gateway's state while the platform's store misbehaves."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConfigurationTest(fixture.GatewayTestCase):
-    """Versions of the configuration."""
+    """Which version of the configuration is active."""
 
     def version(self):
         return self.process.core.holder.current.version
@@ -21,9 +21,9 @@
         await self.wait_until(lambda: self.version() == version)
 
     async def test_a_change_is_in_force_soon_and_never_reverts(self):
-        """An old version is written behind a newer one.
+        """An older version is written after a newer one.
 
-        Going back would serve a route and a key that operators withdrew.
+        Reverting to it would serve a route and a key that operators removed.
         """
         routes = [fixture.route('new', '/new/', 'safe', 'desk')]
         accounts = [{'name': 'first', 'apiKeys': ['key-2']}]
@@ -42,7 +42,7 @@
         self.assertEqual(self.version(), 9)
 
     async def test_one_that_cannot_be_held_is_left_out(self):
-        """A configuration lacks a field: the one before stays in force."""
+        """A field is missing: the previous configuration stays active."""
         broken = fixture.configuration(7)
         del broken['routes'][0]['routeType']
         self.addCleanup(broken['routes'][0].update, {'routeType': 'safe'})
@@ -71,8 +71,8 @@
     async def test_a_gateway_without_configuration_refuses_truly(self):
         """A gateway starts while the store is down.
 
-        It is not ready; whoever reaches it all the same is told that nothing
-        ran, and when to come back. Then the store is back, and it serves.
+        It is not ready, and refuses requests as not run with a Retry-After
+        header. It serves once the store is back.
         """
         self.store.down = 'busy'
         self.process = await self.start_gateway(wait=False)
@@ -85,7 +85,7 @@
 
 
 class MembershipTest(fixture.GatewayTestCase):
-    """Entries of upstreams."""
+    """Which upstreams the gateway uses."""
 
     def available_ids(self, service='desk'):
         found = self.process.core.upstreams.available(service)
@@ -102,10 +102,10 @@
         self.assertEqual(server.runs, [])
 
     async def test_bytes_that_cannot_be_read_hide_no_other_entry(self):
-        """Another writer leaves bytes under the id of a good server.
+        """Another writer stores invalid bytes under the id of a live server.
 
-        Read as a failure of the whole answer, they would hide every change of
-        every other server for as long as they stand.
+        If they failed the whole response, they would hide all changes of all
+        other servers for as long as they are stored.
         """
         for raw in (b'\xff\x00', b'{', b'7', b'[' * 5000, b'null'):
             self.store._note('servers', 'desk-1', raw)
@@ -118,10 +118,10 @@
             )
 
     async def test_a_server_that_starts_again_under_its_id_serves(self):
-        """A server leaves, and starts again under its id and address.
+        """A server drains, then starts again with its id and address.
 
-        Its notice to leave was of the start before; kept in mind, the new one
-        would never get a request.
+        The drain belongs to the previous incarnation; applied to the new one,
+        it would keep all requests from it.
         """
         server = self.http_servers[0]
         draining_entry = server.entry('desk', 'zone-a', 'draining') | {
@@ -145,10 +145,10 @@
         await self.wait_until(lambda: self.available_ids() == {'desk-1'})
 
     async def test_lapsed_entries_that_come_back_are_kept(self):
-        """The store lets every entry lapse while it is away.
+        """All entries expire while the store is down.
 
-        The servers live and enter themselves again within two seconds of its
-        return. Taken at its word, the lapse would leave nobody to serve.
+        The servers are alive and register again within two seconds of its
+        return. If the expiry took effect at once, no server would be left.
         """
         self.store.down = 'busy'
         await self.wait_until(lambda: self.process.core.health.is_down)
@@ -162,10 +162,10 @@
         await self.wait_until(lambda: self.available_ids() == {'desk-1'})
 
     async def test_an_address_used_again_runs_nothing(self):
-        """A server ends; its address goes to one of another service.
+        """A server stops, and its address is reused by another service.
 
-        The gateway still has the old entry. The new server sees an id that is
-        not its own and runs nothing, and the caller is served elsewhere.
+        The gateway still has the old entry. The new server rejects requests for
+        an id that is not its own, and they are sent elsewhere.
         """
         other_server = plain_server.PlainServer('stranger')
         await other_server.start()
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of engines, from a caller to an engine and on to others."""
+"""Tests of streams: forwarding, failures, moves and resumption."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StreamTestCase(fixture.GatewayTestCase):
-    """Asks for streams, and looks where they run."""
+    """Requests streams and checks which engines run them."""
 
     async def stream(self, target='/plan/', headers=PROMPT, **kwargs):
         return await self.request(
@@ -31,7 +31,7 @@
         )
 
     def working_engine(self):
-        """Returns the engine with a run."""
+        """Returns an engine that is working on a run, or None."""
         return next(
             (
                 e
@@ -51,7 +51,7 @@
 
 
 class StreamTest(StreamTestCase):
-    """Whole streams, and those of engines that break, refuse or leave."""
+    """Complete streams, and those of engines that fail, refuse or drain."""
 
     async def test_a_stream_arrives_whole(self):
         response = await self.stream(request_id='s1')
@@ -59,10 +59,10 @@
         self.assertEqual(self.fleet.started['s1'], [self.first_engine_of('s1')])
 
     async def test_a_broken_stream_never_looks_whole(self):
-        """An engine breaks a plan off in the middle of an event.
+        """An engine breaks an at-most-once stream in the middle of an event.
 
-        The plan may run once only, so nothing takes its place. The caller
-        gets the whole events, and an end that is no end.
+        The run may not be repeated. The caller gets the complete events and a
+        visibly incomplete end.
         """
         for replica in self.engines:
             replica.break_after = 4
@@ -72,9 +72,9 @@
         self.assertEqual(len(self.fleet.started['s2']), 1)
 
     async def test_a_resumable_stream_goes_on_elsewhere(self):
-        """An engine breaks a verdict off; the route lets it run again.
+        """An engine breaks a stream on a route that allows resumption.
 
-        The caller sees one answer, each event once and in order.
+        The caller gets one response with each event once and in order.
         """
         for replica in self.engines:
             replica.break_after = 4
@@ -96,10 +96,10 @@
         self.assertNotIn('s4', self.fleet.started)
 
     async def test_another_start_at_an_address_is_sent_little(self):
-        """An engine starts again behind a cut; its old entry still stands.
+        """An engine restarts while its old entry is still listed.
 
-        It is always empty, and was sent request after request, each of which
-        it turned away: 234 of them, and the bound on repeats was broken.
+        It always looks idle, and once got 234 requests in a row, all of which
+        it rejected, which exceeded the limit on retries.
         """
         restarted = self.engines[0]
         restarted.id = 'another-start'
@@ -116,10 +116,11 @@
         self.assertLessEqual(len(restarted.requests), 3)
 
     async def test_runs_of_a_leaving_engine_go_on_with_their_memory(self):
-        """An engine is taken away 1.5 s after its notice, a plan runs longer.
+        """An engine is terminated 1.5 s after its notice, during a run.
 
-        The plan's memory goes to another engine; the caller sees one answer,
-        no event missing or doubled, and no two engines work on it at once.
+        The run's KV cache moves to another engine. The caller gets one response
+        without missing or duplicate events, and no two engines work on the run
+        at once.
         """
         for replica in self.engines:
             replica.length = 100
@@ -140,14 +141,14 @@
         self.assertNotEqual(destinations, [source.id])
 
     async def test_a_busy_link_makes_no_pause(self):
-        """A run has stopped, and its last tokens wait for a busy link.
+        """The final copy of a stopped run waits for a busy link.
 
-        Its first copy is at the destination. The run goes on from that one,
-        which lacks a few tokens, in place of pausing until the link is free.
+        The run resumes from the first copy, which lacks a few tokens, instead
+        of pausing until the link is free.
         """
         for replica in self.engines:
             replica.length, replica.last_copy_s = 80, 60.0
-        # Waited for like any other switch, it would come after the deadline.
+        # With the usual timeout of a switch, the copy would miss the deadline.
         patcher = mock.patch.object(continuation, 'STOP_TIMEOUT_S', 60.0)
         patcher.start()
         self.addCleanup(patcher.stop)
@@ -160,10 +161,10 @@
         self.assertEqual(self.fleet.doubled, set())
 
     async def test_a_full_destination_sends_the_run_back(self):
-        """No engine has room for a copy when its source leaves.
+        """No engine has room for a copy when the source drains.
 
-        The run is not stopped in vain: it goes on where it is, and ends whole
-        if the engine stays long enough.
+        The run resumes where it is, and completes if the engine stays long
+        enough.
         """
         for replica in self.engines:
             replica.length = 60
@@ -176,10 +177,10 @@
         self.assert_complete(response, 's6', 60)
 
     async def test_engines_are_asked_while_the_store_is_away(self):
-        """The store is down when an engine gets its notice.
+        """The store is down when an engine gets its termination notice.
 
-        The notice reaches nobody but the engine; its report tells it to the
-        gateway that has a run there, and the run is moved in time.
+        The gateway learns of it from the engine's report, as it has a run
+        there, and moves the run in time.
         """
         for replica in self.engines:
             replica.length = 100
@@ -200,7 +201,7 @@
         self.assertEqual(sum(e.reports for e in self.engines), 0)
 
     async def test_a_caller_that_leaves_ends_the_run(self):
-        """A caller gives a long plan up; its engine must not go on."""
+        """A caller abandons a long stream; the engine must stop the run."""
         for replica in self.engines:
             replica.length = 10_000
         caller = self.caller()
--- a/tests/quetzalsill_platform/test_unary_calls.py
+++ b/tests/quetzalsill_platform/test_unary_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, from a caller to a server and back."""
+"""Unary calls, from a caller through the gateway to a server and back."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ForwardTest(fixture.GatewayTestCase):
-    """What reaches a server, and what comes back."""
+    """Forwarding of requests and responses."""
 
     async def test_method_path_query_and_body_arrive_unchanged(self):
         target = '/safe/a%2Fb/?x=1&y=%20&empty='
@@ -26,11 +26,11 @@
         self.assertIn(PREFIX + 'server-stamp', response.headers)
 
     async def test_only_the_system_sets_what_is_its_own(self):
-        """A caller names itself another account and asks for favours.
+        """A caller sends headers that only the gateway may set.
 
-        It sends the account, the expected server, a hold, a pin, a backup and
-        a copy to start from. A gateway that passed them on would bill another
-        account or hand it another request's memory.
+        They name the account, the expected server, a hold, a pin, a backup and
+        a copy to start from. Forwarding them would bill another account or give
+        the caller another request's KV cache.
         """
         forged = {
             'X-Quetzalsill-Tenant': 'second',
@@ -89,12 +89,13 @@
 
 
 class MisbehaviourTest(fixture.GatewayTestCase):
-    """What a caller gets when a server misbehaves."""
+    """Responses to callers of servers that misbehave."""
 
     async def test_idempotent_work_is_sent_once_more(self):
-        """A server fails, breaks off or answers rubbish; another is well.
+        """One server fails in various ways, and the other one works.
 
-        The caller of idempotent work sees the good answer, whole.
+        An idempotent request is retried, and its caller gets the complete
+        response.
         """
         for script in (
             'fail',
@@ -113,9 +114,10 @@
                 self.assertEqual((response.status, response.whole), (200, True))
 
     async def test_what_is_turned_away_counts_as_sent_again(self):
-        """A server has started again, and turns a request away as not its own.
+        """A restarted server rejects a request for its previous incarnation.
 
-        It is sent again; it has arrived all the same, and counts.
+        The request is sent again and uses the retry budget, as it had reached a
+        server.
         """
         budget = self.process.core.budget
         before = len(budget._retries.get('desk', ()))
@@ -124,10 +126,10 @@
         self.assertEqual(len(budget._retries['desk']), before + 1)
 
     async def test_work_at_most_once_runs_once(self):
-        """A server runs an order and its answer is lost, or says a false 503.
+        """The response to an executed order is lost, or is a false 503.
 
-        Sent again, the order would bring a second truck; told "not run", the
-        caller would send it again itself.
+        A retry would execute the order twice; so would its caller, if it were
+        told that the order has not run.
         """
         for script in ('reset', 'truncate', 'garbage', 'false_503'):
             with self.subTest(script):
@@ -158,19 +160,20 @@
     async def test_a_failure_is_handed_on_though_the_second_send_is_refused(
         self,
     ):
-        """One server fails the call, the other is full.
+        """One server fails the call, and the other one is full.
 
-        The first server's own answer stands; a 503 would say "not run".
+        The caller gets the first server's response, as a 503 would say that the
+        request has not run.
         """
         self.script('fail', 'shed')
         response = await self.request('/safe/')
         self.assertEqual(response.status, 500)
 
     async def test_extra_answers_belong_to_no_request(self):
-        """A server answers an earlier request twice.
+        """A server responds twice to an earlier request.
 
-        The second answer stands where the next one is due; a gateway that
-        took it would hand one caller's answer to another.
+        Taking the extra response for that of the next request would give one
+        caller the response to another.
         """
         for script in ('extra', 'stale'):
             with self.subTest(script):
@@ -198,9 +201,9 @@
         self.assertEqual(len(self.runs), 1)
 
     async def test_a_caller_that_leaves_ends_the_work(self):
-        """A caller gives up while its request hangs at a server.
+        """A caller disconnects while its request hangs at a server.
 
-        The server sees its connection close, and can stop.
+        The gateway closes the server's connection, so that it can stop.
         """
         self.script('hang')
         caller = self.caller()
@@ -220,15 +223,15 @@
 
 
 class HangingTest(fixture.GatewayTestCase):
-    """Servers that hang, and take few connections from all callers together."""
+    """Servers that hang and have a small connection limit."""
 
     services = {'desk': {'maxConnections': 3}}
 
     async def test_what_has_no_connection_left_is_refused_as_not_run(self):
-        """Both servers hang, and each call opens a connection of its own.
+        """Both servers hang, and each call opens another connection.
 
-        Those over the servers' bound are reset: the orders on them may have
-        run for all that anybody knows, so their callers may not ask again.
+        Servers reset connections above their limit. Whether the requests on
+        those have run would be unknown, and their callers could not retry.
         """
         self.script(*['hang'] * 20)
         callers = [self.caller() for _ in range(4)]
@@ -242,9 +245,10 @@
         self.assertEqual(len(self.runs), 4)
 
     async def test_a_call_that_hangs_is_known_before_its_deadline(self):
-        """An order hangs for all of its caller's time, seconds.
+        """A request hangs until its deadline, which is seconds away.
 
-        Until it ended nothing was known, and the next ones went there too.
+        If the hang were noticed only then, further requests would go to the
+        same server in the meantime.
         """
         self.script('hang')
         caller = self.caller()
--- a/tests/quetzalsill_platform/test_zone_drain.py
+++ b/tests/quetzalsill_platform/test_zone_drain.py
@@ -1,4 +1,4 @@
-"""Operators drain an availability zone: where requests go, and are refused."""
+"""Tests of availability zone drains and region constraints."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ZoneDrainTest(fixture.GatewayTestCase):
-    """`desk-1` and `engine-1` in one zone, all others in another."""
+    """`desk-1` and `engine-1` are in one zone, all others in another."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -22,7 +22,7 @@
         )
 
     def move_to_zone_b(self, server, service):
-        """Enters a server anew, in the other zone."""
+        """Registers a server again, in the other zone."""
         self.store.remove('servers', server.id)
         self.store.put('servers', server.id, server.entry(service, 'zone-b'))
 
@@ -32,7 +32,7 @@
         await self.wait_until(lambda: zones.is_drained(zone))
 
     async def served_by(self, target, count=8):
-        """Returns who serves a number of requests."""
+        """Sends a number of requests; returns the ids of the servers."""
         responses = [await self.request(target) for _ in range(count)]
         self.assertEqual({response.status for response in responses}, {200})
         stamps = [
@@ -51,7 +51,7 @@
         self.assertIn('desk-1', await self.served_by('/safe/', 12))
 
     async def test_a_repeat_does_not_go_there_either(self):
-        """The only server left fails; the other is in the drained zone."""
+        """The only available server fails; the other zone is drained."""
         await self.drain('zone-b')
         self.http_servers[1].scripts = ['fail']
         response = await self.request('/safe/')
@@ -59,9 +59,10 @@
         self.assertEqual(self.http_servers[0].runs, [])
 
     async def test_all_zones_drained_is_a_true_refusal(self):
-        """Nobody may serve: callers are told at once, and when to come back.
+        """No server is available: requests are refused at once.
 
-        Held until their deadlines, they would learn nothing.
+        The refusal has a Retry-After header; requests that were held until
+        their deadlines would get no such information.
         """
         await self.drain('zone-a')
         await self.drain('zone-b')
@@ -87,12 +88,12 @@
         self.assertEqual((response.status, response.whole), (200, True))
 
     async def test_whatever_the_value_the_key_is_the_order(self):
-        """The value is of another writer; the key says all that there is."""
+        """The value may come from any writer; only the key counts."""
         await self.drain('zone-b', value=[7, 'x' * 65_536])
         self.assertEqual(await self.served_by('/safe/', 4), {'desk-2'})
 
     async def test_an_order_without_a_zone_is_left_out(self):
-        """A key that names no zone stands beside one that names a zone."""
+        """A key without a valid zone name is stored beside a valid one."""
         self.store.put('op', 'evacuate/', {})
         self.store.put('op', 'evacuate/' + 'x' * 201, {})
         await self.drain('zone-b')
@@ -106,12 +107,12 @@
 
 
 class RegionTest(fixture.GatewayTestCase):
-    """Requests that are bound to regions."""
+    """Requests that are restricted to regions."""
 
     async def test_a_request_outside_its_regions_is_refused_as_not_run(self):
-        """A route's requests may be served in a region without a server.
+        """A route allows only a region that has no server.
 
-        Sent elsewhere, data would leave the region that it is bound to.
+        Sent elsewhere, data would leave the region that it is restricted to.
         """
         routes = [
             route | {'allowedRegions': ['far']}
