--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/sidecars.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/sidecars.py
@@ -105,7 +105,7 @@
     def _set_load(self, tokens: int) -> None:
         for each in self._made():
             each.queue.foreign_tokens = tokens
-            each.load.note_change()
+            each.load.mark_changed()
 
     def _made(self) -> Collection[sidecar_lib.Sidecar]:
         return self._by_name.values()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/fetch.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from quetzalsill.config import holder
 
-__all__ = ['ANSWER_S', 'ConfigFetch', 'Source']
+__all__ = ['REPLY_TIMEOUT_S', 'ConfigFetcher', 'Source']
 
 # Less than a Dispatch of the newer revision waits, so that a second router
 # is asked in time.
-ANSWER_S = 1.0
+REPLY_TIMEOUT_S = 1.0
 
 
 class Source(Protocol):
@@ -24,7 +24,7 @@
         """Sends to the router."""
 
 
-class ConfigFetch:
+class ConfigFetcher:
     """Asks one of the routers that named a newer revision.
 
     All routers name it at about the same time. Were each of them asked, every
@@ -49,16 +49,16 @@
             self._offers[source] = revision
             self._ask()
 
-    def answered(self, source: Source) -> None:
+    def record_reply(self, source: Source) -> None:
         """Notes that a router has answered; its document was tried."""
         self._offers.pop(source, None)
         if source is self._asked:
             self._settle()
 
-    def forget(self, source: Source) -> None:
+    def remove_source(self, source: Source) -> None:
         """Notes that the link of a router has ended."""
         self._tried.pop(source, None)
-        self.answered(source)
+        self.record_reply(source)
 
     def _ask(self) -> None:
         if self._asked is not None:
@@ -73,7 +73,7 @@
         self._asked = max(self._offers, key=self._offers.__getitem__)
         self._tried[self._asked] = self._offers[self._asked]
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(ANSWER_S, self._expire)
+        self._timer = loop.call_later(REPLY_TIMEOUT_S, self._expire)
         self._asked.put(message.ConfigFetch(self._holder.revision))
 
     def _expire(self) -> None:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/parts.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/context.py
@@ -7,15 +7,16 @@
 if TYPE_CHECKING:
     from quetzalsill.config import holder
     from quetzalsill.wire import message
-    from quetzalsill_sidecar import intake, leave, runner
+    from quetzalsill_sidecar import intake, leaving_state
+    from quetzalsill_sidecar import runner as runner_lib
     from quetzalsill_sidecar import settings as settings_lib
     from quetzalsill_sidecar.attempt import table
     from quetzalsill_sidecar.queue import schedule
 
-__all__ = ['Parts']
+__all__ = ['SidecarContext']
 
 
-class Parts(Protocol):
+class SidecarContext(Protocol):
     """The parts of one sidecar.
 
     Attributes:
@@ -23,15 +24,15 @@
       attempts: All attempts known.
       queue: What waits and what runs.
       leaving: Whether new work is taken.
-      runs: Work under way at the upstream.
+      runner: Work under way at the upstream.
       intake: What takes attempts in and lets the queue move.
     """
 
     configuration: holder.Holder
     attempts: table.Attempts
     queue: schedule.Schedule
-    leaving: leave.Leave
-    runs: runner.Runner
+    leaving: leaving_state.LeavingState
+    runner: runner_lib.Runner
     intake: intake.Intake
 
     @property
@@ -42,7 +43,7 @@
     def link_count(self) -> int:
         """Routers that are linked now."""
 
-    def send_to_all(self, msg: message.Message) -> None:
+    def broadcast(self, msg: message.Message) -> None:
         """Sends to every router."""
 
     def leave(self, reason: str) -> None:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
@@ -5,8 +5,8 @@
 from quetzalsill.error import base
 
 __all__ = [
-    'AnswerLostError',
-    'AnswerRejectedError',
+    'ResponseLostError',
+    'UpstreamStatusError',
     'ExchangeError',
     'GenerationGoneError',
     'GenerationUnreachableError',
@@ -36,13 +36,13 @@
         self.refused = refused
 
 
-class AnswerLostError(ExchangeError):
+class ResponseLostError(ExchangeError):
     """The connection ended, fell silent or broke the protocol mid-exchange."""
 
     code = 'answer_lost'
 
 
-class AnswerRejectedError(ExchangeError):
+class UpstreamStatusError(ExchangeError):
     """The upstream answered with a status that is no success.
 
     Attributes:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/make.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/factory.py
@@ -13,10 +13,10 @@
     from quetzalsill.wire import message
     from quetzalsill_sidecar import settings as settings_lib
 
-__all__ = ['attempt', 'demand']
+__all__ = ['make_attempt', 'make_demand']
 
 
-def attempt(
+def make_attempt(
     dispatch: message.Dispatch,
     settings: settings_lib.SidecarSettings,
     cfg: model.Configuration,
@@ -50,7 +50,9 @@
     )
 
 
-def demand(attempt: state.Attempt, cfg: model.Configuration) -> policy.Demand:
+def make_demand(
+    attempt: state.Attempt, cfg: model.Configuration
+) -> policy.Demand:
     """Makes what an attempt asks of the upstream under a configuration."""
     dispatch = attempt.dispatch
     profile = _profile(dispatch, cfg)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -8,7 +8,7 @@
 from quetzalsill.error import base
 from quetzalsill.error import request as request_error
 from quetzalsill.wire import kind, message
-from quetzalsill_sidecar import event, make
+from quetzalsill_sidecar import event, factory
 from quetzalsill_sidecar.attempt import judge, state
 
 if TYPE_CHECKING:
@@ -16,7 +16,8 @@
 
     from quetzalsill.config import holder, model
     from quetzalsill.plugin import registry as registry_lib
-    from quetzalsill_sidecar import leave, runner
+    from quetzalsill_sidecar import leaving_state
+    from quetzalsill_sidecar import runner as runner_lib
     from quetzalsill_sidecar import settings as settings_lib
     from quetzalsill_sidecar.attempt import table
     from quetzalsill_sidecar.queue import policy, schedule
@@ -38,8 +39,8 @@
         configuration: holder.Holder,
         attempts: table.Attempts,
         queue: schedule.Schedule,
-        runs: runner.Runner,
-        leaving: leave.Leave,
+        runner: runner_lib.Runner,
+        leaving: leaving_state.LeavingState,
         registry: registry_lib.Registry,
         on_change: Callable[[], None],
     ) -> None:
@@ -48,7 +49,7 @@
         self._configuration = configuration
         self._attempts = attempts
         self._queue = queue
-        self._runs = runs
+        self._runner = runner
         self._leaving = leaving
         self._registry = registry
         self._on_change = on_change
@@ -61,7 +62,7 @@
         has_run = _has_run(self._terminal(dispatch.attempt))
         if self._answer_known(dispatch, link, put):
             return
-        attempt = make.attempt(
+        attempt = factory.make_attempt(
             dispatch,
             self._settings,
             self._configuration.current,
@@ -108,7 +109,7 @@
             self._attempts.refuse(attempt, code, code, retry_after_ms)
             self._on_change()
         elif attempt.stage is not state.Stage.OVER:
-            self._runs.stop_attempt(attempt, code)
+            self._runner.stop_attempt(attempt, code)
 
     def resume(self, msg: message.Resume, link: object, put: Put) -> None:
         """Takes an attempt up on a new link, from the item asked for."""
@@ -117,11 +118,11 @@
             put(self._answer_lost(msg.attempt))
         elif _rewind(attempt, msg):
             attempt.attach(link, put)
-            self.cut_body(attempt)
+            self.stop_incomplete_call(attempt)
         else:
             put(_not_kept(attempt))
 
-    def cut_body(self, attempt: state.Attempt) -> None:
+    def stop_incomplete_call(self, attempt: state.Attempt) -> None:
         """Ends a call whose body can't be completed: its link is gone.
 
         The rest of a body can't follow on another link. The app server would
@@ -139,11 +140,12 @@
         """Starts what the admission policy lets start."""
         for attempt_id in self._queue.start_admitted():
             attempt = self._attempts.get(attempt_id)
-            self._runs.start(
-                attempt, make.demand(attempt, self._configuration.current)
+            self._runner.start(
+                attempt,
+                factory.make_demand(attempt, self._configuration.current),
             )
 
-    def adopt(self, cfg: model.Configuration) -> None:
+    def apply_configuration(self, cfg: model.Configuration) -> None:
         """Lets a new configuration apply to what waits and what runs."""
         self._queue.reorder(
             self._registry.get('fairness', cfg.policies.fairness)(),
@@ -151,11 +153,11 @@
             self._demand_of,
         )
         self._queue.headroom = cfg.policies.headroom
-        if self._leaving.draining:
-            self.refuse_waiting()
+        if self._leaving.is_draining:
+            self.refuse_unstarted()
         self._on_change()
 
-    def refuse_waiting(self) -> None:
+    def refuse_unstarted(self) -> None:
         """Gives back all that has not started; nothing new is taken."""
         for attempt in self._attempts:
             if not attempt.started and not attempt.dispatch.recover:
@@ -166,7 +168,7 @@
         return self._demand(attempt) if attempt is not None else None
 
     def _demand(self, attempt: state.Attempt) -> policy.Demand:
-        return make.demand(attempt, self._configuration.current)
+        return factory.make_demand(attempt, self._configuration.current)
 
     def _answer_known(
         self, dispatch: message.Dispatch, link: object, put: Put
@@ -234,7 +236,7 @@
             return
         self._queue.remove(attempt.id)
         if attempt.stage is state.Stage.CONNECTING:
-            self._runs.stop_attempt(attempt, 'withdrawn')
+            self._runner.stop_attempt(attempt, 'withdrawn')
         attempt.put = put
         self._attempts.end(attempt, message.Withdrawn(attempt.id))
         self._on_change()
@@ -266,7 +268,7 @@
             )
         elif dispatch.recover:
             self._queue.occupy(demand)
-            self._runs.start(attempt, demand)
+            self._runner.start(attempt, demand)
         else:
             attempt.stage = state.Stage.QUEUED
             self._queue.push(demand)
@@ -282,7 +284,7 @@
         return judge.Circumstances(
             incarnation=self._incarnation,
             revision=self._configuration.revision,
-            leaving=self._leaving.refusal(),
+            leaving=self._leaving.refusal_reason(),
             kinds=kind.GENERATIONS if is_model else (kind.CALL,),
             fences=self._attempts.fences,
             queued=self._queue.queued,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/leave.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/leaving_state.py
@@ -12,51 +12,51 @@
 
     from quetzalsill.config import holder
 
-__all__ = ['Leave']
+__all__ = ['LeavingState']
 
 
-class Leave:
+class LeavingState:
     """Reasons to take nothing new: leaving for good, or drained.
 
     Attributes:
       reason: Why this process leaves for good; empty while it does not.
-      begun: Set once it leaves for good.
+      started: Set once it leaves for good.
     """
 
     def __init__(
         self,
         upstream: str,
         configuration: holder.Holder,
-        on_begin: Callable[[str], None],
+        on_start: Callable[[str], None],
     ) -> None:
         """Watches for reasons.
 
         Args:
           upstream: Name of the upstream in the configuration.
           configuration: May drain the upstream.
-          on_begin: Called once with the reason for leaving for good.
+          on_start: Called once with the reason for leaving for good.
         """
         self.reason = ''
-        self.begun = asyncio.Event()
+        self.started = asyncio.Event()
         self._upstream = upstream
         self._configuration = configuration
-        self._on_begin = on_begin
+        self._on_start = on_start
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """An operator drains the upstream."""
         upstream = self._configuration.current.upstreams.get(self._upstream)
         return upstream is not None and upstream.draining
 
-    def refusal(self) -> str:
+    def refusal_reason(self) -> str:
         """Why new work is refused; empty if it is not."""
-        return self.reason or ('draining' if self.draining else '')
+        return self.reason or ('draining' if self.is_draining else '')
 
-    def begin(self, reason: str) -> None:
+    def start(self, reason: str) -> None:
         """Leaves for good; a second call changes nothing."""
         if self.reason:
             return
         self.reason = reason
-        self.begun.set()
+        self.started.set()
         event.note(event.Leaving(upstream=self._upstream, reason=reason))
-        self._on_begin(reason)
+        self._on_start(reason)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
@@ -11,7 +11,7 @@
 from quetzalsill_sidecar.upstream import engine
 
 if TYPE_CHECKING:
-    from quetzalsill_sidecar import parts
+    from quetzalsill_sidecar import context
 
 __all__ = ['LoadReporter']
 
@@ -41,7 +41,7 @@
       healthy: The upstream answered the last time.
     """
 
-    def __init__(self, sidecar: parts.Parts) -> None:
+    def __init__(self, sidecar: context.SidecarContext) -> None:
         """Reports on the parts of `sidecar`."""
         self.report = engine.EngineReport()
         self.healthy = True
@@ -49,11 +49,11 @@
         self._changed = asyncio.Event()
         self._beyond = 0.0
 
-    def note_change(self) -> None:
+    def mark_changed(self) -> None:
         """Something that routers should know has changed."""
         self._changed.set()
 
-    def message(self) -> message.Load:
+    def build_message(self) -> message.Load:
         """Returns the present state."""
         sidecar = self._sidecar
         queue = sidecar.queue
@@ -66,7 +66,7 @@
             expected_wait_ms=round(wait_s * 1000),
             token_ms=float(self.report.token_ms),
             models=list(self.report.models),
-            leaving=bool(sidecar.leaving.refusal()),
+            leaving=bool(sidecar.leaving.refusal_reason()),
             healthy=self.healthy,
             revision=sidecar.configuration.revision,
             engine=self.report.incarnation,
@@ -75,17 +75,17 @@
     async def run(self) -> None:
         """Reports changes, the more of them the larger they are."""
         clock = asyncio.get_running_loop().time
-        told, told_at = self.message(), clock()
+        told, told_at = self.build_message(), clock()
         while True:
             await self._changed.wait()
             self._changed.clear()
-            msg = self.message()
+            msg = self.build_message()
             self._set_gauges(msg)
-            kind = load_change.change(told, msg)
+            kind = load_change.classify(told, msg)
             links = self._sidecar.link_count
-            wait_s = told_at + load_change.interval_s(kind, links) - clock()
+            wait_s = told_at + load_change.min_interval_s(kind, links) - clock()
             if kind is not load_change.Change.NONE and wait_s <= 0:
-                self._sidecar.send_to_all(msg)
+                self._sidecar.broadcast(msg)
                 told, told_at = msg, clock()
             elif kind is not load_change.Change.NONE:
                 self._changed.set()
@@ -96,7 +96,7 @@
         interval_s = self._sidecar.settings.timing.poll_s
         while True:
             try:
-                self._take(await self._sidecar.runs.engine.report())
+                self._take(await self._sidecar.runner.engine.report())
             except error.ExchangeError as exc:
                 self._set_healthy(False, exc.detail)
             await asyncio.sleep(interval_s)
@@ -116,7 +116,7 @@
         preemptions_gauge.set({}, report.preemptions)
         if report.leaving:
             self._sidecar.leave('engine is leaving')
-        self.note_change()
+        self.mark_changed()
 
     def _set_healthy(self, healthy: bool, detail: str) -> None:
         if healthy != self.healthy:
@@ -124,7 +124,7 @@
             event.note(
                 event.EngineHealthChanged(healthy=healthy, detail=detail)
             )
-            self.note_change()
+            self.mark_changed()
 
     def _set_gauges(self, msg: message.Load) -> None:
         queued_gauge.set({}, msg.queued)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from quetzalsill.wire import message
 
-__all__ = ['Change', 'change', 'interval_s']
+__all__ = ['Change', 'classify', 'min_interval_s']
 
 LEAST_INTERVAL_S = 0.25
 LEAST_SMALL_INTERVAL_S = 1.0
@@ -35,7 +35,7 @@
     STATE = 3
 
 
-def change(told: message.Load, now: message.Load) -> Change:
+def classify(told: message.Load, now: message.Load) -> Change:
     """Compares the report that routers have with the present one."""
     if any(getattr(told, name) != getattr(now, name) for name in STATE):
         return Change.STATE
@@ -44,7 +44,7 @@
     return Change.NONE if told == now else Change.SMALL
 
 
-def interval_s(kind: Change, links: int) -> float:
+def min_interval_s(kind: Change, links: int) -> float:
     """Least time since the last report before a change is told, in s."""
     if kind is Change.STATE:
         return LEAST_INTERVAL_S
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
@@ -32,7 +32,7 @@
 
     async def readyz(request: blacksheep.Request) -> blacksheep.Response:
         del request
-        reason = sidecar.leaving.refusal()
+        reason = sidecar.leaving.refusal_reason()
         if not reason and not sidecar.load.healthy:
             reason = 'the upstream does not answer'
         if not reason and not sidecar.configuration.revision:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
@@ -101,8 +101,8 @@
 
     async def _step(self) -> None:
         """Reads the engine back and gives the first order that is due."""
-        report = await self._sidecar.runs.engine.report()
-        leaving = report.leaving or bool(self._sidecar.leaving.refusal())
+        report = await self._sidecar.runner.engine.report()
+        leaving = report.leaving or bool(self._sidecar.leaving.refusal_reason())
         # The report lags: what was just unloaded may still be in it, and
         # another upstream that relied on it would unload the last one.
         self._taken_out &= set(report.models)
@@ -178,7 +178,7 @@
         self._taken_out.add(order.name)
         try:
             await self._send(order, cfg)
-        except (error.AnswerRejectedError, error.OrderWithheldError):
+        except (error.UpstreamStatusError, error.OrderWithheldError):
             self._taken_out.discard(order.name)
             raise
         return True
@@ -208,7 +208,7 @@
             if self._sidecar.configuration.revision != cfg.revision:
                 raise error.OrderWithheldError('the configuration is old')
 
-        engine = self._sidecar.runs.engine
+        engine = self._sidecar.runner.engine
         outcome = 'failed'
         try:
             async with self._kept([self._lease, *([taken] if taken else [])]):
@@ -237,7 +237,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timing.read_back_s):
                 while True:
-                    report = await self._sidecar.runs.engine.report()
+                    report = await self._sidecar.runner.engine.report()
                     if _shows(report, order):
                         return
                     await asyncio.sleep(self._timing.interval_s)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
@@ -38,7 +38,7 @@
             async with monitoring.serve(sidecar), _placing(sidecar):
                 await _wait_for_either(stop, sidecar)
                 sidecar.leave('shutting down')
-                await sidecar.drained()
+                await sidecar.wait_drained()
         finally:
             await sidecar.stop()
 
@@ -67,7 +67,7 @@
 ) -> None:
     waits = [
         asyncio.ensure_future(stop.wait()),
-        asyncio.ensure_future(sidecar.leaving.begun.wait()),
+        asyncio.ensure_future(sidecar.leaving.started.wait()),
     ]
     try:
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -68,7 +68,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def busy(self) -> int:
+    def task_count(self) -> int:
         """Number of attempts whose tasks still run."""
         return len(self._tasks)
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
@@ -17,8 +17,7 @@
 
     from quetzalsill.config import holder
     from quetzalsill.wire import link as link_lib
-    from quetzalsill_sidecar import fetch as fetch_lib
-    from quetzalsill_sidecar import intake
+    from quetzalsill_sidecar import config_fetcher, intake
     from quetzalsill_sidecar.attempt import table
 
 __all__ = ['Session']
@@ -38,7 +37,7 @@
     Attributes:
       link: The link that is served.
       is_going_away: Whether the router has said that it ends.
-      terminals: How many terminal messages were sent.
+      terminal_count: How many terminal messages were sent.
     """
 
     def __init__(
@@ -47,12 +46,12 @@
         intake: intake.Intake,
         attempts: table.Attempts,
         configuration: holder.Holder,
-        fetch: fetch_lib.ConfigFetch,
+        fetch: config_fetcher.ConfigFetcher,
     ) -> None:
         """Takes a link whose handshake is done."""
         self.link = link
         self.is_going_away = False
-        self.terminals = 0
+        self.terminal_count = 0
         self._intake = intake
         self._attempts = attempts
         self._configuration = configuration
@@ -86,7 +85,7 @@
 
     def put(self, msg: message.Message) -> None:
         """Sends to the router; a link that is gone is noticed by `serve`."""
-        self.terminals += isinstance(msg, TERMINALS)
+        self.terminal_count += isinstance(msg, TERMINALS)
         with contextlib.suppress(wire_error.LinkClosedError):
             self.link.send_nowait(msg)
 
@@ -106,11 +105,11 @@
         self._fetch.offer(self, revision)
 
     def _detach(self) -> None:
-        self._fetch.forget(self)
+        self._fetch.remove_source(self)
         now = asyncio.get_running_loop().time()
         for attempt in self._attempts.of_link(self):
             attempt.detach(now)
-            self._intake.cut_body(attempt)
+            self._intake.stop_incomplete_call(attempt)
 
     def _on_dispatch(self, msg: message.Dispatch) -> None:
         self._see(msg.revision)
@@ -159,7 +158,7 @@
                     detail=str(exc),
                 )
             )
-        self._fetch.answered(self)
+        self._fetch.record_reply(self)
 
     def _on_go_away(self, msg: message.GoAway) -> None:
         self.is_going_away = True
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -11,10 +11,10 @@
 from quetzalsill.net import tls as net_tls
 from quetzalsill.wire import listen, message, pace
 from quetzalsill_sidecar import (
+    config_fetcher,
     event,
-    fetch,
     intake,
-    leave,
+    leaving_state,
     load,
     runner,
     session,
@@ -79,10 +79,10 @@
             settings.bounds.running,
             clock,
         )
-        self.leaving = leave.Leave(
+        self.leaving = leaving_state.LeavingState(
             settings.upstream.name, self.configuration, self._say_leaving
         )
-        self.runs = runner.Runner(
+        self.runner = runner.Runner(
             settings, self.attempts, self.queue, self._changed
         )
         self.intake = intake.Intake(
@@ -91,13 +91,13 @@
             self.configuration,
             self.attempts,
             self.queue,
-            self.runs,
+            self.runner,
             self.leaving,
             registry,
             self._changed,
         )
         self.load = load.LoadReporter(self)
-        self._fetch = fetch.ConfigFetch(self.configuration)
+        self._fetch = config_fetcher.ConfigFetcher(self.configuration)
         self._pump_due = False
         self._background: set[asyncio.Task[None]] = set()
         self._server = listen.LinkServer(
@@ -110,7 +110,7 @@
             revision=lambda: self.configuration.revision,
             stretch=lambda: pace.listened(self.link_count),
         )
-        self.configuration.on_change(self.intake.adopt)
+        self.configuration.on_change(self.intake.apply_configuration)
 
     @property
     def port(self) -> int:
@@ -153,9 +153,9 @@
 
     def leave(self, reason: str) -> None:
         """Takes nothing new from now on; running work goes to its end."""
-        self.leaving.begin(reason)
+        self.leaving.start(reason)
 
-    async def drained(self) -> bool:
+    async def wait_drained(self) -> bool:
         """Waits until nothing runs and routers have taken all answers.
 
         Returns:
@@ -185,16 +185,18 @@
         for task in self._background:
             task.cancel()
         await asyncio.gather(*self._background, return_exceptions=True)
-        await self.runs.stop()
+        await self.runner.stop()
 
-    def send_to_all(self, msg: message.Message) -> None:
+    def broadcast(self, msg: message.Message) -> None:
         """Sends to every router."""
         for one in self._sessions:
             one.put(msg)
 
     def _sent_so_far(self) -> tuple[int, int]:
         """Returns how many links were taken and terminal messages sent."""
-        return self._links_taken, sum(one.terminals for one in self._sessions)
+        return self._links_taken, sum(
+            one.terminal_count for one in self._sessions
+        )
 
     def _ask_for_echoes(self) -> None:
         """Has each router echo once it has taken all that was sent so far."""
@@ -261,7 +263,7 @@
             upstream=self._settings.upstream.name,
             availability_zone=self._settings.node.availability_zone,
             revision=self.configuration.revision,
-            leaving=bool(self.leaving.refusal()),
+            leaving=bool(self.leaving.refusal_reason()),
         )
 
     async def _on_link(self, link: link_lib.Link) -> None:
@@ -278,7 +280,7 @@
         self._lost.pop(node, None)
         event.note(event.RouterLinked(router=node))
         try:
-            one.put(self.load.message())
+            one.put(self.load.build_message())
             if self.leaving.reason:
                 one.put(self._leaving_message(self.leaving.reason))
                 one.put(message.GoAway(self.leaving.reason))
@@ -291,10 +293,10 @@
             event.note(event.RouterUnlinked(router=node))
 
     def _say_leaving(self, reason: str) -> None:
-        self.send_to_all(self._leaving_message(reason))
-        self.send_to_all(message.GoAway(reason))
+        self.broadcast(self._leaving_message(reason))
+        self.broadcast(message.GoAway(reason))
         self._ask_for_echoes()
-        self.intake.refuse_waiting()
+        self.intake.refuse_unstarted()
         self._changed()
 
     def _leaving_message(self, reason: str) -> message.Leaving:
@@ -302,7 +304,7 @@
 
     def _changed(self) -> None:
         """Lets the queue move once this loop tick is over."""
-        self.load.note_change()
+        self.load.mark_changed()
         if not self._pump_due:
             self._pump_due = True
             asyncio.get_running_loop().call_soon(self._pump)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -11,7 +11,7 @@
 from quetzalsill_sidecar.attempt import state
 
 if TYPE_CHECKING:
-    from quetzalsill_sidecar import parts
+    from quetzalsill_sidecar import context
     from quetzalsill_sidecar import settings as settings_lib
 
 __all__ = ['run', 'sweep']
@@ -21,7 +21,7 @@
 WAITING = (state.Stage.JUDGED, state.Stage.QUEUED)
 
 
-async def run(sidecar: parts.Parts) -> None:
+async def run(sidecar: context.SidecarContext) -> None:
     """Sweeps for ever."""
     clock = asyncio.get_running_loop().time
     expiry = clock()
@@ -36,7 +36,7 @@
             sidecar.attempts.stones.expire()
 
 
-def sweep(sidecar: parts.Parts, now: float) -> None:
+def sweep(sidecar: context.SidecarContext, now: float) -> None:
     """Ends what is past its bound at `now`, and lets the queue move."""
     for attempt in sidecar.attempts:
         _sweep_attempt(sidecar, attempt, now)
@@ -44,7 +44,7 @@
 
 
 def _sweep_attempt(
-    sidecar: parts.Parts, attempt: state.Attempt, now: float
+    sidecar: context.SidecarContext, attempt: state.Attempt, now: float
 ) -> None:
     timing = sidecar.settings.timing
     if attempt.stage is state.Stage.OVER:
@@ -63,7 +63,7 @@
 
 
 def _sweep_waiting(
-    sidecar: parts.Parts,
+    sidecar: context.SidecarContext,
     attempt: state.Attempt,
     now: float,
     timing: settings_lib.Timing,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -72,7 +72,7 @@
             writing.cancel()
             with contextlib.suppress(
                 asyncio.CancelledError,
-                error.AnswerLostError,
+                error.ResponseLostError,
                 error.RequestMalformedError,
             ):
                 await writing
@@ -105,7 +105,7 @@
     again = attempt.dispatch.idempotent
     try:
         head = await conn.read_head()
-    except error.AnswerLostError as exc:
+    except error.ResponseLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.OutcomeUnknownError.code,
@@ -118,7 +118,7 @@
         while data := await conn.read_data():
             attempt.deliver(_cut(data))
             await attempt.tail.room()
-    except error.AnswerLostError as exc:
+    except error.ResponseLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -101,8 +101,8 @@
 
         Raises:
           UpstreamConnectError: not reached.
-          AnswerLostError: no whole answer came.
-          AnswerRejectedError: the engine would not.
+          ResponseLostError: no whole answer came.
+          UpstreamStatusError: the engine would not.
         """
         answer = await self._ask('POST', f'{_request_path(attempt)}/cancel')
         return str(answer.get('state', ''))
@@ -156,9 +156,11 @@
                 head = await conn.read_head()
                 body = await conn.read_all(MAX_ANSWER_BYTES)
         except TimeoutError as exc:
-            raise error.AnswerLostError(f'{target}: no answer in time') from exc
+            raise error.ResponseLostError(
+                f'{target}: no answer in time'
+            ) from exc
         if head.status != 200:
-            raise error.AnswerRejectedError(head.status, body)
+            raise error.UpstreamStatusError(head.status, body)
         return _parse_object(body)
 
 
@@ -166,7 +168,7 @@
     """Writes the request that starts a generation.
 
     Raises:
-      AnswerLostError: the connection broke; the engine may have it.
+      ResponseLostError: the connection broke; the engine may have it.
     """
     await conn.ask('POST', PATHS[kind], JSON_HEADERS, body)
 
@@ -175,7 +177,7 @@
     """Writes the request for the events from number `first` on.
 
     Raises:
-      AnswerLostError: the connection broke.
+      ResponseLostError: the connection broke.
     """
     target = f'{_request_path(attempt)}/stream?from={first}'
     await conn.ask('GET', target, [])
@@ -209,7 +211,7 @@
     try:
         answer = json.loads(body)
     except ValueError as exc:
-        raise error.AnswerLostError(f'answer is no JSON: {exc}') from exc
+        raise error.ResponseLostError(f'answer is no JSON: {exc}') from exc
     if not isinstance(answer, dict):
-        raise error.AnswerLostError('answer is no JSON object')
+        raise error.ResponseLostError('answer is no JSON object')
     return answer
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -53,7 +53,7 @@
             if await _read_first(conn, attempt.dispatch.kind, body, progress):
                 return message.Finished(attempt.id, attempt.tail.end)
         await progress.resume()
-    except error.AnswerRejectedError as exc:
+    except error.UpstreamStatusError as exc:
         return outcome.rejected(attempt.id, exc)
     except error.GenerationGoneError as exc:
         # The request may still be on its way to an engine that does not
@@ -140,7 +140,7 @@
     try:
         await engine_lib.write_start(conn, kind, body)
         await progress.read(conn)
-    except (error.AnswerLostError, TimeoutError):
+    except (error.ResponseLostError, TimeoutError):
         return False
     return True
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -97,7 +97,7 @@
             async with self._engine.exchange() as conn:
                 await engine_lib.write_resume(conn, self._attempt, self.count)
                 await self.read(conn)
-        except error.AnswerRejectedError as exc:
+        except error.UpstreamStatusError as exc:
             if exc.status == NOT_FOUND:
                 raise error.GenerationGoneError(exc.detail) from exc
             return False
@@ -105,7 +105,7 @@
             if not exc.refused:
                 self._note_reached()
             return False
-        except (error.AnswerLostError, TimeoutError):
+        except (error.ResponseLostError, TimeoutError):
             self._note_reached()
             return False
         return True
@@ -126,8 +126,8 @@
         """Reads from a connection on which the request was written.
 
         Raises:
-          AnswerLostError: the stream broke; `resume` may carry on.
-          AnswerRejectedError: the engine would not.
+          ResponseLostError: the stream broke; `resume` may carry on.
+          UpstreamStatusError: the engine would not.
           GenerationGoneError: the engine gave the generation up, or goes on
             with another one.
           TimeoutError: the stream fell silent; `resume` may carry on.
@@ -136,7 +136,7 @@
             head = await conn.read_head()
             if head.status != OK:
                 body = await conn.read_all(ERROR_BODY_BYTES)
-                raise error.AnswerRejectedError(head.status, body)
+                raise error.UpstreamStatusError(head.status, body)
         self._note_answer()
         parser = sse.EventParser()
         checked = False
@@ -147,7 +147,7 @@
             async with deadline.timeout(self._bounds.stall_s):
                 data = await conn.read_data()
             if not data:
-                raise error.AnswerLostError('stream ended before its mark')
+                raise error.ResponseLostError('stream ended before its mark')
             self._note_answer()
             events = parser.feed(data)
             last = events[-1] if events else b''
@@ -169,7 +169,7 @@
         """Checks that a new connection goes on where the last one ended.
 
         Raises:
-          AnswerLostError: the event is not the next one.
+          ResponseLostError: the event is not the next one.
           GenerationGoneError: the event is of another generation.
         """
         fields = _fields(event)
@@ -182,7 +182,7 @@
             )
         index = fields.get('index')
         if index is not None and index != self.count:
-            raise error.AnswerLostError(f'event {index}, not {self.count}')
+            raise error.ResponseLostError(f'event {index}, not {self.count}')
 
     def _note_answer(self) -> None:
         self._note_reached()
@@ -198,5 +198,5 @@
     try:
         fields = json.loads(event)
     except ValueError as exc:
-        raise error.AnswerLostError(f'event is no JSON: {exc}') from exc
+        raise error.ResponseLostError(f'event is no JSON: {exc}') from exc
     return fields if isinstance(fields, dict) else {}
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -111,19 +111,19 @@
         """Writes bytes, waiting while the upstream is slow.
 
         Raises:
-          AnswerLostError: the connection broke.
+          ResponseLostError: the connection broke.
         """
         try:
             self._writer.write(data)
             await self._writer.drain()
         except OSError as exc:
-            raise error.AnswerLostError(f'write failed: {exc}') from exc
+            raise error.ResponseLostError(f'write failed: {exc}') from exc
 
     async def write_body(self, data: bytes) -> None:
         """Writes a piece of the body.
 
         Raises:
-          AnswerLostError: the connection broke.
+          ResponseLostError: the connection broke.
           RequestMalformedError: the body is longer than was announced.
         """
         if data:
@@ -148,7 +148,7 @@
         """Reads the final status and headers.
 
         Raises:
-          AnswerLostError: the connection broke before they came.
+          ResponseLostError: the connection broke before they came.
         """
         while self._answer.head is None:
             await self._receive()
@@ -158,7 +158,7 @@
         """Reads what has come of the body; empty at its proper end.
 
         Raises:
-          AnswerLostError: the connection broke before the end.
+          ResponseLostError: the connection broke before the end.
         """
         data = self._answer.take()
         while not data and not self._answer.is_whole:
@@ -190,9 +190,9 @@
         try:
             self._answer.feed(await self._reader.read(READ_BYTES))
         except OSError as exc:
-            raise error.AnswerLostError(f'read failed: {exc}') from exc
+            raise error.ResponseLostError(f'read failed: {exc}') from exc
         except net_error.AnswerLostError as exc:
-            raise error.AnswerLostError(exc.detail) from exc
+            raise error.ResponseLostError(exc.detail) from exc
 
 
 async def connect(origin: Origin, timeout_s: float) -> Connection:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -33,7 +33,7 @@
     return message.Failed(attempt, code, detail, ran.value, gone)
 
 
-def rejected(attempt: str, exc: error.AnswerRejectedError) -> message.Failed:
+def rejected(attempt: str, exc: error.UpstreamStatusError) -> message.Failed:
     """Terminal for an engine that answered a start with an error status."""
     status = exc.status
     if status == 409 and FORBIDDEN in exc.body:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
@@ -20,12 +20,12 @@
         """Returns the payloads of all events that are now whole.
 
         Raises:
-          AnswerLostError: an event is larger than `MAX_EVENT_BYTES`.
+          ResponseLostError: an event is larger than `MAX_EVENT_BYTES`.
         """
         text = (self._rest + data).replace(b'\r\n', b'\n')
         *blocks, self._rest = text.split(b'\n\n')
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise error.AnswerLostError('event too large')
+            raise error.ResponseLostError('event too large')
         payloads = (_payload(block) for block in blocks)
         return [payload for payload in payloads if payload]
 
--- a/tests/quetzalsill_sidecar/placement/test_placement.py
+++ b/tests/quetzalsill_sidecar/placement/test_placement.py
@@ -179,7 +179,7 @@
                 happen()
                 check()
                 given.append((kind, name, fence))
-                raise error.AnswerLostError('not read back here')
+                raise error.ResponseLostError('not read back here')
 
         tested = self.placer(Engine())
         head = {'revision': 4, 'edit': 'e', 'author': 'a', 'at': 'now'}
@@ -204,8 +204,8 @@
                 placement=settings.Placement(lease_s=TTL_S),
             ),
             incarnation=1,
-            runs=types.SimpleNamespace(engine=served),
-            leaving=types.SimpleNamespace(refusal=lambda: ''),
+            runner=types.SimpleNamespace(engine=served),
+            leaving=types.SimpleNamespace(refusal_reason=lambda: ''),
             configuration=self.holder,
         )
         platform = types.SimpleNamespace(table=self.rows, objects=None)
@@ -234,7 +234,7 @@
         """
         given, exc = await self.order_after(lambda: None)
         self.assertEqual(given, [('set_role', 'decode', 4)])
-        self.assertIsInstance(exc, error.AnswerLostError)
+        self.assertIsInstance(exc, error.ResponseLostError)
         now = lease.suspend_aware_clock()
         late = unittest.mock.patch.object(
             lease.time, 'clock_gettime', lambda _: now + 60
--- a/tests/quetzalsill_sidecar/support.py
+++ b/tests/quetzalsill_sidecar/support.py
@@ -33,7 +33,7 @@
 
 MODEL = 'planner'
 CREDENTIAL = 'secret'
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
 
 _counter = itertools.count(1)
 
@@ -170,12 +170,12 @@
 
     async def receive(self, attempt: str) -> message.Message:
         """The next message about an attempt."""
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.inbox(attempt).get()
 
     async def receive_other(self, kind: type) -> message.Message:
         """The next message of a kind that is about no attempt."""
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(msg := await self.others.get(), kind):
                 pass
             return msg
@@ -306,15 +306,15 @@
     return f'http://127.0.0.1:{relay.port}'
 
 
-def start_on(engine: engine_lib.Engine, attempt: str) -> None:
+def start_on_engine(engine: engine_lib.Engine, attempt: str) -> None:
     """Lets the request of an attempt arrive at an engine."""
     body = {'request_id': attempt, 'model': MODEL, 'prompt': 'late'}
     engine.start(completion.parse(body, chat=False))
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Waits for a condition that no message tells of."""
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             if condition():
                 return
--- a/tests/quetzalsill_sidecar/test_fetch.py
+++ b/tests/quetzalsill_sidecar/test_config_fetcher.py
@@ -7,7 +7,7 @@
 
 from quetzalsill.config import holder
 from quetzalsill.wire import message
-from quetzalsill_sidecar import fetch
+from quetzalsill_sidecar import config_fetcher
 from tests.quetzalsill_sidecar import support
 
 
@@ -30,7 +30,7 @@
 
     async def asyncSetUp(self):
         self.held = holder.Holder()
-        self.fetch = fetch.ConfigFetch(self.held)
+        self.fetch = config_fetcher.ConfigFetcher(self.held)
         self.routers = [FakeRouter() for _ in range(3)]
 
     def asked(self):
@@ -45,7 +45,7 @@
         self.offer_all(2)
         self.assertEqual(self.asked(), [1, 0, 0])
         self.held.install(support.configuration(), 2)
-        self.fetch.answered(self.routers[0])
+        self.fetch.record_reply(self.routers[0])
         self.assertEqual(self.asked(), [1, 0, 0])
         self.offer_all(3)
         self.assertEqual(sum(self.asked()), 2)
@@ -55,10 +55,10 @@
         self,
     ):
         self.offer_all(2)
-        self.fetch.answered(self.routers[0])
+        self.fetch.record_reply(self.routers[0])
         self.assertEqual(self.asked(), [1, 1, 0])
         self.fetch.offer(self.routers[0], 2)
-        self.fetch.forget(self.routers[1])
+        self.fetch.remove_source(self.routers[1])
         self.assertEqual(self.asked(), [1, 1, 1])
 
     async def test_the_next_is_asked_if_a_router_stays_silent(self):
--- a/tests/quetzalsill_sidecar/test_path.py
+++ b/tests/quetzalsill_sidecar/test_dispatch.py
@@ -8,7 +8,7 @@
 from tests.quetzalsill_sidecar import support
 
 
-class PathTest(unittest.IsolatedAsyncioTestCase):
+class DispatchTest(unittest.IsolatedAsyncioTestCase):
     """The way without failures."""
 
     async def test_answer_streams_whole_and_in_order(self):
--- a/tests/quetzalsill_sidecar/test_engine_faults.py
+++ b/tests/quetzalsill_sidecar/test_engine_faults.py
@@ -85,7 +85,7 @@
         self.assertEqual(messages[-1].code, 'upstream_failed')
         self.assertTrue(messages[-1].gone)
         with self.assertRaises(engine_standin.ForbiddenRequestError):
-            support.start_on(self.engine, attempt)
+            support.start_on_engine(self.engine, attempt)
 
     async def test_engine_out_of_reach_is_given_up_and_cancelled_later(self):
         """A clerk waits until the deadline for an engine that is gone."""
@@ -119,7 +119,7 @@
                 await router.receive_other(message.Load)
             messages = await router.receive_all(router.dispatch())
             self.assertIsInstance(messages[-1], message.Finished)
-            self.assertFalse(sidecar.runs.busy)
+            self.assertFalse(sidecar.runner.task_count)
 
 
 class DeadEngineTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/quetzalsill_sidecar/test_intake.py
+++ b/tests/quetzalsill_sidecar/test_intake.py
@@ -12,7 +12,7 @@
 
 from quetzalsill.config import holder
 from quetzalsill.wire import message
-from quetzalsill_sidecar import intake, leave
+from quetzalsill_sidecar import intake, leaving_state
 from quetzalsill_sidecar.attempt import state, table
 from quetzalsill_sidecar.queue import order_fifo, schedule
 from tests.quetzalsill_sidecar import support
@@ -74,7 +74,9 @@
             self.attempts,
             self.queue,
             self.upstream,
-            leave.Leave('ikeja-planner-1', configuration, lambda _: None),
+            leaving_state.LeavingState(
+                'ikeja-planner-1', configuration, lambda _: None
+            ),
             support.registry(),
             lambda: None,
         )
--- a/tests/quetzalsill_sidecar/test_leaving.py
+++ b/tests/quetzalsill_sidecar/test_leaving.py
@@ -72,7 +72,7 @@
         self.sidecar.leave('shutting down')
         await self.assert_only_running_ends()
         self.router.send(message.Ack(self.running))
-        self.assertTrue(await self.sidecar.drained())
+        self.assertTrue(await self.sidecar.wait_drained())
 
     async def test_drained_upstream_comes_back(self):
         """An upstream that was drained and undrained takes no work."""
@@ -88,7 +88,7 @@
         self.assertIsInstance(messages[-1], message.Finished)
 
 
-class LastWordTest(unittest.IsolatedAsyncioTestCase):
+class RefusalInTransitTest(unittest.IsolatedAsyncioTestCase):
     """A router with a slow link to a sidecar that ends."""
 
     async def test_refusal_on_its_way_while_the_sidecar_ends(self):
@@ -152,7 +152,7 @@
         """
         # It waits for a configuration that nobody has.
         waiting = self.router.dispatch(revision=9)
-        await support.until(lambda: self.sidecar.attempts.get(waiting))
+        await support.wait_until(lambda: self.sidecar.attempts.get(waiting))
         await self.assert_not_run(waiting)
 
     async def test_refusal_is_lost_with_the_link(self):
@@ -160,7 +160,7 @@
         self.relay.delay(LINK_DELAY_S)
         refused = self.router.dispatch(revision=0)
         stones = self.sidecar.attempts.stones
-        await support.until(lambda: stones.find(refused))
+        await support.wait_until(lambda: stones.find(refused))
         await self.assert_not_run(refused)
 
     async def test_order_is_lost_with_the_link(self):
@@ -179,7 +179,7 @@
 async def end(sidecar):
     """Ends a sidecar as its process does."""
     sidecar.leave('shutting down')
-    await sidecar.drained()
+    await sidecar.wait_drained()
     await sidecar.stop()
 
 
--- a/tests/quetzalsill_sidecar/test_links.py
+++ b/tests/quetzalsill_sidecar/test_links.py
@@ -68,7 +68,9 @@
         ):
             attempt = router.dispatch(tokens=30, credit=5)
             known = sidecar.attempts.get
-            await support.until(lambda: known(attempt) and known(attempt).ended)
+            await support.wait_until(
+                lambda: known(attempt) and known(attempt).ended
+            )
             sweep.sweep(sidecar, known(attempt).ended + 10.0)
             router.send(message.Credit(attempt, 5, 100))
             messages = await router.receive_all(attempt)
--- a/tests/quetzalsill_sidecar/test_load_change.py
+++ b/tests/quetzalsill_sidecar/test_load_change.py
@@ -56,7 +56,7 @@
             for fields in cases:
                 with self.subTest(**fields):
                     now = dataclasses.replace(TOLD, **fields)
-                    self.assertIs(load_change.change(TOLD, now), kind)
+                    self.assertIs(load_change.classify(TOLD, now), kind)
 
     async def test_figures_wait_longer_the_more_routers_there_are(self):
         _, small, large, state = load_change.Change
@@ -65,7 +65,7 @@
             160: (80.0, 20.0, 0.25),
         }.items():
             intervals = tuple(
-                load_change.interval_s(kind, links)
+                load_change.min_interval_s(kind, links)
                 for kind in (small, large, state)
             )
             self.assertEqual(intervals, expected)
@@ -78,7 +78,7 @@
             await router.receive_other(message.Load)
             for used in (9000, 0):
                 sidecar.queue.foreign_tokens = used
-                sidecar.load.note_change()
+                sidecar.load.mark_changed()
                 load = await router.receive_other(message.Load)
                 self.assertEqual(load.used_tokens, used)
 
--- a/tests/quetzalsill_sidecar/test_not_run.py
+++ b/tests/quetzalsill_sidecar/test_not_run.py
@@ -156,9 +156,9 @@
         await self.router.receive_all(self.router.dispatch(tokens=1))
 
     async def ended_on_engine(self, attempt):
-        async with asyncio.timeout(support.WAIT_S):
+        async with asyncio.timeout(support.TIMEOUT_S):
             while not self.is_cancelled(attempt):
-                await self.sidecar.runs.engine.report()
+                await self.sidecar.runner.engine.report()
 
     def is_cancelled(self, attempt):
         return any(
--- a/tests/quetzalsill_sidecar/test_peer.py
+++ b/tests/quetzalsill_sidecar/test_peer.py
@@ -50,7 +50,7 @@
         made.reconcile(held.current, None)
         self.addAsyncCleanup(made.stop)
         peer = made.get(UPSTREAM)
-        await support.until(lambda: peer.linked and peer.status.healthy)
+        await support.wait_until(lambda: peer.linked and peer.status.healthy)
         return peer
 
     async def test_body_is_paced_to_its_end(self):
@@ -73,7 +73,7 @@
         )
         reading = asyncio.create_task(read(attempt))
         proof = b'proof' * 200_000
-        async with asyncio.timeout(support.WAIT_S):
+        async with asyncio.timeout(support.TIMEOUT_S):
             await attempt.send_body(proof, True)
             items, terminal = await reading
         self.assertIsInstance(terminal, message.Finished, terminal)
--- a/tests/quetzalsill_sidecar/test_recover.py
+++ b/tests/quetzalsill_sidecar/test_recover.py
@@ -86,7 +86,7 @@
                 attempt = lost.dispatch(tokens=2000)
                 while not support.indexes([await lost.receive(attempt)]):
                     pass
-            await support.until(lambda: not sidecar.queue.running)
+            await support.wait_until(lambda: not sidecar.queue.running)
             async with support.router(sidecar.port) as router:
                 router.dispatch(
                     attempt=attempt,
@@ -125,7 +125,7 @@
         messages = await self.recover(attempt, self.url)
         self.assertIsInstance(messages[-1], message.Refused)
         with self.assertRaises(engine_standin.ForbiddenRequestError):
-            support.start_on(self.engine, attempt)
+            support.start_on_engine(self.engine, attempt)
 
     async def test_restarted_engine_proves_nothing(self):
         """A brief that ran on an engine that died is called "not run"."""
