--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
@@ -32,11 +32,11 @@
     would take hundreds of them at once into its memory.
     """
 
-    def __init__(self, held: holder.Holder) -> None:
-        self._holder = held
+    def __init__(self, configuration: holder.Holder) -> None:
+        self._configuration = configuration
         self._offers: dict[Source, int] = {}
-        self._tried: dict[Source, int] = {}
-        self._asked: Source | None = None
+        self._requested: dict[Source, int] = {}
+        self._pending: Source | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def offer(self, source: Source, revision: int) -> None:
@@ -45,44 +45,46 @@
         A router is asked once for a revision: its document is on the way, or
         its link will be given up.
         """
-        if revision > max(self._holder.revision, self._tried.get(source, 0)):
+        if revision > max(
+            self._configuration.revision, self._requested.get(source, 0)
+        ):
             self._offers[source] = revision
-            self._ask()
+            self._request_next()
 
     def record_reply(self, source: Source) -> None:
         """Notes that a router has answered; its document was tried."""
         self._offers.pop(source, None)
-        if source is self._asked:
-            self._settle()
+        if source is self._pending:
+            self._clear_pending()
 
     def remove_source(self, source: Source) -> None:
         """Notes that the link of a router has ended."""
-        self._tried.pop(source, None)
+        self._requested.pop(source, None)
         self.record_reply(source)
 
-    def _ask(self) -> None:
-        if self._asked is not None:
+    def _request_next(self) -> None:
+        if self._pending is not None:
             return
         self._offers = {
             source: revision
             for source, revision in self._offers.items()
-            if revision > self._holder.revision
+            if revision > self._configuration.revision
         }
         if not self._offers:
             return
-        self._asked = max(self._offers, key=self._offers.__getitem__)
-        self._tried[self._asked] = self._offers[self._asked]
+        self._pending = max(self._offers, key=self._offers.__getitem__)
+        self._requested[self._pending] = self._offers[self._pending]
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(REPLY_TIMEOUT_S, self._expire)
-        self._asked.put(message.ConfigFetch(self._holder.revision))
+        self._pending.put(message.ConfigFetch(self._configuration.revision))
 
     def _expire(self) -> None:
         # It may be paused or its link silent; another one is asked, and
         # whichever document comes first is installed.
-        del self._offers[self._asked]
-        self._settle()
+        del self._offers[self._pending]
+        self._clear_pending()
 
-    def _settle(self) -> None:
+    def _clear_pending(self) -> None:
         self._timer.cancel()
-        self._asked = None
-        self._ask()
+        self._pending = None
+        self._request_next()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -26,7 +26,7 @@
 
 __all__ = ['Intake']
 
-NEVER_SEEN_KEEP_S = 3600.0
+UNKNOWN_TOMBSTONE_TTL_S = 3600.0
 
 
 class Intake:
@@ -53,14 +53,14 @@
         self._leaving = leaving
         self._registry = registry
         self._on_change = on_change
-        self._waits: set[asyncio.Task[None]] = set()
+        self._config_waits: set[asyncio.Task[None]] = set()
 
     def dispatch(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> None:
         """Takes a Dispatch; one of a known attempt only re-attaches it."""
-        has_run = _has_run(self._terminal(dispatch.attempt))
-        if self._answer_known(dispatch, link, put):
+        has_run = _has_run(self._terminal_of(dispatch.attempt))
+        if self._handle_known(dispatch, link, put):
             return
         attempt = factory.make_attempt(
             dispatch,
@@ -72,11 +72,11 @@
         self._attempts.add(attempt)
         attempt.attach(link, put)
         if dispatch.revision > self._configuration.revision:
-            task = asyncio.create_task(self._judge_later(attempt))
-            self._waits.add(task)
-            task.add_done_callback(self._waits.discard)
+            task = asyncio.create_task(self._admit_after_configuration(attempt))
+            self._config_waits.add(task)
+            task.add_done_callback(self._config_waits.discard)
         else:
-            self._judge(attempt)
+            self._admit(attempt)
 
     def withdraw(self, attempt_id: str, put: Put) -> None:
         """Takes back an attempt that has not started.
@@ -88,11 +88,13 @@
         if attempt is not None:
             self._withdraw_known(attempt, put)
             return
-        stone = self._attempts.stones.find(attempt_id)
-        if stone is None:
-            stone = message.Withdrawn(attempt_id)
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
-        put(stone)
+        tombstone = self._attempts.stones.find(attempt_id)
+        if tombstone is None:
+            tombstone = message.Withdrawn(attempt_id)
+            self._attempts.stones.lay(
+                attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
+            )
+        put(tombstone)
 
     def cancel(self, attempt_id: str) -> None:
         """Ends an attempt that is no longer wanted."""
@@ -115,12 +117,12 @@
         """Takes an attempt up on a new link, from the item asked for."""
         attempt = self._attempts.get(msg.attempt)
         if attempt is None:
-            put(self._answer_lost(msg.attempt))
+            put(self._refuse_unknown(msg.attempt))
         elif _rewind(attempt, msg):
             attempt.attach(link, put)
             self.stop_incomplete_call(attempt)
         else:
-            put(_not_kept(attempt))
+            put(_items_discarded(attempt))
 
     def stop_incomplete_call(self, attempt: state.Attempt) -> None:
         """Ends a call whose body can't be completed: its link is gone.
@@ -170,32 +172,32 @@
     def _demand(self, attempt: state.Attempt) -> policy.Demand:
         return factory.make_demand(attempt, self._configuration.current)
 
-    def _answer_known(
+    def _handle_known(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> bool:
         """Answers for an attempt seen before; False if it is to be run."""
         attempt = self._attempts.get(dispatch.attempt)
-        terminal = self._terminal(dispatch.attempt)
+        terminal = self._terminal_of(dispatch.attempt)
         is_call = dispatch.kind == kind.CALL
-        if dispatch.recover and not is_call and _is_open(terminal):
+        if dispatch.recover and not is_call and _may_recover(terminal):
             # The engine could not be asked the last time, or not by who asks
             # now; it may have the answer that is no longer kept here.
             self._attempts.drop(dispatch.attempt)
             return False
         if attempt is not None:
-            self._take_up(attempt, dispatch, link, put)
+            self._reattach(attempt, dispatch, link, put)
         elif terminal is not None:
             put(terminal)
         return attempt is not None or terminal is not None
 
-    def _terminal(self, attempt_id: str) -> message.Message | None:
+    def _terminal_of(self, attempt_id: str) -> message.Message | None:
         """Returns how an attempt ended here; None if that is not known."""
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             return attempt.terminal
         return self._attempts.stones.find(attempt_id)
 
-    def _take_up(
+    def _reattach(
         self,
         attempt: state.Attempt,
         dispatch: message.Dispatch,
@@ -216,19 +218,21 @@
             )
         elif dispatch.fence > attempt.dispatch.fence and attempt.tail.start:
             # Its new owner has none of the items that the last one took.
-            put(_not_kept(attempt))
+            put(_items_discarded(attempt))
         else:
             attempt.tail.restart(dispatch.credit)
             attempt.attach(link, put)
 
-    def _answer_lost(self, attempt_id: str) -> message.Message:
-        stone = self._attempts.stones.find(attempt_id)
-        if stone is None:
-            stone = message.Refused(
+    def _refuse_unknown(self, attempt_id: str) -> message.Message:
+        tombstone = self._attempts.stones.find(attempt_id)
+        if tombstone is None:
+            tombstone = message.Refused(
                 attempt_id, request_error.NotFoundError.code, 'never seen', 0
             )
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
-        return stone
+            self._attempts.stones.lay(
+                attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
+            )
+        return tombstone
 
     def _withdraw_known(self, attempt: state.Attempt, put: Put) -> None:
         if attempt.started or attempt.stage is state.Stage.OVER:
@@ -241,16 +245,16 @@
         self._attempts.end(attempt, message.Withdrawn(attempt.id))
         self._on_change()
 
-    async def _judge_later(self, attempt: state.Attempt) -> None:
+    async def _admit_after_configuration(self, attempt: state.Attempt) -> None:
         revision = attempt.dispatch.revision
         try:
             async with asyncio.timeout(self._settings.timing.config_s):
                 await self._configuration.wait_for(revision)
         except TimeoutError:
             event.note(event.ConfigurationNotHad(revision=revision))
-        self._judge(attempt)
+        self._admit(attempt)
 
-    def _judge(self, attempt: state.Attempt) -> None:
+    def _admit(self, attempt: state.Attempt) -> None:
         if attempt.stage is not state.Stage.JUDGED:
             return
         dispatch = attempt.dispatch
@@ -261,10 +265,10 @@
             )
             return
         demand = self._demand(attempt)
-        verdict = judge.judge(dispatch, self._circumstances(demand))
-        if verdict is not None:
+        refusal = judge.judge(dispatch, self._admission_state(demand))
+        if refusal is not None:
             self._attempts.refuse(
-                attempt, verdict.code, verdict.detail, verdict.retry_after_ms
+                attempt, refusal.code, refusal.detail, refusal.retry_after_ms
             )
         elif dispatch.recover:
             self._queue.occupy(demand)
@@ -278,7 +282,7 @@
             self.pump()
         self._on_change()
 
-    def _circumstances(self, demand: policy.Demand) -> judge.Circumstances:
+    def _admission_state(self, demand: policy.Demand) -> judge.Circumstances:
         is_model = self._settings.upstream.kind == 'model'
         wait_s = self._queue.expected_wait_s(demand.rank(demand.arrived))
         return judge.Circumstances(
@@ -293,7 +297,7 @@
         )
 
 
-def _is_open(terminal: message.Message | None) -> bool:
+def _may_recover(terminal: message.Message | None) -> bool:
     """Whether more may be had of an attempt than how it ended here."""
     if not isinstance(terminal, message.Failed) or terminal.gone:
         return False
@@ -326,7 +330,7 @@
     return attempt.tail.rewind(seq, msg.credit + msg.seq - seq)
 
 
-def _not_kept(attempt: state.Attempt) -> message.Message:
+def _items_discarded(attempt: state.Attempt) -> message.Message:
     return message.Failed(
         attempt.id,
         request_error.OutcomeUnknownError.code,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
@@ -1,4 +1,4 @@
-"""What the sidecar knows of its upstream, told to every router."""
+"""What the sidecar knows of its upstream, reported to every router."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 __all__ = ['LoadReporter']
 
-LOOK_INTERVAL_S = 0.1
-CORRECTION = 0.1
-PROMPT_RANK = 0
+CHECK_INTERVAL_S = 0.1
+FOREIGN_SMOOTHING = 0.1
+HIGHEST_RANK = 0
 
 queued_gauge = metric.gauge(
     'quetzalsill_sidecar_queued', 'Attempts waiting in the sidecar.'
@@ -47,7 +47,7 @@
         self.healthy = True
         self._sidecar = sidecar
         self._changed = asyncio.Event()
-        self._beyond = 0.0
+        self._foreign_mean = 0.0
 
     def mark_changed(self) -> None:
         """Something that routers should know has changed."""
@@ -57,7 +57,7 @@
         """Returns the present state."""
         sidecar = self._sidecar
         queue = sidecar.queue
-        wait_s = queue.expected_wait_s(PROMPT_RANK)
+        wait_s = queue.expected_wait_s(HIGHEST_RANK)
         return message.Load(
             queued=queue.queued,
             running=queue.running,
@@ -75,33 +75,35 @@
     async def run(self) -> None:
         """Reports changes, the more of them the larger they are."""
         clock = asyncio.get_running_loop().time
-        told, told_at = self.build_message(), clock()
+        reported, reported_at = self.build_message(), clock()
         while True:
             await self._changed.wait()
             self._changed.clear()
             msg = self.build_message()
             self._set_gauges(msg)
-            kind = load_change.classify(told, msg)
+            kind = load_change.classify(reported, msg)
             links = self._sidecar.link_count
-            wait_s = told_at + load_change.min_interval_s(kind, links) - clock()
+            wait_s = (
+                reported_at + load_change.min_interval_s(kind, links) - clock()
+            )
             if kind is not load_change.Change.NONE and wait_s <= 0:
                 self._sidecar.broadcast(msg)
-                told, told_at = msg, clock()
+                reported, reported_at = msg, clock()
             elif kind is not load_change.Change.NONE:
                 self._changed.set()
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def poll(self) -> None:
         """Fetches the engine's report again and again."""
         interval_s = self._sidecar.settings.timing.poll_s
         while True:
             try:
-                self._take(await self._sidecar.runner.engine.report())
+                self._apply_report(await self._sidecar.runner.engine.report())
             except error.ExchangeError as exc:
                 self._set_healthy(False, exc.detail)
             await asyncio.sleep(interval_s)
 
-    def _take(self, report: engine.EngineReport) -> None:
+    def _apply_report(self, report: engine.EngineReport) -> None:
         self._set_healthy(True, '')
         self.report = report
         queue = self._sidecar.queue
@@ -110,9 +112,9 @@
         # just ended still is. Both signs cancel out in the mean; cut off at
         # zero before that, the lag would pass for memory held by others.
         own = queue.used_tokens - queue.foreign_tokens
-        beyond = report.used_tokens - own
-        self._beyond += (beyond - self._beyond) * CORRECTION
-        queue.foreign_tokens = max(0, round(self._beyond))
+        foreign = report.used_tokens - own
+        self._foreign_mean += (foreign - self._foreign_mean) * FOREIGN_SMOOTHING
+        queue.foreign_tokens = max(0, round(self._foreign_mean))
         preemptions_gauge.set({}, report.preemptions)
         if report.leaving:
             self._sidecar.leave('engine is leaving')
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
@@ -10,8 +10,8 @@
 
 __all__ = ['Change', 'classify', 'min_interval_s']
 
-LEAST_INTERVAL_S = 0.25
-LEAST_SMALL_INTERVAL_S = 1.0
+MIN_INTERVAL_S = 0.25
+MIN_SMALL_INTERVAL_S = 1.0
 # A Load is about 200 bytes on the network, headers and acknowledgement
 # included, and goes to every router. So reports of large changes cost a
 # sidecar 1.6 KB/s at most and those of small ones 0.4 KB/s, however many
@@ -19,11 +19,11 @@
 INTERVAL_S_PER_LINK = 0.125
 SMALL_INTERVAL_S_PER_LINK = 0.5
 
-RELATIVE = 0.25
-MEMORY_PART = 0.05
-WAIT_MS = 50.0
-TOKEN_MS = 2.0
-STATE = ('models', 'leaving', 'healthy', 'revision', 'engine')
+RELATIVE_THRESHOLD = 0.25
+MEMORY_THRESHOLD = 0.05
+WAIT_THRESHOLD_MS = 50.0
+TOKEN_THRESHOLD_MS = 2.0
+STATE_FIELDS = ('models', 'leaving', 'healthy', 'revision', 'engine')
 
 
 class Change(enum.IntEnum):
@@ -35,34 +35,43 @@
     STATE = 3
 
 
-def classify(told: message.Load, now: message.Load) -> Change:
+def classify(reported: message.Load, current: message.Load) -> Change:
     """Compares the report that routers have with the present one."""
-    if any(getattr(told, name) != getattr(now, name) for name in STATE):
+    if any(
+        getattr(reported, name) != getattr(current, name)
+        for name in STATE_FIELDS
+    ):
         return Change.STATE
-    if _is_large(told, now):
+    if _is_large(reported, current):
         return Change.LARGE
-    return Change.NONE if told == now else Change.SMALL
+    return Change.NONE if reported == current else Change.SMALL
 
 
-def min_interval_s(kind: Change, links: int) -> float:
-    """Least time since the last report before a change is told, in s."""
+def min_interval_s(kind: Change, link_count: int) -> float:
+    """Least time since the last report before a change is reported, in s."""
     if kind is Change.STATE:
-        return LEAST_INTERVAL_S
+        return MIN_INTERVAL_S
     if kind is Change.LARGE:
-        return max(LEAST_INTERVAL_S, links * INTERVAL_S_PER_LINK)
-    return max(LEAST_SMALL_INTERVAL_S, links * SMALL_INTERVAL_S_PER_LINK)
+        return max(MIN_INTERVAL_S, link_count * INTERVAL_S_PER_LINK)
+    return max(MIN_SMALL_INTERVAL_S, link_count * SMALL_INTERVAL_S_PER_LINK)
 
 
-def _is_large(told: message.Load, now: message.Load) -> bool:
-    room = MEMORY_PART * now.capacity_tokens
+def _is_large(reported: message.Load, current: message.Load) -> bool:
+    memory_threshold = MEMORY_THRESHOLD * current.capacity_tokens
     return (
-        _has_moved(told.used_tokens, now.used_tokens, room)
-        or _has_moved(told.expected_wait_ms, now.expected_wait_ms, WAIT_MS)
-        or _has_moved(told.token_ms, now.token_ms, TOKEN_MS)
-        or _has_moved(told.queued, now.queued, 0)
-        or _has_moved(told.running, now.running, 0)
+        _exceeds(reported.used_tokens, current.used_tokens, memory_threshold)
+        or _exceeds(
+            reported.expected_wait_ms,
+            current.expected_wait_ms,
+            WAIT_THRESHOLD_MS,
+        )
+        or _exceeds(reported.token_ms, current.token_ms, TOKEN_THRESHOLD_MS)
+        or _exceeds(reported.queued, current.queued, 0)
+        or _exceeds(reported.running, current.running, 0)
     )
 
 
-def _has_moved(told: float, now: float, least: float) -> bool:
-    return abs(now - told) > max(least, RELATIVE * told)
+def _exceeds(reported: float, current: float, threshold: float) -> bool:
+    return abs(current - reported) > max(
+        threshold, RELATIVE_THRESHOLD * reported
+    )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
@@ -19,7 +19,7 @@
 __all__ = ['make_app', 'serve']
 
 TEXT_TYPE = b'text/plain; charset=utf-8'
-GRACE_S = 1.0
+STOP_GRACE_S = 1.0
 
 
 def make_app(sidecar: sidecar_lib.Sidecar) -> blacksheep.Application:
@@ -41,8 +41,8 @@
 
     async def metrics(request: blacksheep.Request) -> blacksheep.Response:
         del request
-        kind = metric.CONTENT_TYPE.encode()
-        content = blacksheep.Content(kind, metric.render())
+        content_type = metric.CONTENT_TYPE.encode()
+        content = blacksheep.Content(content_type, metric.render())
         return blacksheep.Response(200, None, content)
 
     app.router.add('GET', '/healthz', healthz)
@@ -58,17 +58,17 @@
     Raises:
       ListenError: The address can't be listened at.
     """
-    wanted = sidecar.settings.monitoring
-    if not wanted.port:
+    options = sidecar.settings.monitoring
+    if not options.port:
         yield
         return
-    listen = section.Listen(wanted.host, wanted.port)
-    http = server.HttpServer(make_app(sidecar), listen, wanted.tls)
-    await http.start()
+    listen = section.Listen(options.host, options.port)
+    http_server = server.HttpServer(make_app(sidecar), listen, options.tls)
+    await http_server.start()
     try:
         yield
     finally:
-        await http.stop(GRACE_S)
+        await http_server.stop(STOP_GRACE_S)
 
 
 def _text(status: int, text: str) -> blacksheep.Response:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
@@ -35,8 +35,8 @@
     with net_stop.StopSignal() as stop:
         await sidecar.start()
         try:
-            async with monitoring.serve(sidecar), _placing(sidecar):
-                await _wait_for_either(stop, sidecar)
+            async with monitoring.serve(sidecar), _run_placement(sidecar):
+                await _wait_for_stop(stop, sidecar)
                 sidecar.leave('shutting down')
                 await sidecar.wait_drained()
         finally:
@@ -44,7 +44,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _placing(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
+async def _run_placement(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
     """Keeps a model engine at its desired state meanwhile."""
     if sidecar.settings.upstream.kind != 'model':
         yield
@@ -62,15 +62,15 @@
             await asyncio.gather(task, return_exceptions=True)
 
 
-async def _wait_for_either(
+async def _wait_for_stop(
     stop: net_stop.StopSignal, sidecar: sidecar_lib.Sidecar
 ) -> None:
-    waits = [
+    tasks = [
         asyncio.ensure_future(stop.wait()),
         asyncio.ensure_future(sidecar.leaving.started.wait()),
     ]
     try:
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for wait in waits:
-            wait.cancel()
+        for task in tasks:
+            task.cancel()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -31,7 +31,7 @@
 
 __all__ = ['Runner']
 
-RETRY_MS = 1000
+RETRY_AFTER_MS = 1000
 
 
 class Runner:
@@ -123,23 +123,23 @@
         ):
             try:
                 async with deadline.timeout_at(attempt.deadline):
-                    terminal = await self._serve(attempt, demand)
+                    terminal = await self._execute(attempt, demand)
             except TimeoutError:
-                terminal = self._stopped(
+                terminal = self._stopped_terminal(
                     attempt, request_error.DeadlineError.code
                 )
             except asyncio.CancelledError:
                 if not attempt.stopping:
                     raise
-                terminal = self._stopped(attempt, attempt.stopping)
+                terminal = self._stopped_terminal(attempt, attempt.stopping)
             except (
                 error.UpstreamConnectError,
                 error.RequestMalformedError,
             ) as exc:
-                terminal = _not_written(attempt, exc)
+                terminal = _not_sent(attempt, exc)
             self._end(attempt, terminal)
 
-    async def _serve(
+    async def _execute(
         self, attempt: state.Attempt, demand: policy.Demand
     ) -> message.Message:
         def start() -> None:
@@ -152,14 +152,14 @@
             return await call.run(
                 attempt, self._origin, self._timing.connect_s, start
             )
-        progress = self._progress(attempt)
+        progress = self._make_generation(attempt)
         if attempt.dispatch.recover:
             return await generate.recover(attempt, self.engine, progress)
         return await generate.run(
             attempt, self.engine, progress, demand.priority, start
         )
 
-    def _progress(self, attempt: state.Attempt) -> generation.Generation:
+    def _make_generation(self, attempt: state.Attempt) -> generation.Generation:
         async def deliver(items: list[bytes]) -> None:
             if not attempt.started:
                 attempt.start(asyncio.get_running_loop().time())
@@ -173,9 +173,11 @@
         )
         return generation.Generation(self.engine, attempt.id, bounds, deliver)
 
-    def _stopped(self, attempt: state.Attempt, code: str) -> message.Message:
+    def _stopped_terminal(
+        self, attempt: state.Attempt, code: str
+    ) -> message.Message:
         if attempt.started:
-            return outcome.failed(attempt.id, code, code, _ran(attempt))
+            return outcome.failed(attempt.id, code, code, _run_state(attempt))
         if attempt.dispatch.recover:
             return outcome.failed(attempt.id, code, code, base.Ran.UNKNOWN)
         return message.Refused(attempt.id, code, code, 0)
@@ -184,18 +186,18 @@
         self._attempts.end(attempt, terminal)
         if _may_still_run(attempt, terminal):
             self._canceller.cancel(
-                attempt.id, lambda: self._release(attempt, whole=False)
+                attempt.id, lambda: self._release(attempt, completed=False)
             )
         else:
-            whole = isinstance(terminal, message.Finished)
-            self._release(attempt, whole=whole)
+            completed = isinstance(terminal, message.Finished)
+            self._release(attempt, completed=completed)
 
-    def _release(self, attempt: state.Attempt, *, whole: bool) -> None:
-        self._queue.release(attempt.id, whole=whole)
+    def _release(self, attempt: state.Attempt, *, completed: bool) -> None:
+        self._queue.release(attempt.id, whole=completed)
         self._on_change()
 
 
-def _ran(attempt: state.Attempt) -> base.Ran:
+def _run_state(attempt: state.Attempt) -> base.Ran:
     """Whether a started attempt ran: of a call only its answer proves it."""
     unanswered = attempt.dispatch.kind == kind.CALL and attempt.head is None
     return base.Ran.UNKNOWN if unanswered else base.Ran.YES
@@ -216,7 +218,7 @@
     return terminal.ran != base.Ran.NO and not terminal.gone
 
 
-def _not_written(
+def _not_sent(
     attempt: state.Attempt,
     exc: error.UpstreamConnectError | error.RequestMalformedError,
 ) -> message.Message:
@@ -229,5 +231,8 @@
             attempt.id, request_error.BadRequestError.code, exc.detail, 0
         )
     return message.Refused(
-        attempt.id, request_error.NoUpstreamError.code, exc.detail, RETRY_MS
+        attempt.id,
+        request_error.NoUpstreamError.code,
+        exc.detail,
+        RETRY_AFTER_MS,
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
@@ -46,7 +46,7 @@
         intake: intake.Intake,
         attempts: table.Attempts,
         configuration: holder.Holder,
-        fetch: config_fetcher.ConfigFetcher,
+        fetcher: config_fetcher.ConfigFetcher,
     ) -> None:
         """Takes a link whose handshake is done."""
         self.link = link
@@ -55,7 +55,7 @@
         self._intake = intake
         self._attempts = attempts
         self._configuration = configuration
-        self._fetch = fetch
+        self._config_fetcher = fetcher
         self._handlers: dict[type, Callable[..., None]] = {
             message.Dispatch: self._on_dispatch,
             message.Body: self._on_body,
@@ -75,8 +75,8 @@
         Raises:
           WireError: The link ended or broke the protocol.
         """
-        self.link.on_revision = self._see
-        self._see(self.link.peer.revision)
+        self.link.on_revision = self._offer_revision
+        self._offer_revision(self.link.peer.revision)
         try:
             async for msg in self.link.messages():
                 self._handle(msg)
@@ -101,18 +101,18 @@
             return
         handler(msg)
 
-    def _see(self, revision: int) -> None:
-        self._fetch.offer(self, revision)
+    def _offer_revision(self, revision: int) -> None:
+        self._config_fetcher.offer(self, revision)
 
     def _detach(self) -> None:
-        self._fetch.remove_source(self)
+        self._config_fetcher.remove_source(self)
         now = asyncio.get_running_loop().time()
         for attempt in self._attempts.of_link(self):
             attempt.detach(now)
             self._intake.stop_incomplete_call(attempt)
 
     def _on_dispatch(self, msg: message.Dispatch) -> None:
-        self._see(msg.revision)
+        self._offer_revision(msg.revision)
         self._intake.dispatch(msg, self, self.put)
 
     def _on_body(self, msg: message.Body) -> None:
@@ -158,7 +158,7 @@
                     detail=str(exc),
                 )
             )
-        self._fetch.record_reply(self)
+        self._config_fetcher.record_reply(self)
 
     def _on_go_away(self, msg: message.GoAway) -> None:
         self.is_going_away = True
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -33,16 +33,18 @@
 
 __all__ = ['Sidecar', 'new_incarnation']
 
-RANDOM_BITS = 16
-DRAIN_TICK_S = 0.05
+INCARNATION_RANDOM_BITS = 16
+DRAIN_POLL_S = 0.05
 # Time beyond the bounds of a link in which a router dials it anew.
-REDIAL_S = 3.0
+RECONNECT_MARGIN_S = 3.0
 
 
 def new_incarnation() -> int:
     """Returns a number that no earlier start of this process had."""
     started_ms = time.time_ns() // 1_000_000
-    return (started_ms << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
+    return (started_ms << INCARNATION_RANDOM_BITS) | secrets.randbits(
+        INCARNATION_RANDOM_BITS
+    )
 
 
 class Sidecar:
@@ -68,10 +70,10 @@
         self.attempts = table.Attempts(settings.bounds.tombstones, clock)
         self._settings = settings
         self._sessions: set[session.Session] = set()
-        self._told: list[tuple[link_lib.Link, int]] = []
+        self._pending_echoes: list[tuple[link_lib.Link, int]] = []
         # When the link of a router ended that may dial again, by its node.
-        self._lost: dict[str, float] = {}
-        self._links_taken = 0
+        self._lost_links: dict[str, float] = {}
+        self._links_accepted = 0
         policies = self.configuration.current.policies
         self.queue = schedule.Schedule(
             registry.get('fairness', policies.fairness)(),
@@ -80,10 +82,10 @@
             clock,
         )
         self.leaving = leaving_state.LeavingState(
-            settings.upstream.name, self.configuration, self._say_leaving
+            settings.upstream.name, self.configuration, self._announce_leaving
         )
         self.runner = runner.Runner(
-            settings, self.attempts, self.queue, self._changed
+            settings, self.attempts, self.queue, self._schedule_pump
         )
         self.intake = intake.Intake(
             settings,
@@ -94,16 +96,16 @@
             self.runner,
             self.leaving,
             registry,
-            self._changed,
+            self._schedule_pump,
         )
         self.load = load.LoadReporter(self)
-        self._fetch = config_fetcher.ConfigFetcher(self.configuration)
+        self._config_fetcher = config_fetcher.ConfigFetcher(self.configuration)
         self._pump_due = False
         self._background: set[asyncio.Task[None]] = set()
         self._server = listen.LinkServer(
             settings.listen,
             settings.credential,
-            self._welcome,
+            self._make_welcome,
             self._on_link,
             settings.link,
             net_tls.server_context(settings.tls),
@@ -120,7 +122,7 @@
     @property
     def links(self) -> list[link_lib.Link]:
         """Links of the routers that are linked now."""
-        return [one.link for one in self._sessions]
+        return [each.link for each in self._sessions]
 
     @property
     def link_count(self) -> int:
@@ -162,8 +164,8 @@
           False if something was left after `grace_s`.
         """
         now = asyncio.get_running_loop().time()
-        limit = now + self._settings.timing.grace_s
-        if not await self._wait_until(self._is_drained, limit):
+        deadline = now + self._settings.timing.grace_s
+        if not await self._wait_until(self._is_drained, deadline):
             self._log_unfinished()
             return False
         # Routers acknowledge no refusal. Should one still be on its way when
@@ -172,10 +174,10 @@
         # the outcome is unknown. An echo says that the router has all of them.
         # Whoever has dialed again, or was told more, meanwhile is asked again.
         sent = None
-        while sent != self._sent_so_far():
-            sent = self._sent_so_far()
-            self._ask_for_echoes()
-            if not await self._wait_until(self._is_drained, limit):
+        while sent != self._sent_counts():
+            sent = self._sent_counts()
+            self._request_echoes()
+            if not await self._wait_until(self._is_drained, deadline):
                 return False
         return True
 
@@ -189,18 +191,18 @@
 
     def broadcast(self, msg: message.Message) -> None:
         """Sends to every router."""
-        for one in self._sessions:
-            one.put(msg)
+        for each in self._sessions:
+            each.put(msg)
 
-    def _sent_so_far(self) -> tuple[int, int]:
+    def _sent_counts(self) -> tuple[int, int]:
         """Returns how many links were taken and terminal messages sent."""
-        return self._links_taken, sum(
-            one.terminal_count for one in self._sessions
+        return self._links_accepted, sum(
+            each.terminal_count for each in self._sessions
         )
 
-    def _ask_for_echoes(self) -> None:
+    def _request_echoes(self) -> None:
         """Has each router echo once it has taken all that was sent so far."""
-        self._told = [(link, link.ping()) for link in self.links]
+        self._pending_echoes = [(link, link.ping()) for link in self.links]
 
     def _is_drained(self) -> bool:
         """Whether routers know of the leaving and have all their answers.
@@ -210,43 +212,48 @@
         GoAway, and by their echo all that they sent before has been read.
         """
         links = self.links
-        told = all(
-            link.echoed >= echo for link, echo in self._told if link in links
+        all_echoed = all(
+            link.echoed >= echo
+            for link, echo in self._pending_echoes
+            if link in links
         )
         # A Dispatch or a refusal may have been lost with a link.
         return (
-            told
-            and all(map(self._is_given_up, self._lost.values()))
-            and all(map(self._is_over, self.attempts))
+            all_echoed
+            and all(map(self._has_reconnect_expired, self._lost_links.values()))
+            and all(map(self._is_done, self.attempts))
         )
 
-    def _is_over(self, attempt: state.Attempt) -> bool:
+    def _is_done(self, attempt: state.Attempt) -> bool:
         """Whether an attempt has ended and nobody comes back for it."""
         if attempt.terminal is None or attempt.link is not None:
             return False
-        return self._is_given_up(attempt.detached)
+        return self._has_reconnect_expired(attempt.detached)
 
-    def _is_given_up(self, lost: float) -> bool:
+    def _has_reconnect_expired(self, lost_at: float) -> bool:
         """Whether a router has had time to come back since a link ended.
 
         One that was paused, or whose link fell silent, finds that after
         `silence_s` and dials anew; its caller would lose the answer.
 
         Args:
-          lost: When the link ended, in seconds of the event loop.
+          lost_at: When the link ended, in seconds of the event loop.
         """
         timing = self._settings.link
-        lost_s = asyncio.get_running_loop().time() - lost
-        return lost_s >= timing.silence_s + timing.connect_s + REDIAL_S
+        elapsed_s = asyncio.get_running_loop().time() - lost_at
+        return (
+            elapsed_s
+            >= timing.silence_s + timing.connect_s + RECONNECT_MARGIN_S
+        )
 
     async def _wait_until(
-        self, condition: Callable[[], bool], limit: float
+        self, condition: Callable[[], bool], deadline: float
     ) -> bool:
         loop = asyncio.get_running_loop()
         while not condition():
-            if loop.time() >= limit:
+            if loop.time() >= deadline:
                 return False
-            await asyncio.sleep(DRAIN_TICK_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         return True
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
@@ -254,7 +261,7 @@
         self._background.add(task)
         task.add_done_callback(_log_crash)
 
-    def _welcome(self, hello: message.Hello) -> message.Welcome:
+    def _make_welcome(self, hello: message.Hello) -> message.Welcome:
         del hello
         return message.Welcome(
             version=message.VERSION,
@@ -267,42 +274,42 @@
         )
 
     async def _on_link(self, link: link_lib.Link) -> None:
-        one = session.Session(
+        router_session = session.Session(
             link,
             self.intake,
             self.attempts,
             self.configuration,
-            self._fetch,
+            self._config_fetcher,
         )
         node = link.peer.node
-        self._sessions.add(one)
-        self._links_taken += 1
-        self._lost.pop(node, None)
+        self._sessions.add(router_session)
+        self._links_accepted += 1
+        self._lost_links.pop(node, None)
         event.note(event.RouterLinked(router=node))
         try:
-            one.put(self.load.build_message())
+            router_session.put(self.load.build_message())
             if self.leaving.reason:
-                one.put(self._leaving_message(self.leaving.reason))
-                one.put(message.GoAway(self.leaving.reason))
-            await one.serve()
+                router_session.put(self._leaving_message(self.leaving.reason))
+                router_session.put(message.GoAway(self.leaving.reason))
+            await router_session.serve()
         finally:
-            self._sessions.discard(one)
+            self._sessions.discard(router_session)
             nodes = [other.link.peer.node for other in self._sessions]
-            if not one.is_going_away and node not in nodes:
-                self._lost[node] = asyncio.get_running_loop().time()
+            if not router_session.is_going_away and node not in nodes:
+                self._lost_links[node] = asyncio.get_running_loop().time()
             event.note(event.RouterUnlinked(router=node))
 
-    def _say_leaving(self, reason: str) -> None:
+    def _announce_leaving(self, reason: str) -> None:
         self.broadcast(self._leaving_message(reason))
         self.broadcast(message.GoAway(reason))
-        self._ask_for_echoes()
+        self._request_echoes()
         self.intake.refuse_unstarted()
-        self._changed()
+        self._schedule_pump()
 
     def _leaving_message(self, reason: str) -> message.Leaving:
         return message.Leaving(self._settings.upstream.name, reason)
 
-    def _changed(self) -> None:
+    def _schedule_pump(self) -> None:
         """Lets the queue move once this loop tick is over."""
         self.load.mark_changed()
         if not self._pump_due:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -16,23 +16,23 @@
 
 __all__ = ['run', 'sweep']
 
-INTERVAL_S = 0.1
-EXPIRY_S = 5.0
-WAITING = (state.Stage.JUDGED, state.Stage.QUEUED)
+SWEEP_INTERVAL_S = 0.1
+TOMBSTONE_EXPIRY_INTERVAL_S = 5.0
+UNSTARTED_STAGES = (state.Stage.JUDGED, state.Stage.QUEUED)
 
 
 async def run(sidecar: context.SidecarContext) -> None:
     """Sweeps for ever."""
     clock = asyncio.get_running_loop().time
-    expiry = clock()
-    turns = ticker.Ticker()
+    next_expiry = clock()
+    ticks = ticker.Ticker()
     while True:
         # A router may have taken work over during a pause.
-        if not await turns.wait(INTERVAL_S):
+        if not await ticks.wait(SWEEP_INTERVAL_S):
             continue
         sweep(sidecar, clock())
-        if clock() >= expiry:
-            expiry = clock() + EXPIRY_S
+        if clock() >= next_expiry:
+            next_expiry = clock() + TOMBSTONE_EXPIRY_INTERVAL_S
             sidecar.attempts.stones.expire()
 
 
@@ -50,10 +50,10 @@
     if attempt.stage is state.Stage.OVER:
         # A slow caller may still take it item by item over a live link; it
         # would see its answer break off long after the engine was done.
-        being_taken = attempt.link is not None and now < attempt.deadline
-        if now - attempt.ended >= timing.retention_s and not being_taken:
+        is_being_read = attempt.link is not None and now < attempt.deadline
+        if now - attempt.ended >= timing.retention_s and not is_being_read:
             sidecar.attempts.forget(attempt)
-    elif attempt.stage in WAITING:
+    elif attempt.stage in UNSTARTED_STAGES:
         _sweep_waiting(sidecar, attempt, now, timing)
     elif attempt.link is None and now - attempt.detached >= attempt.orphan_s:
         # Its router is gone or has given it up; nobody would take the
@@ -74,7 +74,7 @@
             attempt, request_error.OverloadedError.code, round(wait_s * 1000)
         )
         return
-    lost_s = now - attempt.detached if attempt.link is None else 0.0
-    if lost_s >= timing.queued_orphan_s:
+    detached_s = now - attempt.detached if attempt.link is None else 0.0
+    if detached_s >= timing.queued_orphan_s:
         sidecar.queue.remove(attempt.id)
         sidecar.attempts.end(attempt, message.Withdrawn(attempt.id))
--- a/tests/quetzalsill_sidecar/support.py
+++ b/tests/quetzalsill_sidecar/support.py
@@ -35,17 +35,17 @@
 CREDENTIAL = 'secret'
 TIMEOUT_S = 10.0
 
-_counter = itertools.count(1)
+_attempt_numbers = itertools.count(1)
 
 
 def registry() -> registry_lib.Registry:
     """A registry that holds the sidecar's plug-ins alone."""
-    made = registry_lib.Registry()
-    plugin.register(made)
-    made.add(
+    plugins = registry_lib.Registry()
+    plugin.register(plugins)
+    plugins.add(
         'admission', 'one', lambda view, _: not view.running, 'One at a time.'
     )
-    return made
+    return plugins
 
 
 def configuration(**policies: object) -> bytes:
@@ -109,11 +109,11 @@
 @contextlib.asynccontextmanager
 async def engine(port: int = 0, **options: object):
     """Serves an engine stand-in; gives it and its URL."""
-    made = engine_lib.Engine(
+    stand_in = engine_lib.Engine(
         engine_lib.EngineOptions(models=[MODEL], **options)
     )
-    async with serve_app(engine_app.make_app(made), port) as url:
-        yield made, url
+    async with serve_app(engine_app.make_app(stand_in), port) as url:
+        yield stand_in, url
 
 
 @contextlib.asynccontextmanager
@@ -131,13 +131,13 @@
     faults: list[dict[str, object]] = []
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: faults.append(context))
-    made = sidecar_lib.Sidecar(settings(url, kind, **timing), registry())
-    made.configuration.install(configuration(**(policies or {})), 1)
-    await made.start()
+    running = sidecar_lib.Sidecar(settings(url, kind, **timing), registry())
+    running.configuration.install(configuration(**(policies or {})), 1)
+    await running.start()
     try:
-        yield made
+        yield running
     finally:
-        await made.stop()
+        await running.stop()
         loop.set_exception_handler(None)
     if faults:
         raise AssertionError(faults)
@@ -211,21 +211,21 @@
     )
     timing = section.LinkTiming(idle_s=0.2, silence_s=5.0)
     link = await dial.dial('127.0.0.1', port, hello, timing)
-    made = Router(link, {}, asyncio.Queue())
-    made.task = asyncio.create_task(made.read())
+    connected = Router(link, {}, asyncio.Queue())
+    connected.task = asyncio.create_task(connected.read())
     try:
-        yield made
+        yield connected
     finally:
         link.close()
-        made.task.cancel()
+        connected.task.cancel()
 
 
 def make_dispatch(
     incarnation: int, tokens: int = 5, **changes: object
 ) -> message.Dispatch:
     """A Dispatch of a prompt completion of `tokens` tokens."""
-    number = next(_counter)
-    sent = message.Dispatch(
+    number = next(_attempt_numbers)
+    dispatch = message.Dispatch(
         attempt=f'entry-1/7/{number}',
         request=f'request-{number}',
         incarnation=incarnation,
@@ -250,7 +250,7 @@
         credit=10_000,
         trace='',
     )
-    return dataclasses.replace(sent, **changes)
+    return dataclasses.replace(dispatch, **changes)
 
 
 def prompt(tokens: int) -> bytes:
@@ -296,9 +296,9 @@
 async def start_relay(url: str) -> relay_lib.Relay:
     """A relay to a URL; the caller stops it."""
     origin = upstream_http.Origin.parse(url)
-    made = relay_lib.Relay(origin.host, origin.port)
-    await made.start()
-    return made
+    relay = relay_lib.Relay(origin.host, origin.port)
+    await relay.start()
+    return relay
 
 
 def url_of(relay: relay_lib.Relay) -> str:
--- a/tests/quetzalsill_sidecar/test_calls.py
+++ b/tests/quetzalsill_sidecar/test_calls.py
@@ -17,8 +17,8 @@
 
 def call(**changes: object) -> dict[str, object]:
     """Changes that make a Dispatch a call."""
-    made = {'kind': 'call', 'path': '/echo', 'payload': b''}
-    return made | changes
+    defaults = {'kind': 'call', 'path': '/echo', 'payload': b''}
+    return defaults | changes
 
 
 def body(messages: list[message.Message]) -> bytes:
@@ -27,7 +27,7 @@
     return b''.join(item for chunk in chunks for item in chunk.items)
 
 
-def credited(messages: list[message.Message], pieces: int) -> bool:
+def has_credit(messages: list[message.Message], pieces: int) -> bool:
     """Whether the sidecar has taken so many pieces of a body."""
     return any(
         isinstance(msg, message.Credit) and msg.seq >= pieces
@@ -63,7 +63,7 @@
         messages: list[message.Message] = []
         for number in range(1, 9):
             # Piece `number` has reached the service before the next leaves.
-            while not credited(messages, number):
+            while not has_credit(messages, number):
                 messages.append(await self.router.receive(attempt))
             seen = sum(isinstance(msg, message.Chunk) for msg in messages)
             self.router.send(message.Credit(attempt, seen, 0))
@@ -132,14 +132,14 @@
         changes = call(path='/orders', payload=order, idempotent=False)
         attempt = self.router.dispatch(**changes)
         await self.router.receive_all(attempt)
-        async with support.router(self.sidecar.port) as taker:
-            taker.dispatch(**changes, attempt=attempt, recover=True)
-            messages = await taker.receive_all(attempt)
+        async with support.router(self.sidecar.port) as successor:
+            successor.dispatch(**changes, attempt=attempt, recover=True)
+            messages = await successor.receive_all(attempt)
             self.assertEqual(json.loads(body(messages))['id'], 'truck-8')
-            lost = taker.dispatch(**changes, recover=True)
+            lost = successor.dispatch(**changes, recover=True)
             for _ in range(2):
-                failed = (await taker.receive_all(lost))[-1]
-                taker.dispatch(**changes, attempt=lost)
+                failed = (await successor.receive_all(lost))[-1]
+                successor.dispatch(**changes, attempt=lost)
                 self.assertEqual(
                     (failed.code, failed.ran), ('not_found', 'unknown')
                 )
@@ -156,7 +156,7 @@
                 attempt = lost.dispatch(
                     **call(path='/orders', payload=b'{', body_open=True)
                 )
-                while not credited([await lost.receive(attempt)], 1):
+                while not has_credit([await lost.receive(attempt)], 1):
                     pass
                 if closes:
                     lost.link.close()
@@ -179,14 +179,14 @@
         received = 0
         while not received:
             received += len(body([await self.router.receive(attempt)]))
-        kept = self.sidecar.attempts.get(attempt).tail
+        tail = self.sidecar.attempts.get(attempt).tail
         before = -1
-        while before != kept.end:
-            before = kept.end
+        while before != tail.end:
+            before = tail.end
             for _ in range(5):
                 small = self.router.dispatch(**call(method='GET'))
                 await self.router.receive_all(small)
-        self.assertLess(kept.end * 65536, 4 * MEBIBYTE)
+        self.assertLess(tail.end * 65536, 4 * MEBIBYTE)
         self.router.send(message.Credit(attempt, 0, 1_000_000))
         while received < size:
             msg = await self.router.receive(attempt)
--- a/tests/quetzalsill_sidecar/test_engine_faults.py
+++ b/tests/quetzalsill_sidecar/test_engine_faults.py
@@ -29,7 +29,7 @@
             support.router(self.sidecar.port)
         )
 
-    async def begun(self, **changes) -> tuple[str, list[int]]:
+    async def start_streaming(self, **changes) -> tuple[str, list[int]]:
         """Dispatches; gives the attempt and the first indexes received."""
         attempt = self.router.dispatch(**changes)
         received: list[int] = []
@@ -37,7 +37,7 @@
             received += support.indexes([await self.router.receive(attempt)])
         return attempt, received
 
-    async def assert_goes_on(self, attempt, received, tokens):
+    async def assert_resumes(self, attempt, received, tokens):
         messages = await self.router.receive_all(attempt)
         received += support.indexes(messages)
         self.assertEqual(received, list(range(tokens)))
@@ -50,14 +50,14 @@
         The connection between sidecar and engine is reset in mid-answer,
         and once more after the answer was resumed.
         """
-        attempt, received = await self.begun(tokens=150)
+        attempt, received = await self.start_streaming(tokens=150)
         for _ in range(2):
             self.relay.cut()
             goal = len(received) + 20
             while len(received) < goal:
                 msg = await self.router.receive(attempt)
                 received += support.indexes([msg])
-        await self.assert_goes_on(attempt, received, 150)
+        await self.assert_resumes(attempt, received, 150)
 
     async def test_silent_connection_is_replaced(self):
         """An answer hangs for ever while others stream.
@@ -65,9 +65,9 @@
         Something between the ends loses track of the connection: it stays
         open, nothing arrives any more, and new connections work.
         """
-        attempt, received = await self.begun(tokens=100)
+        attempt, received = await self.start_streaming(tokens=100)
         self.relay.silence()
-        await self.assert_goes_on(attempt, received, 100)
+        await self.assert_resumes(attempt, received, 100)
 
     async def test_request_lost_on_its_way_is_proved_gone(self):
         """A plan is called lost, is begun elsewhere, and runs here too.
@@ -89,7 +89,7 @@
 
     async def test_engine_out_of_reach_is_given_up_and_cancelled_later(self):
         """A clerk waits until the deadline for an engine that is gone."""
-        attempt, _ = await self.begun(tokens=3000)
+        attempt, _ = await self.start_streaming(tokens=3000)
         self.relay.refusing = True
         self.relay.cut()
         messages = await self.router.receive_all(attempt)
@@ -125,7 +125,7 @@
 class DeadEngineTest(unittest.IsolatedAsyncioTestCase):
     """The engine process ends in mid-answer."""
 
-    async def begin(self, refused_s: float) -> None:
+    async def start_then_stop_engine(self, refused_s: float) -> None:
         """Begins an answer and ends the engine behind it."""
         async with support.engine(costs=support.costs(0.005)) as (_, url):
             self.port = http.Origin.parse(url).port
@@ -146,7 +146,7 @@
 
         The engine dies in mid-answer and another takes its address.
         """
-        await self.begin(refused_s=60.0)
+        await self.start_then_stop_engine(refused_s=60.0)
         async with support.engine(port=self.port):
             messages = await self.router.receive_all(self.attempt)
         self.assertEqual(messages[-1].code, 'upstream_failed')
@@ -154,7 +154,7 @@
 
     async def test_dead_engine_is_given_up_before_a_lost_one(self):
         """A clerk waits a minute for an engine whose process is dead."""
-        await self.begin(refused_s=0.3)
+        await self.start_then_stop_engine(refused_s=0.3)
         messages = await self.router.receive_all(self.attempt)
         self.assertEqual(messages[-1].code, 'upstream_failed')
         self.assertFalse(messages[-1].gone)
--- a/tests/quetzalsill_sidecar/test_intake.py
+++ b/tests/quetzalsill_sidecar/test_intake.py
@@ -52,17 +52,17 @@
     def __init__(self):
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.has_room = False
-        self.told: list[message.Message] = []
+        self.admits = False
+        self.replies: list[message.Message] = []
         self.runs: collections.Counter[str] = collections.Counter()
-        self.sent = [support.make_dispatch(INCARNATION) for _ in NUMBERS]
+        self.dispatches = [support.make_dispatch(INCARNATION) for _ in NUMBERS]
         settings = support.settings('http://127.0.0.1:9')
         configuration = holder.Holder()
         configuration.install(support.configuration(), 1)
         self.attempts = table.Attempts(100, self.loop.time)
         self.queue = schedule.Schedule(
             order_fifo.FifoOrder(),
-            lambda *_: self.has_room,
+            lambda *_: self.admits,
             9,
             self.loop.time,
         )
@@ -101,33 +101,33 @@
 
     @stateful.rule(number=NUMBER, link=LINK)
     def dispatch_arrives(self, number, link):
-        dispatch = self.sent[number]
-        self.call(self.intake.dispatch, dispatch, link, self.told.append)
+        dispatch = self.dispatches[number]
+        self.call(self.intake.dispatch, dispatch, link, self.replies.append)
 
     @stateful.rule(number=NUMBER)
     def dispatch_for_another_incarnation_arrives(self, number):
-        dispatch = dataclasses.replace(self.sent[number], incarnation=4)
-        self.call(self.intake.dispatch, dispatch, 'a link', self.told.append)
+        dispatch = dataclasses.replace(self.dispatches[number], incarnation=4)
+        self.call(self.intake.dispatch, dispatch, 'a link', self.replies.append)
 
     @stateful.rule(number=NUMBER)
     def withdraw_arrives(self, number):
-        attempt = self.sent[number].attempt
-        self.call(self.intake.withdraw, attempt, self.told.append)
+        attempt = self.dispatches[number].attempt
+        self.call(self.intake.withdraw, attempt, self.replies.append)
 
     @stateful.rule(number=NUMBER, link=LINK)
     def resume_arrives(self, number, link):
-        msg = message.Resume(self.sent[number].attempt, 0, 10)
-        self.call(self.intake.resume, msg, link, self.told.append)
+        msg = message.Resume(self.dispatches[number].attempt, 0, 10)
+        self.call(self.intake.resume, msg, link, self.replies.append)
 
     @stateful.rule(number=NUMBER)
     def cancel_arrives(self, number):
-        self.call(self.intake.cancel, self.sent[number].attempt)
+        self.call(self.intake.cancel, self.dispatches[number].attempt)
 
     @stateful.rule()
     def queue_moves(self):
-        self.has_room = True
+        self.admits = True
         self.call(self.intake.pump)
-        self.has_room = False
+        self.admits = False
 
     @stateful.rule()
     def upstream_connects(self):
@@ -151,13 +151,13 @@
 
     @stateful.rule(number=NUMBER)
     def answer_is_acknowledged(self, number):
-        attempt = self.attempts.get(self.sent[number].attempt)
+        attempt = self.attempts.get(self.dispatches[number].attempt)
         if attempt is not None and attempt.terminal is not None:
             self.attempts.forget(attempt)
 
     @stateful.invariant()
     def not_run_is_true_and_work_runs_once(self):
-        refused = {msg.attempt for msg in self.told if type(msg) in NOT_RUN}
+        refused = {msg.attempt for msg in self.replies if type(msg) in NOT_RUN}
         assert not refused & self.runs.keys()
         assert all(count == 1 for count in self.runs.values())
 
--- a/tests/quetzalsill_sidecar/test_leaving.py
+++ b/tests/quetzalsill_sidecar/test_leaving.py
@@ -12,14 +12,14 @@
 
 LINK_DELAY_S = 0.4
 # The last moment at which a router does not know yet that the sidecar leaves.
-BEFORE_THE_WORD_S = 0.3
+DISPATCH_DELAY_S = 0.3
 # Writes that reach a sidecar which ends on hearing that the router knows, while
 # the refusal is on its way.
 WRITES = 2
-WRITE_EVERY_S = 0.18
-REDIAL_S = 0.3
+WRITE_INTERVAL_S = 0.18
+RECONNECT_DELAY_S = 0.3
 # Less than a sidecar waits for a router that may come back.
-END_S = 4.0
+STOP_TIMEOUT_S = 4.0
 
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
@@ -101,24 +101,24 @@
         """
         _, url = await self.enterAsyncContext(support.engine())
         sidecar = await self.enterAsyncContext(support.sidecar(url))
-        between = relay.Relay('127.0.0.1', sidecar.port)
-        await between.start()
-        self.addAsyncCleanup(between.stop)
-        router = await self.enterAsyncContext(support.router(between.port))
-        between.delay(LINK_DELAY_S)
-        ending = asyncio.create_task(self.end(sidecar))
-        await asyncio.sleep(BEFORE_THE_WORD_S)
+        proxy = relay.Relay('127.0.0.1', sidecar.port)
+        await proxy.start()
+        self.addAsyncCleanup(proxy.stop)
+        router = await self.enterAsyncContext(support.router(proxy.port))
+        proxy.delay(LINK_DELAY_S)
+        shutdown = asyncio.create_task(self.shut_down(sidecar))
+        await asyncio.sleep(DISPATCH_DELAY_S)
         refused = router.dispatch()
         for _ in range(WRITES):
-            await asyncio.sleep(WRITE_EVERY_S)
+            await asyncio.sleep(WRITE_INTERVAL_S)
             router.send(message.Withdraw(refused))
         answer = await router.receive(refused)
         self.assertIsInstance(answer, message.Refused)
-        await ending
+        await shutdown
 
-    async def end(self, sidecar):
+    async def shut_down(self, sidecar):
         """Ends a sidecar as its process does."""
-        await end(sidecar)
+        await shut_down(sidecar)
 
 
 class LostLinkTest(unittest.IsolatedAsyncioTestCase):
@@ -137,13 +137,13 @@
     async def assert_not_run(self, attempt):
         """Cuts the link and asks on another what became of an attempt."""
         self.relay.cut()
-        ending = asyncio.create_task(end(self.sidecar))
-        await asyncio.sleep(REDIAL_S)
-        async with support.router(self.relay.port) as again:
-            again.send(message.Resume(attempt, 0, 10))
-            answer = await again.receive(attempt)
+        shutdown = asyncio.create_task(shut_down(self.sidecar))
+        await asyncio.sleep(RECONNECT_DELAY_S)
+        async with support.router(self.relay.port) as reconnected:
+            reconnected.send(message.Resume(attempt, 0, 10))
+            answer = await reconnected.receive(attempt)
             self.assertIsInstance(answer, message.Refused)
-            await ending
+            await shutdown
 
     async def test_work_that_waits_is_refused_while_the_link_is_down(self):
         """An order that never ran gets "outcome unknown".
@@ -159,8 +159,8 @@
         """An order that was refused gets "outcome unknown"."""
         self.relay.delay(LINK_DELAY_S)
         refused = self.router.dispatch(revision=0)
-        stones = self.sidecar.attempts.stones
-        await support.wait_until(lambda: stones.find(refused))
+        tombstones = self.sidecar.attempts.stones
+        await support.wait_until(lambda: tombstones.find(refused))
         await self.assert_not_run(refused)
 
     async def test_order_is_lost_with_the_link(self):
@@ -170,13 +170,13 @@
 
     async def test_router_that_has_sent_go_away_is_not_waited_for(self):
         self.router.send(message.GoAway('shutting down'))
-        await asyncio.sleep(REDIAL_S)
+        await asyncio.sleep(RECONNECT_DELAY_S)
         self.router.link.close()
-        async with asyncio.timeout(END_S):
-            await end(self.sidecar)
+        async with asyncio.timeout(STOP_TIMEOUT_S):
+            await shut_down(self.sidecar)
 
 
-async def end(sidecar):
+async def shut_down(sidecar):
     """Ends a sidecar as its process does."""
     sidecar.leave('shutting down')
     await sidecar.wait_drained()
--- a/tests/quetzalsill_sidecar/test_links.py
+++ b/tests/quetzalsill_sidecar/test_links.py
@@ -27,10 +27,10 @@
             received: list[int] = []
             async with support.router(sidecar.port) as router:
                 attempt = router.dispatch(tokens=120)
-                await self.take(router, attempt, received, 20)
+                await self.receive_items(router, attempt, received, 20)
             async with support.router(sidecar.port) as router:
                 router.send(message.Resume(attempt, len(received), 30))
-                await self.take(router, attempt, received, 25)
+                await self.receive_items(router, attempt, received, 25)
             async with support.router(sidecar.port) as router:
                 router.send(message.Resume(attempt, len(received), 500))
                 messages = await router.receive_all(attempt)
@@ -92,7 +92,7 @@
             messages = await router.receive_all(fast)
             self.assertEqual(support.indexes(messages), list(range(60)))
             received: list[int] = []
-            await self.take(router, slow, received, 3)
+            await self.receive_items(router, slow, received, 3)
             self.assertTrue(router.inbox(slow).empty())
             router.send(message.Credit(slow, 3, 100))
             received += support.indexes(await router.receive_all(slow))
@@ -129,9 +129,9 @@
         runs = self.engine.audit()['runs']
         self.assertTrue(runs[0]['cancelled'])
 
-    async def take(self, router, attempt, received, least):
-        """Receives until at least `least` more items have come."""
-        goal = len(received) + least
+    async def receive_items(self, router, attempt, received, count):
+        """Receives until at least `count` more items have come."""
+        goal = len(received) + count
         while len(received) < goal:
             received += support.indexes([await router.receive(attempt)])
 
--- a/tests/quetzalsill_sidecar/test_load_change.py
+++ b/tests/quetzalsill_sidecar/test_load_change.py
@@ -9,7 +9,7 @@
 from quetzalsill_sidecar import load_change
 from tests.quetzalsill_sidecar import support
 
-TOLD = message.Load(
+REPORTED = message.Load(
     queued=8,
     running=40,
     used_tokens=50_000,
@@ -55,8 +55,8 @@
         for kind, cases in CHANGES.items():
             for fields in cases:
                 with self.subTest(**fields):
-                    now = dataclasses.replace(TOLD, **fields)
-                    self.assertIs(load_change.classify(TOLD, now), kind)
+                    now = dataclasses.replace(REPORTED, **fields)
+                    self.assertIs(load_change.classify(REPORTED, now), kind)
 
     async def test_figures_wait_longer_the_more_routers_there_are(self):
         _, small, large, state = load_change.Change
--- a/tests/quetzalsill_sidecar/test_not_run.py
+++ b/tests/quetzalsill_sidecar/test_not_run.py
@@ -11,7 +11,7 @@
 SLOW = support.costs(0.02)
 
 
-def ran(engine) -> list[str]:
+def run_ids(engine) -> list[str]:
     return [run['request_id'] for run in engine.audit()['runs']]
 
 
@@ -41,7 +41,7 @@
         answer = await self.router.receive(late.attempt)
         self.assertIsInstance(answer, message.Withdrawn)
         await self.barrier()
-        self.assertNotIn(late.attempt, ran(self.engine))
+        self.assertNotIn(late.attempt, run_ids(self.engine))
 
     async def test_refused_dispatch_stays_refused(self):
         """A refused order is served after all.
@@ -56,7 +56,7 @@
             self.assertIsInstance(answer, message.Refused)
             sent.queue_ms = 30_000
         await self.barrier()
-        self.assertNotIn(sent.attempt, ran(self.engine))
+        self.assertNotIn(sent.attempt, run_ids(self.engine))
 
     async def test_burst_at_an_idle_engine_is_taken(self):
         """Handsets get "overloaded" from an engine that has nothing to do.
@@ -82,7 +82,7 @@
         self.router.send(sent)
         messages = await self.router.receive_all(sent.attempt)
         self.assertIsInstance(messages[-1], message.Finished)
-        self.assertEqual(ran(self.engine).count(sent.attempt), 1)
+        self.assertEqual(run_ids(self.engine).count(sent.attempt), 1)
 
     async def test_started_attempt_is_never_called_not_run(self):
         """A plan that is being made is sent to a second engine.
@@ -126,7 +126,7 @@
         answer = await self.router.receive(paused)
         self.assertIsInstance(answer, message.Refused)
         self.assertEqual(answer.code, 'superseded')
-        self.assertEqual(ran(self.engine), [owner])
+        self.assertEqual(run_ids(self.engine), [owner])
 
     async def test_dispatch_for_another_incarnation_is_refused(self):
         attempt = self.router.dispatch(incarnation=12)
@@ -142,20 +142,20 @@
         messages = await self.router.receive_all(attempt)
         self.assertEqual(messages[-1].code, 'cancelled')
         self.assertEqual(messages[-1].ran, 'yes')
-        await self.ended_on_engine(attempt)
+        await self.wait_cancelled_on_engine(attempt)
 
     async def test_deadline_stops_the_engine(self):
         attempt = self.router.dispatch(tokens=3000, remaining_ms=300)
         messages = await self.router.receive_all(attempt)
         self.assertEqual(messages[-1].code, 'deadline_exceeded')
         self.assertEqual(messages[-1].ran, 'yes')
-        await self.ended_on_engine(attempt)
+        await self.wait_cancelled_on_engine(attempt)
 
     async def barrier(self):
         """Returns once everything sent before has been acted on."""
         await self.router.receive_all(self.router.dispatch(tokens=1))
 
-    async def ended_on_engine(self, attempt):
+    async def wait_cancelled_on_engine(self, attempt):
         async with asyncio.timeout(support.TIMEOUT_S):
             while not self.is_cancelled(attempt):
                 await self.sidecar.runner.engine.report()
--- a/tests/quetzalsill_sidecar/test_peer.py
+++ b/tests/quetzalsill_sidecar/test_peer.py
@@ -38,18 +38,18 @@
         cfg.upstreams[UPSTREAM] = support.upstream(
             kind='app', sidecar=f'127.0.0.1:{port}', services=[support.MODEL]
         )
-        held = holder.Holder()
-        held.install(document.render(cfg), 1)
-        made = peers.Peers(
+        configuration = holder.Holder()
+        configuration.install(document.render(cfg), 1)
+        router_peers = peers.Peers(
             section.Node('entry-1', 'ikeja-hall'),
             7,
             support.CREDENTIAL,
-            held,
+            configuration,
             section.LinkTiming(),
         )
-        made.reconcile(held.current, None)
-        self.addAsyncCleanup(made.stop)
-        peer = made.get(UPSTREAM)
+        router_peers.reconcile(configuration.current, None)
+        self.addAsyncCleanup(router_peers.stop)
+        peer = router_peers.get(UPSTREAM)
         await support.wait_until(lambda: peer.linked and peer.status.healthy)
         return peer
 
@@ -72,12 +72,12 @@
             )
         )
         reading = asyncio.create_task(read(attempt))
-        proof = b'proof' * 200_000
+        rest = b'proof' * 200_000
         async with asyncio.timeout(support.TIMEOUT_S):
-            await attempt.send_body(proof, True)
+            await attempt.send_body(rest, True)
             items, terminal = await reading
         self.assertIsInstance(terminal, message.Finished, terminal)
-        self.assertEqual(b''.join(items), b'first' + proof)
+        self.assertEqual(b''.join(items), b'first' + rest)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_sidecar/test_recover.py
+++ b/tests/quetzalsill_sidecar/test_recover.py
@@ -22,7 +22,7 @@
             support.engine(costs=support.costs(0.005))
         )
 
-    async def started_then_lost(self) -> str:
+    async def start_and_stop_sidecar(self) -> str:
         """Gives an attempt that the engine runs and whose sidecar is gone."""
         async with (
             support.sidecar(self.url) as sidecar,
@@ -49,7 +49,7 @@
         The sidecar is killed in mid-answer and restarted; the router asks
         the new one for the same attempt.
         """
-        attempt = await self.started_then_lost()
+        attempt = await self.start_and_stop_sidecar()
         messages = await self.recover(attempt, self.url)
         self.assertEqual(support.indexes(messages), list(range(80)))
         self.assertEqual(len(support.generations(messages)), 1)
@@ -103,7 +103,7 @@
         The sidecar was replaced, and the link to the new one is cut before
         it has read from the engine what the router had from the old one.
         """
-        attempt = await self.started_then_lost()
+        attempt = await self.start_and_stop_sidecar()
         async with (
             support.sidecar(self.url) as sidecar,
             support.router(sidecar.port) as router,
@@ -173,7 +173,7 @@
         The engine can't be reached at the first recovery; the router asks
         again, and must not be given the old answer.
         """
-        attempt = await self.started_then_lost()
+        attempt = await self.start_and_stop_sidecar()
         relay = await support.start_relay(self.url)
         self.addAsyncCleanup(relay.stop)
         relay.refusing = True
