--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/__init__.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: the only path to one upstream."""
+"""The sidecar: a proxy through which one upstream is reached."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
@@ -12,24 +12,24 @@
 
 __all__ = ['REPLY_TIMEOUT_S', 'ConfigFetcher', 'Source']
 
-# Less than a Dispatch of the newer revision waits, so that a second router
-# is asked in time.
+# Shorter than the time that a Dispatch waits for its newer revision, so that
+# a second router can still be asked.
 REPLY_TIMEOUT_S = 1.0
 
 
 class Source(Protocol):
-    """A router that may be asked."""
+    """A router that configurations can be requested from."""
 
     def put(self, msg: message.Message) -> None:
-        """Sends to the router."""
+        """Sends a message to the router."""
 
 
 class ConfigFetcher:
-    """Asks one of the routers that named a newer revision.
+    """Requests a newer configuration from one of the routers that have it.
 
-    All routers name it at about the same time. Were each of them asked, every
-    edit would bring one document for each link, and a sidecar that starts
-    would take hundreds of them at once into its memory.
+    All routers announce a new revision at about the same time. If each of them
+    were asked, every edit would transfer one document per link, and a sidecar
+    that is starting would hold hundreds of documents in memory at once.
     """
 
     def __init__(self, configuration: holder.Holder) -> None:
@@ -40,10 +40,10 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def offer(self, source: Source, revision: int) -> None:
-        """Notes that a router has a revision, and asks it if need be.
+        """Records that a router has a revision; requests it if needed.
 
-        A router is asked once for a revision: its document is on the way, or
-        its link will be given up.
+        A router is asked only once for a revision: either its document is in
+        transit, or its link will be dropped.
         """
         if revision > max(
             self._configuration.revision, self._requested.get(source, 0)
@@ -52,13 +52,13 @@
             self._request_next()
 
     def record_reply(self, source: Source) -> None:
-        """Notes that a router has answered; its document was tried."""
+        """Records that a router has replied; its document was processed."""
         self._offers.pop(source, None)
         if source is self._pending:
             self._clear_pending()
 
     def remove_source(self, source: Source) -> None:
-        """Notes that the link of a router has ended."""
+        """Removes a router whose link has closed."""
         self._requested.pop(source, None)
         self.record_reply(source)
 
@@ -79,8 +79,8 @@
         self._pending.put(message.ConfigFetch(self._configuration.revision))
 
     def _expire(self) -> None:
-        # It may be paused or its link silent; another one is asked, and
-        # whichever document comes first is installed.
+        # The router may be paused or its link may be dead. Another router is
+        # asked, and whichever document arrives first is installed.
         del self._offers[self._pending]
         self._clear_pending()
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/context.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/context.py
@@ -1,4 +1,4 @@
-"""What the background work of a sidecar may use of it."""
+"""Interface of a sidecar that its background tasks use."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class SidecarContext(Protocol):
-    """The parts of one sidecar.
+    """Components of one sidecar.
 
     Attributes:
-      configuration: Configuration in force here.
-      attempts: All attempts known.
-      queue: What waits and what runs.
-      leaving: Whether new work is taken.
-      runner: Work under way at the upstream.
-      intake: What takes attempts in and lets the queue move.
+      configuration: The active configuration.
+      attempts: All known attempts.
+      queue: Waiting and running attempts.
+      leaving: Whether new work is accepted.
+      runner: Runs attempts on the upstream.
+      intake: Handles messages about attempts and starts queued attempts.
     """
 
     configuration: holder.Holder
@@ -41,10 +41,10 @@
 
     @property
     def link_count(self) -> int:
-        """Routers that are linked now."""
+        """Number of connected routers."""
 
     def broadcast(self, msg: message.Message) -> None:
-        """Sends to every router."""
+        """Sends a message to every connected router."""
 
     def leave(self, reason: str) -> None:
-        """Takes nothing new from now on; running work goes to its end."""
+        """Refuses new work from now on; running work is completed."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
@@ -1,4 +1,4 @@
-"""Failures of the sidecar's own exchanges with its upstream."""
+"""Errors of the exchanges between a sidecar and its upstream."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 
 
 class ExchangeError(base.QuetzalsillError):
-    """An exchange with the upstream gave no proper answer."""
+    """An exchange with the upstream yielded no valid response."""
 
     code = 'exchange_failed'
 
 
 class UpstreamConnectError(ExchangeError):
-    """No connection to the upstream could be opened; nothing was written.
+    """Connecting to the upstream failed; nothing was sent.
 
     Attributes:
-      refused: Nobody listens there, as when its process is dead.
+      refused: The connection was refused, as it is when the upstream process
+        is dead.
     """
 
     code = 'upstream_connect'
@@ -37,47 +38,47 @@
 
 
 class ResponseLostError(ExchangeError):
-    """The connection ended, fell silent or broke the protocol mid-exchange."""
+    """The connection closed, timed out or broke the protocol mid-exchange."""
 
     code = 'answer_lost'
 
 
 class UpstreamStatusError(ExchangeError):
-    """The upstream answered with a status that is no success.
+    """The upstream responded with an error status.
 
     Attributes:
-      status: HTTP status of the answer.
-      body: First bytes of its body.
+      status: HTTP status of the response.
+      body: First bytes of the response body.
     """
 
     code = 'answer_rejected'
 
     def __init__(self, status: int, body: bytes) -> None:
         text = body[:200].decode('utf-8', 'replace')
-        super().__init__(f'upstream answered {status}: {text}')
+        super().__init__(f'upstream responded with status {status}: {text}')
         self.status = status
         self.body = body
 
 
 class OrderWithheldError(ExchangeError):
-    """An order was not sent: this process may not give it any more."""
+    """An order was not sent because this process may no longer send it."""
 
     code = 'order_withheld'
 
 
 class GenerationGoneError(base.QuetzalsillError):
-    """The engine proved that it no longer has the generation."""
+    """The engine has confirmed that it no longer has the generation."""
 
     code = 'generation_gone'
 
 
 class GenerationUnreachableError(base.QuetzalsillError):
-    """The engine stayed out of reach beyond the bound; work may go on."""
+    """The engine was unreachable for too long; work may still be running."""
 
     code = 'generation_unreachable'
 
 
 class RequestMalformedError(base.QuetzalsillError):
-    """The request can't be written as HTTP, or its body breaks its length."""
+    """The request is not valid HTTP, or its body has the wrong length."""
 
     code = 'request_malformed'
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/event.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/event.py
@@ -1,4 +1,4 @@
-"""Every event that a sidecar writes to its log, with its fields."""
+"""All log events of a sidecar and their fields."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @event.define
 class AttemptCrashed(event.Event, level='error'):
-    """An attempt failed in a way that nobody foresaw.
+    """An attempt failed with an unexpected exception.
 
     Attributes:
       attempt: Id of the attempt.
@@ -45,16 +45,16 @@
 
 @event.define
 class AttemptFailed(event.Event):
-    """An attempt has failed.
+    """An attempt failed.
 
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request.
       account: Client account.
-      profile: Profile that was promised.
-      items: Items of the answer so far.
-      code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      profile: Profile of the request.
+      items: Number of answer items so far.
+      code: Error code; `ok` or empty if none.
+      detail: Human-readable description.
     """
 
     attempt: str
@@ -68,16 +68,16 @@
 
 @event.define
 class AttemptFinished(event.Event):
-    """An attempt has given its whole answer.
+    """An attempt delivered its complete answer.
 
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request.
       account: Client account.
-      profile: Profile that was promised.
-      items: Items of the answer so far.
-      code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      profile: Profile of the request.
+      items: Number of answer items so far.
+      code: Error code; `ok` or empty if none.
+      detail: Human-readable description.
     """
 
     attempt: str
@@ -91,16 +91,16 @@
 
 @event.define
 class AttemptRefused(event.Event):
-    """An attempt was refused and has not run.
+    """An attempt was refused before it ran.
 
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request.
       account: Client account.
-      profile: Profile that was promised.
-      items: Items of the answer so far.
-      code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      profile: Profile of the request.
+      items: Number of answer items so far.
+      code: Error code; `ok` or empty if none.
+      detail: Human-readable description.
     """
 
     attempt: str
@@ -125,12 +125,12 @@
 
 @event.define
 class AttemptUnfinished(event.Event, level='warning'):
-    """An attempt still runs at the end of the grace period.
+    """An attempt was still running at the end of the grace period.
 
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request.
-      items: Items of the answer so far.
+      items: Number of answer items so far.
     """
 
     attempt: str
@@ -140,16 +140,16 @@
 
 @event.define
 class AttemptWithdrawn(event.Event):
-    """An attempt was taken back before it ran.
+    """An attempt was withdrawn before it ran.
 
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request.
       account: Client account.
-      profile: Profile that was promised.
-      items: Items of the answer so far.
-      code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      profile: Profile of the request.
+      items: Number of answer items so far.
+      code: Error code; `ok` or empty if none.
+      detail: Human-readable description.
     """
 
     attempt: str
@@ -163,17 +163,17 @@
 
 @event.define
 class BackgroundTaskFailed(event.Event, level='error'):
-    """A background task failed in a way that nobody foresaw."""
+    """A background task failed with an unexpected exception."""
 
 
 @event.define
 class ConfigurationInvalid(event.Event, level='error'):
-    """A configuration cannot be held; the one before stays in force.
+    """A configuration is invalid; the previous one stays active.
 
     Attributes:
-      router: Node of the router.
+      router: Node name of the router.
       revision: Revision of the configuration.
-      detail: What happened, in words.
+      detail: Human-readable description.
     """
 
     router: str
@@ -183,7 +183,7 @@
 
 @event.define
 class ConfigurationNotHad(event.Event, level='warning'):
-    """The configuration that an attempt was judged by did not come in time.
+    """The configuration that an attempt needs did not arrive in time.
 
     Attributes:
       revision: Revision of the configuration.
@@ -194,7 +194,7 @@
 
 @event.define
 class EngineCancelGivenUp(event.Event, level='warning'):
-    """The engine could not be told to cancel.
+    """Cancelling an attempt on the engine failed and was given up.
 
     Attributes:
       attempt: Id of the attempt.
@@ -205,11 +205,11 @@
 
 @event.define
 class EngineCancelled(event.Event):
-    """The engine was told to cancel.
+    """An attempt was cancelled on the engine.
 
     Attributes:
       attempt: Id of the attempt.
-      state: State that the engine told.
+      state: State that the engine reported.
     """
 
     attempt: str
@@ -218,11 +218,11 @@
 
 @event.define
 class EngineHealthChanged(event.Event, level='warning'):
-    """The upstream began or ceased to answer.
+    """The upstream started or stopped responding.
 
     Attributes:
-      healthy: Whether it answers.
-      detail: What happened, in words.
+      healthy: Whether it responds.
+      detail: Human-readable description.
     """
 
     healthy: bool
@@ -231,11 +231,11 @@
 
 @event.define
 class Leaving(event.Event):
-    """The upstream leaves; nothing new is taken.
+    """The upstream is leaving; new work is refused.
 
     Attributes:
       upstream: Name of the upstream.
-      reason: What was given as the reason.
+      reason: Reason that was given.
     """
 
     upstream: str
@@ -244,11 +244,11 @@
 
 @event.define
 class MessageUnexpected(event.Event, level='warning'):
-    """A router sent a message that it should not.
+    """A router sent a message of an unexpected kind.
 
     Attributes:
-      router: Node of the router.
-      kind: Kind of it.
+      router: Node name of the router.
+      kind: Class name of the message.
     """
 
     router: str
@@ -260,10 +260,10 @@
     """An order to the engine has ended.
 
     Attributes:
-      kind: Kind of it.
-      name: Name of it.
+      kind: Kind of the order.
+      name: Name of the model, adapter or role.
       fence: Revision that the order belongs to.
-      outcome: How it ended.
+      outcome: How the order ended.
     """
 
     kind: str
@@ -274,11 +274,11 @@
 
 @event.define
 class PlacementState(event.Event):
-    """Placement of models began to fail, or works again.
+    """Placement of models started to fail, or recovered.
 
     Attributes:
-      failing: Code of the failure; empty once it works.
-      detail: What happened, in words.
+      failing: Error code; empty after recovery.
+      detail: Human-readable description.
     """
 
     failing: str
@@ -287,11 +287,11 @@
 
 @event.define
 class RouterLeaving(event.Event):
-    """A router says that it ends.
+    """A router announced that it is shutting down.
 
     Attributes:
-      router: Node of the router.
-      reason: What was given as the reason.
+      router: Node name of the router.
+      reason: Reason that was given.
     """
 
     router: str
@@ -300,10 +300,10 @@
 
 @event.define
 class RouterLinked(event.Event):
-    """A router is linked.
+    """A router established its link.
 
     Attributes:
-      router: Node of the router.
+      router: Node name of the router.
     """
 
     router: str
@@ -311,10 +311,10 @@
 
 @event.define
 class RouterUnlinked(event.Event):
-    """The link of a router ended.
+    """The link of a router closed.
 
     Attributes:
-      router: Node of the router.
+      router: Node name of the router.
     """
 
     router: str
@@ -322,10 +322,10 @@
 
 @event.define
 class SidecarReady(event.Event):
-    """The sidecar listens.
+    """The sidecar is ready and listening.
 
     Attributes:
-      port: Port listened at.
+      port: Port that it listens on.
       incarnation: Number of this start of the process.
       upstream: Name of the upstream.
     """
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/factory.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/factory.py
@@ -1,4 +1,4 @@
-"""Makes attempts and demands out of Dispatches and the configuration."""
+"""Creates attempts and queue demands from Dispatches and configuration."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
     cfg: model.Configuration,
     now: float,
 ) -> state.Attempt:
-    """Makes the state of an attempt that arrived at `now`.
+    """Creates the state of an attempt that arrived at `now`.
 
-    An answer that is kept as long as the attempt lives can be taken over by
-    another router from its first item; that is for durable profiles.
+    For durable profiles the whole answer is kept as long as the attempt is
+    known, so that another router can take it over from its first item.
     """
     bounds, timing = settings.bounds, settings.timing
     durable = _profile(dispatch, cfg).durable
@@ -53,7 +53,7 @@
 def make_demand(
     attempt: state.Attempt, cfg: model.Configuration
 ) -> policy.Demand:
-    """Makes what an attempt asks of the upstream under a configuration."""
+    """Creates the queue demand of an attempt under a configuration."""
     dispatch = attempt.dispatch
     profile = _profile(dispatch, cfg)
     account = cfg.accounts.get(dispatch.account)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -1,4 +1,4 @@
-"""Takes Dispatches in: knows them, judges them and queues them."""
+"""Accepts Dispatches: deduplicates, checks and queues them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Intake:
-    """Way of an attempt from its Dispatch to the queue and out again."""
+    """Handles router messages about attempts, and starts queued attempts."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
     def dispatch(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> None:
-        """Takes a Dispatch; one of a known attempt only re-attaches it."""
+        """Handles a Dispatch; a known attempt is only re-attached."""
         has_run = _has_run(self._terminal_of(dispatch.attempt))
         if self._handle_known(dispatch, link, put):
             return
@@ -79,10 +79,10 @@
             self._admit(attempt)
 
     def withdraw(self, attempt_id: str, put: Put) -> None:
-        """Takes back an attempt that has not started.
+        """Withdraws an attempt that has not started.
 
-        An attempt never seen leaves a tombstone: its Dispatch may be on the
-        way over another link, and would run after it was given up.
+        An unknown attempt gets a tombstone: its Dispatch may be in transit on
+        another link, and would run after the router has abandoned it.
         """
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
@@ -97,7 +97,7 @@
         put(tombstone)
 
     def cancel(self, attempt_id: str) -> None:
-        """Ends an attempt that is no longer wanted."""
+        """Cancels an attempt at the request of its router."""
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             self.stop(attempt, request_error.CancelledError.code)
@@ -105,7 +105,7 @@
     def stop(
         self, attempt: state.Attempt, code: str, retry_after_ms: int = 0
     ) -> None:
-        """Ends an attempt at whatever stage it is."""
+        """Stops an attempt at any stage."""
         if attempt.stage in (state.Stage.JUDGED, state.Stage.QUEUED):
             self._queue.remove(attempt.id)
             self._attempts.refuse(attempt, code, code, retry_after_ms)
@@ -114,7 +114,7 @@
             self._runner.stop_attempt(attempt, code)
 
     def resume(self, msg: message.Resume, link: object, put: Put) -> None:
-        """Takes an attempt up on a new link, from the item asked for."""
+        """Resumes an attempt on a new link, from the requested item."""
         attempt = self._attempts.get(msg.attempt)
         if attempt is None:
             put(self._refuse_unknown(msg.attempt))
@@ -125,9 +125,9 @@
             put(_items_discarded(attempt))
 
     def stop_incomplete_call(self, attempt: state.Attempt) -> None:
-        """Ends a call whose body can't be completed: its link is gone.
+        """Stops a call whose body can't be completed: its link is closed.
 
-        The rest of a body can't follow on another link. The app server would
+        The rest of a body can't be sent on another link. The app server would
         wait for it, and the caller for its answer, until the deadline.
         """
         if attempt.body.is_open:
@@ -139,7 +139,7 @@
             )
 
     def pump(self) -> None:
-        """Starts what the admission policy lets start."""
+        """Starts the attempts that the admission policy permits."""
         for attempt_id in self._queue.start_admitted():
             attempt = self._attempts.get(attempt_id)
             self._runner.start(
@@ -148,7 +148,7 @@
             )
 
     def apply_configuration(self, cfg: model.Configuration) -> None:
-        """Lets a new configuration apply to what waits and what runs."""
+        """Applies a new configuration to waiting and running attempts."""
         self._queue.reorder(
             self._registry.get('fairness', cfg.policies.fairness)(),
             self._registry.get('admission', cfg.policies.admission),
@@ -160,7 +160,7 @@
         self._on_change()
 
     def refuse_unstarted(self) -> None:
-        """Gives back all that has not started; nothing new is taken."""
+        """Refuses all attempts that have not started, except recoveries."""
         for attempt in self._attempts:
             if not attempt.started and not attempt.dispatch.recover:
                 self.stop(attempt, request_error.UpstreamLeavingError.code)
@@ -175,13 +175,14 @@
     def _handle_known(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> bool:
-        """Answers for an attempt seen before; False if it is to be run."""
+        """Handles a known attempt; returns False if it is to be run."""
         attempt = self._attempts.get(dispatch.attempt)
         terminal = self._terminal_of(dispatch.attempt)
         is_call = dispatch.kind == kind.CALL
         if dispatch.recover and not is_call and _may_recover(terminal):
-            # The engine could not be asked the last time, or not by who asks
-            # now; it may have the answer that is no longer kept here.
+            # The engine could not be reached the last time, or the last
+            # request came from another router. It may still have the answer
+            # that is no longer kept here.
             self._attempts.drop(dispatch.attempt)
             return False
         if attempt is not None:
@@ -191,7 +192,7 @@
         return attempt is not None or terminal is not None
 
     def _terminal_of(self, attempt_id: str) -> message.Message | None:
-        """Returns how an attempt ended here; None if that is not known."""
+        """Returns the terminal message of an attempt; None if unknown."""
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             return attempt.terminal
@@ -206,18 +207,19 @@
     ) -> None:
         fences = self._attempts.fences
         if not fences.admit(dispatch.request, dispatch.fence):
-            # Not Refused: the attempt may have run for its new owner.
+            # Failed, not Refused: the attempt may have run for its new owner.
             put(
                 message.Failed(
                     attempt.id,
                     request_error.SupersededError.code,
-                    'fence is old',
+                    'fence is stale',
                     base.Ran.UNKNOWN.value,
                     False,
                 )
             )
         elif dispatch.fence > attempt.dispatch.fence and attempt.tail.start:
-            # Its new owner has none of the items that the last one took.
+            # The new owner has none of the items that the previous owner
+            # acknowledged.
             put(_items_discarded(attempt))
         else:
             attempt.tail.restart(dispatch.credit)
@@ -227,7 +229,10 @@
         tombstone = self._attempts.stones.find(attempt_id)
         if tombstone is None:
             tombstone = message.Refused(
-                attempt_id, request_error.NotFoundError.code, 'never seen', 0
+                attempt_id,
+                request_error.NotFoundError.code,
+                'unknown attempt',
+                0,
             )
             self._attempts.stones.lay(
                 attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
@@ -259,7 +264,7 @@
             return
         dispatch = attempt.dispatch
         if dispatch.revision > self._configuration.revision:
-            detail = f'revision {dispatch.revision} could not be had'
+            detail = f'revision {dispatch.revision} is not available'
             self._attempts.refuse(
                 attempt, request_error.StaleRevisionError.code, detail
             )
@@ -276,9 +281,10 @@
         else:
             attempt.stage = state.Stage.QUEUED
             self._queue.push(demand)
-            # At once, not at the end of the loop's turn: until then it would
-            # count as a queue before an idle engine, by which the rest of a
-            # burst is judged, and could be swept for having waited too long.
+            # Run the queue immediately, not in the next loop iteration: until
+            # then the attempt would count as queued before an idle engine,
+            # which the expected wait of the rest of a burst is based on, and
+            # it could be swept as having waited too long.
             self.pump()
         self._on_change()
 
@@ -298,7 +304,7 @@
 
 
 def _may_recover(terminal: message.Message | None) -> bool:
-    """Whether more may be had of an attempt than how it ended here."""
+    """Whether a recovery may find out more about an ended attempt."""
     if not isinstance(terminal, message.Failed) or terminal.gone:
         return False
     return (
@@ -308,10 +314,10 @@
 
 
 def _has_run(terminal: message.Message | None) -> bool:
-    """Whether an attempt that ended here surely ran.
+    """Whether an attempt that ended here is known to have run.
 
-    An engine forgets what it made. Asked then by a recovery, it knows no such
-    generation, which is no word of one that never ran.
+    An engine drops old generations. If a recovery then asks for one, the engine
+    does not know it, which does not prove that it never ran.
     """
     if isinstance(terminal, message.Failed):
         return terminal.ran == base.Ran.YES
@@ -319,13 +325,13 @@
 
 
 def _rewind(attempt: state.Attempt, msg: message.Resume) -> bool:
-    """Goes back to the item asked for; False if it is not kept."""
+    """Rewinds to the requested item; returns False if it was dropped."""
     seq = msg.seq
     if attempt.dispatch.recover:
-        # The router has items of the sidecar before this one, which this one
-        # may not have read from the engine yet. It goes on from what it has,
-        # and the router drops what comes twice; to call them lost would end
-        # a request whose generation lives.
+        # The router has items from a previous sidecar, which this one may not
+        # have read from the engine yet. Resume from what is available; the
+        # router drops duplicates. Reporting the items as lost would end a
+        # request whose generation is still running.
         seq = min(seq, attempt.tail.end)
     return attempt.tail.rewind(seq, msg.credit + msg.seq - seq)
 
@@ -334,7 +340,7 @@
     return message.Failed(
         attempt.id,
         request_error.OutcomeUnknownError.code,
-        'items no longer kept',
+        'answer items are no longer available',
         base.Ran.YES.value,
         False,
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/leaving_state.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/leaving_state.py
@@ -1,4 +1,4 @@
-"""Whether the upstream takes new work."""
+"""Whether the upstream accepts new work."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class LeavingState:
-    """Reasons to take nothing new: leaving for good, or drained.
+    """Reasons to refuse new work: a permanent leave, or a drain.
 
     Attributes:
-      reason: Why this process leaves for good; empty while it does not.
-      started: Set once it leaves for good.
+      reason: Why this process is leaving permanently; empty if it is not.
+      started: Set when this process starts to leave permanently.
     """
 
     def __init__(
@@ -29,12 +29,12 @@
         configuration: holder.Holder,
         on_start: Callable[[str], None],
     ) -> None:
-        """Watches for reasons.
+        """Starts out accepting work.
 
         Args:
           upstream: Name of the upstream in the configuration.
-          configuration: May drain the upstream.
-          on_start: Called once with the reason for leaving for good.
+          configuration: Configuration, which can drain the upstream.
+          on_start: Called once with the reason for leaving permanently.
         """
         self.reason = ''
         self.started = asyncio.Event()
@@ -44,16 +44,16 @@
 
     @property
     def is_draining(self) -> bool:
-        """An operator drains the upstream."""
+        """Whether the configuration drains the upstream."""
         upstream = self._configuration.current.upstreams.get(self._upstream)
         return upstream is not None and upstream.draining
 
     def refusal_reason(self) -> str:
-        """Why new work is refused; empty if it is not."""
+        """Returns why new work is refused; empty if it is accepted."""
         return self.reason or ('draining' if self.is_draining else '')
 
     def start(self, reason: str) -> None:
-        """Leaves for good; a second call changes nothing."""
+        """Starts to leave permanently; later calls have no effect."""
         if self.reason:
             return
         self.reason = reason
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
@@ -1,4 +1,4 @@
-"""What the sidecar knows of its upstream, reported to every router."""
+"""Reports the load of the upstream to all routers."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 class LoadReporter:
-    """Polls the engine and reports to routers.
+    """Polls the engine and reports its load to routers.
 
     Attributes:
-      report: The engine's newest word; it lags.
-      healthy: The upstream answered the last time.
+      report: Latest report of the engine, which lags behind its real state.
+      healthy: Whether the upstream responded to the last poll.
     """
 
     def __init__(self, sidecar: context.SidecarContext) -> None:
-        """Reports on the parts of `sidecar`."""
+        """Creates a reporter for `sidecar`."""
         self.report = engine.EngineReport()
         self.healthy = True
         self._sidecar = sidecar
@@ -50,11 +50,11 @@
         self._foreign_mean = 0.0
 
     def mark_changed(self) -> None:
-        """Something that routers should know has changed."""
+        """Marks the load as changed, so that it is reported."""
         self._changed.set()
 
     def build_message(self) -> message.Load:
-        """Returns the present state."""
+        """Returns a message with the current load."""
         sidecar = self._sidecar
         queue = sidecar.queue
         wait_s = queue.expected_wait_s(HIGHEST_RANK)
@@ -73,7 +73,7 @@
         )
 
     async def run(self) -> None:
-        """Reports changes, the more of them the larger they are."""
+        """Reports changes; larger changes are reported sooner."""
         clock = asyncio.get_running_loop().time
         reported, reported_at = self.build_message(), clock()
         while True:
@@ -94,7 +94,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def poll(self) -> None:
-        """Fetches the engine's report again and again."""
+        """Polls the engine for its report until cancelled."""
         interval_s = self._sidecar.settings.timing.poll_s
         while True:
             try:
@@ -108,9 +108,10 @@
         self.report = report
         queue = self._sidecar.queue
         queue.capacity_tokens = report.capacity_tokens
-        # The report lags: what was just started is not in it yet and what
-        # just ended still is. Both signs cancel out in the mean; cut off at
-        # zero before that, the lag would pass for memory held by others.
+        # The report lags: it misses attempts that have just started and still
+        # includes those that have just ended. Both errors cancel out in the
+        # mean. If single samples were clamped at zero, the lag would count as
+        # memory held by others.
         own = queue.used_tokens - queue.foreign_tokens
         foreign = report.used_tokens - own
         self._foreign_mean += (foreign - self._foreign_mean) * FOREIGN_SMOOTHING
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
@@ -1,4 +1,4 @@
-"""When a change of the load is worth telling every router."""
+"""When a change of the load is reported to all routers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 MIN_INTERVAL_S = 0.25
 MIN_SMALL_INTERVAL_S = 1.0
-# A Load is about 200 bytes on the network, headers and acknowledgement
-# included, and goes to every router. So reports of large changes cost a
-# sidecar 1.6 KB/s at most and those of small ones 0.4 KB/s, however many
-# routers there are.
+# A Load takes about 200 bytes on the network, including headers and
+# acknowledgement, and is sent to every router. This limits a sidecar to 1.6
+# KB/s for large changes and 0.4 KB/s for small ones, for any number of
+# routers.
 INTERVAL_S_PER_LINK = 0.125
 SMALL_INTERVAL_S_PER_LINK = 0.5
 
@@ -27,7 +27,7 @@
 
 
 class Change(enum.IntEnum):
-    """How much two reports differ."""
+    """How much two load reports differ."""
 
     NONE = 0
     SMALL = 1
@@ -36,7 +36,7 @@
 
 
 def classify(reported: message.Load, current: message.Load) -> Change:
-    """Compares the report that routers have with the present one."""
+    """Compares the last reported load with the current one."""
     if any(
         getattr(reported, name) != getattr(current, name)
         for name in STATE_FIELDS
@@ -48,7 +48,7 @@
 
 
 def min_interval_s(kind: Change, link_count: int) -> float:
-    """Least time since the last report before a change is reported, in s."""
+    """Minimum time between the last report and this one, in seconds."""
     if kind is Change.STATE:
         return MIN_INTERVAL_S
     if kind is Change.LARGE:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
@@ -1,4 +1,4 @@
-"""`/healthz`, `/readyz` and `/metrics` of a sidecar."""
+"""HTTP endpoints `/healthz`, `/readyz` and `/metrics` of a sidecar."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_app(sidecar: sidecar_lib.Sidecar) -> blacksheep.Application:
-    """The application that tells of a sidecar."""
+    """Creates the monitoring application of a sidecar."""
     app = blacksheep.Application(router=blacksheep.Router())
 
     async def healthz(request: blacksheep.Request) -> blacksheep.Response:
@@ -34,7 +34,7 @@
         del request
         reason = sidecar.leaving.refusal_reason()
         if not reason and not sidecar.load.healthy:
-            reason = 'the upstream does not answer'
+            reason = 'the upstream does not respond'
         if not reason and not sidecar.configuration.revision:
             reason = 'no configuration'
         return _text(503 if reason else 200, reason or 'ready')
@@ -53,10 +53,10 @@
 
 @contextlib.asynccontextmanager
 async def serve(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
-    """Serves the application if the settings give it a port.
+    """Serves the application if the settings specify a port.
 
     Raises:
-      ListenError: The address can't be listened at.
+      ListenError: The address can't be bound.
     """
     options = sidecar.settings.monitoring
     if not options.port:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
@@ -1,4 +1,4 @@
-"""Registers the sidecar's role and policies."""
+"""Registers the sidecar's role and queue policies."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
             settings.SidecarSettings,
             role.late('quetzalsill_sidecar.run'),
         ),
-        'The only path to one upstream.',
+        'Proxy through which one upstream is reached.',
     )
     registry.add(
         'fairness',
         'weighted',
         order_weighted.WeightedOrder,
-        'Fair shares of client accounts by weight, prompt profiles first.',
+        'Weighted fair shares of client accounts, urgent profiles first.',
     )
     registry.add(
         'fairness', 'fifo', order_fifo.FifoOrder, 'First come, first served.'
@@ -44,23 +44,23 @@
         'admission',
         'predicted',
         admission_predicted.admit,
-        'Starts what fits the predicted key-value memory.',
+        'Starts attempts that fit the predicted KV cache usage.',
     )
     registry.add(
         'admission',
         'declared',
         admission_predicted.admit_declared,
-        'Starts what fits if every answer is as long as its bound.',
+        'Starts attempts that fit if each answer reaches its token limit.',
     )
     registry.add(
         'admission',
         'admit-all',
         admission_baseline.admit_all,
-        'Starts whatever comes.',
+        'Starts every attempt that the running limit permits.',
     )
     registry.add(
         'admission',
         'fixed-batch',
         admission_baseline.fixed_batch,
-        'Keeps a fixed number of attempts on the engine.',
+        'Runs at most a fixed number of attempts on the engine.',
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
@@ -1,4 +1,4 @@
-"""The process: runs a sidecar until it is told to stop."""
+"""Entry point of the process: runs a sidecar until it is stopped."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 async def run(settings: settings_lib.SidecarSettings) -> None:
-    """Runs the sidecar; returns after a graceful stop.
+    """Runs the sidecar; returns after a graceful shutdown.
 
-    It leaves on SIGTERM and when the engine says that it is leaving.
+    Shutdown starts on SIGTERM or when the engine reports that it is leaving.
 
     Raises:
-      OSError: The address of the links can't be listened at.
-      ListenError: That for monitoring can't.
+      OSError: The address of the link listener can't be bound.
+      ListenError: The address of the monitoring listener can't be bound.
     """
     sidecar = sidecar_lib.Sidecar(settings, registry.REGISTRY)
     with net_stop.StopSignal() as stop:
@@ -45,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def _run_placement(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
-    """Keeps a model engine at its desired state meanwhile."""
+    """Runs the placement of models in the background, for model engines."""
     if sidecar.settings.upstream.kind != 'model':
         yield
         return
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -1,4 +1,4 @@
-"""Runs attempts on the upstream, each in a task of its own."""
+"""Runs attempts on the upstream, each in its own task."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 class Runner:
-    """Hands admitted attempts to the upstream and brings their answers.
+    """Sends admitted attempts to the upstream and delivers their answers.
 
     Attributes:
-      engine: Client of the engine; unused beside an app server.
+      engine: Client of the engine; unused if the upstream is an app server.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
         queue: schedule.Schedule,
         on_change: Callable[[], None],
     ) -> None:
-        """Prepares to run.
+        """Creates an idle runner.
 
         Args:
           settings: Settings of the sidecar.
-          attempts: All attempts known.
-          queue: Told of tokens and of ends.
-          on_change: Called when the upstream may take more.
+          attempts: All known attempts.
+          queue: Notified of generated tokens and of ended attempts.
+          on_change: Called when the upstream may have free capacity.
         """
         self._timing = settings.timing
         self._origin = http.Origin.parse(settings.upstream.url)
@@ -69,24 +69,24 @@
 
     @property
     def task_count(self) -> int:
-        """Number of attempts whose tasks still run."""
+        """Number of attempts whose tasks are running."""
         return len(self._tasks)
 
     def start(self, attempt: state.Attempt, demand: policy.Demand) -> None:
-        """Runs an attempt in a task of its own."""
+        """Runs an attempt in its own task."""
         attempt.stage = state.Stage.CONNECTING
         attempt.task = asyncio.create_task(self._run(attempt, demand))
         self._tasks.add(attempt.task)
         attempt.task.add_done_callback(lambda task: self._reap(attempt, task))
 
     def stop_attempt(self, attempt: state.Attempt, code: str) -> None:
-        """Ends an attempt that was admitted, for the named cause."""
+        """Stops an admitted attempt; `code` is the error code."""
         if attempt.task is not None and not attempt.stopping:
             attempt.stopping = code
             attempt.task.cancel()
 
     async def stop(self) -> None:
-        """Drops all tasks; for the end of the process."""
+        """Cancels all tasks; called at process exit."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -97,15 +97,15 @@
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A fault of this program; without a terminal the caller would wait
-        # for its deadline, and the place on the engine stay taken.
+        # A bug in the sidecar. Without a terminal message the caller would
+        # wait until its deadline, and the slot on the engine would leak.
         event.note(
             event.AttemptCrashed(
                 attempt=attempt.id,
             ),
             exc=task.exception(),
         )
-        detail = 'the sidecar failed'
+        detail = 'internal error of the sidecar'
         self._end(
             attempt,
             outcome.failed(
@@ -198,16 +198,16 @@
 
 
 def _run_state(attempt: state.Attempt) -> base.Ran:
-    """Whether a started attempt ran: of a call only its answer proves it."""
+    """Whether a started attempt ran; for a call only its response proves it."""
     unanswered = attempt.dispatch.kind == kind.CALL and attempt.head is None
     return base.Ran.UNKNOWN if unanswered else base.Ran.YES
 
 
 def _may_still_run(attempt: state.Attempt, terminal: message.Message) -> bool:
-    """Whether the engine must be told that the answer is not wanted.
+    """Whether the attempt must be cancelled on the engine.
 
-    A recovery that could not reach the engine may be tried again, and the
-    work that it is after must live on until then.
+    A recovery that could not reach the engine may be retried, and the
+    generation that it looks for must keep running until then.
     """
     if attempt.dispatch.kind == kind.CALL or not isinstance(
         terminal, message.Failed
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
@@ -1,4 +1,4 @@
-"""One link of a router, served by one task."""
+"""Handles the messages of one router link, in one task."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 __all__ = ['Session']
 
-# What ends an attempt. Routers acknowledge only some of them.
+# Messages that end an attempt. Routers acknowledge only some of them.
 TERMINALS = (
     message.Refused,
     message.Withdrawn,
@@ -32,12 +32,12 @@
 
 
 class Session:
-    """Acts on the messages of one router.
+    """Handles the messages of one router.
 
     Attributes:
       link: The link that is served.
-      is_going_away: Whether the router has said that it ends.
-      terminal_count: How many terminal messages were sent.
+      is_going_away: Whether the router has announced its shutdown.
+      terminal_count: Number of terminal messages sent.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         configuration: holder.Holder,
         fetcher: config_fetcher.ConfigFetcher,
     ) -> None:
-        """Takes a link whose handshake is done."""
+        """Creates a session on a link whose handshake is complete."""
         self.link = link
         self.is_going_away = False
         self.terminal_count = 0
@@ -70,10 +70,10 @@
         }
 
     async def serve(self) -> None:
-        """Acts on messages until the link ends.
+        """Handles messages until the link closes.
 
         Raises:
-          WireError: The link ended or broke the protocol.
+          WireError: The link closed or broke the protocol.
         """
         self.link.on_revision = self._offer_revision
         self._offer_revision(self.link.peer.revision)
@@ -84,7 +84,7 @@
             self._detach()
 
     def put(self, msg: message.Message) -> None:
-        """Sends to the router; a link that is gone is noticed by `serve`."""
+        """Sends to the router; `serve` detects that the link is closed."""
         self.terminal_count += isinstance(msg, TERMINALS)
         with contextlib.suppress(wire_error.LinkClosedError):
             self.link.send_nowait(msg)
@@ -122,8 +122,8 @@
 
     def _on_credit(self, msg: message.Credit) -> None:
         attempt = self._attempts.get(msg.attempt)
-        # A link that was replaced may still deliver; its credit was counted
-        # anew by the Resume on the other link.
+        # A replaced link may still deliver messages. Its credit is void: the
+        # Resume on the new link has reset the count.
         if attempt is not None and attempt.link is self:
             attempt.tail.grant(msg.seq, msg.items)
             attempt.flush()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/settings.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/settings.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UpstreamTarget:
-    """The upstream beside this process."""
+    """The upstream that this process serves."""
 
     name: str = key(
         'Name of the upstream in the configuration.',
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Timing:
-    """Bounds of waits on the upstream and on lost routers."""
+    """Timeouts for the upstream and for disconnected routers."""
 
     connect_s: float = key(
         'Longest time to open a connection to the upstream.',
@@ -180,7 +180,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Bounds:
-    """Bounds of memory."""
+    """Limits on memory use."""
 
     queue: int = key(
         'Attempts that may wait.', 1024, minimum=1, maximum=1_000_000
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: its parts and its background work."""
+"""The sidecar: its components and background tasks."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 INCARNATION_RANDOM_BITS = 16
 DRAIN_POLL_S = 0.05
-# Time beyond the bounds of a link in which a router dials it anew.
+# Time in which a router reconnects, in addition to the timeouts of the link.
 RECONNECT_MARGIN_S = 3.0
 
 
 def new_incarnation() -> int:
-    """Returns a number that no earlier start of this process had."""
+    """Returns a number that no earlier start of this process has used."""
     started_ms = time.time_ns() // 1_000_000
     return (started_ms << INCARNATION_RANDOM_BITS) | secrets.randbits(
         INCARNATION_RANDOM_BITS
@@ -48,14 +48,14 @@
 
 
 class Sidecar:
-    """The only path to one upstream.
+    """A proxy through which routers reach one upstream.
 
     Attributes:
       incarnation: Number of this start of the process.
-      configuration: Configuration in force here.
-      attempts: All attempts known.
-      queue: What waits and what runs.
-      leaving: Whether new work is taken.
+      configuration: The active configuration.
+      attempts: All known attempts.
+      queue: Waiting and running attempts.
+      leaving: Whether new work is accepted.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         settings: settings_lib.SidecarSettings,
         registry: registry_lib.Registry,
     ) -> None:
-        """Builds the parts; `start` opens the listener."""
+        """Creates the components; `start` opens the listener."""
         clock = asyncio.get_running_loop().time
         self.incarnation = new_incarnation()
         self.configuration = holder.Holder()
@@ -71,7 +71,8 @@
         self._settings = settings
         self._sessions: set[session.Session] = set()
         self._pending_echoes: list[tuple[link_lib.Link, int]] = []
-        # When the link of a router ended that may dial again, by its node.
+        # Times at which links closed, by node name, for routers that may
+        # reconnect.
         self._lost_links: dict[str, float] = {}
         self._links_accepted = 0
         policies = self.configuration.current.policies
@@ -116,17 +117,17 @@
 
     @property
     def port(self) -> int:
-        """Port that routers dial."""
+        """Port that routers connect to."""
         return self._server.port
 
     @property
     def links(self) -> list[link_lib.Link]:
-        """Links of the routers that are linked now."""
+        """Links of the connected routers."""
         return [each.link for each in self._sessions]
 
     @property
     def link_count(self) -> int:
-        """Routers that are linked now."""
+        """Number of connected routers."""
         return len(self._sessions)
 
     @property
@@ -135,10 +136,10 @@
         return self._settings
 
     async def start(self) -> None:
-        """Opens the listener and starts the background work.
+        """Opens the listener and starts the background tasks.
 
         Raises:
-          OSError: The address can't be listened at.
+          OSError: The address can't be bound.
         """
         await self._server.start()
         self._spawn(sweep.run(self))
@@ -154,25 +155,26 @@
         )
 
     def leave(self, reason: str) -> None:
-        """Takes nothing new from now on; running work goes to its end."""
+        """Refuses new work from now on; running work is completed."""
         self.leaving.start(reason)
 
     async def wait_drained(self) -> bool:
-        """Waits until nothing runs and routers have taken all answers.
+        """Waits until nothing runs and routers have received all answers.
 
         Returns:
-          False if something was left after `grace_s`.
+          False if work was left after `grace_s`.
         """
         now = asyncio.get_running_loop().time()
         deadline = now + self._settings.timing.grace_s
         if not await self._wait_until(self._is_drained, deadline):
             self._log_unfinished()
             return False
-        # Routers acknowledge no refusal. Should one still be on its way when
-        # this end closes, whatever the router writes meanwhile has the link
-        # reset, which may take the refusal with it: its caller is told that
-        # the outcome is unknown. An echo says that the router has all of them.
-        # Whoever has dialed again, or was told more, meanwhile is asked again.
+        # Routers do not acknowledge refusals. If a refusal is still in transit
+        # when this side closes the link, any write of the router resets the
+        # connection and may discard the refusal; the caller then gets an
+        # unknown outcome. An echo proves that the router has received all
+        # messages. Echoes are requested again if a router has reconnected or
+        # further messages were sent in the meantime.
         sent = None
         while sent != self._sent_counts():
             sent = self._sent_counts()
@@ -182,7 +184,7 @@
         return True
 
     async def stop(self) -> None:
-        """Closes everything at once."""
+        """Closes the listener and cancels all tasks immediately."""
         await self._server.stop()
         for task in self._background:
             task.cancel()
@@ -190,26 +192,26 @@
         await self.runner.stop()
 
     def broadcast(self, msg: message.Message) -> None:
-        """Sends to every router."""
+        """Sends a message to every connected router."""
         for each in self._sessions:
             each.put(msg)
 
     def _sent_counts(self) -> tuple[int, int]:
-        """Returns how many links were taken and terminal messages sent."""
+        """Returns the numbers of accepted links and sent terminal messages."""
         return self._links_accepted, sum(
             each.terminal_count for each in self._sessions
         )
 
     def _request_echoes(self) -> None:
-        """Has each router echo once it has taken all that was sent so far."""
+        """Asks each router for an echo of all messages sent so far."""
         self._pending_echoes = [(link, link.ping()) for link in self.links]
 
     def _is_drained(self) -> bool:
-        """Whether routers know of the leaving and have all their answers.
+        """Whether routers know of the shutdown and have all their answers.
 
-        A Dispatch that was under way when this process ended would leave its
-        caller with an unknown outcome. Routers send none once they have taken
-        GoAway, and by their echo all that they sent before has been read.
+        A Dispatch in transit when this process exits would leave its caller
+        with an unknown outcome. Routers send none after they have received
+        GoAway, and their echo proves that everything sent before was read.
         """
         links = self.links
         all_echoed = all(
@@ -225,19 +227,20 @@
         )
 
     def _is_done(self, attempt: state.Attempt) -> bool:
-        """Whether an attempt has ended and nobody comes back for it."""
+        """Whether an attempt has ended and no router will resume it."""
         if attempt.terminal is None or attempt.link is not None:
             return False
         return self._has_reconnect_expired(attempt.detached)
 
     def _has_reconnect_expired(self, lost_at: float) -> bool:
-        """Whether a router has had time to come back since a link ended.
+        """Whether a router has had time to reconnect since its link closed.
 
-        One that was paused, or whose link fell silent, finds that after
-        `silence_s` and dials anew; its caller would lose the answer.
+        A router that was paused, or whose link went silent, detects that after
+        `silence_s` and reconnects. If the sidecar has exited by then, the
+        caller loses its answer.
 
         Args:
-          lost_at: When the link ended, in seconds of the event loop.
+          lost_at: When the link closed, in event loop time (seconds).
         """
         timing = self._settings.link
         elapsed_s = asyncio.get_running_loop().time() - lost_at
@@ -310,7 +313,7 @@
         return message.Leaving(self._settings.upstream.name, reason)
 
     def _schedule_pump(self) -> None:
-        """Lets the queue move once this loop tick is over."""
+        """Schedules a run of the queue for the next event loop iteration."""
         self.load.mark_changed()
         if not self._pump_due:
             self._pump_due = True
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -1,4 +1,4 @@
-"""Ends what has run out of time."""
+"""Periodically ends attempts whose time has run out."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 
 
 async def run(sidecar: context.SidecarContext) -> None:
-    """Sweeps for ever."""
+    """Sweeps periodically until cancelled."""
     clock = asyncio.get_running_loop().time
     next_expiry = clock()
     ticks = ticker.Ticker()
     while True:
-        # A router may have taken work over during a pause.
+        # After a pause of this process, sweep one interval later: a router may
+        # have taken over work in the meantime, and its messages come first.
         if not await ticks.wait(SWEEP_INTERVAL_S):
             continue
         sweep(sidecar, clock())
@@ -37,7 +38,7 @@
 
 
 def sweep(sidecar: context.SidecarContext, now: float) -> None:
-    """Ends what is past its bound at `now`, and lets the queue move."""
+    """Ends attempts that have expired at `now`, and runs the queue."""
     for attempt in sidecar.attempts:
         _sweep_attempt(sidecar, attempt, now)
     sidecar.intake.pump()
@@ -48,17 +49,17 @@
 ) -> None:
     timing = sidecar.settings.timing
     if attempt.stage is state.Stage.OVER:
-        # A slow caller may still take it item by item over a live link; it
-        # would see its answer break off long after the engine was done.
+        # A slow caller may still be reading the answer over a live link; its
+        # answer would be cut off long after the engine has finished.
         is_being_read = attempt.link is not None and now < attempt.deadline
         if now - attempt.ended >= timing.retention_s and not is_being_read:
             sidecar.attempts.forget(attempt)
     elif attempt.stage in UNSTARTED_STAGES:
         _sweep_waiting(sidecar, attempt, now, timing)
     elif attempt.link is None and now - attempt.detached >= attempt.orphan_s:
-        # Its router is gone or has given it up; nobody would take the
-        # answer, and its memory on the engine is needed. Nobody has cancelled
-        # it: whoever takes it over later may run it again if that is allowed.
+        # The router is gone or has abandoned the attempt, and the memory on
+        # the engine is needed. It counts as failed, not as cancelled: a router
+        # that takes the request over later may run it again if allowed.
         sidecar.intake.stop(attempt, request_error.UpstreamFailedError.code)
 
 
