--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -1,4 +1,4 @@
-"""Takes Dispatches in: knows them, judges them and queues them."""
+"""Accepts Dispatches: deduplicates, checks and queues them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from quetzalsill.error import base
 from quetzalsill.error import request as request_error
 from quetzalsill.wire import kind, message
-from quetzalsill_sidecar import event, make
+from quetzalsill_sidecar import event, factory
 from quetzalsill_sidecar.attempt import judge, state
 
 if TYPE_CHECKING:
@@ -16,7 +16,8 @@
 
     from quetzalsill.config import holder, model
     from quetzalsill.plugin import registry as registry_lib
-    from quetzalsill_sidecar import leave, runner
+    from quetzalsill_sidecar import leaving_state
+    from quetzalsill_sidecar import runner as runner_lib
     from quetzalsill_sidecar import settings as settings_lib
     from quetzalsill_sidecar.attempt import table
     from quetzalsill_sidecar.queue import policy, schedule
@@ -25,11 +26,11 @@
 
 __all__ = ['Intake']
 
-NEVER_SEEN_KEEP_S = 3600.0
+UNKNOWN_TOMBSTONE_TTL_S = 3600.0
 
 
 class Intake:
-    """Way of an attempt from its Dispatch to the queue and out again."""
+    """Handles router messages about attempts, and starts queued attempts."""
 
     def __init__(
         self,
@@ -38,8 +39,8 @@
         configuration: holder.Holder,
         attempts: table.Attempts,
         queue: schedule.Schedule,
-        runs: runner.Runner,
-        leaving: leave.Leave,
+        runner: runner_lib.Runner,
+        leaving: leaving_state.LeavingState,
         registry: registry_lib.Registry,
         on_change: Callable[[], None],
     ) -> None:
@@ -48,20 +49,20 @@
         self._configuration = configuration
         self._attempts = attempts
         self._queue = queue
-        self._runs = runs
+        self._runner = runner
         self._leaving = leaving
         self._registry = registry
         self._on_change = on_change
-        self._waits: set[asyncio.Task[None]] = set()
+        self._config_waits: set[asyncio.Task[None]] = set()
 
     def dispatch(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> None:
-        """Takes a Dispatch; one of a known attempt only re-attaches it."""
-        has_run = _has_run(self._terminal(dispatch.attempt))
-        if self._answer_known(dispatch, link, put):
+        """Handles a Dispatch; a known attempt is only re-attached."""
+        has_run = _has_run(self._terminal_of(dispatch.attempt))
+        if self._handle_known(dispatch, link, put):
             return
-        attempt = make.attempt(
+        attempt = factory.make_attempt(
             dispatch,
             self._settings,
             self._configuration.current,
@@ -71,30 +72,32 @@
         self._attempts.add(attempt)
         attempt.attach(link, put)
         if dispatch.revision > self._configuration.revision:
-            task = asyncio.create_task(self._judge_later(attempt))
-            self._waits.add(task)
-            task.add_done_callback(self._waits.discard)
+            task = asyncio.create_task(self._admit_after_configuration(attempt))
+            self._config_waits.add(task)
+            task.add_done_callback(self._config_waits.discard)
         else:
-            self._judge(attempt)
+            self._admit(attempt)
 
     def withdraw(self, attempt_id: str, put: Put) -> None:
-        """Takes back an attempt that has not started.
+        """Withdraws an attempt that has not started.
 
-        An attempt never seen leaves a tombstone: its Dispatch may be on the
-        way over another link, and would run after it was given up.
+        An unknown attempt gets a tombstone: its Dispatch may be in transit on
+        another link, and would run after the router has abandoned it.
         """
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             self._withdraw_known(attempt, put)
             return
-        stone = self._attempts.stones.find(attempt_id)
-        if stone is None:
-            stone = message.Withdrawn(attempt_id)
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
-        put(stone)
+        tombstone = self._attempts.stones.find(attempt_id)
+        if tombstone is None:
+            tombstone = message.Withdrawn(attempt_id)
+            self._attempts.stones.lay(
+                attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
+            )
+        put(tombstone)
 
     def cancel(self, attempt_id: str) -> None:
-        """Ends an attempt that is no longer wanted."""
+        """Cancels an attempt at the request of its router."""
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             self.stop(attempt, request_error.CancelledError.code)
@@ -102,29 +105,29 @@
     def stop(
         self, attempt: state.Attempt, code: str, retry_after_ms: int = 0
     ) -> None:
-        """Ends an attempt at whatever stage it is."""
+        """Stops an attempt at any stage."""
         if attempt.stage in (state.Stage.JUDGED, state.Stage.QUEUED):
             self._queue.remove(attempt.id)
             self._attempts.refuse(attempt, code, code, retry_after_ms)
             self._on_change()
         elif attempt.stage is not state.Stage.OVER:
-            self._runs.stop_attempt(attempt, code)
+            self._runner.stop_attempt(attempt, code)
 
     def resume(self, msg: message.Resume, link: object, put: Put) -> None:
-        """Takes an attempt up on a new link, from the item asked for."""
+        """Resumes an attempt on a new link, from the requested item."""
         attempt = self._attempts.get(msg.attempt)
         if attempt is None:
-            put(self._answer_lost(msg.attempt))
+            put(self._refuse_unknown(msg.attempt))
         elif _rewind(attempt, msg):
             attempt.attach(link, put)
-            self.cut_body(attempt)
+            self.stop_incomplete_call(attempt)
         else:
-            put(_not_kept(attempt))
+            put(_items_discarded(attempt))
 
-    def cut_body(self, attempt: state.Attempt) -> None:
-        """Ends a call whose body can't be completed: its link is gone.
+    def stop_incomplete_call(self, attempt: state.Attempt) -> None:
+        """Stops a call whose body can't be completed: its link is closed.
 
-        The rest of a body can't follow on another link. The app server would
+        The rest of a body can't be sent on another link. The app server would
         wait for it, and the caller for its answer, until the deadline.
         """
         if attempt.body.is_open:
@@ -136,27 +139,28 @@
             )
 
     def pump(self) -> None:
-        """Starts what the admission policy lets start."""
+        """Starts the attempts that the admission policy permits."""
         for attempt_id in self._queue.start_admitted():
             attempt = self._attempts.get(attempt_id)
-            self._runs.start(
-                attempt, make.demand(attempt, self._configuration.current)
+            self._runner.start(
+                attempt,
+                factory.make_demand(attempt, self._configuration.current),
             )
 
-    def adopt(self, cfg: model.Configuration) -> None:
-        """Lets a new configuration apply to what waits and what runs."""
+    def apply_configuration(self, cfg: model.Configuration) -> None:
+        """Applies a new configuration to waiting and running attempts."""
         self._queue.reorder(
             self._registry.get('fairness', cfg.policies.fairness)(),
             self._registry.get('admission', cfg.policies.admission),
             self._demand_of,
         )
         self._queue.headroom = cfg.policies.headroom
-        if self._leaving.draining:
-            self.refuse_waiting()
+        if self._leaving.is_draining:
+            self.refuse_unstarted()
         self._on_change()
 
-    def refuse_waiting(self) -> None:
-        """Gives back all that has not started; nothing new is taken."""
+    def refuse_unstarted(self) -> None:
+        """Refuses all attempts that have not started, except recoveries."""
         for attempt in self._attempts:
             if not attempt.started and not attempt.dispatch.recover:
                 self.stop(attempt, request_error.UpstreamLeavingError.code)
@@ -166,34 +170,35 @@
         return self._demand(attempt) if attempt is not None else None
 
     def _demand(self, attempt: state.Attempt) -> policy.Demand:
-        return make.demand(attempt, self._configuration.current)
+        return factory.make_demand(attempt, self._configuration.current)
 
-    def _answer_known(
+    def _handle_known(
         self, dispatch: message.Dispatch, link: object, put: Put
     ) -> bool:
-        """Answers for an attempt seen before; False if it is to be run."""
+        """Handles a known attempt; returns False if it is to be run."""
         attempt = self._attempts.get(dispatch.attempt)
-        terminal = self._terminal(dispatch.attempt)
+        terminal = self._terminal_of(dispatch.attempt)
         is_call = dispatch.kind == kind.CALL
-        if dispatch.recover and not is_call and _is_open(terminal):
-            # The engine could not be asked the last time, or not by who asks
-            # now; it may have the answer that is no longer kept here.
+        if dispatch.recover and not is_call and _may_recover(terminal):
+            # The engine could not be reached the last time, or the last
+            # request came from another router. It may still have the answer
+            # that is no longer kept here.
             self._attempts.drop(dispatch.attempt)
             return False
         if attempt is not None:
-            self._take_up(attempt, dispatch, link, put)
+            self._reattach(attempt, dispatch, link, put)
         elif terminal is not None:
             put(terminal)
         return attempt is not None or terminal is not None
 
-    def _terminal(self, attempt_id: str) -> message.Message | None:
-        """Returns how an attempt ended here; None if that is not known."""
+    def _terminal_of(self, attempt_id: str) -> message.Message | None:
+        """Returns the terminal message of an attempt; None if unknown."""
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             return attempt.terminal
         return self._attempts.stones.find(attempt_id)
 
-    def _take_up(
+    def _reattach(
         self,
         attempt: state.Attempt,
         dispatch: message.Dispatch,
@@ -202,31 +207,37 @@
     ) -> None:
         fences = self._attempts.fences
         if not fences.admit(dispatch.request, dispatch.fence):
-            # Not Refused: the attempt may have run for its new owner.
+            # Failed, not Refused: the attempt may have run for its new owner.
             put(
                 message.Failed(
                     attempt.id,
                     request_error.SupersededError.code,
-                    'fence is old',
+                    'fence is stale',
                     base.Ran.UNKNOWN.value,
                     False,
                 )
             )
         elif dispatch.fence > attempt.dispatch.fence and attempt.tail.start:
-            # Its new owner has none of the items that the last one took.
-            put(_not_kept(attempt))
+            # The new owner has none of the items that the previous owner
+            # acknowledged.
+            put(_items_discarded(attempt))
         else:
             attempt.tail.restart(dispatch.credit)
             attempt.attach(link, put)
 
-    def _answer_lost(self, attempt_id: str) -> message.Message:
-        stone = self._attempts.stones.find(attempt_id)
-        if stone is None:
-            stone = message.Refused(
-                attempt_id, request_error.NotFoundError.code, 'never seen', 0
+    def _refuse_unknown(self, attempt_id: str) -> message.Message:
+        tombstone = self._attempts.stones.find(attempt_id)
+        if tombstone is None:
+            tombstone = message.Refused(
+                attempt_id,
+                request_error.NotFoundError.code,
+                'unknown attempt',
+                0,
+            )
+            self._attempts.stones.lay(
+                attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
             )
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
-        return stone
+        return tombstone
 
     def _withdraw_known(self, attempt: state.Attempt, put: Put) -> None:
         if attempt.started or attempt.stage is state.Stage.OVER:
@@ -234,55 +245,56 @@
             return
         self._queue.remove(attempt.id)
         if attempt.stage is state.Stage.CONNECTING:
-            self._runs.stop_attempt(attempt, 'withdrawn')
+            self._runner.stop_attempt(attempt, 'withdrawn')
         attempt.put = put
         self._attempts.end(attempt, message.Withdrawn(attempt.id))
         self._on_change()
 
-    async def _judge_later(self, attempt: state.Attempt) -> None:
+    async def _admit_after_configuration(self, attempt: state.Attempt) -> None:
         revision = attempt.dispatch.revision
         try:
             async with asyncio.timeout(self._settings.timing.config_s):
                 await self._configuration.wait_for(revision)
         except TimeoutError:
             event.note(event.ConfigurationNotHad(revision=revision))
-        self._judge(attempt)
+        self._admit(attempt)
 
-    def _judge(self, attempt: state.Attempt) -> None:
+    def _admit(self, attempt: state.Attempt) -> None:
         if attempt.stage is not state.Stage.JUDGED:
             return
         dispatch = attempt.dispatch
         if dispatch.revision > self._configuration.revision:
-            detail = f'revision {dispatch.revision} could not be had'
+            detail = f'revision {dispatch.revision} is not available'
             self._attempts.refuse(
                 attempt, request_error.StaleRevisionError.code, detail
             )
             return
         demand = self._demand(attempt)
-        verdict = judge.judge(dispatch, self._circumstances(demand))
-        if verdict is not None:
+        refusal = judge.judge(dispatch, self._admission_state(demand))
+        if refusal is not None:
             self._attempts.refuse(
-                attempt, verdict.code, verdict.detail, verdict.retry_after_ms
+                attempt, refusal.code, refusal.detail, refusal.retry_after_ms
             )
         elif dispatch.recover:
             self._queue.occupy(demand)
-            self._runs.start(attempt, demand)
+            self._runner.start(attempt, demand)
         else:
             attempt.stage = state.Stage.QUEUED
             self._queue.push(demand)
-            # At once, not at the end of the loop's turn: until then it would
-            # count as a queue before an idle engine, by which the rest of a
-            # burst is judged, and could be swept for having waited too long.
+            # Run the queue immediately, not in the next loop iteration: until
+            # then the attempt would count as queued before an idle engine,
+            # which the expected wait of the rest of a burst is based on, and
+            # it could be swept as having waited too long.
             self.pump()
         self._on_change()
 
-    def _circumstances(self, demand: policy.Demand) -> judge.Circumstances:
+    def _admission_state(self, demand: policy.Demand) -> judge.Circumstances:
         is_model = self._settings.upstream.kind == 'model'
         wait_s = self._queue.expected_wait_s(demand.rank(demand.arrived))
         return judge.Circumstances(
             incarnation=self._incarnation,
             revision=self._configuration.revision,
-            leaving=self._leaving.refusal(),
+            leaving=self._leaving.refusal_reason(),
             kinds=kind.GENERATIONS if is_model else (kind.CALL,),
             fences=self._attempts.fences,
             queued=self._queue.queued,
@@ -291,8 +303,8 @@
         )
 
 
-def _is_open(terminal: message.Message | None) -> bool:
-    """Whether more may be had of an attempt than how it ended here."""
+def _may_recover(terminal: message.Message | None) -> bool:
+    """Whether a recovery may find out more about an ended attempt."""
     if not isinstance(terminal, message.Failed) or terminal.gone:
         return False
     return (
@@ -302,10 +314,10 @@
 
 
 def _has_run(terminal: message.Message | None) -> bool:
-    """Whether an attempt that ended here surely ran.
+    """Whether an attempt that ended here is known to have run.
 
-    An engine forgets what it made. Asked then by a recovery, it knows no such
-    generation, which is no word of one that never ran.
+    An engine drops old generations. If a recovery then asks for one, the engine
+    does not know it, which does not prove that it never ran.
     """
     if isinstance(terminal, message.Failed):
         return terminal.ran == base.Ran.YES
@@ -313,22 +325,22 @@
 
 
 def _rewind(attempt: state.Attempt, msg: message.Resume) -> bool:
-    """Goes back to the item asked for; False if it is not kept."""
+    """Rewinds to the requested item; returns False if it was dropped."""
     seq = msg.seq
     if attempt.dispatch.recover:
-        # The router has items of the sidecar before this one, which this one
-        # may not have read from the engine yet. It goes on from what it has,
-        # and the router drops what comes twice; to call them lost would end
-        # a request whose generation lives.
+        # The router has items from a previous sidecar, which this one may not
+        # have read from the engine yet. Resume from what is available; the
+        # router drops duplicates. Reporting the items as lost would end a
+        # request whose generation is still running.
         seq = min(seq, attempt.tail.end)
     return attempt.tail.rewind(seq, msg.credit + msg.seq - seq)
 
 
-def _not_kept(attempt: state.Attempt) -> message.Message:
+def _items_discarded(attempt: state.Attempt) -> message.Message:
     return message.Failed(
         attempt.id,
         request_error.OutcomeUnknownError.code,
-        'items no longer kept',
+        'answer items are no longer available',
         base.Ran.YES.value,
         False,
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
@@ -1,4 +1,4 @@
-"""`/healthz`, `/readyz` and `/metrics` of a sidecar."""
+"""HTTP endpoints `/healthz`, `/readyz` and `/metrics` of a sidecar."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 __all__ = ['make_app', 'serve']
 
 TEXT_TYPE = b'text/plain; charset=utf-8'
-GRACE_S = 1.0
+STOP_GRACE_S = 1.0
 
 
 def make_app(sidecar: sidecar_lib.Sidecar) -> blacksheep.Application:
-    """The application that tells of a sidecar."""
+    """Creates the monitoring application of a sidecar."""
     app = blacksheep.Application(router=blacksheep.Router())
 
     async def healthz(request: blacksheep.Request) -> blacksheep.Response:
@@ -32,17 +32,17 @@
 
     async def readyz(request: blacksheep.Request) -> blacksheep.Response:
         del request
-        reason = sidecar.leaving.refusal()
+        reason = sidecar.leaving.refusal_reason()
         if not reason and not sidecar.load.healthy:
-            reason = 'the upstream does not answer'
+            reason = 'the upstream does not respond'
         if not reason and not sidecar.configuration.revision:
             reason = 'no configuration'
         return _text(503 if reason else 200, reason or 'ready')
 
     async def metrics(request: blacksheep.Request) -> blacksheep.Response:
         del request
-        kind = metric.CONTENT_TYPE.encode()
-        content = blacksheep.Content(kind, metric.render())
+        content_type = metric.CONTENT_TYPE.encode()
+        content = blacksheep.Content(content_type, metric.render())
         return blacksheep.Response(200, None, content)
 
     app.router.add('GET', '/healthz', healthz)
@@ -53,22 +53,22 @@
 
 @contextlib.asynccontextmanager
 async def serve(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
-    """Serves the application if the settings give it a port.
+    """Serves the application if the settings specify a port.
 
     Raises:
-      ListenError: The address can't be listened at.
+      ListenError: The address can't be bound.
     """
-    wanted = sidecar.settings.monitoring
-    if not wanted.port:
+    options = sidecar.settings.monitoring
+    if not options.port:
         yield
         return
-    listen = section.Listen(wanted.host, wanted.port)
-    http = server.HttpServer(make_app(sidecar), listen, wanted.tls)
-    await http.start()
+    listen = section.Listen(options.host, options.port)
+    http_server = server.HttpServer(make_app(sidecar), listen, options.tls)
+    await http_server.start()
     try:
         yield
     finally:
-        await http.stop(GRACE_S)
+        await http_server.stop(STOP_GRACE_S)
 
 
 def _text(status: int, text: str) -> blacksheep.Response:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/run.py
@@ -1,4 +1,4 @@
-"""The process: runs a sidecar until it is told to stop."""
+"""Entry point of the process: runs a sidecar until it is stopped."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 
 async def run(settings: settings_lib.SidecarSettings) -> None:
-    """Runs the sidecar; returns after a graceful stop.
+    """Runs the sidecar; returns after a graceful shutdown.
 
-    It leaves on SIGTERM and when the engine says that it is leaving.
+    Shutdown starts on SIGTERM or when the engine reports that it is leaving.
 
     Raises:
-      OSError: The address of the links can't be listened at.
-      ListenError: That for monitoring can't.
+      OSError: The address of the link listener can't be bound.
+      ListenError: The address of the monitoring listener can't be bound.
     """
     sidecar = sidecar_lib.Sidecar(settings, registry.REGISTRY)
     with net_stop.StopSignal() as stop:
         await sidecar.start()
         try:
-            async with monitoring.serve(sidecar), _placing(sidecar):
-                await _wait_for_either(stop, sidecar)
+            async with monitoring.serve(sidecar), _run_placement(sidecar):
+                await _wait_for_stop(stop, sidecar)
                 sidecar.leave('shutting down')
-                await sidecar.drained()
+                await sidecar.wait_drained()
         finally:
             await sidecar.stop()
 
 
 @contextlib.asynccontextmanager
-async def _placing(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
-    """Keeps a model engine at its desired state meanwhile."""
+async def _run_placement(sidecar: sidecar_lib.Sidecar) -> AsyncIterator[None]:
+    """Runs the placement of models in the background, for model engines."""
     if sidecar.settings.upstream.kind != 'model':
         yield
         return
@@ -62,15 +62,15 @@
             await asyncio.gather(task, return_exceptions=True)
 
 
-async def _wait_for_either(
+async def _wait_for_stop(
     stop: net_stop.StopSignal, sidecar: sidecar_lib.Sidecar
 ) -> None:
-    waits = [
+    tasks = [
         asyncio.ensure_future(stop.wait()),
-        asyncio.ensure_future(sidecar.leaving.begun.wait()),
+        asyncio.ensure_future(sidecar.leaving.started.wait()),
     ]
     try:
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for wait in waits:
-            wait.cancel()
+        for task in tasks:
+            task.cancel()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -1,4 +1,4 @@
-"""Runs attempts on the upstream, each in a task of its own."""
+"""Runs attempts on the upstream, each in its own task."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 __all__ = ['Runner']
 
-RETRY_MS = 1000
+RETRY_AFTER_MS = 1000
 
 
 class Runner:
-    """Hands admitted attempts to the upstream and brings their answers.
+    """Sends admitted attempts to the upstream and delivers their answers.
 
     Attributes:
-      engine: Client of the engine; unused beside an app server.
+      engine: Client of the engine; unused if the upstream is an app server.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
         queue: schedule.Schedule,
         on_change: Callable[[], None],
     ) -> None:
-        """Prepares to run.
+        """Creates an idle runner.
 
         Args:
           settings: Settings of the sidecar.
-          attempts: All attempts known.
-          queue: Told of tokens and of ends.
-          on_change: Called when the upstream may take more.
+          attempts: All known attempts.
+          queue: Notified of generated tokens and of ended attempts.
+          on_change: Called when the upstream may have free capacity.
         """
         self._timing = settings.timing
         self._origin = http.Origin.parse(settings.upstream.url)
@@ -68,25 +68,25 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def busy(self) -> int:
-        """Number of attempts whose tasks still run."""
+    def task_count(self) -> int:
+        """Number of attempts whose tasks are running."""
         return len(self._tasks)
 
     def start(self, attempt: state.Attempt, demand: policy.Demand) -> None:
-        """Runs an attempt in a task of its own."""
+        """Runs an attempt in its own task."""
         attempt.stage = state.Stage.CONNECTING
         attempt.task = asyncio.create_task(self._run(attempt, demand))
         self._tasks.add(attempt.task)
         attempt.task.add_done_callback(lambda task: self._reap(attempt, task))
 
     def stop_attempt(self, attempt: state.Attempt, code: str) -> None:
-        """Ends an attempt that was admitted, for the named cause."""
+        """Stops an admitted attempt; `code` is the error code."""
         if attempt.task is not None and not attempt.stopping:
             attempt.stopping = code
             attempt.task.cancel()
 
     async def stop(self) -> None:
-        """Drops all tasks; for the end of the process."""
+        """Cancels all tasks; called at process exit."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -97,15 +97,15 @@
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A fault of this program; without a terminal the caller would wait
-        # for its deadline, and the place on the engine stay taken.
+        # A bug in the sidecar. Without a terminal message the caller would
+        # wait until its deadline, and the slot on the engine would leak.
         event.note(
             event.AttemptCrashed(
                 attempt=attempt.id,
             ),
             exc=task.exception(),
         )
-        detail = 'the sidecar failed'
+        detail = 'internal error of the sidecar'
         self._end(
             attempt,
             outcome.failed(
@@ -123,23 +123,23 @@
         ):
             try:
                 async with deadline.timeout_at(attempt.deadline):
-                    terminal = await self._serve(attempt, demand)
+                    terminal = await self._execute(attempt, demand)
             except TimeoutError:
-                terminal = self._stopped(
+                terminal = self._stopped_terminal(
                     attempt, request_error.DeadlineError.code
                 )
             except asyncio.CancelledError:
                 if not attempt.stopping:
                     raise
-                terminal = self._stopped(attempt, attempt.stopping)
+                terminal = self._stopped_terminal(attempt, attempt.stopping)
             except (
                 error.UpstreamConnectError,
                 error.RequestMalformedError,
             ) as exc:
-                terminal = _not_written(attempt, exc)
+                terminal = _not_sent(attempt, exc)
             self._end(attempt, terminal)
 
-    async def _serve(
+    async def _execute(
         self, attempt: state.Attempt, demand: policy.Demand
     ) -> message.Message:
         def start() -> None:
@@ -152,14 +152,14 @@
             return await call.run(
                 attempt, self._origin, self._timing.connect_s, start
             )
-        progress = self._progress(attempt)
+        progress = self._make_generation(attempt)
         if attempt.dispatch.recover:
             return await generate.recover(attempt, self.engine, progress)
         return await generate.run(
             attempt, self.engine, progress, demand.priority, start
         )
 
-    def _progress(self, attempt: state.Attempt) -> generation.Generation:
+    def _make_generation(self, attempt: state.Attempt) -> generation.Generation:
         async def deliver(items: list[bytes]) -> None:
             if not attempt.started:
                 attempt.start(asyncio.get_running_loop().time())
@@ -173,9 +173,11 @@
         )
         return generation.Generation(self.engine, attempt.id, bounds, deliver)
 
-    def _stopped(self, attempt: state.Attempt, code: str) -> message.Message:
+    def _stopped_terminal(
+        self, attempt: state.Attempt, code: str
+    ) -> message.Message:
         if attempt.started:
-            return outcome.failed(attempt.id, code, code, _ran(attempt))
+            return outcome.failed(attempt.id, code, code, _run_state(attempt))
         if attempt.dispatch.recover:
             return outcome.failed(attempt.id, code, code, base.Ran.UNKNOWN)
         return message.Refused(attempt.id, code, code, 0)
@@ -184,28 +186,28 @@
         self._attempts.end(attempt, terminal)
         if _may_still_run(attempt, terminal):
             self._canceller.cancel(
-                attempt.id, lambda: self._release(attempt, whole=False)
+                attempt.id, lambda: self._release(attempt, completed=False)
             )
         else:
-            whole = isinstance(terminal, message.Finished)
-            self._release(attempt, whole=whole)
+            completed = isinstance(terminal, message.Finished)
+            self._release(attempt, completed=completed)
 
-    def _release(self, attempt: state.Attempt, *, whole: bool) -> None:
-        self._queue.release(attempt.id, whole=whole)
+    def _release(self, attempt: state.Attempt, *, completed: bool) -> None:
+        self._queue.release(attempt.id, whole=completed)
         self._on_change()
 
 
-def _ran(attempt: state.Attempt) -> base.Ran:
-    """Whether a started attempt ran: of a call only its answer proves it."""
+def _run_state(attempt: state.Attempt) -> base.Ran:
+    """Whether a started attempt ran; for a call only its response proves it."""
     unanswered = attempt.dispatch.kind == kind.CALL and attempt.head is None
     return base.Ran.UNKNOWN if unanswered else base.Ran.YES
 
 
 def _may_still_run(attempt: state.Attempt, terminal: message.Message) -> bool:
-    """Whether the engine must be told that the answer is not wanted.
+    """Whether the attempt must be cancelled on the engine.
 
-    A recovery that could not reach the engine may be tried again, and the
-    work that it is after must live on until then.
+    A recovery that could not reach the engine may be retried, and the
+    generation that it looks for must keep running until then.
     """
     if attempt.dispatch.kind == kind.CALL or not isinstance(
         terminal, message.Failed
@@ -216,7 +218,7 @@
     return terminal.ran != base.Ran.NO and not terminal.gone
 
 
-def _not_written(
+def _not_sent(
     attempt: state.Attempt,
     exc: error.UpstreamConnectError | error.RequestMalformedError,
 ) -> message.Message:
@@ -229,5 +231,8 @@
             attempt.id, request_error.BadRequestError.code, exc.detail, 0
         )
     return message.Refused(
-        attempt.id, request_error.NoUpstreamError.code, exc.detail, RETRY_MS
+        attempt.id,
+        request_error.NoUpstreamError.code,
+        exc.detail,
+        RETRY_AFTER_MS,
     )
