--- a/packages/quetzalsill-router/src/quetzalsill_router/request/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/__init__.py
@@ -1,1 +1,1 @@
-"""One request, from acceptance to its terminal event."""
+"""Lifecycle of one request, from acceptance to its terminal event."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
@@ -1,4 +1,4 @@
-"""Acceptance: from a checked call of the API to `Work`."""
+"""Builds `Work` from a validated API request."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     from quetzalsill_router.http import auth, generation
 
 __all__ = [
-    'limit_tokens',
-    'check_accepting',
     'build_generation_work',
+    'check_accepting',
+    'limit_tokens',
     'pick_profile',
 ]
 
@@ -25,11 +25,11 @@
 
 
 def check_accepting(ctx: context.Context) -> None:
-    """Refuses new work while the process stops or lacks configuration.
+    """Refuses new work while the process stops or has no configuration.
 
     Raises:
-      ShuttingDownError: The process takes no new work; not run.
-      StoreUnavailableError: No configuration was had yet; not run.
+      ShuttingDownError: The process accepts no new work; not run.
+      StoreUnavailableError: No configuration was loaded yet; not run.
     """
     if ctx.stopping:
         raise request_error.ShuttingDownError(
@@ -48,10 +48,10 @@
     requested: str,
     model_default: str = '',
 ) -> tuple[str, model.Profile]:
-    """Returns name and profile.
+    """Returns the name of the profile to use, and the profile.
 
-    The name is the first one given of: the caller's, the account's default,
-    the model's, and `prompt`.
+    The name is the first one set of: the requested one, the account's
+    default, the model's default, and `prompt`.
 
     Raises:
       UnknownProfileError: No such profile.
@@ -63,7 +63,7 @@
     if profile is None:
         raise request_error.UnknownProfileError(
             f'no profile {name!r}',
-            advice='Name one of the configured profiles.',
+            advice='Use one of the configured profiles.',
         )
     allowed = caller.account.profiles
     if allowed and name not in allowed:
@@ -126,7 +126,7 @@
     target: model.Model,
     profile: model.Profile,
 ) -> int:
-    """Returns the bound on generated tokens; 0 asks for all there may be."""
+    """Returns the limit on generated tokens; 0 requests the maximum."""
     available = max(1, target.context_tokens - prompt_tokens)
     bound = min(available, profile.max_output_tokens)
     return min(requested or bound, bound)
@@ -137,11 +137,11 @@
     target: model.Model,
     profile: model.Profile,
 ) -> None:
-    """Checks that prompt and answer fit.
+    """Checks that prompt and answer fit in the context and the profile.
 
     Raises:
-      TooLargeError: The prompt leaves no room in the context.
-      BadRequestError: The caller asks for more than is allowed.
+      TooLargeError: The prompt fills the context.
+      BadRequestError: The caller requests more tokens than allowed.
     """
     available = target.context_tokens - requested.prompt_tokens
     if available < 1:
@@ -154,6 +154,6 @@
     if requested.max_tokens > bound:
         raise field.FieldError(
             'max_tokens',
-            f'{requested.max_tokens} is over {bound}',
-            advice=f'Ask for at most {bound} tokens with this profile.',
+            f'{requested.max_tokens} exceeds the limit of {bound}',
+            advice=f'Request at most {bound} tokens with this profile.',
         )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/active.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/active.py
@@ -1,4 +1,4 @@
-"""Requests that run in this router now."""
+"""Requests that are running in this router."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
     """One running request.
 
     Attributes:
-      work: What it asks for.
-      delivery: Where its pieces go.
+      work: The accepted request.
+      delivery: Buffer that its pieces are put into.
       accepted: Monotonic time of acceptance.
       task: The task that serves it.
-      attempt: Id of the present attempt; empty before the first.
-      upstream: Upstream of the present attempt; empty if none.
-      attempts: Dispatches so far.
-      ran_by_attempt: What is known of each attempt, by its id.
-      delivered: Items handed to the caller so far.
-      grant: Leave of its account; None for work that another router
-        granted or that is only settled here.
+      attempt: Id of the current attempt; empty before the first.
+      upstream: Upstream of the current attempt; empty if none.
+      attempts: Number of dispatches so far.
+      ran_by_attempt: Whether each attempt ran, by attempt id.
+      delivered: Number of items delivered to the caller so far.
+      grant: Admission by its account's limits; None for work that another
+        router admitted or that is only settled here.
       cancelled: Why it was cancelled; None if it was not.
-      has_answer: An attempt brought the whole answer.
+      has_answer: An attempt returned the complete answer.
       unacknowledged: That attempt, until its answer is stored.
-      handed_over: Its task ends but its run goes on, for another router.
-      watcher: The task that watches for the caller leaving.
+      handed_over: Its task ends but its run continues, for another router.
+      watcher: Task that waits for the caller to disconnect.
     """
 
     work: spec.Work
@@ -64,10 +64,10 @@
 
     @property
     def ran(self) -> base.Ran:
-        """What all attempts together say of the request.
+        """Whether the request ran, combined over all attempts.
 
-        A refusal after an earlier attempt had run is not "not run" to the
-        caller, who would then repeat what has run already.
+        If an earlier attempt ran and a later one is refused, the result is
+        not "not run": the caller would repeat work that already ran.
         """
         known = base.Ran.NO
         for ran in self.ran_by_attempt.values():
@@ -75,29 +75,29 @@
         return known
 
     def begin_attempt(self, attempt: str, upstream: str) -> None:
-        """Notes a Dispatch; until its upstream says more, it may run."""
+        """Records a Dispatch; it may run until its upstream reports on it."""
         self.attempts += 1
         self.attempt = attempt
         self.upstream = upstream
         self.ran_by_attempt[attempt] = base.Ran.UNKNOWN
 
     def attempt_started(self) -> None:
-        """Notes that the present attempt reached its upstream."""
+        """Records that the current attempt reached its upstream."""
         self.ran_by_attempt[self.attempt] = base.Ran.YES
 
     def end_attempt(self, ran: base.Ran) -> None:
-        """Notes the word that the present attempt ended with."""
+        """Records whether the current attempt ran, as reported at its end."""
         if self.attempt:
             self.ran_by_attempt[self.attempt] = ran
 
     def acknowledge(self) -> None:
-        """Lets the sidecar forget an answer that is stored."""
+        """Lets the sidecar discard an answer that is stored."""
         if self.unacknowledged is not None:
             self.unacknowledged.close()
             self.unacknowledged = None
 
     def charge_items(self, items: int) -> None:
-        """Charges the account for items as they come."""
+        """Charges the account for items as they arrive."""
         if self.grant is not None and self.work.kind != spec.CALL:
             self.grant.charge(items)
 
@@ -106,7 +106,7 @@
         self.fail(request_error.CancelledError(reason))
 
     def expire(self) -> None:
-        """Ends the request at its deadline, unless its answer is there."""
+        """Fails the request at its deadline, unless it has its answer."""
         if not self.has_answer:
             self.fail(
                 request_error.DeadlineError(
@@ -115,16 +115,16 @@
             )
 
     def fail(self, error: request_error.RequestError) -> None:
-        """Ends the request with a failure; its attempt is cancelled."""
-        # The task may go on after the end, to learn what became of the work;
-        # the caller whose answer is complete must not end that by leaving.
+        """Fails the request and cancels its attempt."""
+        # The task may continue after delivery has ended, to determine the
+        # outcome. A caller that disconnects then must not cancel it.
         if self.task is None or self.delivery.ended or self.cancelled:
             return
         self.cancelled = error
         self.task.cancel()
 
     def supersede(self) -> None:
-        """Ends the task here, unless it has the answer."""
+        """Fails the request here, unless it has the answer."""
         if self.has_answer:
             return
         self.handed_over = True
@@ -135,16 +135,16 @@
         )
 
     def hand_over(self) -> None:
-        """Ends the task; a journalled run goes on for another router."""
+        """Cancels the task; a journalled run continues for another router."""
         self.handed_over = self.work.entry is not None
         if self.task is not None:
             self.task.cancel()
 
     def caller_disconnected(self) -> None:
-        """Notes that nobody waits; what can be fetched later goes on.
+        """Handles a disconnect; a journalled request continues.
 
-        A caller whose connection broke repeats its idempotency key and is
-        owed the answer of the first request, not of its cancellation.
+        A caller whose connection broke repeats its idempotency key and must
+        get the answer of the first request, not of its cancellation.
         """
         self.delivery.disconnect()
         if self.work.entry is None:
@@ -152,7 +152,7 @@
 
 
 class ActiveRequests:
-    """The running requests by id; wakes who waits for the last to end."""
+    """The running requests by id; signals when the last one has ended."""
 
     def __init__(self) -> None:
         self._requests: dict[str, ActiveRequest] = {}
@@ -166,23 +166,23 @@
         return iter(list(self._requests.values()))
 
     def add(self, active: ActiveRequest) -> None:
-        """Counts a request as running."""
+        """Adds a running request."""
         self._requests[active.work.request] = active
         self._idle.clear()
 
     def remove(self, active: ActiveRequest) -> None:
-        """Counts a request as ended."""
+        """Removes a request that has ended."""
         if self._requests.get(active.work.request) is active:
             del self._requests[active.work.request]
         if not self._requests:
             self._idle.set()
 
     def get(self, request: str) -> ActiveRequest | None:
-        """Returns the running request of that id."""
+        """Returns the running request with that id; None if there is none."""
         return self._requests.get(request)
 
     async def wait_idle(self, timeout_s: float) -> bool:
-        """Waits for the last request; False if some still run."""
+        """Waits until no request runs; returns False on timeout."""
         try:
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         except TimeoutError:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempt_history.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempt_history.py
@@ -1,4 +1,4 @@
-"""What the earlier attempts of a request have taught."""
+"""History of the attempts of a request."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptHistory:
-    """State of the loop of attempts.
+    """State of the attempt loop.
 
     Attributes:
-      refused: Upstreams that refused; not asked again in this round.
-      failed: Upstreams whose attempt failed; asked only if none is left.
-      retries: Further dispatches so far.
-      moves: Withdrawals in favour of another upstream so far.
-      retry_after_hints: Times to come back that refusals named, in seconds.
+      refused: Upstreams that refused; skipped until the next round.
+      failed: Upstreams whose attempt failed; used only if no other is left.
+      retries: Number of further dispatches so far.
+      moves: Number of withdrawals in favour of another upstream so far.
+      retry_after_hints: Retry delays that refusals specified, in seconds.
       last_error: The latest failure.
-      revision: Configuration under which the latest attempt was sent.
+      revision: Configuration revision of the latest attempt.
     """
 
     refused: set[str] = dataclasses.field(default_factory=set)
@@ -44,7 +44,7 @@
     def usable(
         self, candidates: Iterable[peer_module.Peer]
     ) -> list[peer_module.Peer]:
-        """Returns the peers that may be asked; those that failed last."""
+        """Returns the eligible peers, failed ones only if no other is left."""
         usable = [
             peer
             for peer in candidates
@@ -56,35 +56,35 @@
         return fresh or usable
 
     def record(self, upstream: str, ended: outcome.Outcome) -> None:
-        """Remembers which upstream not to ask at once again."""
+        """Records a failed attempt and the upstream to avoid next."""
         self.last_error = ended.error
         if ended.ran is not base.Ran.NO:
             self.failed.add(upstream)
             return
         if ended.not_received:
-            # Its Dispatch was lost with a link that had gone silent. The
-            # sidecar refused nothing, and may be the only one there is.
+            # The Dispatch was lost with a link that stopped responding. The
+            # sidecar did not refuse it and may be the only one available.
             return
         self.refused.add(upstream)
         if ended.error.retry_after_s is not None:
             self.retry_after_hints.append(ended.error.retry_after_s)
 
     def no_upstream_error(self) -> request_error.RequestError:
-        """Builds the failure when no upstream is left to ask."""
+        """Builds the error for when no eligible upstream is left."""
         if self.last_error is None:
             return request_error.NoUpstreamError(
-                'no live upstream serves it',
+                'no live upstream serves the target',
                 retry_after_s=DEFAULT_RETRY_AFTER_S,
             )
         retry_after_s = min(
             self.retry_after_hints, default=DEFAULT_RETRY_AFTER_S
         )
         return request_error.OverloadedError(
-            f'no upstream took it: {self.last_error.detail}',
+            f'no upstream accepted the request: {self.last_error.detail}',
             retry_after_s=retry_after_s,
         )
 
     def next_round(self) -> None:
-        """Lets every upstream be asked again."""
+        """Makes all upstreams that refused eligible again."""
         self.refused.clear()
         self.retry_after_hints.clear()
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
@@ -1,4 +1,4 @@
-"""The loop of attempts by which one request is served."""
+"""The attempt loop that serves one request."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 async def pieces(
     ctx: context.Context, active: active_module.ActiveRequest
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Yields the pieces of the whole answer, from one generation only.
+    """Yields the pieces of the complete answer, from one generation only.
 
     Raises:
-      RequestError: The request is given up; raised at once, not at its
-        deadline.
+      RequestError: The request failed; raised as soon as this is certain,
+        not at its deadline.
     """
     work = active.work
     history = history_module.AttemptHistory()
@@ -85,10 +85,10 @@
 def _must_recover(
     work: spec.Work, ended: outcome.Outcome, delivered: bool
 ) -> bool:
-    """Whether to ask the upstream of the latest run what became of it.
+    """Whether to query the upstream of the latest run for its outcome.
 
-    A durable request may neither be given up nor dispatched a second time
-    while its outcome is unknown, unless it is idempotent.
+    A durable request that is not idempotent must be neither failed nor
+    dispatched a second time while its outcome is unknown.
     """
     if work.run is None or delivered:
         return False
@@ -102,7 +102,7 @@
     active: active_module.ActiveRequest,
     history: history_module.AttemptHistory,
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Dispatches to the peer that the routing policy chooses."""
+    """Dispatches to the peer that the routing policy selects."""
     work = active.work
     peer = await peer_selection.select_peer(ctx, active, history)
     ident = ctx.peers.next_attempt_id()
@@ -130,15 +130,15 @@
     active: active_module.ActiveRequest,
     run: durable_entry.Run,
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Attaches to an earlier run on its own upstream.
+    """Attaches to an earlier run on the upstream that it was sent to.
 
     Raises:
-      AttemptEndedError: It can't be attached to, or failed.
+      AttemptEndedError: The run can't be attached to, or it failed.
     """
     peer = await peer_selection.wait_for_peer(ctx, active, run.upstream)
     same = peer.incarnation == run.incarnation
-    # No app server can be asked what became of a call; only the sidecar that
-    # made it knows.
+    # App servers can't report the outcome of a call; only the sidecar that
+    # made the call knows it.
     if active.work.kind == spec.CALL and not same:
         raise outcome.unknown_outcome(
             f'the sidecar that called {run.upstream} is gone'
@@ -161,7 +161,7 @@
     should_move: dispatch.ShouldMove,
     recover: bool,
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Sends the Dispatch; yields what may be handed on."""
+    """Sends the Dispatch and yields the pieces that may be forwarded."""
     work = active.work
     credit = ctx.settings.requests.credit_items
     msg = dispatch.build(work, peer, ident, work.revision, credit, recover)
@@ -186,10 +186,10 @@
     peer: peer_module.Peer,
     ident: str,
 ) -> None:
-    """Notes where a request is about to run, in the journal if it has one.
+    """Records the run about to be dispatched, journalled if the request is.
 
     Raises:
-      RequestError: It is not recorded, so it must not be dispatched.
+      RequestError: It was not recorded, so it must not be dispatched.
     """
     run = durable_entry.Run(ident, peer.upstream, peer.incarnation, peer.engine)
     entry = active.work.entry
@@ -217,7 +217,7 @@
     ended: outcome.Outcome,
     delivered: bool,
 ) -> None:
-    """Returns if and when another dispatch is permitted.
+    """Returns after the retry delay if another dispatch is permitted.
 
     Raises:
       RequestError: The request ends with this attempt.
@@ -249,10 +249,11 @@
 def _is_final(
     ctx: context.Context, work: spec.Work, ended: outcome.Outcome
 ) -> bool:
-    """Whether no other upstream would answer differently.
+    """Whether every other upstream would respond in the same way.
 
-    "Superseded" means a newer owner for journalled work. It also comes from
-    a sidecar that was replaced since it was chosen; then any other will do.
+    For journalled work, "superseded" means that it has a newer owner. It is
+    also returned by a sidecar that was replaced since it was selected; then
+    the request may go to any upstream.
     """
     if ended.error.code == request_error.SupersededError.code:
         return work.entry is not None and not ctx.journal.owns(work.entry)
@@ -268,7 +269,7 @@
     """Spends one retry of the profile and of the router's budget.
 
     Raises:
-      RequestError: Either is used up.
+      RequestError: Either is exhausted.
     """
     if history.retries < work.profile.retries and ctx.budget.try_spend():
         return
@@ -290,7 +291,7 @@
 def _log_end(
     active: active_module.ActiveRequest, ended: outcome.Outcome, delivered: bool
 ) -> None:
-    """Logs an attempt that did not bring the whole answer."""
+    """Logs an attempt that ended without the complete answer."""
     event.note(
         event.AttemptEnded(
             request=active.work.request,
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/buffering.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/buffering.py
@@ -1,4 +1,4 @@
-"""Holds an answer back until it is complete."""
+"""Buffers an answer until it is complete."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def _no_release() -> None:
-    """Stands for the release of items that were released when buffered."""
+    """Does nothing: buffered items were released on arrival."""
 
 
 async def until_complete(
     pieces: AsyncGenerator[piece.Piece, None],
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Yields the items of `pieces` only after its regular end.
+    """Yields the items of `pieces` only after `pieces` ends without error.
 
-    A generation that is lost after its tenth token and replaced would
-    show as a splice of two answers. Held here, the lost tokens go with
-    the generator that raised, and the caller sees the replacement only.
+    If a generation fails midway and is replaced, streaming both would mix
+    two answers. Here the items of the failed one are discarded together
+    with the generator that raised.
     """
     items: list[bytes] = []
     async with contextlib.aclosing(pieces):
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/control.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/control.py
@@ -1,4 +1,4 @@
-"""Running requests as operators see and cancel them."""
+"""Lookup and cancellation of running requests for operators."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
         self._active = active
 
     async def find(self, request: str) -> view.RequestView | None:
-        """Returns a running request; None if it does not run here."""
+        """Returns a running request; None if it is not running here."""
         running = self._active.get(request)
         return _view(running) if running is not None else None
 
     async def cancel(self, request: str) -> view.RequestView | None:
-        """Cancels a request; None if it does not run here."""
+        """Cancels a request; returns None if it is not running here."""
         running = self._active.get(request)
         if running is None:
             return None
@@ -37,7 +37,7 @@
 
 
 def _view(running: active_module.ActiveRequest) -> view.RequestView:
-    """Shows a running request without its prompt and answer."""
+    """Converts a running request, without its prompt and answer."""
     work = running.work
     started = running.ran_by_attempt.get(running.attempt) is base.Ran.YES
     return view.RequestView(
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/delivery.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/delivery.py
@@ -1,4 +1,4 @@
-"""Hands the pieces of an answer from its request to its caller."""
+"""Passes the pieces of an answer from the request to the caller."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 class Delivery:
     """A buffer between the task of a request and the caller's connection.
 
-    It needs no bound of its own: a sidecar sends no more items than were
-    released after they had been written to the caller.
+    It needs no limit of its own: a sidecar's credit is renewed only as items
+    are released after they were written to the caller.
 
     Attributes:
-      ended: Nothing follows what is buffered.
-      error: The failure that ended the answer; None if it is whole.
-      silent: Nothing came for a while; until the next `take`.
-      gone: The caller has left; pieces are dropped from then on.
+      ended: Nothing follows the buffered pieces.
+      error: The failure that ended the answer; None if it is complete.
+      idle: No piece arrived for a while; reset by the next `take`.
+      disconnected: The caller has disconnected; pieces are dropped.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         self._taken_before = 0
 
     def put(self, part: piece.Piece) -> None:
-        """Adds a piece; released at once if nobody will take it."""
+        """Adds a piece; releases it at once if the caller has disconnected."""
         if self.disconnected:
             if isinstance(part, piece.Items):
                 part.release()
@@ -47,7 +47,7 @@
         self._ready.set()
 
     def end(self, error: request_error.RequestError | None = None) -> None:
-        """Marks the end of the answer, whole or failed; the first counts."""
+        """Marks the end of the answer, complete or failed, unless it ended."""
         if self.ended:
             return
         self.ended = True
@@ -56,7 +56,7 @@
         self._ready.set()
 
     def disconnect(self) -> None:
-        """Notes that the caller is gone and frees what it left behind."""
+        """Marks the caller as disconnected and releases buffered pieces."""
         self.disconnected = True
         self._stop_idle_watch()
         dropped, self._pieces = self._pieces, []
@@ -66,13 +66,13 @@
         self._ready.set()
 
     async def wait(self) -> None:
-        """Waits for a piece, the end, a silence or the caller's leaving."""
+        """Waits for a piece, the end, an idle interval or a disconnect."""
         await self._ready.wait()
 
     def watch_idle(self, interval_s: float) -> None:
-        """Lets waits end with `silent` set while nothing comes, to the end.
+        """Ends waits with `idle` set while no piece arrives, until the end.
 
-        One timer serves all waits of an answer; a silence so shows after
+        One timer serves all waits of an answer, so idleness is detected after
         one to two intervals.
         """
         if self.ended or self.disconnected:
@@ -93,7 +93,7 @@
         self.watch_idle(interval_s)
 
     def take(self) -> list[piece.Piece]:
-        """Returns all pieces that are there, none after the end."""
+        """Returns and removes all buffered pieces; empty after the end."""
         taken, self._pieces = self._pieces, []
         self._taken += len(taken)
         self.idle = False
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
@@ -1,4 +1,4 @@
-"""One attempt: dispatched to one peer and followed to its end."""
+"""Dispatches one attempt to a peer and reads its messages to the end."""
 
 from __future__ import annotations
 
@@ -74,12 +74,11 @@
 ) -> AsyncGenerator[piece.Piece, None]:
     """Yields the pieces of one attempt.
 
-    However the consumer ends, an attempt that reached no terminal message
-    is cancelled by its `close`, so that the upstream does not go on for
-    nobody.
+    If the consumer stops before the terminal message, `close` cancels the
+    attempt, so that the upstream does not continue work that nobody reads.
 
     Raises:
-      AttemptEndedError: The attempt ended without its whole answer.
+      AttemptEndedError: The attempt ended without its complete answer.
     """
     work = active.work
     credit = _CreditWindow(attempt)
@@ -89,8 +88,8 @@
         async for msg in _messages(attempt, should_move):
             match msg:
                 case message.Started():
-                    # That a call reached an app server proves nothing: only
-                    # its answer says that the order was taken.
+                    # A call that was sent may not have been processed: only
+                    # the app server's response proves that it ran.
                     if work.kind != spec.CALL:
                         active.attempt_started()
                     if work.body is not None and sender is None:
@@ -116,8 +115,8 @@
     finally:
         if sender is not None:
             sender.cancel()
-        # The router that takes a journalled request over attaches to this
-        # run; cancelled here, it would be lost there.
+        # The router that takes over a journalled request attaches to this
+        # run, so it must not be cancelled here.
         if active.unacknowledged is not attempt:
             if ended or not active.handed_over:
                 attempt.close()
@@ -128,22 +127,22 @@
 def _read_terminal(
     attempt: peer_attempt.Attempt, work: spec.Work, msg: message.Message
 ) -> outcome.Outcome:
-    """Reads a terminal message, and cancels what another run may replace.
+    """Reads a terminal message, and cancels a run that may be repeated.
 
-    Of work that may not be repeated the run goes on: its outcome can be
-    asked for later.
+    A run that may not be repeated continues: its outcome can be queried
+    later.
     """
     ended = failure(msg)
     if ended.ran is base.Ran.UNKNOWN and work.idempotent:
         attempt.cancel()
     if work.kind == spec.CALL and not attempt.gave_up:
-        # Only its sidecar can say more of a call, and this was its word.
+        # Only its sidecar knows the outcome of a call, and it has reported.
         ended.gone = True
     return ended
 
 
 def failure(msg: message.Message) -> outcome.Outcome:
-    """Reads a terminal message other than Finished."""
+    """Converts a terminal message other than Finished to an outcome."""
     match msg:
         case message.Withdrawn():
             error = request_error.OverloadedError('withdrawn from the queue')
@@ -166,7 +165,7 @@
 
 
 class _CreditWindow:
-    """Grants a sidecar further items, some at once.
+    """Grants a sidecar credit for further items in batches.
 
     A grant for each token would cost as much as the token itself.
     """
@@ -177,7 +176,7 @@
         self._granted = 0
 
     def items(self, chunk: message.Chunk) -> piece.Items:
-        """Makes the piece of a chunk, whose release counts here."""
+        """Creates the piece of a chunk; its release adds to the next grant."""
         end = chunk.seq + len(chunk.items)
         return piece.Items(chunk.items, lambda: self._release(end))
 
@@ -201,9 +200,9 @@
 ) -> message.Message:
     """Returns the first message that ends the attempt's time in a queue.
 
-    While it waits, the attempt is withdrawn once if `should_move` says
-    that another upstream would serve it sooner; whether it moves is the
-    sidecar's word alone (Withdrawn or Running).
+    Meanwhile the attempt is withdrawn, once, if `should_move` reports that
+    another upstream would serve it sooner. It moves only if the sidecar
+    responds with Withdrawn rather than Running.
     """
     timeout_s: float | None = MOVE_CHECK_INTERVAL_S
     receiver = asyncio.ensure_future(attempt.receive())
@@ -225,12 +224,12 @@
 async def _send_body(
     attempt: peer_attempt.Attempt, active: active_module.ActiveRequest
 ) -> None:
-    """Passes the rest of a call's body on, each piece as it comes.
+    """Forwards the rest of a call's body, each piece as it arrives.
 
-    A link that is lost meanwhile cuts the body; what became of the call is
-    then told by the attempt's terminal message. A body that breaks off or
-    is too large is never ended, so that the upstream can't take it for
-    whole; the call fails.
+    If the link is lost meanwhile, the body is truncated and the attempt's
+    terminal message reports the outcome. The last piece of a body that is
+    truncated or too large is never sent, so that the upstream can't take it
+    for complete; the call fails.
     """
     active.work.body_consumed = True
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/field.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/field.py
@@ -1,4 +1,4 @@
-"""A field or header of a request that does not fit."""
+"""Error for an invalid field or header of a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FieldError(request_error.BadRequestError):
-    """One field or header of the request does not fit.
+    """A field or header of the request is invalid.
 
     Attributes:
       param: Name of the field or header.
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/ident.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/ident.py
@@ -1,4 +1,4 @@
-"""Ids of requests, unique over restarts."""
+"""Request ids that are unique across restarts."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 def new_incarnation() -> int:
     """Returns a number that no earlier start of this node used.
 
-    The wall clock may have jumped back since the last start, so random
-    bits follow the milliseconds; the result stays below 2**53.
+    The wall clock may have been set back since the last start, so random
+    bits follow the milliseconds. The result stays below 2**53.
     """
     millis = time.time_ns() // 1_000_000
     return (millis << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
 
 
 def is_request_id(text: str) -> bool:
-    """Whether `text` has the form of a request id."""
+    """Whether `text` is a well-formed request id."""
     return REQUEST_ID.fullmatch(text) is not None
 
 
 def was_accepted_by(request: str, node: str, incarnation: int) -> bool:
-    """Whether a request id was given by that start of that router."""
+    """Whether that incarnation of that router assigned the request id."""
     journalled = f'{node}.{incarnation}.'
     return request.startswith((journalled, _prefix(node, incarnation)))
 
@@ -44,12 +44,12 @@
 
 
 class RequestIds:
-    """Source of the ids of requests that no journal names."""
+    """Generates ids for requests that are not journalled."""
 
     def __init__(self, node: str, incarnation: int) -> None:
         self._prefix = _prefix(node, incarnation)
         self._requests = itertools.count(1)
 
     def next(self) -> str:
-        """Returns a fresh request id, fit for a URL path."""
+        """Returns a new request id that is safe in a URL path."""
         return f'{self._prefix}{next(self._requests)}'
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/journaling.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/journaling.py
@@ -1,4 +1,4 @@
-"""Acceptance of requests that must outlast this router."""
+"""Acceptance of requests that must survive a failure of this router."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def needs_journal(work: spec.Work) -> bool:
-    """Whether acceptance has to be journalled: durable, or with a key."""
+    """Whether to journal the request: it is durable or has a key."""
     return work.durable or bool(work.key)
 
 
@@ -34,7 +34,7 @@
 
     Returns:
       Id of the request that answers it: its own, or, for a repeat, that of
-      the request that holds the key; the repeat itself will never run.
+      the request that holds the key. The repeat itself never runs.
 
     Raises:
       RequestError: It is not accepted.
@@ -47,7 +47,7 @@
             return work.request
         claim = await ctx.claims.claim(entry)
     except request_error.RequestError as exc:
-        # A caller who is told "unknown" asks by this id what became of it.
+        # A caller that gets "unknown" queries the outcome by this id.
         exc.request = entry.request
         raise
     return claim.request
@@ -58,7 +58,7 @@
 
     Raises:
       NotFoundError: The account has no such key.
-      StoreUnavailableError: The platform did not answer.
+      StoreUnavailableError: The platform did not respond.
     """
     row_key = durable_claim.key_of(account, key)
     try:
@@ -77,7 +77,7 @@
 def work_from_entry(
     entry: durable_entry.Entry, profile: model.Profile
 ) -> spec.Work:
-    """Rebuilds the work of an entry that another router accepted."""
+    """Rebuilds the work from an entry that another router accepted."""
     remaining_s = entry.remaining_s(_now_ms())
     return spec.Work(
         request=entry.request,
@@ -102,10 +102,10 @@
 
 
 def _entry(work: spec.Work) -> durable_entry.Entry:
-    """Makes the entry of a request.
+    """Creates the journal entry of a request.
 
-    Only durable work is ever dispatched by another router; of the rest
-    the payload need not be kept.
+    Another router dispatches durable work only, so the payload of other work
+    is not stored.
     """
     now_ms = _now_ms()
     deadline_ms = now_ms + int(work.remaining_s() * MILLIS)
@@ -130,7 +130,7 @@
 
 
 def _digest(work: spec.Work) -> str:
-    """Digests all that makes two requests the same."""
+    """Hashes the fields by which two requests count as the same."""
     digest = hashlib.sha256()
     parts = (work.kind, work.target, work.method, work.path)
     for part in parts:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt ended, and whether another dispatch is permitted."""
+"""Outcome of an attempt, and whether another dispatch is permitted."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 __all__ = [
     'AttemptEndedError',
     'Outcome',
-    'is_final',
-    'may_dispatch_again',
+    'combine_ran',
     'from_dispatch',
     'from_recovery',
-    'combine_ran',
+    'is_final',
+    'may_dispatch_again',
     'unknown_outcome',
 ]
 
@@ -36,10 +36,10 @@
     """The unsuccessful end of an attempt.
 
     Attributes:
-      error: What the caller is told if nothing else is tried.
-      gone: The generation is proved lost on its upstream.
+      error: Returned to the caller if the request is not retried.
+      gone: The generation is known to be lost on its upstream.
       moved: The attempt was withdrawn in favour of another upstream.
-      not_received: The Dispatch never came to its sidecar.
+      not_received: The Dispatch never reached its sidecar.
     """
 
     error: request.RequestError
@@ -54,7 +54,7 @@
 
 
 class AttemptEndedError(base.QuetzalsillError):
-    """An attempt ended without its whole answer."""
+    """An attempt ended without its complete answer."""
 
     code = 'attempt_ended'
 
@@ -64,7 +64,7 @@
 
 
 def combine_ran(one: base.Ran, other: base.Ran) -> base.Ran:
-    """Returns what two attempts together say: yes, else unknown, else no."""
+    """Combines the `Ran` of two attempts: yes over unknown over no."""
     if base.Ran.YES in (one, other):
         return base.Ran.YES
     if base.Ran.UNKNOWN in (one, other):
@@ -73,41 +73,41 @@
 
 
 def is_final(outcome: Outcome) -> bool:
-    """Whether no other upstream would answer differently."""
+    """Whether every other upstream would respond in the same way."""
     return outcome.error.code in FINAL_CODES
 
 
 def from_dispatch(ended: Outcome) -> Outcome:
-    """Reads the end of a new run, which its sidecar may never have got.
+    """Translates the end of a new run for the caller.
 
-    "Not found" is the word of a sidecar on an attempt that was lost with a
-    link. To a caller it would say that what it asks for does not exist.
+    A sidecar reports "not found" for an attempt whose Dispatch was lost with
+    a link. A caller would take that for a missing resource.
     """
     if ended.error.code != request.NotFoundError.code:
         return ended
-    error = request.NoUpstreamError('the dispatch was lost on its way')
+    error = request.NoUpstreamError('the dispatch was lost in transit')
     return Outcome(error, not_received=True)
 
 
 def from_recovery(ended: Outcome, same_sidecar: bool) -> Outcome:
-    """Reads the end of a recovery, which is about an earlier run.
+    """Translates the end of a recovery into that of the earlier run.
 
-    A refusal says that nothing runs now. That nothing ran before is known
-    only to the sidecar that would have run it: a later one may stand
-    beside an engine that restarted and forgot what it ran.
+    A refusal says that nothing runs now. Only the sidecar of the earlier run
+    knows that nothing ran before: a later sidecar may be connected to an
+    engine that restarted and has no record of what it ran.
 
     Args:
       ended: How the recovery ended.
-      same_sidecar: It was answered by the sidecar of the earlier run.
+      same_sidecar: The sidecar of the earlier run responded.
     """
     final = ended.error.code == request.NotFoundError.code
     if same_sidecar and final:
-        error = request.ShuttingDownError('its router was lost before it ran')
+        error = request.ShuttingDownError('its router failed before it ran')
         return Outcome(error)
     if ended.ran is not base.Ran.NO:
         return ended
     error = request.OutcomeUnknownError(
-        f'the earlier run is not known any more: {ended.error.detail}'
+        f'the earlier run is no longer known: {ended.error.detail}'
     )
     return Outcome(error, gone=final)
 
@@ -117,15 +117,15 @@
 ) -> bool:
     """Decides whether the same request may be dispatched a second time.
 
-    Doubled work shows as a second order at the same door or as tokens of
-    two generations in one answer. Work that is proved not run can't be
-    doubled. Any other may run again only if it is idempotent, and only
-    while the caller has nothing of the first run; the caller of this
-    function has cancelled and closed the first attempt by then.
+    Duplicate work places an order twice or mixes the tokens of two
+    generations in one answer. Work that is known not to have run can be
+    repeated. Any other work may run again only if it is idempotent, and only
+    while nothing of the first run was delivered. The first attempt must be
+    cancelled and closed before this is called.
 
     Args:
       idempotent: The profile or route permits a repeat.
-      delivered: Anything of the attempt was handed to the caller.
+      delivered: Any part of the attempt was delivered to the caller.
       outcome: How the attempt ended.
     """
     if delivered:
@@ -134,6 +134,6 @@
 
 
 def unknown_outcome(detail: str) -> AttemptEndedError:
-    """Makes the end of a recovery that nobody can answer any more."""
+    """Creates the error for a run whose outcome can't be determined."""
     error = request.OutcomeUnknownError(detail)
     return AttemptEndedError(Outcome(error, gone=True))
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
@@ -1,4 +1,4 @@
-"""Which peer serves the next attempt of a request."""
+"""Selects the peer for the next attempt of a request."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
     from quetzalsill_router.request import active as active_module
     from quetzalsill_router.request import attempt_history as history_module
 
-__all__ = ['select_peer', 'wait_for_peer', 'wait_before_retry']
+__all__ = ['select_peer', 'wait_before_retry', 'wait_for_peer']
 
-# How often a request looks for a link that is dialed.
+# Interval at which a request checks for a link that is being re-established.
 LINK_POLL_S = 0.02
-# A request that waits for one is refused with time left to go elsewhere.
+# Part of the remaining time that a request may wait for a link, so that the
+# caller has time left to try another router.
 MAX_LINK_WAIT_FRACTION = 0.5
 MIN_RETRY_WAIT_S = 0.2
 MAX_RETRY_WAIT_S = 5.0
@@ -35,11 +36,11 @@
     active: active_module.ActiveRequest,
     history: history_module.AttemptHistory,
 ) -> peer_module.Peer:
-    """Returns the peer of the next attempt.
+    """Returns the peer for the next attempt.
 
     Raises:
-      RequestError: No peer is left; a durable request waits instead,
-        since a refusal by all is no answer to what was accepted.
+      RequestError: No peer is left. A durable request waits instead,
+        since it was accepted and can no longer be refused.
     """
     work = active.work
     wait_end_s = time.monotonic() + MAX_LINK_WAIT_FRACTION * work.remaining_s()
@@ -69,7 +70,8 @@
     """Returns the linked peer of an upstream, waiting for its link.
 
     Raises:
-      AttemptEndedError: It did not come back in time, or is gone for good.
+      AttemptEndedError: It did not reconnect in time, or was removed from
+        the configuration.
     """
     work = active.work
     limit = work.deadline
@@ -83,14 +85,14 @@
             break
         await wait_before_retry(active, MIN_RETRY_WAIT_S)
     raise outcome.unknown_outcome(
-        f'upstream {upstream} did not come back to say'
+        f'upstream {upstream} did not reconnect to report the outcome'
     )
 
 
 async def wait_before_retry(
     active: active_module.ActiveRequest, hint_s: float
 ) -> None:
-    """Waits before a durable request asks again, as long as was hinted."""
+    """Waits for about `hint_s`, within limits, before the next try."""
     wait_s = min(max(hint_s, MIN_RETRY_WAIT_S), MAX_RETRY_WAIT_S) * rng.uniform(
         0.75, 1.25
     )
@@ -98,7 +100,7 @@
 
 
 def _query(ctx: context.Context, work: spec.Work) -> routing_query.Query:
-    """Builds the question that the routing policy is asked."""
+    """Builds the query for the routing policy."""
     return routing_query.Query(
         target=work.target,
         is_call=work.kind == spec.CALL,
@@ -109,6 +111,8 @@
 
 
 def _check_deadline(work: spec.Work) -> None:
-    """Raises `DeadlineError` once the deadline is past."""
+    """Raises `DeadlineError` if the deadline has passed."""
     if work.remaining_s() <= 0:
-        raise request_error.DeadlineError('no upstream took it in time')
+        raise request_error.DeadlineError(
+            'no upstream accepted the request in time'
+        )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/piece.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/piece.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer on their way from an attempt to the caller."""
+"""Pieces of an answer, passed from an attempt to the caller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Head:
-    """Status and headers of a call's answer."""
+    """Status and headers of the response to a call."""
 
     status: int
     headers: list[list[str]]
@@ -22,8 +22,8 @@
 
     Attributes:
       items: The items, in order.
-      release: Called once the items are written to the caller or held
-        whole; lets the sidecar send as many more.
+      release: Called once the items are written to the caller or
+        buffered; permits the sidecar to send as many more.
     """
 
     items: list[bytes]
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/recent_outcomes.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/recent_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests that no journal keeps."""
+"""Late outcomes of requests that are not journalled."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RecentOutcomes:
-    """Outcomes that this router learned after it had said "unknown".
+    """Outcomes that this router received after it had reported "unknown".
 
-    A caller without an idempotency key can ask this router for them, for
-    as long as it lives and newer ones do not push them out.
+    A caller without an idempotency key can fetch them from this router until
+    it restarts or newer outcomes evict them.
     """
 
     def __init__(self) -> None:
@@ -28,11 +28,11 @@
     def put(
         self, account: str, request: str, answer: durable_answer.Answer
     ) -> None:
-        """Keeps the outcome of an account's request."""
+        """Stores the outcome of an account's request."""
         self._answers[account, request] = answer
         if len(self._answers) > MAX_OUTCOMES:
             self._answers.popitem(last=False)
 
     def get(self, account: str, request: str) -> durable_answer.Answer | None:
-        """Returns the outcome; None if it is not kept here."""
+        """Returns the outcome; None if it is not stored here."""
         return self._answers.get((account, request))
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
@@ -1,4 +1,4 @@
-"""Keeps the outcomes of requests that can be fetched later."""
+"""Stores the outcomes of requests that can be fetched later."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from quetzalsill_router import context
     from quetzalsill_router.request import active as active_module
 
-__all__ = ['KIND_HEADER', 'MODEL_HEADER', 'record_failure', 'record_answer']
+__all__ = ['KIND_HEADER', 'MODEL_HEADER', 'record_answer', 'record_failure']
 
 KIND_HEADER = 'x-quetzalsill-kind'
 MODEL_HEADER = 'x-quetzalsill-model'
@@ -29,10 +29,10 @@
     active: active_module.ActiveRequest,
     pieces: AsyncGenerator[piece.Piece, None],
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Passes `pieces` on; their end follows once the answer is stored.
+    """Forwards `pieces`, and ends once the whole answer is stored.
 
-    Tokens stream to the caller meanwhile, unless the request holds them:
-    then nothing reaches the caller before the answer is stored whole.
+    Pieces are forwarded as they arrive, unless the request is buffered:
+    then nothing is forwarded before the complete answer is stored.
     """
     answer = _empty(active.work)
     stored_bytes = 0
@@ -61,7 +61,7 @@
     active: active_module.ActiveRequest,
     error: request_error.RequestError,
 ) -> None:
-    """Stores the failure that ends a request."""
+    """Stores the failure of a request."""
     await settle(ctx, active, durable_answer.failure(error))
 
 
@@ -70,10 +70,10 @@
     active: active_module.ActiveRequest,
     answer: durable_answer.Answer,
 ) -> None:
-    """Stores the outcome, and waits for that a bounded time.
+    """Stores the outcome and waits up to `SETTLE_TIMEOUT_S` for the write.
 
-    While the store is down the caller gets its answer all the same; the
-    journal keeps the outcome and writes it when the store is back.
+    If the store is unavailable, the caller still gets its answer; the
+    journal keeps the outcome and writes it when the store recovers.
     """
     work = active.work
     request = work.request
@@ -90,7 +90,7 @@
 
 
 def _empty(work: spec.Work) -> durable_answer.Answer:
-    """Makes the answer that the pieces are gathered in."""
+    """Creates the answer that the pieces are added to."""
     if work.kind == spec.CALL:
         return durable_answer.Answer()
     headers = [[KIND_HEADER, work.kind], [MODEL_HEADER, work.target]]
@@ -98,10 +98,10 @@
 
 
 def _too_large(size: int) -> durable_answer.Answer:
-    """Stands for an answer that is too large to be kept."""
+    """Replaces an answer that is too large to be stored."""
     error = request_error.TooLargeError
     return durable_answer.Answer(
         code=error.code,
-        detail=f'the answer of {size} bytes was delivered but not kept',
+        detail=f'the answer of {size} bytes was delivered but not stored',
         status=0,
     )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/retry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/retry.py
@@ -1,4 +1,4 @@
-"""Bounds on the router's own retries."""
+"""Limits on the router's own retries."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RetryBudget:
-    """Token bucket that grows with requests and is spent by retries.
+    """Token bucket that requests fill and retries drain.
 
-    Under overload every attempt fails; without the budget each request
-    would then cost several dispatches and the overload would feed itself.
+    Under overload every attempt fails. Without the budget each request
+    would then cause several dispatches and amplify the overload.
     """
 
     def __init__(self, ratio: float, burst: int) -> None:
@@ -22,11 +22,11 @@
         self._tokens = float(burst)
 
     def record_request(self) -> None:
-        """Counts one request of a caller."""
+        """Adds the share of one request to the budget."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Spends one retry; False if the budget is used up."""
+        """Spends one retry; returns False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -34,6 +34,6 @@
 
 
 def backoff_s(first_s: float, retry: int, rng: random.Random) -> float:
-    """Returns the jittered wait before the `retry`-th retry (from 1)."""
+    """Returns the jittered delay before the `retry`-th retry (from 1)."""
     bound = min(MAX_BACKOFF_S, 2 * first_s * 2 ** (retry - 1))
     return rng.uniform(0, bound)
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/revalidation.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/revalidation.py
@@ -1,4 +1,4 @@
-"""Brings accepted work up to the configuration in force."""
+"""Revalidates accepted work against the current configuration."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def revalidate(work: spec.Work, cfg: model.Configuration) -> int:
-    """Decides about work anew if the configuration is another one by now.
+    """Revalidates work if the configuration has changed since acceptance.
 
-    A router that was behind, such as one that was paused, is told so by the
-    sidecar, which refuses the Dispatch. Sent again with a newer number but
-    as it was decided before, the request would be served under the old
-    revision. What the caller was promised (delivery, durability, deadline)
-    stays; a journalled request is never refused here, as it was accepted.
+    A sidecar refuses the Dispatch of a router whose configuration is stale,
+    such as one that was paused. If the router only sent it again with the
+    newer revision number, the request would be served under the old limits.
+    What the caller was promised (delivery, durability, deadline) stays. A
+    journalled request is never refused here, as it was accepted.
 
     Returns:
-      The revision under which the work is decided now.
+      The revision that the work is based on now.
 
     Raises:
       RequestError: The configuration no longer permits it.
@@ -70,8 +70,8 @@
             work.max_tokens = accept.limit_tokens(
                 work.requested_tokens, work.prompt_tokens, target, profile
             )
-    # Work that was not idempotent at acceptance has its claim and its record
-    # kept as such, so that it never becomes so.
+    # Work that was not idempotent at acceptance never becomes idempotent: its
+    # claim and its record say that it is not.
     work.idempotent = work.idempotent and still_idempotent
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/route.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/route.py
@@ -1,4 +1,4 @@
-"""Choice of the route of a call to a plain service."""
+"""Matches a call to a service with one of the service's routes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def pick_route(
     service: model.Service, method: str, path: str
 ) -> model.Route | None:
-    """Returns the route with the longest path that takes the call."""
+    """Returns the matching route with the longest path, if any."""
     path_only = path.partition('?')[0]
     matching = [
         route
@@ -25,6 +25,6 @@
 
 
 def _is_under(path: str, prefix: str) -> bool:
-    """Whether `path` is `prefix` or stands below it."""
+    """Whether `path` equals `prefix` or is below it."""
     stem = prefix.rstrip('/')
     return path in (prefix, stem) or path.startswith(f'{stem}/')
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/serve.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/serve.py
@@ -37,12 +37,12 @@
     work: spec.Work,
     grant: shares.Grant | None = None,
 ) -> active_module.ActiveRequest:
-    """Starts the task that serves `work`; its pieces go to `delivery`.
+    """Starts the task that serves `work` and puts pieces into `delivery`.
 
     Args:
-      ctx: The router.
+      ctx: Context of the router.
       work: The accepted request.
-      grant: Leave of its account, released at the end.
+      grant: Admission by its account's limits, released at the end.
     """
     active = active_module.ActiveRequest(work, grant=grant)
     ctx.active.add(active)
@@ -55,7 +55,7 @@
 def start_detached(
     ctx: context.Context, work: spec.Work, grant: shares.Grant | None = None
 ) -> active_module.ActiveRequest:
-    """Starts work whose answer is only stored, not delivered."""
+    """Starts work whose answer is stored but not delivered."""
     active = start(ctx, work, grant)
     active.delivery.disconnect()
     return active
@@ -64,7 +64,7 @@
 async def _run(
     ctx: context.Context, active: active_module.ActiveRequest
 ) -> None:
-    """Serves the request, tells its end, and stores a failure."""
+    """Serves the request, and stores its failure if it fails."""
     work = active.work
     try:
         with trace.span(
@@ -85,14 +85,14 @@
 async def _serve(
     ctx: context.Context, active: active_module.ActiveRequest
 ) -> request_error.RequestError | None:
-    """Serves the request; whatever happens, the caller gets an end.
+    """Serves the request; its delivery is ended in every case.
 
     Returns:
-      The failure that ended it; None if the answer is whole.
+      The failure that ended it; None if the answer is complete.
     """
     error: request_error.RequestError | None = None
-    # The sidecar counts the same deadline and says itself whether the work
-    # ran. It is given a grace, because only its word can be "not run".
+    # The sidecar enforces the same deadline and reports whether the work ran.
+    # It is given a grace period, because only the sidecar can report "not run".
     limit = active.work.deadline + DEADLINE_GRACE_S
     timer = asyncio.get_running_loop().call_at(limit, active.expire)
     try:
@@ -105,8 +105,8 @@
             raise
         error = active.cancelled
     except Exception as exc:
-        # A fault of our own code must not leave the caller waiting: it
-        # would show as an answer that stalls for ever.
+        # A bug in the router must end the request; otherwise the caller
+        # would wait indefinitely.
         event.note(
             event.RequestFault(
                 request=active.work.request,
@@ -130,7 +130,7 @@
 async def _deliver(
     ctx: context.Context, active: active_module.ActiveRequest
 ) -> None:
-    """Hands the pieces of the answer to the caller, and counts them."""
+    """Passes the pieces of the answer to the caller and counts items."""
     work = active.work
     stream = _pipeline(ctx, active)
     async with contextlib.aclosing(stream):
@@ -145,7 +145,7 @@
 def _pipeline(
     ctx: context.Context, active: active_module.ActiveRequest
 ) -> AsyncGenerator[piece.Piece, None]:
-    """Joins the generators that make the request's answer."""
+    """Chains the generators that produce the request's answer."""
     stream = attempts.pieces(ctx, active)
     if active.work.entry is not None or active.work.recover_only:
         stream = record.record_answer(ctx, active, stream)
@@ -157,10 +157,10 @@
     active: active_module.ActiveRequest,
     error: request_error.RequestError,
 ) -> None:
-    """Stores a failure, or goes on asking what became of the work.
+    """Stores a failure, or keeps querying the outcome of the work.
 
-    A caller that was told "unknown" may ask again later; the outcome is
-    then what the upstream says once it can be asked.
+    A caller that got "unknown" may query the request later; its outcome is
+    then the one that the upstream reports once it can be reached.
     """
     work = active.work
     if _may_resolve_later(active, error):
@@ -178,20 +178,20 @@
 def _may_resolve_later(
     active: active_module.ActiveRequest, error: request_error.RequestError
 ) -> bool:
-    """Whether an outcome that is unknown now may be known later."""
+    """Whether an outcome that is unknown now may be determined later."""
     work = active.work
     if error.ran is not base.Ran.UNKNOWN or work.recover_only:
         return False
     if active.cancelled is None:
         return work.run is not None
-    # Cancelled by its caller nobody asks for it, and what may be repeated
-    # after its deadline need not be asked for. An order has to be.
+    # Nobody queries a request that its caller cancelled, and idempotent work
+    # can be repeated after its deadline. Other work must be resolved.
     late = isinstance(active.cancelled, request_error.DeadlineError)
     return late and work.run is not None and not work.idempotent
 
 
 def _recovery_work(ctx: context.Context, work: spec.Work) -> spec.Work:
-    """Makes the work that only asks for the outcome of its latest run."""
+    """Creates work that only queries the outcome of its latest run."""
     deadline = time.monotonic() + ctx.settings.requests.settle_s
     return dataclasses.replace(
         work, deadline=deadline, recover_only=True, body=None
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/spec.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/spec.py
@@ -1,4 +1,4 @@
-"""What one request asks for, once it is accepted."""
+"""Specification of an accepted request."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
     """An accepted request.
 
     Attributes:
-      request: Id of the request, the same over its attempts.
-      account: Client account that pays for it.
-      profile_name: Profile picked for it.
-      profile: The profile that bounds it; `renew` keeps it up to date.
-      target: Model or service name.
+      request: Id of the request, the same for all of its attempts.
+      account: Client account that it is charged to.
+      profile_name: Name of the profile selected for it.
+      profile: Profile with its limits; `revalidation` keeps it up to date.
+      target: Name of the model or service.
       kind: `completion`, `chat` or `call`.
       payload: JSON of a generation, or first bytes of a call's body.
-      deadline: Monotonic time by which the whole answer is due.
+      deadline: Monotonic time by which the answer must be complete.
       idempotent: The work may run again while nothing was delivered.
-      stream: The caller wants the answer as it comes.
-      revision: Configuration under which all this was decided.
+      stream: The caller requested a streamed answer.
+      revision: Configuration revision that these values are based on.
       prompt_tokens: Estimated tokens of the prompt.
-      requested_tokens: Bound on the answer that the caller gave; 0 for none.
-      max_tokens: Bound on generated tokens.
-      prefix: Digest of the prompt prefix; empty if too short to matter.
-      adapter: Adapter asked for; empty for none.
+      requested_tokens: The caller's limit on generated tokens; 0 for none.
+      max_tokens: Effective limit on generated tokens.
+      prefix: Digest of the prompt prefix; empty if the prompt is too short.
+      adapter: Requested adapter; empty for none.
       method: HTTP method of a call.
-      path: Path and query of a call below its service.
+      path: Path and query of a call, relative to its service.
       headers: Header pairs of a call.
       body: Rest of a call's body after `payload`; None if there is none.
-      entry: What the journal keeps of it; None if it is not journalled.
-      run: Its newest dispatch; None before the first.
-      recover_only: It may not be dispatched anew; only the outcome of an
-        earlier run is asked for.
+      entry: Its journal entry; None if it is not journalled.
+      run: Its latest dispatch; None before the first.
+      recover_only: It must not be dispatched again; only the outcome of an
+        earlier run is requested.
       trace: W3C traceparent of the request's span.
       key: Idempotency key; empty if the caller sent none.
-      body_consumed: Some of `body` was sent, so that it can't be sent again.
+      body_consumed: Part of `body` was sent, so it can't be sent again.
     """
 
     request: str
@@ -83,18 +83,18 @@
 
     @property
     def durable(self) -> bool:
-        """Whether it is never lost once accepted; calls never are."""
+        """Whether it survives a failure of its router; False for calls."""
         if self.entry is not None:
             return self.entry.durable
         return self.profile.durable and self.kind != CALL
 
     @property
     def is_buffered(self) -> bool:
-        """Whether the caller gets nothing before the answer is complete."""
+        """Whether the answer is buffered until it is complete."""
         if self.kind == CALL:
             return False
         return not self.stream or self.profile.delivery == 'whole'
 
     def remaining_s(self) -> float:
-        """Returns the seconds left to the deadline, below 0 once past."""
+        """Returns the seconds until the deadline, negative once it passed."""
         return self.deadline - time.monotonic()
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
@@ -1,4 +1,4 @@
-"""Recovers requests that a dead router had accepted, and lets go of them."""
+"""Recovers requests of a failed router, and releases superseded ones."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
     from quetzalsill_router import context
     from quetzalsill_router.durable import entry as durable_entry
 
-__all__ = ['release_superseded', 'recover']
+__all__ = ['recover', 'release_superseded']
 
 LOST_CODE = 'shutting_down'
 
 
 async def recover(ctx: context.Context, entry: durable_entry.Entry) -> None:
-    """Brings an entry that was taken over to its settled outcome.
+    """Settles an entry that was taken over.
 
-    A durable request is served to its end. Any other had a caller whose
-    connection died with the router: it is settled with what became of its
-    run, so that a repeat of its key is answered truly, and never begun.
+    A durable request is served to its end. The caller of any other request
+    lost its connection with the router: the request is settled with the
+    outcome of its run, so that a repeat of its key gets that outcome. It is
+    never started.
     """
     event.note(
         event.RequestTakenOver(
@@ -51,8 +52,9 @@
 def release_superseded(ctx: context.Context) -> None:
     """Ends the requests here that another router has taken over.
 
-    Their sidecars send on to that router alone. Left running, they would be
-    told as pending until their deadlines, with their answers stored.
+    Their sidecars now send to that router only. Left running here, they would
+    be reported as pending until their deadlines although their answers are
+    stored.
     """
     for running in ctx.active:
         entry = running.work.entry
@@ -61,10 +63,10 @@
 
 
 def _not_run() -> durable_answer.Answer:
-    """Makes the outcome of a request that ended before its dispatch."""
+    """Creates the outcome of a request that was never dispatched."""
     return durable_answer.Answer(
         code=LOST_CODE,
-        detail='its router ended before it ran',
+        detail='its router stopped before it ran',
         ran=base.Ran.NO,
         status=0,
     )
