--- a/tests/quetzalsill_router/request/test_accept.py
+++ b/tests/quetzalsill_router/request/test_accept.py
@@ -9,23 +9,32 @@
 from quetzalsill_router.http import auth
 from quetzalsill_router.request import accept
 
-NAMES = ('asked', 'account', 'model', 'prompt')
+NAMES = ('requested', 'account', 'model', 'prompt')
 
 
 class PickProfileTest(unittest.TestCase):
     """The order stands in docs/PROFILES.md."""
 
-    def pick(self, asked='', account='', by_model='', allowed=(), names=NAMES):
+    def pick(
+        self,
+        requested='',
+        account_default='',
+        model_default='',
+        allowed=(),
+        names=NAMES,
+    ):
         cfg = model.Configuration(
             profiles={name: model.Profile() for name in names}
         )
         caller = auth.Caller(
             'retailers',
-            model.Account(default_profile=account, profiles=list(allowed)),
+            model.Account(
+                default_profile=account_default, profiles=list(allowed)
+            ),
         )
-        return accept.pick_profile(cfg, caller, asked, by_model)[0]
+        return accept.pick_profile(cfg, caller, requested, model_default)[0]
 
-    def test_the_first_name_given_counts(self):
+    def test_first_name_that_is_set_is_used(self):
         for names in (NAMES[:3], ('', *NAMES[1:3]), ('', '', 'model'), ()):
             expected = next(filter(None, names), 'prompt')
             self.assertEqual(self.pick(*names), expected)
@@ -38,7 +47,7 @@
         ):
             self.pick(names=())
         with self.assertRaisesRegex(request_error.ForbiddenError, 'account'):
-            self.pick('asked', allowed=['account'])
+            self.pick('requested', allowed=['account'])
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_router/request/test_attempts.py
+++ b/tests/quetzalsill_router/request/test_attempts.py
@@ -32,7 +32,7 @@
     return items
 
 
-def whole(*items):
+def success(*items):
     """Script of an attempt that succeeds."""
     return (fake.started(), fake.chunk(0, *items), fake.finished(len(items)))
 
@@ -64,7 +64,7 @@
         bounds; or for an account that is gone by then.
         """
         for account, revision in (('retailers', 4), ('nobody', 5)):
-            peer = fake.Peer('one', whole(b'a'))
+            peer = fake.Peer('one', success(b'a'))
             ctx = fake.make_context(peer)
             work = fake.make_work(ctx, requested_tokens=70, max_tokens=70)
             cfg = copy.deepcopy(ctx.holder.current)
@@ -85,7 +85,7 @@
 
     async def test_refused_attempt_goes_to_another_upstream(self):
         one = fake.Peer('one', (fake.refused(),))
-        two = fake.Peer('two', whole(b'a'))
+        two = fake.Peer('two', success(b'a'))
         ctx = fake.make_context(one, two)
         ctx.routing = lambda _query, candidates: (
             candidates[0] if candidates else None
@@ -107,31 +107,31 @@
         self.assertEqual(caught.exception.retry_after_s, 1.5)
         self.assertIs(caught.exception.ran, base.Ran.NO)
 
-    async def while_a_link_returns(self):
+    async def wait_while_link_reconnects(self):
         """Returns the only peer, its context and a request that waits."""
-        peer = fake.Peer('one', whole(b'a'))
+        peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
         peer.linked, ctx.peers.returning = False, True
         collecting = asyncio.create_task(collect(ctx, fake.make_work(ctx)))
         await asyncio.sleep(0.1)
         return peer, ctx, collecting
 
-    async def test_only_link_returns_within_a_moment(self):
+    async def test_request_waits_for_the_only_link_to_reconnect(self):
         """A query is refused although its server is well, and a dial away."""
-        peer, ctx, collecting = await self.while_a_link_returns()
+        peer, ctx, collecting = await self.wait_while_link_reconnects()
         self.assertFalse(collecting.done())
         peer.linked, ctx.peers.returning = True, False
         self.assertEqual(await collecting, [b'a'])
 
-    async def test_only_link_does_not_return(self):
+    async def test_wait_ends_once_the_only_link_cannot_reconnect(self):
         """A query waits for a server that is known to be gone."""
-        _, ctx, collecting = await self.while_a_link_returns()
+        _, ctx, collecting = await self.wait_while_link_reconnects()
         ctx.peers.returning = False
         with self.assertRaises(request_error.NoUpstreamError) as caught:
             await collecting
         self.assertIs(caught.exception.ran, base.Ran.NO)
 
-    async def test_half_of_the_time_is_left_to_go_elsewhere(self):
+    async def test_wait_for_a_link_leaves_time_for_another_router(self):
         """A query is refused as its time ends, too late for another router."""
         peer = fake.Peer('one')
         ctx = fake.make_context(peer)
@@ -148,7 +148,7 @@
         it would bring a second truck to the same door.
         """
         one = fake.Peer('one', (fake.failed('unknown'),))
-        two = fake.Peer('two', whole(b'a'))
+        two = fake.Peer('two', success(b'a'))
         ctx = fake.make_context(one, two)
         ctx.routing = lambda _query, candidates: candidates[0]
         work = fake.make_work(ctx, idempotent=False)
@@ -158,7 +158,7 @@
         self.assertEqual(two.attempts, [])
         self.assertFalse(one.attempts[0].cancelled)
 
-    async def test_whole_hides_a_replaced_generation(self):
+    async def test_buffered_answer_omits_the_failed_generation(self):
         """An engine dies after the tenth token of a loading plan.
 
         The clerk's profile delivers whole, so the tokens of the lost
@@ -169,7 +169,7 @@
             'one',
             (fake.started(), fake.chunk(0, *lost), fake.failed('yes', True)),
         )
-        two = fake.Peer('two', whole(b'g2.0', b'g2.1'))
+        two = fake.Peer('two', success(b'g2.0', b'g2.1'))
         ctx = fake.make_context(
             one, two, cfg=fake.configuration(delivery='whole')
         )
@@ -188,7 +188,7 @@
             'one',
             (fake.started(), fake.chunk(0, *lost), fake.failed('yes', True)),
         )
-        two = fake.Peer('two', whole(b'g2.0'))
+        two = fake.Peer('two', success(b'g2.0'))
         ctx = fake.make_context(one, two)
         ctx.routing = lambda _query, candidates: candidates[0]
         with self.assertRaises(request_error.UpstreamFailedError):
@@ -213,14 +213,14 @@
         It is asked back first. Had it started meanwhile, a Dispatch to
         the idle one would be a second run.
         """
-        for word, upstream in (
+        for response, upstream in (
             (message.Withdrawn(''), 'two'),
             (message.Running(''), 'one'),
         ):
             busy = message.Load(9, 9, 0, 0, 9000, 5.0, [], False, True, 3)
             idle = message.Load(0, 0, 0, 0, 0, 5.0, [], False, True, 3)
             one = fake.Peer('one', load=busy)
-            two = fake.Peer('two', whole(b'two'), load=idle)
+            two = fake.Peer('two', success(b'two'), load=idle)
             ctx = fake.make_context(one, two)
             ctx.routing = lambda _query, found, one=one, two=two: (
                 two if one.attempts else one
@@ -230,14 +230,14 @@
                 await one.opened.wait()
                 await one.attempts[0].withdrawn.wait()
             self.assertEqual(two.attempts, [])
-            one.attempts[0].put(word)
+            one.attempts[0].put(response)
             if upstream == 'one':
-                for msg in whole(b'one'):
+                for msg in success(b'one'):
                     one.attempts[0].put(msg)
             self.assertEqual(await task, [upstream.encode()])
             self.assertEqual(len(two.attempts), int(upstream == 'two'))
 
-    async def test_earlier_run_is_not_forgotten_by_a_refusal(self):
+    async def test_refusal_does_not_hide_an_earlier_run(self):
         """The first attempt ran and was lost, the second is refused.
 
         Told "not run", the caller would repeat a generation that did run.
@@ -252,7 +252,7 @@
                 pass
         self.assertIs(running.ran, base.Ran.YES)
 
-    async def test_consumer_that_leaves_closes_the_attempt(self):
+    async def test_consumer_that_stops_closes_the_attempt(self):
         peer = fake.Peer('one', (fake.started(), fake.chunk(0, b'a')))
         ctx = fake.make_context(peer)
         stream = attempts.pieces(ctx, active.ActiveRequest(fake.make_work(ctx)))
@@ -271,9 +271,9 @@
     'failed_yes': (fake.started(), fake.failed('yes')),
     'gone': (fake.started(), fake.failed('yes', True)),
     'cut': (fake.started(), fake.chunk(0, b'a'), fake.failed('yes', True)),
-    'whole': whole(b'a', b'b'),
+    'whole': success(b'a', b'b'),
 }
-NOT_RUN = {
+NOT_RUN_OUTCOMES = {
     'refused',
     'refused_stale',
     'superseded',
@@ -282,7 +282,7 @@
 }
 
 
-class OnceTest(unittest.TestCase):
+class AtMostOnceTest(unittest.TestCase):
     """No second Dispatch unless the first is proved not run."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
@@ -297,35 +297,35 @@
     def test_over_arbitrary_ends(self, ends, idempotent, held, retries):
         asyncio.run(self._check(ends, idempotent, held, retries))
 
-    async def _check(self, ends, idempotent, held, retries):
-        scripts = iter([ENDS[name] for name in ends])
+    async def _check(self, names, idempotent, buffered, retries):
+        scripts = iter([ENDS[name] for name in names])
         peers = [fake.Peer(name) for name in ('one', 'two', 'three')]
         sent = []
 
         def choose(_query, candidates):
-            if not candidates or len(sent) == len(ends):
+            if not candidates or len(sent) == len(names):
                 return None
             peer = candidates[0]
             peer._scripts = [next(scripts)]
-            sent.append(ends[len(sent)])
+            sent.append(names[len(sent)])
             return peer
 
         ctx = fake.make_context(
             *peers,
             cfg=fake.configuration(
-                retries=retries, delivery='whole' if held else 'stream'
+                retries=retries, delivery='whole' if buffered else 'stream'
             ),
         )
         ctx.routing = choose
         ctx.settings.retries.backoff_s = 0.0
-        ctx.holder.wait_for = _at_once
+        ctx.holder.wait_for = _return_at_once
         work = fake.make_work(ctx, idempotent=idempotent)
         items, error = await _outcome(ctx, work)
-        ran = [name for name in sent if name not in NOT_RUN]
+        ran = [name for name in sent if name not in NOT_RUN_OUTCOMES]
         if not idempotent:
             self.assertLessEqual(len(ran), 1)
             self.assertEqual(ran, sent[len(sent) - len(ran) :])
-        if not held and 'cut' in sent:
+        if not buffered and 'cut' in sent:
             self.assertEqual(sent[-1], 'cut')
         if error is None:
             self.assertEqual(items, [b'a', b'b'])
@@ -333,7 +333,7 @@
             self.assertEqual(ran, [])
 
 
-async def _at_once(_revision):
+async def _return_at_once(_revision):
     """Stands for a holder that has the newer revision already."""
 
 
@@ -353,7 +353,7 @@
 class RecoveryTest(unittest.IsolatedAsyncioTestCase):
     """Journalled work whose earlier run may have happened."""
 
-    def _taken_over(self, ctx, idempotent):
+    def _taken_over_work(self, ctx, idempotent):
         entry = fake.make_entry(idempotent=idempotent)
         entry.run = fake.durable_entry.Run('old/1/1', 'one', 7, 4)
         return fake.make_work(
@@ -364,22 +364,22 @@
             request=entry.request,
         )
 
-    async def test_run_of_a_dead_router_is_taken_up(self):
-        peer = fake.Peer('one', whole(b'a'))
+    async def test_run_of_a_failed_router_is_attached_to(self):
+        peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
-        found = await collect(ctx, self._taken_over(ctx, idempotent=False))
+        found = await collect(ctx, self._taken_over_work(ctx, idempotent=False))
         self.assertEqual(found, [b'a'])
         sent = peer.attempts[0].dispatch
         self.assertEqual((sent.attempt, sent.recover), ('old/1/1', True))
         # An engine that was restarted since can't prove that it never ran.
         self.assertEqual(sent.engine, 4)
 
-    async def test_plan_that_was_given_up_as_its_router_was_lost(self):
+    async def test_run_that_was_cancelled_with_its_router_is_repeated(self):
         """An accepted plan gets no answer: its sidecar waited for no taker."""
         lost = fake.failed(base.Ran.YES)
-        peer = fake.Peer('one', (lost,), whole(b'a'))
+        peer = fake.Peer('one', (lost,), success(b'a'))
         ctx = fake.make_context(peer)
-        found = await collect(ctx, self._taken_over(ctx, idempotent=True))
+        found = await collect(ctx, self._taken_over_work(ctx, idempotent=True))
         self.assertEqual(found, [b'a'])
 
     async def test_answer_is_acknowledged_only_once_it_is_stored(self):
@@ -388,7 +388,7 @@
         The router dies between the whole answer and its storing, and the
         sidecar has dropped it as acknowledged.
         """
-        peer = fake.Peer('one', whole(b'a'))
+        peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
         stored = asyncio.Event()
         settling = asyncio.Event()
@@ -398,34 +398,36 @@
             await stored.wait()
 
         ctx.journal.settle = settle
-        running = serve.start(ctx, self._taken_over(ctx, idempotent=False))
+        running = serve.start(ctx, self._taken_over_work(ctx, idempotent=False))
         await settling.wait()
         self.assertFalse(peer.attempts[0].closed.is_set())
         stored.set()
         await running.task
         self.assertTrue(peer.attempts[0].closed.is_set())
 
-    async def test_brief_is_not_run_anew_on_the_word_of_a_new_sidecar(self):
+    async def test_work_is_not_repeated_if_a_new_sidecar_reports_not_found(
+        self,
+    ):
         """A router dies with a scene brief running; so does its sidecar.
 
         The new sidecar knows nothing of the brief. "Not found" from it is
         no proof: run again, the client would be billed twice.
         """
-        peer = fake.Peer('one', (fake.refused('not_found'),), whole(b'a'))
+        peer = fake.Peer('one', (fake.refused('not_found'),), success(b'a'))
         peer.incarnation = 8
         ctx = fake.make_context(peer)
         with self.assertRaises(request_error.OutcomeUnknownError):
-            await collect(ctx, self._taken_over(ctx, idempotent=False))
+            await collect(ctx, self._taken_over_work(ctx, idempotent=False))
         self.assertEqual(len(peer.attempts), 1)
 
-    async def test_brief_is_run_once_its_sidecar_says_it_never_was(self):
-        peer = fake.Peer('one', (fake.refused('not_found'),), whole(b'a'))
+    async def test_work_is_run_if_its_own_sidecar_reports_not_found(self):
+        peer = fake.Peer('one', (fake.refused('not_found'),), success(b'a'))
         ctx = fake.make_context(peer)
-        found = await collect(ctx, self._taken_over(ctx, idempotent=False))
+        found = await collect(ctx, self._taken_over_work(ctx, idempotent=False))
         self.assertEqual(found, [b'a'])
         self.assertFalse(peer.attempts[1].dispatch.recover)
 
-    async def test_call_is_asked_for_at_its_own_sidecar_only(self):
+    async def test_call_is_recovered_at_its_own_sidecar_only(self):
         """An order is doubled by asking a new sidecar what became of it.
 
         Only the one that made the call can know, and that it was never made
@@ -433,22 +435,22 @@
         """
         never = message.Failed('', 'not_found', '', 'unknown', True)
         for incarnation, script, ran in (
-            (7, whole(b'a'), None),
+            (7, success(b'a'), None),
             (7, (never,), base.Ran.NO),
-            (8, whole(b'a'), base.Ran.UNKNOWN),
+            (8, success(b'a'), base.Ran.UNKNOWN),
         ):
             with self.subTest(incarnation=incarnation, ran=ran):
                 peer = fake.Peer('one', script)
                 peer.incarnation = incarnation
                 ctx = fake.make_context(peer)
-                work = self._taken_over(ctx, idempotent=False)
+                work = self._taken_over_work(ctx, idempotent=False)
                 work.kind, work.recover_only = spec.CALL, True
-                told = None
+                ran_reported = None
                 try:
                     await collect(ctx, work)
                 except request_error.RequestError as exc:
-                    told = exc.ran
-                self.assertEqual(told, ran)
+                    ran_reported = exc.ran
+                self.assertEqual(ran_reported, ran)
                 recovers = [a.dispatch.recover for a in peer.attempts]
                 self.assertEqual(recovers, [True] * (incarnation == 7))
 
@@ -473,12 +475,12 @@
             self.assertIs(error.ran, ran)
             self.assertTrue(peer.attempts[0].closed.is_set())
 
-    async def test_whole_answer_is_not_lost_to_its_deadline(self):
+    async def test_complete_answer_is_not_lost_at_its_deadline(self):
         """The answer is whole, and the store is slow to take it.
 
         The deadline passes meanwhile; the clerk gets the plan all the same.
         """
-        ctx = fake.make_context(fake.Peer('one', whole(b'plan')))
+        ctx = fake.make_context(fake.Peer('one', success(b'plan')))
         entry = fake.make_entry()
         work = fake.make_work(ctx, entry=entry, request=entry.request)
         storing, stored = asyncio.Event(), asyncio.Event()
--- a/tests/quetzalsill_router/request/test_takeover.py
+++ b/tests/quetzalsill_router/request/test_takeover.py
@@ -15,7 +15,7 @@
 class SupersededTest(unittest.IsolatedAsyncioTestCase):
     """A router whose accepted work another one has taken over."""
 
-    async def test_work_that_was_taken_over_is_not_pending_here(self):
+    async def test_superseded_work_is_no_longer_pending(self):
         """A caller asks the first router for its plan, and asks for an hour.
 
         The plan's sidecar sends on to the router that took the work over.
@@ -39,7 +39,7 @@
         self.assertFalse(attempt.closed.is_set())
         self.assertTrue(attempt.detached)
 
-    async def test_an_answer_that_is_here_is_delivered(self):
+    async def test_complete_answer_is_still_delivered(self):
         """A caller gets "unknown" with the whole answer at its router."""
         ctx = fake.make_context(fake.Peer('one'))
         work = fake.make_work(ctx, entry=fake.make_entry())
