--- a/tests/quetzalsill_router/request/fake.py
+++ b/tests/quetzalsill_router/request/fake.py
@@ -1,4 +1,4 @@
-"""Small fakes of what requests call: peers, journal and claims."""
+"""Fakes of the collaborators of requests: peers, journal and claims."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 def event(text: str, **extra: Any) -> bytes:
-    """One event of a completion."""
+    """Builds one event of a completion."""
     return json.dumps(
         {'choices': [{'index': 0, 'text': text}], **extra}
     ).encode()
 
 
 class Attempt:
-    """Gives the messages of a script; then stays silent."""
+    """Returns the messages of a script, then blocks."""
 
     def __init__(self, dispatch, script):
         self.id = dispatch.attempt
@@ -85,7 +85,7 @@
 
 
 class Peer:
-    """One sidecar; each Dispatch takes the next script."""
+    """One sidecar; each Dispatch consumes the next script."""
 
     def __init__(self, upstream, *scripts, zone='ikeja-hall', load=None):
         self.upstream = upstream
@@ -131,7 +131,7 @@
 
 
 class Journal:
-    """Keeps what it is told."""
+    """Records all calls."""
 
     def __init__(self):
         self.accepted = []
@@ -158,7 +158,7 @@
 
 
 class Claims:
-    """Keys by account, as one row each."""
+    """Claimed idempotency keys by account."""
 
     def __init__(self):
         self.holders = {}
@@ -172,13 +172,13 @@
 
 @dataclasses.dataclass
 class Claim:
-    """Holder of a key."""
+    """The claim on a key, with the request that holds it."""
 
     request: str
 
 
 def configuration(**profile: Any) -> model.Configuration:
-    """A configuration with one profile, model, service and account."""
+    """Builds a configuration with a profile, model, service and account."""
     digest = hashlib.sha256(b'retailers-token').hexdigest()
     return model.Configuration(
         profiles={'prompt': model.Profile(**profile)},
@@ -203,7 +203,7 @@
 def make_context(
     *peers: Peer, cfg: model.Configuration | None = None
 ) -> context.Context:
-    """A router around fakes."""
+    """Builds the context of a router from fakes."""
     holder = config_holder.Holder()
     holder.current = cfg or configuration()
     return context.Context(
@@ -236,7 +236,7 @@
 def make_work(
     ctx: context.Context, deadline_s: float = 30.0, **fields: Any
 ) -> spec.Work:
-    """A streamed completion under the configured profile."""
+    """Builds a streamed completion under the configured profile."""
     profile = ctx.holder.current.profiles['prompt']
     given = {
         'request': 'req-1',
@@ -255,36 +255,36 @@
 
 
 def started() -> message.Started:
-    """The attempt reached its upstream."""
+    """Builds the message that the attempt reached its upstream."""
     return message.Started('', 0)
 
 
 def chunk(seq: int, *items: bytes) -> message.Chunk:
-    """Items from `seq` on."""
+    """Builds a chunk of items starting at `seq`."""
     return message.Chunk('', seq, list(items))
 
 
 def finished(seq: int) -> message.Finished:
-    """The whole answer."""
+    """Builds the end of a complete answer of `seq` items."""
     return message.Finished('', seq)
 
 
 def refused(
     code: str = 'overloaded', retry_after_ms: int = 0
 ) -> message.Refused:
-    """Not run."""
+    """Builds a refusal: the attempt did not run."""
     return message.Refused('', code, code, retry_after_ms)
 
 
 def failed(
     ran: str, gone: bool = False, code: str = 'upstream_failed'
 ) -> message.Failed:
-    """A failure after the Dispatch."""
+    """Builds a failure after the Dispatch."""
     return message.Failed('', code, code, ran, gone)
 
 
 def make_entry(**fields: Any) -> durable_entry.Entry:
-    """A journalled, durable completion."""
+    """Builds the journal entry of a durable completion."""
     given = {
         'account': 'retailers',
         'profile': 'prompt',
--- a/tests/quetzalsill_router/request/test_accept.py
+++ b/tests/quetzalsill_router/request/test_accept.py
@@ -1,4 +1,4 @@
-"""Which profile a request is served under."""
+"""Tests of the selection of a request's profile."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PickProfileTest(unittest.TestCase):
-    """The order stands in docs/PROFILES.md."""
+    """Order of precedence, as documented in docs/PROFILES.md."""
 
     def pick(
         self,
--- a/tests/quetzalsill_router/request/test_attempts.py
+++ b/tests/quetzalsill_router/request/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of the loop of attempts."""
+"""Tests of the attempt loop."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def collect(ctx, work):
-    """Runs a request to its end; returns its items."""
+    """Runs a request to its end and returns its items."""
     running = active.ActiveRequest(work)
     items = []
     async with asyncio.timeout(BOUND_S):
@@ -33,12 +33,12 @@
 
 
 def success(*items):
-    """Script of an attempt that succeeds."""
+    """Returns the script of an attempt that succeeds."""
     return (fake.started(), fake.chunk(0, *items), fake.finished(len(items)))
 
 
 class AttemptsTest(unittest.IsolatedAsyncioTestCase):
-    """Behaviour of the loop, one failure at a time."""
+    """Behaviour of the loop for single failures."""
 
     async def test_passes_items_on_and_grants_after_release(self):
         script = [fake.chunk(seq, b'%d' % seq) for seq in range(5)]
@@ -57,11 +57,11 @@
         self.assertTrue(attempt.closed.is_set())
 
     async def test_edit_between_acceptance_and_dispatch(self):
-        """A request is served under a revision that was edited before it ran.
+        """A request is served under limits that were edited before it ran.
 
-        A router that was behind accepts it, a sidecar refuses it as stale,
-        and the router sends it again with the newer number but the old
-        bounds; or for an account that is gone by then.
+        A router with a stale configuration accepts it and a sidecar refuses
+        it as stale. The router sends it again with the newer revision but
+        the old limits, or for an account that was removed meanwhile.
         """
         for account, revision in (('retailers', 4), ('nobody', 5)):
             peer = fake.Peer('one', success(b'a'))
@@ -94,10 +94,10 @@
         self.assertEqual(len(one.attempts), 1)
 
     async def test_refusal_by_all_is_final_at_once(self):
-        """A retailer's handset asks for a slot while every queue is full.
+        """A request waits for its deadline although every queue is full.
 
-        Held to its deadline of 30 s, the shopkeeper would wait for a
-        refusal that was certain at once. It names the smallest hint.
+        With a deadline of 30 s, the caller would wait 30 s for a refusal that
+        is certain at once. The refusal has the smallest retry-after hint.
         """
         one = fake.Peer('one', (fake.refused(retry_after_ms=4000),))
         two = fake.Peer('two', (fake.refused(retry_after_ms=1500),))
@@ -108,7 +108,7 @@
         self.assertIs(caught.exception.ran, base.Ran.NO)
 
     async def wait_while_link_reconnects(self):
-        """Returns the only peer, its context and a request that waits."""
+        """Returns the only peer, its context and a waiting request."""
         peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
         peer.linked, ctx.peers.returning = False, True
@@ -117,14 +117,14 @@
         return peer, ctx, collecting
 
     async def test_request_waits_for_the_only_link_to_reconnect(self):
-        """A query is refused although its server is well, and a dial away."""
+        """A request is refused while the link to its upstream reconnects."""
         peer, ctx, collecting = await self.wait_while_link_reconnects()
         self.assertFalse(collecting.done())
         peer.linked, ctx.peers.returning = True, False
         self.assertEqual(await collecting, [b'a'])
 
     async def test_wait_ends_once_the_only_link_cannot_reconnect(self):
-        """A query waits for a server that is known to be gone."""
+        """A request waits for an upstream that is known to be down."""
         _, ctx, collecting = await self.wait_while_link_reconnects()
         ctx.peers.returning = False
         with self.assertRaises(request_error.NoUpstreamError) as caught:
@@ -132,7 +132,7 @@
         self.assertIs(caught.exception.ran, base.Ran.NO)
 
     async def test_wait_for_a_link_leaves_time_for_another_router(self):
-        """A query is refused as its time ends, too late for another router."""
+        """A request is refused too late to be sent to another router."""
         peer = fake.Peer('one')
         ctx = fake.make_context(peer)
         peer.linked, ctx.peers.returning = False, True
@@ -142,10 +142,10 @@
         self.assertGreater(work.remaining_s(), 0.0)
 
     async def test_unknown_outcome_of_an_order_is_not_repeated(self):
-        """A retailer orders; the link breaks after the Dispatch.
+        """Work that is not idempotent runs twice if its link is lost.
 
-        Nothing proves whether the order ran. Sent to the second server,
-        it would bring a second truck to the same door.
+        The link breaks after the Dispatch, so nothing shows whether the work
+        ran. It must not be dispatched to the second upstream.
         """
         one = fake.Peer('one', (fake.failed('unknown'),))
         two = fake.Peer('two', success(b'a'))
@@ -159,10 +159,11 @@
         self.assertFalse(one.attempts[0].cancelled)
 
     async def test_buffered_answer_omits_the_failed_generation(self):
-        """An engine dies after the tenth token of a loading plan.
+        """The answer mixes the tokens of a failed generation and of its retry.
 
-        The clerk's profile delivers whole, so the tokens of the lost
-        generation go nowhere, and those of the second one arrive alone.
+        The engine fails after ten tokens. With buffered delivery, the
+        tokens of the failed generation are discarded and only those of the
+        second one are delivered.
         """
         lost = [b'g1.%d' % index for index in range(10)]
         one = fake.Peer(
@@ -178,10 +179,10 @@
         self.assertEqual(found, [b'g2.0', b'g2.1'])
 
     async def test_streamed_generation_is_not_replaced(self):
-        """The same engine dies, but the caller has ten tokens already.
+        """A retry continues a streamed answer with other tokens.
 
-        A second generation would continue them with other words: the
-        answer ends with an error instead.
+        The engine fails after ten tokens were delivered. The answer must end
+        with an error, as a second generation would differ.
         """
         lost = [b'g1.%d' % index for index in range(10)]
         one = fake.Peer(
@@ -208,10 +209,10 @@
             self.assertEqual(len(peer.attempts), dispatches)
 
     async def test_queued_attempt_moves_only_once_withdrawn(self):
-        """An attempt waits at a slow upstream while another is idle.
+        """A queued attempt that moves to an idle upstream runs twice.
 
-        It is asked back first. Had it started meanwhile, a Dispatch to
-        the idle one would be a second run.
+        The attempt may have started before it is withdrawn. It is dispatched
+        to the idle upstream only if the sidecar confirms the withdrawal.
         """
         for response, upstream in (
             (message.Withdrawn(''), 'two'),
@@ -240,7 +241,8 @@
     async def test_refusal_does_not_hide_an_earlier_run(self):
         """The first attempt ran and was lost, the second is refused.
 
-        Told "not run", the caller would repeat a generation that did run.
+        If "not run" were reported, the caller would repeat a generation that
+        did run.
         """
         one = fake.Peer('one', (fake.failed('yes', True),))
         two = fake.Peer('two', (fake.refused(),))
@@ -283,7 +285,7 @@
 
 
 class AtMostOnceTest(unittest.TestCase):
-    """No second Dispatch unless the first is proved not run."""
+    """No second Dispatch unless the first is known not to have run."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
     @hypothesis.given(
@@ -334,11 +336,11 @@
 
 
 async def _return_at_once(_revision):
-    """Stands for a holder that has the newer revision already."""
+    """Replaces `wait_for` of a holder that has the newer revision."""
 
 
 async def _outcome(ctx, work):
-    """Runs a request; returns its items and its failure."""
+    """Runs a request and returns its items and its failure."""
     running = active.ActiveRequest(work)
     items = []
     try:
@@ -351,7 +353,7 @@
 
 
 class RecoveryTest(unittest.IsolatedAsyncioTestCase):
-    """Journalled work whose earlier run may have happened."""
+    """Journalled work that an earlier router may have run."""
 
     def _taken_over_work(self, ctx, idempotent):
         entry = fake.make_entry(idempotent=idempotent)
@@ -371,11 +373,12 @@
         self.assertEqual(found, [b'a'])
         sent = peer.attempts[0].dispatch
         self.assertEqual((sent.attempt, sent.recover), ('old/1/1', True))
-        # An engine that was restarted since can't prove that it never ran.
+        # The sidecar needs the engine's incarnation: an engine that restarted
+        # since then can't prove that the work never ran.
         self.assertEqual(sent.engine, 4)
 
     async def test_run_that_was_cancelled_with_its_router_is_repeated(self):
-        """An accepted plan gets no answer: its sidecar waited for no taker."""
+        """Durable work fails if its run was cancelled when its router failed."""
         lost = fake.failed(base.Ran.YES)
         peer = fake.Peer('one', (lost,), success(b'a'))
         ctx = fake.make_context(peer)
@@ -383,10 +386,10 @@
         self.assertEqual(found, [b'a'])
 
     async def test_answer_is_acknowledged_only_once_it_is_stored(self):
-        """An order was taken, and nobody can tell what its answer was.
+        """An answer is lost if the router fails before it has stored it.
 
-        The router dies between the whole answer and its storing, and the
-        sidecar has dropped it as acknowledged.
+        The sidecar discards an answer once it is acknowledged, so the router
+        must acknowledge only after it has stored the whole answer.
         """
         peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
@@ -408,10 +411,10 @@
     async def test_work_is_not_repeated_if_a_new_sidecar_reports_not_found(
         self,
     ):
-        """A router dies with a scene brief running; so does its sidecar.
+        """Work runs twice if its router and its sidecar both fail.
 
-        The new sidecar knows nothing of the brief. "Not found" from it is
-        no proof: run again, the client would be billed twice.
+        The new sidecar has no record of the run, so its "not found" does not
+        prove that the work never ran.
         """
         peer = fake.Peer('one', (fake.refused('not_found'),), success(b'a'))
         peer.incarnation = 8
@@ -428,10 +431,10 @@
         self.assertFalse(peer.attempts[1].dispatch.recover)
 
     async def test_call_is_recovered_at_its_own_sidecar_only(self):
-        """An order is doubled by asking a new sidecar what became of it.
+        """A call runs twice if a new sidecar is asked for its outcome.
 
-        Only the one that made the call can know, and that it was never made
-        is true only from its mouth.
+        Only the sidecar that made the call knows its outcome, and only that
+        sidecar can report that the call was never made.
         """
         never = message.Failed('', 'not_found', '', 'unknown', True)
         for incarnation, script, ran in (
@@ -456,7 +459,7 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    """Requests that run out of time."""
+    """Requests that reach their deadline."""
 
     async def test_running_work_past_its_deadline_is_cancelled(self):
         for script, ran in (
@@ -476,9 +479,10 @@
             self.assertTrue(peer.attempts[0].closed.is_set())
 
     async def test_complete_answer_is_not_lost_at_its_deadline(self):
-        """The answer is whole, and the store is slow to take it.
+        """A complete answer is replaced by a deadline error.
 
-        The deadline passes meanwhile; the clerk gets the plan all the same.
+        The deadline passes while the store is slow to write the answer; the
+        caller must still get the answer.
         """
         ctx = fake.make_context(fake.Peer('one', success(b'plan')))
         entry = fake.make_entry()
--- a/tests/quetzalsill_router/request/test_takeover.py
+++ b/tests/quetzalsill_router/request/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of accepted work that another router has taken over."""
+"""Tests of requests that another router has taken over."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class SupersededTest(unittest.IsolatedAsyncioTestCase):
-    """A router whose accepted work another one has taken over."""
+    """Requests at a router whose journal another router took over."""
 
     async def test_superseded_work_is_no_longer_pending(self):
-        """A caller asks the first router for its plan, and asks for an hour.
+        """Superseded work is reported as pending until its deadline.
 
-        The plan's sidecar sends on to the router that took the work over.
+        The sidecar now sends the answer to the router that took the work
+        over, so the first router never receives it.
         """
         peer = fake.Peer('one', (fake.started(),))
         ctx = fake.make_context(peer)
@@ -35,12 +36,12 @@
         async with asyncio.timeout(BOUND_S):
             await running.task
         self.assertIsNone(ctx.active.get(work.request))
-        # Closed, it would be cancelled for the router that has it now.
+        # Closing it would cancel the run for the router that has it now.
         self.assertFalse(attempt.closed.is_set())
         self.assertTrue(attempt.detached)
 
     async def test_complete_answer_is_still_delivered(self):
-        """A caller gets "unknown" with the whole answer at its router."""
+        """A caller gets "unknown" although its router has the whole answer."""
         ctx = fake.make_context(fake.Peer('one'))
         work = fake.make_work(ctx, entry=fake.make_entry())
         running = active.ActiveRequest(work, task=mock.Mock())
