--- a/tests/quetzalsill_router/request/test_attempts.py
+++ b/tests/quetzalsill_router/request/test_attempts.py
@@ -378,7 +378,7 @@
         self.assertEqual(sent.engine, 4)
 
     async def test_run_that_was_cancelled_with_its_router_is_repeated(self):
-        """Durable work fails if its run was cancelled when its router failed."""
+        """Durable work fails if its run was cancelled with its router."""
         lost = fake.failed(base.Ran.YES)
         peer = fake.Peer('one', (lost,), success(b'a'))
         ctx = fake.make_context(peer)
