--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/configuration.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/configuration.py
@@ -74,7 +74,7 @@
     zone = fleet.ZONES[0]
     yield (
         'choose links',
-        _least(lambda: subset.wanted('entry-000', zone, cfg, ())),
+        _least(lambda: subset.select_upstreams('entry-000', zone, cfg, ())),
     )
     yield 'memory', _held_bytes(data)
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/subsets.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/subsets.py
@@ -80,7 +80,7 @@
     """Chooses for every router."""
     passive = set(passive)
     return {
-        node: subset.wanted(node, zone, cfg, passive) - passive
+        node: subset.select_upstreams(node, zone, cfg, passive) - passive
         for node, zone in _routers()
     }
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ['TAKE', 'Attempt', 'Owner']
+__all__ = ['HANDLERS', 'Attempt', 'Owner']
 
 
 class Owner(Protocol):
@@ -30,13 +30,13 @@
     def send(self, msg: message.Message) -> bool:
         """Sends a message if there is a link; False if there is none."""
 
-    def send_later(self, msg: message.Message) -> None:
+    def send_or_defer(self, msg: message.Message) -> None:
         """Sends a message now, or on the next link to this incarnation."""
 
     async def send_body(self, msg: message.Body) -> None:
         """Sends a message and waits while the link is congested."""
 
-    def forget(self, attempt: Attempt) -> None:
+    def remove_attempt(self, attempt: Attempt) -> None:
         """Takes the attempt off the peer."""
 
 
@@ -44,8 +44,8 @@
     """Gives the answer of one attempt, whatever happens to its link.
 
     `receive` gives each item once and in order, and one terminal message:
-    Refused, Withdrawn, Finished or Failed. The methods for the peer (`take`,
-    `link_up`, `link_lost`, `expire`) are not for the request.
+    Refused, Withdrawn, Finished or Failed. The methods for the peer (`handle`,
+    `on_link_up`, `on_link_lost`, `expire`) are not for the request.
 
     Attributes:
       id: Id of the attempt.
@@ -71,18 +71,18 @@
         self.next_seq = 0
         self._owner = owner
         self._recover_s = recover_s
-        self._limit = dispatch.credit
+        self._credit_limit = dispatch.credit
         self._acknowledged = 0
         self._recovering = dispatch.recover
-        self._limit_uncertain = False
+        self._credit_limit_uncertain = False
         self._body = upload.Upload(dispatch)
-        self._head_taken = False
+        self._head_received = False
         self._withdrawing = False
         self._cancelling = False
         self._closed = False
-        self._gave_up = False
+        self._expired = False
         self._terminal: message.Message | None = None
-        self._to_acknowledge = False
+        self._needs_ack = False
         self._timer: asyncio.TimerHandle | None = None
         # Bounded by the credit that the request grants: a sidecar that sends
         # more than that breaks the protocol.
@@ -103,7 +103,7 @@
 
     def grant(self, seq: int, items: int) -> None:
         """Acknowledges the items below `seq` and permits `items` more."""
-        self._limit += items
+        self._credit_limit += items
         self._acknowledged = max(self._acknowledged, seq)
         # A grant that is lost with its link is part of the next Resume.
         self._owner.send(message.Credit(self.id, seq, items))
@@ -120,9 +120,9 @@
             await self._owner.send_body(piece)
 
     @property
-    def gave_up(self) -> bool:
+    def expired(self) -> bool:
         """It ended here, without a word of the sidecar on its outcome."""
-        return self._gave_up
+        return self._expired
 
     def withdraw(self) -> None:
         """Asks that the attempt never start; gives Withdrawn or Running."""
@@ -135,8 +135,8 @@
     def cancel(self) -> None:
         """Stops the work; the terminal message tells whether it ran."""
         if self._terminal is not None:
-            if self._gave_up:
-                self._owner.send_later(message.Cancel(self.id))
+            if self._expired:
+                self._owner.send_or_defer(message.Cancel(self.id))
             return
         self._cancelling = True
         if not self._recovering:
@@ -148,7 +148,7 @@
             return
         self._closed = True
         if self._terminal is not None:
-            self._leave()
+            self._release()
             return
         self.cancel()
         self._start_timer()
@@ -157,13 +157,13 @@
         """Ends the interest without a word: another router has the run."""
         self._closed = True
         self._stop_timer()
-        self._owner.forget(self)
+        self._owner.remove_attempt(self)
 
     def refuse(self, code: str, detail: str) -> None:
         """Ends an attempt whose Dispatch was never written to any link."""
-        self._end(message.Refused(self.id, code, detail, 0))
+        self._finish(message.Refused(self.id, code, detail, 0))
 
-    def take(self, msg: message.Message) -> bool:
+    def handle(self, msg: message.Message) -> bool:
         """Takes a message of the link; False if it is of no use.
 
         Raises:
@@ -172,12 +172,12 @@
         if self._terminal is not None:
             return False
         recovering = self._recovering
-        taken = TAKE[type(msg)](self, msg)
+        handled = HANDLERS[type(msg)](self, msg)
         if recovering:
-            self._settle_recovery()
-        return taken
+            self._finish_recovery()
+        return handled
 
-    def link_up(self, *, same: bool) -> None:
+    def on_link_up(self, *, same: bool) -> None:
         """Takes the attempt up on a new link.
 
         Args:
@@ -189,29 +189,33 @@
             self._resume()
             return
         if self.dispatch.kind == kind.CALL and not same:
-            self._lose_call()
+            self._fail_call()
             return
         # A sidecar that may have the Dispatch of the last link goes back to
         # the first item not acknowledged and counts the credit from there;
         # one that has not counts it from 0. The smaller credit is safe with
         # both, and a Resume sets it right once an item shows where it is.
         again = self._recovering and same
-        credit = self._limit - self._acknowledged if again else self._limit
-        self._limit_uncertain = again
+        credit = (
+            self._credit_limit - self._acknowledged
+            if again
+            else self._credit_limit
+        )
+        self._credit_limit_uncertain = again
         self._recovering = True
         self._owner.send(self._recover_dispatch(credit))
 
-    def link_lost(self) -> None:
-        """Starts the time within which the attempt must be taken up."""
-        self._body.cut()
+    def on_link_lost(self) -> None:
+        """Starts the time within which the attempt must be handled up."""
+        self._body.abort()
         if self._terminal is None:
             self._start_timer()
 
     def expire(self) -> None:
         """Gives up: what became of the attempt can't be learnt in time."""
         if self._terminal is None:
-            self._gave_up = True
-            self._end(
+            self._expired = True
+            self._finish(
                 message.Failed(
                     self.id,
                     request_error.OutcomeUnknownError.code,
@@ -233,11 +237,11 @@
 
     def _send_resume(self) -> None:
         seq = self.next_seq
-        self._owner.send(message.Resume(self.id, seq, self._limit - seq))
+        self._owner.send(message.Resume(self.id, seq, self._credit_limit - seq))
 
-    def _lose_call(self) -> None:
+    def _fail_call(self) -> None:
         """Ends a call whose sidecar is gone; nothing keeps its answer."""
-        if self._head_taken:
+        if self._head_received:
             self._fail('the sidecar was lost', gone=self.dispatch.idempotent)
         else:
             self.expire()
@@ -251,7 +255,7 @@
             credit=credit,
         )
 
-    def _settle_recovery(self) -> None:
+    def _finish_recovery(self) -> None:
         """The new sidecar has answered and knows the attempt from now on."""
         self._recovering = False
         if self._terminal is not None:
@@ -264,85 +268,90 @@
         if self._cancelling:
             self._owner.send(message.Cancel(self.id))
 
-    def _take_started(self, msg: message.Started) -> bool:
+    def _on_started(self, msg: message.Started) -> bool:
         if self.started:
             return False
         self.started = True
         return self._deliver(msg)
 
-    def _take_running(self, msg: message.Running) -> bool:
+    def _on_running(self, msg: message.Running) -> bool:
         if self.started:
             return False
         self.started = True
         return self._deliver(msg)
 
-    def _take_body_credit(self, msg: message.Credit) -> bool:
-        self._body.grant(msg.seq)
+    def _on_body_credit(self, msg: message.Credit) -> bool:
+        self._body.acknowledge(msg.seq)
         return True
 
-    def _take_head(self, msg: message.Head) -> bool:
-        if self._head_taken:
+    def _on_head(self, msg: message.Head) -> bool:
+        if self._head_received:
             return False
-        self.started = self._head_taken = True
+        self.started = self._head_received = True
         return self._deliver(msg)
 
-    def _take_chunk(self, msg: message.Chunk) -> bool:
+    def _on_chunk(self, msg: message.Chunk) -> bool:
         end = msg.seq + len(msg.items)
         if not 0 <= msg.seq <= self.next_seq:
             raise wire_error.ProtocolError(
                 f'{self.id}: item {msg.seq} instead of {self.next_seq}'
             )
-        if end > self._limit:
+        if end > self._credit_limit:
             raise wire_error.ProtocolError(
-                f'{self.id}: item {end - 1} beyond the credit of {self._limit}'
+                f'{self.id}: item {end - 1} exceeds the credit of '
+                f'{self._credit_limit}'
             )
         first, self.next_seq = self.next_seq, max(self.next_seq, end)
         self.started = True
-        if self._limit_uncertain:
-            self._limit_uncertain = False
-            self._owner.send(message.Resume(self.id, end, self._limit - end))
+        if self._credit_limit_uncertain:
+            self._credit_limit_uncertain = False
+            self._owner.send(
+                message.Resume(self.id, end, self._credit_limit - end)
+            )
         if end <= first:
             return False
         items = msg.items[first - msg.seq :]
         return self._deliver(message.Chunk(self.id, first, items))
 
-    def _take_finished(self, msg: message.Finished) -> bool:
+    def _on_finished(self, msg: message.Finished) -> bool:
         if msg.seq > self.next_seq:
             raise wire_error.ProtocolError(
                 f'{self.id}: ended at {msg.seq}, received {self.next_seq}'
             )
         if msg.seq < self.next_seq:
             return self._fail('the answer is shorter than what was received')
-        return self._end(msg, acknowledge=True)
+        return self._finish(msg, acknowledge=True)
 
-    def _take_failed(self, msg: message.Failed) -> bool:
+    def _on_failed(self, msg: message.Failed) -> bool:
         if self.started and msg.ran == base.Ran.NO:
             msg = dataclasses.replace(msg, ran=base.Ran.YES)
-        return self._end(msg, acknowledge=True)
+        return self._finish(msg, acknowledge=True)
 
-    def _take_not_run(self, msg: message.Refused | message.Withdrawn) -> bool:
+    def _on_not_run(self, msg: message.Refused | message.Withdrawn) -> bool:
         # What has started can't be "not run" any more. An engine that lost
         # it says so to the sidecar that asks for it in a recover.
         if self.started:
             return self._fail('the work was lost', gone=self._recovering)
-        return self._end(msg)
+        return self._finish(msg)
 
     def _fail(self, detail: str, *, gone: bool = False) -> bool:
         code, ran = request_error.UpstreamFailedError.code, base.Ran.YES
-        if self.dispatch.kind == kind.CALL and not self._head_taken:
-            # Started says of a call that it was sent; that it was taken only
+        if self.dispatch.kind == kind.CALL and not self._head_received:
+            # Started says of a call that it was sent; that it was handled only
             # its answer says.
             code, ran = request_error.OutcomeUnknownError.code, base.Ran.UNKNOWN
-        return self._end(message.Failed(self.id, code, detail, ran, gone))
+        return self._finish(message.Failed(self.id, code, detail, ran, gone))
 
-    def _end(self, msg: message.Message, *, acknowledge: bool = False) -> bool:
+    def _finish(
+        self, msg: message.Message, *, acknowledge: bool = False
+    ) -> bool:
         self._terminal = msg
-        self._to_acknowledge = acknowledge
+        self._needs_ack = acknowledge
         self._stop_timer()
-        self._body.cut()
+        self._body.abort()
         self._deliver(msg)
         if self._closed:
-            self._leave()
+            self._release()
         return True
 
     def _deliver(self, msg: message.Message) -> bool:
@@ -350,10 +359,10 @@
             self._inbox.put_nowait(msg)
         return True
 
-    def _leave(self) -> None:
-        self._owner.forget(self)
-        if self._to_acknowledge:
-            self._owner.send_later(message.Ack(self.id))
+    def _release(self) -> None:
+        self._owner.remove_attempt(self)
+        if self._needs_ack:
+            self._owner.send_or_defer(message.Ack(self.id))
 
     def _start_timer(self) -> None:
         if self._timer is None:
@@ -367,14 +376,14 @@
             self._timer = None
 
 
-TAKE: dict[type[message.Message], Callable[..., bool]] = {
-    message.Refused: Attempt._take_not_run,
-    message.Withdrawn: Attempt._take_not_run,
-    message.Started: Attempt._take_started,
-    message.Running: Attempt._take_running,
-    message.Credit: Attempt._take_body_credit,
-    message.Head: Attempt._take_head,
-    message.Chunk: Attempt._take_chunk,
-    message.Finished: Attempt._take_finished,
-    message.Failed: Attempt._take_failed,
+HANDLERS: dict[type[message.Message], Callable[..., bool]] = {
+    message.Refused: Attempt._on_not_run,
+    message.Withdrawn: Attempt._on_not_run,
+    message.Started: Attempt._on_started,
+    message.Running: Attempt._on_running,
+    message.Credit: Attempt._on_body_credit,
+    message.Head: Attempt._on_head,
+    message.Chunk: Attempt._on_chunk,
+    message.Finished: Attempt._on_finished,
+    message.Failed: Attempt._on_failed,
 }
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/backoff.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/backoff.py
@@ -10,21 +10,21 @@
 
 __all__ = ['delays']
 
-FIRST_S = 0.1
-MOST_S = 2.0
+INITIAL_S = 0.1
+MAX_S = 2.0
 
 
 def delays(
-    first_s: float = FIRST_S,
-    most_s: float = MOST_S,
+    initial_s: float = INITIAL_S,
+    max_s: float = MAX_S,
     rand: Callable[[], float] = random.random,
 ) -> Iterator[float]:
     """Yields delays in seconds, without end.
 
-    Each is drawn evenly from below a ceiling that doubles up to `most_s`, so
+    Each is drawn evenly from below a ceiling that doubles up to `max_s`, so
     that the routers of a fleet don't come back to a sidecar all at once.
     """
-    ceiling = first_s
+    ceiling = initial_s
     while True:
         yield ceiling * rand()
-        ceiling = min(most_s, 2 * ceiling)
+        ceiling = min(max_s, 2 * ceiling)
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/fetch.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/config_fetch.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ['FETCH_S', 'Fetches']
+__all__ = ['FETCH_TIMEOUT_S', 'ConfigFetcher']
 
-FETCH_S = 5.0
+FETCH_TIMEOUT_S = 5.0
 
 
-class Fetches:
+class ConfigFetcher:
     """Asks a sidecar for its configuration."""
 
     def __init__(self, send: Callable[[message.Message], bool]) -> None:
@@ -26,7 +26,7 @@
           send: Sends a message if there is a link; False if there is none.
         """
         self._send = send
-        self._waiting: list[asyncio.Future[message.ConfigReply]] = []
+        self._pending: list[asyncio.Future[message.ConfigReply]] = []
 
     async def fetch(self, revision: int) -> message.ConfigReply:
         """Gets the sidecar's configuration if newer than `revision`.
@@ -38,24 +38,26 @@
         if not self._send(message.ConfigFetch(revision)):
             raise error.ConfigFetchError('no link')
         fut = asyncio.get_running_loop().create_future()
-        self._waiting.append(fut)
+        self._pending.append(fut)
         try:
-            async with asyncio.timeout(FETCH_S):
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
                 return await fut
         except TimeoutError as exc:
-            raise error.ConfigFetchError(f'none within {FETCH_S} s') from exc
+            raise error.ConfigFetchError(
+                f'none within {FETCH_TIMEOUT_S} s'
+            ) from exc
         finally:
-            self._waiting.remove(fut)
+            self._pending.remove(fut)
 
-    def settle(self, reply: message.ConfigReply) -> None:
+    def resolve(self, reply: message.ConfigReply) -> None:
         """Hands a reply to all who wait."""
-        for fut in self._open():
+        for fut in self._unresolved():
             fut.set_result(reply)
 
     def fail(self) -> None:
         """Tells all who wait that the link has ended."""
-        for fut in self._open():
+        for fut in self._unresolved():
             fut.set_exception(error.ConfigFetchError('the link ended'))
 
-    def _open(self) -> list[asyncio.Future[message.ConfigReply]]:
-        return [fut for fut in self._waiting if not fut.done()]
+    def _unresolved(self) -> list[asyncio.Future[message.ConfigReply]]:
+        return [fut for fut in self._pending if not fut.done()]
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
@@ -12,7 +12,7 @@
     from collections.abc import Iterator
 
     from quetzalsill.wire import link
-    from quetzalsill_router.peer import listing
+    from quetzalsill_router.peer import host_list_entry
 
 __all__ = ['Connect', 'Dialer']
 
@@ -27,7 +27,7 @@
         self,
         upstream: str,
         address: str,
-        listed: listing.Listing,
+        host_entry: host_list_entry.HostListEntry,
         connect: Connect,
     ) -> None:
         """Prepares; `dial` connects.
@@ -35,16 +35,16 @@
         Args:
           upstream: Name of the upstream.
           address: IP:PORT of the sidecar after the configuration.
-          listed: What the host list says of the upstream.
+          host_entry: What the host list says of the upstream.
           connect: Dials host and port.
         """
         self._upstream = upstream
         self._address = address
-        self._listing = listed
+        self._host_entry = host_entry
         self._connect = connect
-        self._addresses = self._in_turn()
+        self._addresses = self._alternate_addresses()
         self._unreachable = False
-        self.is_silent = False
+        self.handshake_timed_out = False
 
     async def dial(self) -> link.Link | None:
         """Dials the next address; None if the sidecar isn't reached there."""
@@ -53,12 +53,14 @@
             conn = await self._dial(address)
         except wire_error.WireError as exc:
             self._log_unreachable(address, exc)
-            self.is_silent = isinstance(exc, wire_error.HandshakeTimeoutError)
+            self.handshake_timed_out = isinstance(
+                exc, wire_error.HandshakeTimeoutError
+            )
             return None
         self._unreachable = False
         return conn
 
-    def _in_turn(self) -> Iterator[str]:
+    def _alternate_addresses(self) -> Iterator[str]:
         """Yields the address to dial next.
 
         A replaced host is in the host list before the configuration has its
@@ -66,8 +68,8 @@
         """
         while True:
             yield self._address
-            if self._listing.address not in ('', self._address):
-                yield self._listing.address
+            if self._host_entry.address not in ('', self._address):
+                yield self._host_entry.address
 
     async def _dial(self, address: str) -> link.Link:
         host, _, port = address.rpartition(':')
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/listing.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/host_list_entry.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-__all__ = ['Listing']
+__all__ = ['HostListEntry']
 
 LEAVING = 'leaving'
 
 
-class Listing:
+class HostListEntry:
     """The newest word of the host list, which lags.
 
     Attributes:
@@ -17,14 +17,14 @@
     def __init__(self) -> None:
         self.address = ''
         self._state = ''
-        self._is_old = False
+        self._is_outdated = False
 
     @property
     def leaving(self) -> bool:
         """Whether the host that is linked now is listed as leaving."""
-        return self._state == LEAVING and not self._is_old
+        return self._state == LEAVING and not self._is_outdated
 
-    def take(self, state: str, address: str) -> bool:
+    def update(self, state: str, address: str) -> bool:
         """Takes what the list says now; True if that is news.
 
         Args:
@@ -32,16 +32,16 @@
           address: IP:PORT of the sidecar; empty if not named.
         """
         if state != self._state:
-            self._is_old = False
-        is_news = (state, address) != (self._state, self.address)
+            self._is_outdated = False
+        is_changed = (state, address) != (self._state, self.address)
         self._state = state
         self.address = address
-        return is_news
+        return is_changed
 
-    def outdate(self) -> None:
+    def mark_outdated(self) -> None:
         """Notes that another sidecar has been linked just now.
 
         What was said so far may be said of a host that was replaced since;
         the new one would get no work for as long as the list lags.
         """
-        self._is_old = True
+        self._is_outdated = True
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
@@ -14,7 +14,13 @@
 from quetzalsill.wire import message
 from quetzalsill_router import event
 from quetzalsill_router.peer import attempt as peer_attempt
-from quetzalsill_router.peer import backoff, dialer, fetch, listing, status
+from quetzalsill_router.peer import (
+    backoff,
+    config_fetch,
+    dialer,
+    host_list_entry,
+    sidecar_status,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -35,13 +41,13 @@
 )
 
 LEAVING = request_error.UpstreamLeavingError.code
-MAX_DEFERRED = 10_000
+MAX_DEFERRED_MESSAGES = 10_000
 # For so long a link that has ended is hoped for: a dial that is slow, and one
 # more. A caller that is refused comes back later than that.
-RETURN_S = 3.0
+RECONNECT_GRACE_S = 3.0
 # A link that lasted this long was no fault of the dial, so that the next one
 # follows at once: callers wait with nothing arriving meanwhile.
-STABLE_S = 1.0
+STABLE_LINK_S = 1.0
 
 
 class Peer:
@@ -79,15 +85,15 @@
         self.upstream = upstream
         self.availability_zone = spec.availability_zone
         self.address = spec.sidecar
-        self.status = status.Status()
+        self.status = sidecar_status.SidecarStatus()
         self.revision = 0
         self.dropped = 0
         self._spec = spec
-        self._listing = listing.Listing()
+        self._host_entry = host_list_entry.HostListEntry()
         self._dialer = dialer.Dialer(
             upstream,
             spec.sidecar,
-            self._listing,
+            self._host_entry,
             lambda host, port: connect(host, port, self),
         )
         self._holder = holder
@@ -97,12 +103,12 @@
         self._attempts: dict[str, peer_attempt.Attempt] = {}
         # Sidecars forget tails by themselves, so that the oldest may be lost.
         self._deferred: collections.deque[message.Message] = collections.deque(
-            maxlen=MAX_DEFERRED
+            maxlen=MAX_DEFERRED_MESSAGES
         )
-        self._fetches = fetch.Fetches(self.send)
+        self._config_fetcher = config_fetch.ConfigFetcher(self.send)
         self._retired = False
         # When the link ended; None if it did not, or nobody is there.
-        self._lost: float | None = None
+        self._disconnected_at: float | None = None
         self._wake = asyncio.Event()
 
     @property
@@ -134,7 +140,7 @@
         """
         if self._retired or self._spec.draining or self.status.going_away:
             return True
-        return self.status.leaving or self._listing.leaving
+        return self.status.leaving or self._host_entry.leaving
 
     @property
     def outstanding(self) -> int:
@@ -148,18 +154,25 @@
 
     def serves(self, name: str) -> bool:
         """Whether new work for the model or service may be sent now."""
-        return self.linked and self._offers(name)
+        return self.linked and self._accepts_work_for(name)
 
-    def is_returning(self, name: str) -> bool:
+    def is_reconnecting(self, name: str) -> bool:
         """Whether the link ended just now, and the next may take new work.
 
         Not if a dial has been refused since, by which the sidecar is gone.
         """
-        if self.linked or self._lost is None or not self._offers(name):
+        if (
+            self.linked
+            or self._disconnected_at is None
+            or not self._accepts_work_for(name)
+        ):
             return False
-        return asyncio.get_running_loop().time() - self._lost < RETURN_S
+        return (
+            asyncio.get_running_loop().time() - self._disconnected_at
+            < RECONNECT_GRACE_S
+        )
 
-    def _offers(self, name: str) -> bool:
+    def _accepts_work_for(self, name: str) -> bool:
         """Whether the upstream takes work for a model or service."""
         if self.leaving:
             return False
@@ -202,11 +215,11 @@
           error.ConfigFetchError: There is no link, or no newer configuration
             came in time.
         """
-        return await self._fetches.fetch(revision)
+        return await self._config_fetcher.fetch(revision)
 
     def update(self, spec: model.Upstream, state: str, address: str) -> None:
         """Takes what the configuration says now, and the host list."""
-        if self._listing.take(state, address):
+        if self._host_entry.update(state, address):
             self._wake.set()
         self._spec = spec
         self.availability_zone = spec.availability_zone
@@ -214,7 +227,7 @@
     def retire(self) -> None:
         """Takes no new work; the link is closed with the last attempt."""
         self._retired = True
-        self._end_if_done()
+        self._close_if_done()
 
     def reinstate(self) -> None:
         """Undoes `retire`."""
@@ -229,10 +242,10 @@
                 began = clock()
                 conn = await self._dialer.dial()
                 if conn is not None:
-                    await self._serve(conn)
-                elif not self._dialer.is_silent:
-                    self._lost = None
-                if clock() - began > STABLE_S:
+                    await self._run_link(conn)
+                elif not self._dialer.handshake_timed_out:
+                    self._disconnected_at = None
+                if clock() - began > STABLE_LINK_S:
                     delays = backoff.delays()
                 if not self._done:
                     await self._pause(next(delays))
@@ -255,7 +268,7 @@
             return False
         return True
 
-    def send_later(self, msg: message.Message) -> None:
+    def send_or_defer(self, msg: message.Message) -> None:
         """Sends a message now, or on the next link to this incarnation."""
         if not self.send(msg):
             self._deferred.append(msg)
@@ -274,16 +287,16 @@
             raise wire_error.LinkClosedError(f'no link to {self.upstream}')
         await self._link.send(msg)
 
-    def forget(self, attempt: peer_attempt.Attempt) -> None:
+    def remove_attempt(self, attempt: peer_attempt.Attempt) -> None:
         """Takes an attempt off the peer."""
         self._attempts.pop(attempt.id, None)
-        self._end_if_done()
+        self._close_if_done()
 
     @property
     def _done(self) -> bool:
         return self._retired and not self._attempts
 
-    def _end_if_done(self) -> None:
+    def _close_if_done(self) -> None:
         if self._done:
             self._wake.set()
             self.send_go_away('no work left here')
@@ -296,12 +309,12 @@
             async with asyncio.timeout(delay_s):
                 await self._wake.wait()
 
-    async def _serve(self, conn: link.Link) -> None:
+    async def _run_link(self, conn: link.Link) -> None:
         self._link = conn
         try:
             self._adopt(conn.peer)
             async for msg in conn.messages():
-                self._take(msg)
+                self._handle(msg)
         except wire_error.WireError as exc:
             conn.reject(exc)
             links_ended_total.inc({'code': exc.code})
@@ -315,21 +328,21 @@
             )
         finally:
             self._link = None
-            self._lost = asyncio.get_running_loop().time()
+            self._disconnected_at = asyncio.get_running_loop().time()
             conn.close()
             for attempt in self._attempts.values():
-                attempt.link_lost()
-            self._fetches.fail()
+                attempt.on_link_lost()
+            self._config_fetcher.fail()
 
     def _adopt(self, welcome: message.Welcome) -> None:
         """Takes up the attempts, on the same sidecar or on a new one."""
         same = welcome.incarnation == self.incarnation
         if not same:
             # Nothing that is known of the old one holds for the new one.
-            self.status = status.Status(welcome.incarnation)
+            self.status = sidecar_status.SidecarStatus(welcome.incarnation)
             self.revision = 0
             self._deferred.clear()
-            self._listing.outdate()
+            self._host_entry.mark_outdated()
         self.status.leaving |= welcome.leaving
         event.note(
             event.Linked(
@@ -342,16 +355,16 @@
         while self._deferred:
             self.send(self._deferred.popleft())
         for attempt in list(self._attempts.values()):
-            attempt.link_up(same=same)
-        self.see(welcome.revision)
+            attempt.on_link_up(same=same)
+        self.record_revision(welcome.revision)
 
-    def _take(self, msg: message.Message) -> None:
+    def _handle(self, msg: message.Message) -> None:
         cls = type(msg)
-        if cls in peer_attempt.TAKE:
-            self._take_answer(msg)
+        if cls in peer_attempt.HANDLERS:
+            self._handle_answer(msg)
         elif cls is message.Load:
-            self.status.take_load(msg)
-            self.see(msg.revision)
+            self.status.update_load(msg)
+            self.record_revision(msg.revision)
         elif cls is message.Leaving:
             self.status.leaving = True
             event.note(event.Leaving(upstream=self.upstream, reason=msg.reason))
@@ -361,15 +374,15 @@
                 event.GoingAway(upstream=self.upstream, reason=msg.reason)
             )
         elif cls is message.ConfigFetch:
-            self._give_config(msg)
+            self._send_config(msg)
         elif cls is message.ConfigReply:
-            self._fetches.settle(msg)
+            self._config_fetcher.resolve(msg)
         else:
             raise wire_error.ProtocolError(f'{cls.__name__} from a sidecar')
 
-    def _take_answer(self, msg: message.Message) -> None:
+    def _handle_answer(self, msg: message.Message) -> None:
         attempt = self._attempts.get(msg.attempt)
-        if attempt is not None and attempt.take(msg):
+        if attempt is not None and attempt.handle(msg):
             return
         self.dropped += 1
         dropped_total.inc({'upstream': self.upstream})
@@ -377,13 +390,13 @@
         if attempt is None and type(msg) in (message.Finished, message.Failed):
             self.send(message.Ack(msg.attempt))
 
-    def see(self, revision: int) -> None:
+    def record_revision(self, revision: int) -> None:
         """Takes a revision that the sidecar has named."""
         self.revision = max(self.revision, revision)
         if revision > self._holder.revision:
             self._on_revision(revision, self)
 
-    def _give_config(self, msg: message.ConfigFetch) -> None:
+    def _send_config(self, msg: message.ConfigFetch) -> None:
         reply = share.answer(self._holder, msg)
         if reply is not None:
             self.send(reply)
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
@@ -77,9 +77,9 @@
         self._retiring: dict[str, peer_module.Peer] = {}
         self._tasks: dict[peer_module.Peer, asyncio.Task[None]] = {}
         self._hosts: dict[str, platform_hosts.Host] = {}
-        self._by_use: dict[str, list[peer_module.Peer]] = {}
+        self._peers_by_target: dict[str, list[peer_module.Peer]] = {}
         self._counter = itertools.count(1)
-        holder.on_change(self._announce)
+        holder.on_change(self._broadcast_revision)
 
     def next_attempt_id(self) -> str:
         """Gives an id that no attempt of any router has had."""
@@ -101,7 +101,7 @@
             self._hosts = {
                 host.name: host for host in hosts if host.kind == 'upstream'
             }
-        wanted = subset.wanted(
+        wanted = subset.select_upstreams(
             self._node.name,
             self._node.availability_zone,
             cfg,
@@ -110,22 +110,22 @@
         for name in sorted(self._peers.keys() - wanted):
             self._retire(name)
         for name in sorted(wanted):
-            self._want(name, cfg.upstreams[name])
-        self._by_use = self._index(cfg)
+            self._ensure_peer(name, cfg.upstreams[name])
+        self._peers_by_target = self._index_by_target(cfg)
 
     def candidates(self, model_or_service: str) -> list[peer_module.Peer]:
         """Gives the peers that may get new work for a model or service."""
         return [
             peer
-            for peer in self._by_use.get(model_or_service, ())
+            for peer in self._peers_by_target.get(model_or_service, ())
             if peer.serves(model_or_service)
         ]
 
-    def is_returning(self, model_or_service: str) -> bool:
+    def is_reconnecting(self, model_or_service: str) -> bool:
         """Whether a peer that serves it is dialed again after a lost link."""
         return any(
-            peer.is_returning(model_or_service)
-            for peer in self._by_use.get(model_or_service, ())
+            peer.is_reconnecting(model_or_service)
+            for peer in self._peers_by_target.get(model_or_service, ())
         )
 
     def peers(self) -> list[peer_module.Peer]:
@@ -145,7 +145,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _announce(self, cfg: model.Configuration) -> None:
+    def _broadcast_revision(self, cfg: model.Configuration) -> None:
         """Tells every sidecar of a new revision at once.
 
         A link that is never idle sends no heartbeat of its own, so that a
@@ -159,14 +159,14 @@
         return leaving | {
             name
             for name, spec in cfg.upstreams.items()
-            if spec.draining or self._hint(name)[0] == 'leaving'
+            if spec.draining or self._listed_host(name)[0] == 'leaving'
         }
 
-    def _hint(self, name: str) -> tuple[str, str]:
+    def _listed_host(self, name: str) -> tuple[str, str]:
         host = self._hosts.get(name)
         return (host.state, host.address) if host else ('', '')
 
-    def _want(self, name: str, spec: model.Upstream) -> None:
+    def _ensure_peer(self, name: str, spec: model.Upstream) -> None:
         peer = self._peers.get(name)
         # A sidecar at another address is another one. Attempts open at the
         # old one end there.
@@ -175,7 +175,7 @@
             peer = None
         if peer is None:
             peer = self._reinstate(name, spec) or self._add(name, spec)
-        peer.update(spec, *self._hint(name))
+        peer.update(spec, *self._listed_host(name))
 
     def _retire(self, name: str) -> None:
         peer = self._peers.pop(name)
@@ -209,10 +209,12 @@
         self._peers[name] = peer
         task = asyncio.get_running_loop().create_task(peer.run())
         self._tasks[peer] = task
-        task.add_done_callback(lambda task: self._end(peer, task))
+        task.add_done_callback(lambda task: self._on_task_done(peer, task))
         return peer
 
-    def _end(self, peer: peer_module.Peer, task: asyncio.Task[None]) -> None:
+    def _on_task_done(
+        self, peer: peer_module.Peer, task: asyncio.Task[None]
+    ) -> None:
         self._tasks.pop(peer)
         if self._retiring.get(peer.upstream) is peer:
             del self._retiring[peer.upstream]
@@ -229,15 +231,15 @@
                 exc=task.exception(),
             )
 
-    def _index(
+    def _index_by_target(
         self, cfg: model.Configuration
     ) -> dict[str, list[peer_module.Peer]]:
-        by_use = collections.defaultdict(list)
+        by_target = collections.defaultdict(list)
         for peer in self.peers():
             spec = cfg.upstreams[peer.upstream]
-            for use in (*spec.models, *spec.services):
-                by_use[use].append(peer)
-        return dict(by_use)
+            for target in (*spec.models, *spec.services):
+                by_target[target].append(peer)
+        return dict(by_target)
 
     async def _connect(
         self, host: str, port: int, peer: peer_module.Peer
@@ -257,10 +259,10 @@
             self._timing,
             self._tls() if callable(self._tls) else self._tls,
             revision=lambda: self._holder.revision,
-            on_revision=peer.see,
-            stretch=lambda: self._stretch(peer),
+            on_revision=peer.record_revision,
+            stretch=lambda: self._heartbeat_factor(peer),
         )
 
-    def _stretch(self, peer: peer_module.Peer) -> float:
+    def _heartbeat_factor(self, peer: peer_module.Peer) -> float:
         """Factor of the heartbeats of a link; none while it carries work."""
         return 1.0 if peer.outstanding else pace.dialled(len(self._peers))
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/status.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/sidecar_status.py
@@ -8,11 +8,11 @@
 if TYPE_CHECKING:
     from quetzalsill.wire import message
 
-__all__ = ['Status']
+__all__ = ['SidecarStatus']
 
 
 @dataclasses.dataclass(slots=True)
-class Status:
+class SidecarStatus:
     """What one incarnation of a sidecar has said.
 
     Attributes:
@@ -27,7 +27,7 @@
     leaving: bool = False
     going_away: bool = False
 
-    def take_load(self, load: message.Load) -> None:
+    def update_load(self, load: message.Load) -> None:
         """Takes a newer Load."""
         self.load = load
         self.leaving = load.leaving
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/subset.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/subset.py
@@ -19,7 +19,7 @@
 
     from quetzalsill.config import model
 
-__all__ = ['choose', 'wanted']
+__all__ = ['choose', 'select_upstreams']
 
 # Part of a subset kept outside the own availability zone, for when the
 # zone's upstreams fail together.
@@ -44,7 +44,7 @@
     ranked = sorted(zones, key=lambda name: _score(node, name))
     local = [name for name in ranked if zones[name] == zone]
     remote = list(
-        _spread(
+        _interleave_zones(
             node, {name: zones[name] for name in ranked if zones[name] != zone}
         )
     )
@@ -53,7 +53,7 @@
     return {*remote[:from_remote], *local[: size - from_remote]}
 
 
-def wanted(
+def select_upstreams(
     node: str, zone: str, cfg: model.Configuration, passive: Collection[str]
 ) -> set[str]:
     """Gives all upstreams that a router should be linked to.
@@ -67,7 +67,7 @@
         them the configuration.
     """
     chosen: set[str] = set()
-    for names in _by_use(cfg).values():
+    for names in _group_by_target(cfg).values():
         zones = {name: cfg.upstreams[name].availability_zone for name in names}
         active = {
             name: zone for name, zone in zones.items() if name not in passive
@@ -78,16 +78,16 @@
     return chosen
 
 
-def _by_use(cfg: model.Configuration) -> Mapping[str, list[str]]:
+def _group_by_target(cfg: model.Configuration) -> Mapping[str, list[str]]:
     """Groups upstreams by model or service; those of none are a group too."""
     groups = collections.defaultdict(list)
     for name, upstream in cfg.upstreams.items():
-        for use in (*upstream.models, *upstream.services) or ('',):
-            groups[use].append(name)
+        for target in (*upstream.models, *upstream.services) or ('',):
+            groups[target].append(name)
     return groups
 
 
-def _spread(node: str, zones: Mapping[str, str]) -> Iterator[str]:
+def _interleave_zones(node: str, zones: Mapping[str, str]) -> Iterator[str]:
     """Takes one upstream of each zone in turn."""
     by_zone = collections.defaultdict(list)
     for name, zone in zones.items():
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/upload.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/upload.py
@@ -31,15 +31,17 @@
         """Begins with the piece in the Dispatch."""
         self._attempt = dispatch.attempt
         self._open = dispatch.body_open
-        self._cut = False
-        self._taken = 0
-        self._waiting = collections.deque(filter(None, [len(dispatch.payload)]))
+        self._aborted = False
+        self._acknowledged = 0
+        self._unacknowledged = collections.deque(
+            filter(None, [len(dispatch.payload)])
+        )
         self._changed = asyncio.Event()
 
     @property
     def incomplete(self) -> bool:
         """The body was cut off before its last piece."""
-        return self._open and self._cut
+        return self._open and self._aborted
 
     async def pieces(
         self, data: bytes, last: bool
@@ -49,40 +51,43 @@
         Raises:
           wire_error.LinkClosedError: The body was cut off.
         """
-        for piece in _split(data):
-            await self._room(len(piece))
-            self._waiting.append(len(piece))
+        for piece in _split_pieces(data):
+            await self._wait_for_window(len(piece))
+            self._unacknowledged.append(len(piece))
             yield message.Body(self._attempt, piece, False)
         if last:
-            self._check()
+            self._check_not_aborted()
             self._open = False
             yield message.Body(self._attempt, b'', True)
 
-    def grant(self, taken: int) -> None:
-        """The sidecar has written `taken` pieces to the app server."""
-        while self._taken < taken and self._waiting:
-            self._waiting.popleft()
-            self._taken += 1
+    def acknowledge(self, acknowledged: int) -> None:
+        """The sidecar has written `acknowledged` pieces to the app server."""
+        while self._acknowledged < acknowledged and self._unacknowledged:
+            self._unacknowledged.popleft()
+            self._acknowledged += 1
         self._changed.set()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Nothing more can be sent: the link is lost or the call ended."""
-        self._cut = True
+        self._aborted = True
         self._changed.set()
 
-    async def _room(self, size: int) -> None:
-        self._check()
-        while self._waiting and sum(self._waiting) + size > WINDOW_BYTES:
+    async def _wait_for_window(self, size: int) -> None:
+        self._check_not_aborted()
+        while (
+            self._unacknowledged
+            and sum(self._unacknowledged) + size > WINDOW_BYTES
+        ):
             self._changed.clear()
             await self._changed.wait()
-            self._check()
+            self._check_not_aborted()
 
-    def _check(self) -> None:
-        if self._cut:
+    def _check_not_aborted(self) -> None:
+        if self._aborted:
             raise wire_error.LinkClosedError('the body was cut off')
 
 
-def _split(data: bytes) -> Iterator[bytes]:
+def _split_pieces(data: bytes) -> Iterator[bytes]:
     return (
         data[start : start + PIECE_BYTES]
         for start in range(0, len(data), PIECE_BYTES)
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/dispatch.py
@@ -135,7 +135,7 @@
     ended = failure(msg)
     if ended.ran is base.Ran.UNKNOWN and work.idempotent:
         attempt.cancel()
-    if work.kind == spec.CALL and not attempt.gave_up:
+    if work.kind == spec.CALL and not attempt.expired:
         # Only its sidecar knows the outcome of a call, and it has reported.
         ended.gone = True
     return ended
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
@@ -52,7 +52,7 @@
         if peer is not None:
             return peer
         if (
-            ctx.peers.is_returning(work.target)
+            ctx.peers.is_reconnecting(work.target)
             and time.monotonic() < wait_end_s
         ):
             await asyncio.sleep(LINK_POLL_S)
--- a/tests/quetzalsill_router/peer/fake.py
+++ b/tests/quetzalsill_router/peer/fake.py
@@ -67,11 +67,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class SidecarAttempt:
     """An attempt that the sidecar knows."""
 
     limit: int
-    asked_engine: int = -1
+    expected_engine: int = -1
     work: Work | None = None
     started: bool = False
     start: int = 0
@@ -86,9 +86,9 @@
     def __init__(self, incarnation, engine):
         self.incarnation = incarnation
         self.engine = engine
-        self.held = {}
-        self.stones = {}
-        self.put = lambda msg: None
+        self.attempts = {}
+        self.tombstones = {}
+        self.send = lambda msg: None
 
     def welcome(self, upstream='engine-1', leaving=False):
         return message.Welcome(
@@ -102,125 +102,127 @@
             handler(msg)
 
     def start_queued(self):
-        for attempt, held in list(self.held.items()):
-            if held.asked_engine >= 0 and not held.started:
-                self._recover(attempt, held)
-            elif not held.started and held.terminal is None:
-                held.started = True
-                held.work = self.engine.start(attempt)
-                self.put(message.Started(attempt, 0))
+        for attempt, state in list(self.attempts.items()):
+            if state.expected_engine >= 0 and not state.started:
+                self._recover(attempt, state)
+            elif not state.started and state.terminal is None:
+                state.started = True
+                state.work = self.engine.start(attempt)
+                self.send(message.Started(attempt, 0))
 
     def pump(self):
-        for attempt, held in self.held.items():
-            self._pump(attempt, held)
+        for attempt, state in self.attempts.items():
+            self._pump(attempt, state)
 
     def on_dispatch(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is not None:
-            self._rewind(msg.attempt, held, held.start, msg.credit)
-        elif msg.attempt in self.stones:
-            self.put(self.stones[msg.attempt])
+        state = self.attempts.get(msg.attempt)
+        if state is not None:
+            self._rewind(msg.attempt, state, state.start, msg.credit)
+        elif msg.attempt in self.tombstones:
+            self.send(self.tombstones[msg.attempt])
         elif msg.incarnation != self.incarnation:
             self._refuse(msg.attempt, 'superseded')
         else:
-            asked_engine = msg.engine if msg.recover else -1
-            self.held[msg.attempt] = Held(msg.credit, asked_engine)
+            expected_engine = msg.engine if msg.recover else -1
+            self.attempts[msg.attempt] = SidecarAttempt(
+                msg.credit, expected_engine
+            )
 
     def on_resume(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is not None:
-            self._rewind(msg.attempt, held, msg.seq, msg.credit)
-        elif msg.attempt in self.stones:
-            self.put(self.stones[msg.attempt])
+        state = self.attempts.get(msg.attempt)
+        if state is not None:
+            self._rewind(msg.attempt, state, msg.seq, msg.credit)
+        elif msg.attempt in self.tombstones:
+            self.send(self.tombstones[msg.attempt])
         else:
             self._refuse(msg.attempt, 'not_found')
 
     def on_credit(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is not None:
-            held.limit += msg.items
-            held.start = max(held.start, min(msg.seq, held.sent))
+        state = self.attempts.get(msg.attempt)
+        if state is not None:
+            state.limit += msg.items
+            state.start = max(state.start, min(msg.seq, state.sent))
 
     def on_withdraw(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is not None and held.started:
-            self.put(message.Running(msg.attempt))
-        elif msg.attempt in self.stones:
-            self.put(self.stones[msg.attempt])
+        state = self.attempts.get(msg.attempt)
+        if state is not None and state.started:
+            self.send(message.Running(msg.attempt))
+        elif msg.attempt in self.tombstones:
+            self.send(self.tombstones[msg.attempt])
         else:
-            self._bury(message.Withdrawn(msg.attempt))
+            self._end_attempt(message.Withdrawn(msg.attempt))
 
     def on_cancel(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is None or held.terminal is not None:
+        state = self.attempts.get(msg.attempt)
+        if state is None or state.terminal is not None:
             return
-        if held.started:
-            held.terminal = message.Failed(
+        if state.started:
+            state.terminal = message.Failed(
                 msg.attempt, 'cancelled', '', 'yes', False
             )
         else:
             self._refuse(msg.attempt, 'cancelled')
 
     def on_ack(self, msg):
-        held = self.held.get(msg.attempt)
-        if held is not None and held.terminal is not None:
-            self._bury(
+        state = self.attempts.get(msg.attempt)
+        if state is not None and state.terminal is not None:
+            self._end_attempt(
                 message.Failed(msg.attempt, 'outcome_unknown', '', 'yes', False)
             )
 
-    def _recover(self, attempt, held):
+    def _recover(self, attempt, state):
         if attempt in self.engine.work:
-            held.started = True
-            held.work = self.engine.work[attempt]
-            self.put(message.Started(attempt, 0))
-        elif held.asked_engine == self.engine.incarnation:
+            state.started = True
+            state.work = self.engine.work[attempt]
+            self.send(message.Started(attempt, 0))
+        elif state.expected_engine == self.engine.incarnation:
             self._refuse(attempt, 'not_found')
         else:
-            self._bury(
+            self._end_attempt(
                 message.Failed(attempt, 'outcome_unknown', '', 'unknown', True)
             )
 
     def _refuse(self, attempt, code):
-        self._bury(message.Refused(attempt, code, '', 0))
+        self._end_attempt(message.Refused(attempt, code, '', 0))
 
-    def _bury(self, stone):
-        self.held.pop(stone.attempt, None)
-        self.stones[stone.attempt] = stone
-        self.put(stone)
+    def _end_attempt(self, tombstone):
+        self.attempts.pop(tombstone.attempt, None)
+        self.tombstones[tombstone.attempt] = tombstone
+        self.send(tombstone)
 
-    def _rewind(self, attempt, held, seq, credit):
-        made = held.work.made if held.work else held.sent
-        if held.asked_engine >= 0:
+    def _rewind(self, attempt, state, seq, credit):
+        made = state.work.made if state.work else state.sent
+        if state.expected_engine >= 0:
             seq, credit = min(seq, made), credit + max(0, seq - made)
-        if not held.start <= seq <= made:
-            self.put(
+        if not state.start <= seq <= made:
+            self.send(
                 message.Failed(attempt, 'outcome_unknown', '', 'yes', False)
             )
             return
-        held.start = max(held.start, min(seq, held.sent))
-        held.sent, held.limit = seq, seq + credit
-        held.terminal_sent = False
-        if held.started:
-            self.put(message.Started(attempt, 0))
-
-    def _pump(self, attempt, held):
-        work = held.work
+        state.start = max(state.start, min(seq, state.sent))
+        state.sent, state.limit = seq, seq + credit
+        state.terminal_sent = False
+        if state.started:
+            self.send(message.Started(attempt, 0))
+
+    def _pump(self, attempt, state):
+        work = state.work
         # What the sidecar has read it keeps; the rest goes with the engine.
         lost = attempt not in self.engine.work
         cut = lost and work is not None and work.made < work.total
-        if cut and held.terminal is None:
-            held.terminal = message.Failed(
+        if cut and state.terminal is None:
+            state.terminal = message.Failed(
                 attempt, 'upstream_failed', '', 'yes', True
             )
-        stop = min(work.made, held.limit) if work else 0
-        if held.sent < stop and not isinstance(held.terminal, message.Failed):
-            items = work.items(held.sent, stop)
-            self.put(message.Chunk(attempt, held.sent, items))
-            held.sent = stop
-        if work and held.terminal is None and work.made == work.total:
-            held.terminal = message.Finished(attempt, work.total)
-        whole = work is not None and held.sent == work.total
-        failed = isinstance(held.terminal, message.Failed)
-        if held.terminal and not held.terminal_sent and (whole or failed):
-            held.terminal_sent = True
-            self.put(held.terminal)
+        stop = min(work.made, state.limit) if work else 0
+        if state.sent < stop and not isinstance(state.terminal, message.Failed):
+            items = work.items(state.sent, stop)
+            self.send(message.Chunk(attempt, state.sent, items))
+            state.sent = stop
+        if work and state.terminal is None and work.made == work.total:
+            state.terminal = message.Finished(attempt, work.total)
+        whole = work is not None and state.sent == work.total
+        failed = isinstance(state.terminal, message.Failed)
+        if state.terminal and not state.terminal_sent and (whole or failed):
+            state.terminal_sent = True
+            self.send(state.terminal)
--- a/tests/quetzalsill_router/peer/test_peers.py
+++ b/tests/quetzalsill_router/peer/test_peers.py
@@ -51,7 +51,7 @@
             with contextlib.suppress(wire_error.LinkClosedError):
                 conn.send_nowait(msg)
 
-        self.sidecar.put = put
+        self.sidecar.send = put
         conn.on_revision = self.announced.add
         put(fake.load())
         async for msg in conn.messages():
@@ -137,7 +137,7 @@
         self.assertEqual(end.seq, TOTAL)
         self.assertEqual(self.engine.runs, [attempt.id])
         attempt.close()
-        await self.until(lambda: attempt.id in self.sidecar.stones)
+        await self.until(lambda: attempt.id in self.sidecar.tombstones)
         self.assertEqual(peer.outstanding, 0)
 
     async def test_a_slow_reader_does_not_stall_another(self):
@@ -160,7 +160,7 @@
         await self.until(lambda: attempt.next_seq == 4)
         before = self.relay.accepted
         items = fake.Work(1, TOTAL).items(4, 6)
-        self.sidecar.put(message.Chunk(attempt.id, 4, items))
+        self.sidecar.send(message.Chunk(attempt.id, 4, items))
         await self.until(lambda: self.relay.accepted > before)
         self.assertEqual(attempt.next_seq, 4)
         items, _ = await self.read(attempt)
@@ -182,10 +182,10 @@
         self.relay.silence()
         self.relay.cut()
         await self.until(lambda: not peer.linked)
-        self.assertTrue(self.peers.is_returning(fake.MODEL))
-        self.assertFalse(self.peers.is_returning('another-model'))
+        self.assertTrue(self.peers.is_reconnecting(fake.MODEL))
+        self.assertFalse(self.peers.is_reconnecting('another-model'))
         await self.until(lambda: peer.linked)
-        self.assertFalse(self.peers.is_returning(fake.MODEL))
+        self.assertFalse(self.peers.is_reconnecting(fake.MODEL))
 
     async def test_a_dial_that_is_refused_ends_the_wait(self):
         """A query waits for a server that is known to be gone."""
@@ -193,16 +193,16 @@
         self.relay.refusing = True
         self.relay.cut()
         await self.until(lambda: not peer.linked)
-        await self.until(lambda: not self.peers.is_returning(fake.MODEL))
+        await self.until(lambda: not self.peers.is_reconnecting(fake.MODEL))
         self.assertFalse(peer.linked)
 
     async def test_a_sidecar_that_goes_away_is_not_waited_for(self):
         peer = await self.linked()
-        self.sidecar.put(message.GoAway('stopping'))
+        self.sidecar.send(message.GoAway('stopping'))
         await self.until(lambda: peer.leaving)
         self.relay.cut()
         await self.until(lambda: not peer.linked)
-        self.assertFalse(self.peers.is_returning(fake.MODEL))
+        self.assertFalse(self.peers.is_reconnecting(fake.MODEL))
 
     async def test_an_attempt_that_cannot_be_recovered_is_unknown(self):
         """A caller waits for its deadline although the host is dead.
@@ -248,7 +248,7 @@
         for taken in range(1, size // upload.PIECE_BYTES):
             await self.until(lambda sent=taken: len(self.bodies()) == sent)
             self.assertFalse(sending.done())
-            self.sidecar.put(message.Credit(attempt.id, taken, 1))
+            self.sidecar.send(message.Credit(attempt.id, taken, 1))
         await self.until(lambda: self.bodies() and self.bodies()[-1].last)
         self.assertEqual(sum(len(msg.data) for msg in self.bodies()), size)
         self.relay.cut()
@@ -261,14 +261,14 @@
 
     async def test_what_a_sidecar_says_of_leaving(self):
         peer = await self.linked()
-        self.sidecar.put(message.Leaving('engine-1', 'reclaimed'))
+        self.sidecar.send(message.Leaving('engine-1', 'reclaimed'))
         await self.until(lambda: not self.peers.candidates(fake.MODEL))
         self.relay.cut()
         await self.until(lambda: not peer.linked)
-        self.sidecar.put(fake.load(leaving=False))
+        self.sidecar.send(fake.load(leaving=False))
         await self.until(lambda: self.peers.candidates(fake.MODEL))
-        self.sidecar.put(message.GoAway('stopping'))
-        self.sidecar.put(fake.load(leaving=False, queued=1))
+        self.sidecar.send(message.GoAway('stopping'))
+        self.sidecar.send(fake.load(leaving=False, queued=1))
         await self.until(lambda: peer.load.queued == 1)
         self.assertTrue(peer.leaving)
         self.sidecar = fake.FakeSidecar(2, self.engine)
@@ -279,7 +279,7 @@
     async def test_revision_of_a_replaced_sidecar_is_forgotten(self):
         """Operators see a revision in force that the new process lacks."""
         peer = await self.linked()
-        self.sidecar.put(fake.load(revision=9))
+        self.sidecar.send(fake.load(revision=9))
         await self.until(lambda: peer.revision == 9)
         self.sidecar = fake.FakeSidecar(2, self.engine)
         self.relay.cut()
@@ -289,10 +289,10 @@
     async def test_unhealthy_or_without_the_model_is_no_candidate(self):
         peer = await self.linked()
         for change in ({'healthy': False}, {'models': []}):
-            self.sidecar.put(fake.load(queued=7, **change))
+            self.sidecar.send(fake.load(queued=7, **change))
             await self.until(lambda: peer.load.queued == 7)
             self.assertEqual(self.peers.candidates(fake.MODEL), [])
-            self.sidecar.put(fake.load())
+            self.sidecar.send(fake.load())
             await self.until(lambda: self.peers.candidates(fake.MODEL))
 
     async def test_configuration_goes_both_ways(self):
@@ -303,10 +303,10 @@
         text = document.render(self.cfg)
         fetch = asyncio.create_task(peer.fetch_config(0))
         await self.until(lambda: message.ConfigFetch(0) in self.received)
-        self.sidecar.put(message.ConfigReply(1, text))
+        self.sidecar.send(message.ConfigReply(1, text))
         self.assertEqual((await fetch).document, text)
         self.holder.install(text, 9)
-        self.sidecar.put(message.ConfigFetch(1))
+        self.sidecar.send(message.ConfigFetch(1))
         reply = message.ConfigReply(9, self.holder.document)
         await self.until(lambda: reply in self.received)
         waiting = asyncio.create_task(peer.fetch_config(9))
@@ -326,7 +326,7 @@
         async def stay_busy():
             while True:
                 peer.send(message.Credit('r/1/1', 0, 0))
-                self.sidecar.put(fake.load())
+                self.sidecar.send(fake.load())
                 await asyncio.sleep(TIMING.idle_s / 10)
 
         busy = asyncio.create_task(stay_busy())
--- a/tests/quetzalsill_router/peer/test_resume.py
+++ b/tests/quetzalsill_router/peer/test_resume.py
@@ -34,7 +34,7 @@
         self.down = collections.deque()
         self._quiet = quiet
         self._inbox = asyncio.Queue()
-        sidecar.put = self.down.append
+        sidecar.send = self.down.append
 
     def send_nowait(self, msg):
         if self.closed:
--- a/tests/quetzalsill_router/peer/test_subset.py
+++ b/tests/quetzalsill_router/peer/test_subset.py
@@ -68,9 +68,9 @@
             cfg.upstreams[f'e{number}'] = model.Upstream(
                 'model', '127.0.0.1:1', 'dha-hall', models=['plan']
             )
-        first = subset.wanted('r', 'dha-hall', cfg, ())
+        first = subset.select_upstreams('r', 'dha-hall', cfg, ())
         passive = sorted(first)[:1]
-        second = subset.wanted('r', 'dha-hall', cfg, passive)
+        second = subset.select_upstreams('r', 'dha-hall', cfg, passive)
         self.assertLess(first, second)
         self.assertEqual(len(second), 3)
 
--- a/tests/quetzalsill_router/request/fake.py
+++ b/tests/quetzalsill_router/request/fake.py
@@ -50,7 +50,7 @@
         self.body_ended = asyncio.Event()
         self.cancelled = False
         self.detached = False
-        self.gave_up = False
+        self.expired = False
         self.withdrawn = asyncio.Event()
         self.closed = asyncio.Event()
         self.messages = asyncio.Queue()
@@ -114,7 +114,7 @@
     def __init__(self, *peers):
         self._peers = list(peers)
         self._count = 0
-        self.returning = False
+        self.reconnecting = False
 
     def next_attempt_id(self):
         self._count += 1
@@ -123,8 +123,8 @@
     def candidates(self, _use):
         return list(self._peers)
 
-    def is_returning(self, _use):
-        return self.returning
+    def is_reconnecting(self, _use):
+        return self.reconnecting
 
     def get(self, upstream):
         return next((p for p in self._peers if p.upstream == upstream), None)
--- a/tests/quetzalsill_router/request/test_attempts.py
+++ b/tests/quetzalsill_router/request/test_attempts.py
@@ -111,7 +111,7 @@
         """Returns the only peer, its context and a waiting request."""
         peer = fake.Peer('one', success(b'a'))
         ctx = fake.make_context(peer)
-        peer.linked, ctx.peers.returning = False, True
+        peer.linked, ctx.peers.reconnecting = False, True
         collecting = asyncio.create_task(collect(ctx, fake.make_work(ctx)))
         await asyncio.sleep(0.1)
         return peer, ctx, collecting
@@ -120,13 +120,13 @@
         """A request is refused while the link to its upstream reconnects."""
         peer, ctx, collecting = await self.wait_while_link_reconnects()
         self.assertFalse(collecting.done())
-        peer.linked, ctx.peers.returning = True, False
+        peer.linked, ctx.peers.reconnecting = True, False
         self.assertEqual(await collecting, [b'a'])
 
     async def test_wait_ends_once_the_only_link_cannot_reconnect(self):
         """A request waits for an upstream that is known to be down."""
         _, ctx, collecting = await self.wait_while_link_reconnects()
-        ctx.peers.returning = False
+        ctx.peers.reconnecting = False
         with self.assertRaises(request_error.NoUpstreamError) as caught:
             await collecting
         self.assertIs(caught.exception.ran, base.Ran.NO)
@@ -135,7 +135,7 @@
         """A request is refused too late to be sent to another router."""
         peer = fake.Peer('one')
         ctx = fake.make_context(peer)
-        peer.linked, ctx.peers.returning = False, True
+        peer.linked, ctx.peers.reconnecting = False, True
         work = fake.make_work(ctx, deadline_s=1.0)
         with self.assertRaises(request_error.NoUpstreamError):
             await collect(ctx, work)
