--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecars that a router is linked to."""
+"""Links from a router to its sidecars, and the attempts sent on them."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request, seen from the router."""
+"""One attempt of a request, as the router sees it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Owner(Protocol):
-    """What an attempt needs of its peer.
+    """The interface of the peer that an attempt uses.
 
     Attributes:
       incarnation: Incarnation of the sidecar at the other end of the link.
@@ -28,7 +28,7 @@
     incarnation: int
 
     def send(self, msg: message.Message) -> bool:
-        """Sends a message if there is a link; False if there is none."""
+        """Sends a message; returns False if there is no link."""
 
     def send_or_defer(self, msg: message.Message) -> None:
         """Sends a message now, or on the next link to this incarnation."""
@@ -37,33 +37,33 @@
         """Sends a message and waits while the link is congested."""
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Takes the attempt off the peer."""
+        """Removes the attempt from the peer."""
 
 
 class Attempt:
-    """Gives the answer of one attempt, whatever happens to its link.
+    """Receives the answer of one attempt, across lost links.
 
-    `receive` gives each item once and in order, and one terminal message:
-    Refused, Withdrawn, Finished or Failed. The methods for the peer (`handle`,
-    `on_link_up`, `on_link_lost`, `expire`) are not for the request.
+    `receive` returns each item once and in order, and one terminal message:
+    Refused, Withdrawn, Finished or Failed. Only the peer calls `handle`,
+    `on_link_up`, `on_link_lost` and `expire`.
 
     Attributes:
       id: Id of the attempt.
       dispatch: Message that opened it.
       started: The work is known to have reached the upstream.
-      next_seq: Items received so far.
+      next_seq: Number of items received so far.
     """
 
     def __init__(
         self, dispatch: message.Dispatch, owner: Owner, recover_s: float
     ) -> None:
-        """Makes an attempt that the peer is about to dispatch.
+        """Initializes an attempt that the peer is about to dispatch.
 
         Args:
           dispatch: Message that opens it.
           owner: The peer.
-          recover_s: Seconds without a link, or without an answer of a new
-            sidecar, after which the outcome is given as unknown.
+          recover_s: Seconds without a link, or without a response from a new
+            sidecar, after which the outcome is reported as unknown.
         """
         self.id = dispatch.attempt
         self.dispatch = dispatch
@@ -85,17 +85,17 @@
         self._needs_ack = False
         self._timer: asyncio.TimerHandle | None = None
         # Bounded by the credit that the request grants: a sidecar that sends
-        # more than that breaks the protocol.
+        # more violates the protocol.
         self._inbox: asyncio.Queue[message.Message] = asyncio.Queue()
         if self._recovering:
             self._start_timer()
 
     async def receive(self) -> message.Message:
-        """Gives the next message of the answer; the terminal one for ever.
+        """Returns the next message; after the end always the terminal one.
 
         Started may be missing before the first item, if it was lost with a
-        link. Running answers `withdraw`, unless Started or an item came
-        first, which say the same.
+        link. Running is the response to `withdraw`, unless Started or an item
+        was received first, which mean the same.
         """
         if self._terminal is not None and self._inbox.empty():
             return self._terminal
@@ -105,27 +105,27 @@
         """Acknowledges the items below `seq` and permits `items` more."""
         self._credit_limit += items
         self._acknowledged = max(self._acknowledged, seq)
-        # A grant that is lost with its link is part of the next Resume.
+        # A grant that is lost with its link is included in the next Resume.
         self._owner.send(message.Credit(self.id, seq, items))
 
     async def send_body(self, data: bytes, last: bool) -> None:
-        """Sends a further piece of a call's body, as the sidecar takes it.
+        """Sends a further piece of a call's body, with flow control.
 
         Raises:
           wire_error.LinkClosedError: The link that carries the body is
-            gone, or the attempt has ended; the answer tells what became of
-            the call.
+            lost, or the attempt has ended; the terminal message reports the
+            outcome of the call.
         """
         async for piece in self._body.pieces(data, last):
             await self._owner.send_body(piece)
 
     @property
     def expired(self) -> bool:
-        """It ended here, without a word of the sidecar on its outcome."""
+        """Whether it ended before the sidecar reported its outcome."""
         return self._expired
 
     def withdraw(self) -> None:
-        """Asks that the attempt never start; gives Withdrawn or Running."""
+        """Requests that it not be started; yields Withdrawn or Running."""
         if self._terminal is not None:
             return
         self._withdrawing = True
@@ -133,7 +133,7 @@
             self._owner.send(message.Withdraw(self.id))
 
     def cancel(self) -> None:
-        """Stops the work; the terminal message tells whether it ran."""
+        """Stops the work; the terminal message reports whether it ran."""
         if self._terminal is not None:
             if self._expired:
                 self._owner.send_or_defer(message.Cancel(self.id))
@@ -143,7 +143,7 @@
             self._owner.send(message.Cancel(self.id))
 
     def close(self) -> None:
-        """Ends the interest in the answer: acknowledges or cancels it."""
+        """Closes the attempt: acknowledges the answer or cancels the work."""
         if self._closed:
             return
         self._closed = True
@@ -154,7 +154,7 @@
         self._start_timer()
 
     def detach(self) -> None:
-        """Ends the interest without a word: another router has the run."""
+        """Closes the attempt without a message: another router has the run."""
         self._closed = True
         self._stop_timer()
         self._owner.remove_attempt(self)
@@ -164,10 +164,10 @@
         self._finish(message.Refused(self.id, code, detail, 0))
 
     def handle(self, msg: message.Message) -> bool:
-        """Takes a message of the link; False if it is of no use.
+        """Handles a message from the link; returns False if it is redundant.
 
         Raises:
-          wire_error.ProtocolError: It cannot follow what came before.
+          wire_error.ProtocolError: It is invalid after earlier messages.
         """
         if self._terminal is not None:
             return False
@@ -178,10 +178,10 @@
         return handled
 
     def on_link_up(self, *, same: bool) -> None:
-        """Takes the attempt up on a new link.
+        """Resumes or recovers the attempt on a new link.
 
         Args:
-          same: The sidecar is the one that the last link went to.
+          same: The sidecar is the same incarnation as on the last link.
         """
         if self._terminal is not None:
             return
@@ -191,10 +191,10 @@
         if self.dispatch.kind == kind.CALL and not same:
             self._fail_call()
             return
-        # A sidecar that may have the Dispatch of the last link goes back to
-        # the first item not acknowledged and counts the credit from there;
-        # one that has not counts it from 0. The smaller credit is safe with
-        # both, and a Resume sets it right once an item shows where it is.
+        # A sidecar that received the Dispatch on the last link rewinds to the
+        # first unacknowledged item and counts the credit from there; one that
+        # did not counts it from 0. The smaller credit is safe in both cases,
+        # and a Resume corrects it once an item shows the position.
         again = self._recovering and same
         credit = (
             self._credit_limit - self._acknowledged
@@ -206,13 +206,13 @@
         self._owner.send(self._recover_dispatch(credit))
 
     def on_link_lost(self) -> None:
-        """Starts the time within which the attempt must be handled up."""
+        """Starts the timer within which the attempt must be recovered."""
         self._body.abort()
         if self._terminal is None:
             self._start_timer()
 
     def expire(self) -> None:
-        """Gives up: what became of the attempt can't be learnt in time."""
+        """Ends the attempt: its outcome could not be determined in time."""
         if self._terminal is None:
             self._expired = True
             self._finish(
@@ -231,7 +231,7 @@
         self._send_resume()
         if self._withdrawing:
             self._owner.send(message.Withdraw(self.id))
-        # The rest of a body can't follow on another link.
+        # The rest of a body can't be sent on another link.
         if self._cancelling or self._body.incomplete:
             self._owner.send(message.Cancel(self.id))
 
@@ -240,7 +240,7 @@
         self._owner.send(message.Resume(self.id, seq, self._credit_limit - seq))
 
     def _fail_call(self) -> None:
-        """Ends a call whose sidecar is gone; nothing keeps its answer."""
+        """Ends a call whose sidecar was lost, and its answer with it."""
         if self._head_received:
             self._fail('the sidecar was lost', gone=self.dispatch.idempotent)
         else:
@@ -256,15 +256,15 @@
         )
 
     def _finish_recovery(self) -> None:
-        """The new sidecar has answered and knows the attempt from now on."""
+        """Completes the recovery: the new sidecar has the attempt now."""
         self._recovering = False
         if self._terminal is not None:
             return
         if not self._closed:
             self._stop_timer()
-        # Withdraw and Cancel wait for this moment: before, the sidecar could
-        # take the attempt for one that is still queued, and answer "not run"
-        # while the engine runs it. What has started can't be withdrawn.
+        # Withdraw and Cancel are not sent before this point: the sidecar could
+        # take the attempt for a queued one and report "not run" while the
+        # engine runs it. Work that has started can't be withdrawn.
         if self._cancelling:
             self._owner.send(message.Cancel(self.id))
 
@@ -294,7 +294,7 @@
         end = msg.seq + len(msg.items)
         if not 0 <= msg.seq <= self.next_seq:
             raise wire_error.ProtocolError(
-                f'{self.id}: item {msg.seq} instead of {self.next_seq}'
+                f'{self.id}: received item {msg.seq}, expected {self.next_seq}'
             )
         if end > self._credit_limit:
             raise wire_error.ProtocolError(
@@ -319,7 +319,7 @@
                 f'{self.id}: ended at {msg.seq}, received {self.next_seq}'
             )
         if msg.seq < self.next_seq:
-            return self._fail('the answer is shorter than what was received')
+            return self._fail('the answer is shorter than the items received')
         return self._finish(msg, acknowledge=True)
 
     def _on_failed(self, msg: message.Failed) -> bool:
@@ -328,8 +328,8 @@
         return self._finish(msg, acknowledge=True)
 
     def _on_not_run(self, msg: message.Refused | message.Withdrawn) -> bool:
-        # What has started can't be "not run" any more. An engine that lost
-        # it says so to the sidecar that asks for it in a recover.
+        # Work that has started can't be "not run" any more. During a recovery
+        # the refusal means that the engine has lost the work.
         if self.started:
             return self._fail('the work was lost', gone=self._recovering)
         return self._finish(msg)
@@ -337,8 +337,8 @@
     def _fail(self, detail: str, *, gone: bool = False) -> bool:
         code, ran = request_error.UpstreamFailedError.code, base.Ran.YES
         if self.dispatch.kind == kind.CALL and not self._head_received:
-            # Started says of a call that it was sent; that it was handled only
-            # its answer says.
+            # For a call, Started only means that it was sent; only its
+            # response shows that it was accepted.
             code, ran = request_error.OutcomeUnknownError.code, base.Ran.UNKNOWN
         return self._finish(message.Failed(self.id, code, detail, ran, gone))
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/backoff.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts to reach a peer."""
+"""Backoff delays between attempts to connect to a peer."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ) -> Iterator[float]:
     """Yields delays in seconds, without end.
 
-    Each is drawn evenly from below a ceiling that doubles up to `max_s`, so
-    that the routers of a fleet don't come back to a sidecar all at once.
+    Each is drawn uniformly from 0 to a ceiling that doubles up to `max_s`, so
+    that the routers of a fleet don't all reconnect to a sidecar at once.
     """
     ceiling = initial_s
     while True:
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/config_fetch.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/config_fetch.py
@@ -1,4 +1,4 @@
-"""Configuration asked for over a link."""
+"""Fetches the configuration over a link."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class ConfigFetcher:
-    """Asks a sidecar for its configuration."""
+    """Requests the configuration of a sidecar."""
 
     def __init__(self, send: Callable[[message.Message], bool]) -> None:
-        """Starts with nobody waiting.
+        """Initializes the fetcher without pending requests.
 
         Args:
-          send: Sends a message if there is a link; False if there is none.
+          send: Sends a message; returns False if there is no link.
         """
         self._send = send
         self._pending: list[asyncio.Future[message.ConfigReply]] = []
 
     async def fetch(self, revision: int) -> message.ConfigReply:
-        """Gets the sidecar's configuration if newer than `revision`.
+        """Returns the sidecar's configuration if newer than `revision`.
 
         Raises:
           error.ConfigFetchError: There is no link, or it ended, or no newer
-            configuration came within `FETCH_S`.
+            configuration was received within `FETCH_TIMEOUT_S`.
         """
         if not self._send(message.ConfigFetch(revision)):
             raise error.ConfigFetchError('no link')
@@ -44,18 +44,18 @@
                 return await fut
         except TimeoutError as exc:
             raise error.ConfigFetchError(
-                f'none within {FETCH_TIMEOUT_S} s'
+                f'no configuration within {FETCH_TIMEOUT_S} s'
             ) from exc
         finally:
             self._pending.remove(fut)
 
     def resolve(self, reply: message.ConfigReply) -> None:
-        """Hands a reply to all who wait."""
+        """Resolves all pending fetches with a reply."""
         for fut in self._unresolved():
             fut.set_result(reply)
 
     def fail(self) -> None:
-        """Tells all who wait that the link has ended."""
+        """Fails all pending fetches because the link has ended."""
         for fut in self._unresolved():
             fut.set_exception(error.ConfigFetchError('the link ended'))
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
@@ -1,4 +1,4 @@
-"""Dials one sidecar at the addresses that are known of it."""
+"""Dials one sidecar at its known addresses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Dialer:
-    """Makes the links to one sidecar, one address after the other."""
+    """Opens links to one sidecar, trying its addresses in turn."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         host_entry: host_list_entry.HostListEntry,
         connect: Connect,
     ) -> None:
-        """Prepares; `dial` connects.
+        """Initializes the dialer; `dial` connects.
 
         Args:
           upstream: Name of the upstream.
-          address: IP:PORT of the sidecar after the configuration.
-          host_entry: What the host list says of the upstream.
+          address: IP:PORT of the sidecar in the configuration.
+          host_entry: The upstream's entry in the host list.
           connect: Dials host and port.
         """
         self._upstream = upstream
@@ -47,7 +47,7 @@
         self.handshake_timed_out = False
 
     async def dial(self) -> link.Link | None:
-        """Dials the next address; None if the sidecar isn't reached there."""
+        """Dials the next address; returns None if that fails."""
         address = next(self._addresses)
         try:
             conn = await self._dial(address)
@@ -63,8 +63,8 @@
     def _alternate_addresses(self) -> Iterator[str]:
         """Yields the address to dial next.
 
-        A replaced host is in the host list before the configuration has its
-        new address, or the other way round, so both are tried in turn.
+        After a host is replaced, either the host list or the configuration
+        has its new address first, so both are tried in turn.
         """
         while True:
             yield self._address
@@ -74,7 +74,8 @@
     async def _dial(self, address: str) -> link.Link:
         host, _, port = address.rpartition(':')
         conn = await self._connect(host, int(port))
-        # An IP number goes to another host when a host is replaced.
+        # When a host is replaced, its IP address may be reassigned to the
+        # host of another upstream.
         if conn.peer.upstream != self._upstream:
             exc = wire_error.ProtocolError(
                 f'{address} belongs to {conn.peer.upstream}'
@@ -84,7 +85,7 @@
         return conn
 
     def _log_unreachable(self, address: str, exc: wire_error.WireError) -> None:
-        """Logs the first failure since the last link, and no repetition."""
+        """Logs the first failure since the last link, but no later ones."""
         if not self._unreachable:
             event.note(
                 event.PeerUnreachable(
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/error.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/error.py
@@ -1,4 +1,4 @@
-"""Failures between a router and one of its peers."""
+"""Errors between a router and one of its peers."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 class ConfigFetchError(base.QuetzalsillError):
-    """A peer gave no configuration in time."""
+    """A peer did not return a newer configuration in time."""
 
     code = 'config_fetch_failed'
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/host_list_entry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/host_list_entry.py
@@ -1,4 +1,4 @@
-"""What the host list says of one upstream."""
+"""Entry of the host list for one upstream."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class HostListEntry:
-    """The newest word of the host list, which lags.
+    """The latest entry of the host list, which may lag behind.
 
     Attributes:
-      address: IP:PORT of the sidecar; empty if the list does not name it.
+      address: IP:PORT of the sidecar; empty if it is not listed.
     """
 
     def __init__(self) -> None:
@@ -21,15 +21,15 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the host that is linked now is listed as leaving."""
+        """Whether the currently linked host is listed as leaving."""
         return self._state == LEAVING and not self._is_outdated
 
     def update(self, state: str, address: str) -> bool:
-        """Takes what the list says now; True if that is news.
+        """Updates the entry; returns whether it has changed.
 
         Args:
-          state: `live` or `leaving`; empty if it does not name the upstream.
-          address: IP:PORT of the sidecar; empty if not named.
+          state: `live` or `leaving`; empty if the upstream is not listed.
+          address: IP:PORT of the sidecar; empty if it is not listed.
         """
         if state != self._state:
             self._is_outdated = False
@@ -39,9 +39,9 @@
         return is_changed
 
     def mark_outdated(self) -> None:
-        """Notes that another sidecar has been linked just now.
+        """Marks the state as outdated when a different sidecar is linked.
 
-        What was said so far may be said of a host that was replaced since;
-        the new one would get no work for as long as the list lags.
+        The state may be that of a host that was replaced since. Otherwise
+        the new host would get no work until the list is updated.
         """
         self._is_outdated = True
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
@@ -1,4 +1,4 @@
-"""One sidecar, and the link to it."""
+"""A sidecar and the link to it."""
 
 from __future__ import annotations
 
@@ -42,25 +42,25 @@
 
 LEAVING = request_error.UpstreamLeavingError.code
 MAX_DEFERRED_MESSAGES = 10_000
-# For so long a link that has ended is hoped for: a dial that is slow, and one
-# more. A caller that is refused comes back later than that.
+# Time for which a lost link is expected to be re-established: one slow dial and
+# a second one. A caller that is refused retries later than that.
 RECONNECT_GRACE_S = 3.0
-# A link that lasted this long was no fault of the dial, so that the next one
-# follows at once: callers wait with nothing arriving meanwhile.
+# A link that lasted this long was established properly, so the backoff is reset
+# and the next dial follows soon: callers are waiting for their answers.
 STABLE_LINK_S = 1.0
 
 
 class Peer:
-    """Keeps a link to one sidecar and the attempts open there.
+    """Maintains the link to one sidecar and the attempts open on it.
 
     Attributes:
       upstream: Name of the upstream.
       availability_zone: Its availability zone.
-      address: IP:PORT of the sidecar after the configuration.
-      status: What this incarnation of the sidecar has said.
-      revision: Highest revision that this incarnation has named.
-      dropped: Messages thrown away because their attempt was unknown,
-        superseded, or had them already.
+      address: IP:PORT of the sidecar in the configuration.
+      status: Status reported by this incarnation of the sidecar.
+      revision: Highest revision that this incarnation has reported.
+      dropped: Number of messages dropped because their attempt was unknown
+        or superseded, or because they were duplicates.
     """
 
     def __init__(
@@ -72,15 +72,15 @@
         recover_s: float,
         on_revision: Callable[[int, Peer], None],
     ) -> None:
-        """Makes a peer; `run` links it.
+        """Initializes a peer; `run` links it.
 
         Args:
           upstream: Name of the upstream.
-          spec: What the configuration says of it.
+          spec: Its entry in the configuration.
           connect: Dials host and port for this peer.
-          holder: Configuration in force.
+          holder: Holder of the current configuration.
           recover_s: See `Attempt`.
-          on_revision: Called with a revision higher than the one in force.
+          on_revision: Called with a revision newer than the current one.
         """
         self.upstream = upstream
         self.availability_zone = spec.availability_zone
@@ -101,13 +101,15 @@
         self._on_revision = on_revision
         self._link: link.Link | None = None
         self._attempts: dict[str, peer_attempt.Attempt] = {}
-        # Sidecars forget tails by themselves, so that the oldest may be lost.
+        # The oldest messages may be dropped: sidecars expire buffered answers
+        # that are not acknowledged.
         self._deferred: collections.deque[message.Message] = collections.deque(
             maxlen=MAX_DEFERRED_MESSAGES
         )
         self._config_fetcher = config_fetch.ConfigFetcher(self.send)
         self._retired = False
-        # When the link ended; None if it did not, or nobody is there.
+        # Time at which the link ended; None if it never did, or if a dial was
+        # refused since.
         self._disconnected_at: float | None = None
         self._wake = asyncio.Event()
 
@@ -123,20 +125,20 @@
 
     @property
     def load(self) -> message.Load | None:
-        """Newest Load of this incarnation; None before the first."""
+        """Latest Load of this incarnation; None before the first."""
         return self.status.load
 
     @property
     def linked(self) -> bool:
-        """Whether there is a link now."""
+        """Whether the link is up."""
         return self._link is not None and not self._link.closed
 
     @property
     def leaving(self) -> bool:
-        """Whether the upstream takes no new work.
+        """Whether the upstream accepts no new work.
 
-        A host may leave without a word of its sidecar, when only the host
-        list says so.
+        A host may leave without its sidecar reporting it; then only the host
+        list has the state.
         """
         if self._retired or self._spec.draining or self.status.going_away:
             return True
@@ -144,12 +146,12 @@
 
     @property
     def outstanding(self) -> int:
-        """Attempts open at this sidecar."""
+        """Number of attempts open at this sidecar."""
         return len(self._attempts)
 
     @property
     def retired(self) -> bool:
-        """Whether the peer ends with its last attempt."""
+        """Whether the peer closes after its last attempt."""
         return self._retired
 
     def serves(self, name: str) -> bool:
@@ -157,9 +159,10 @@
         return self.linked and self._accepts_work_for(name)
 
     def is_reconnecting(self, name: str) -> bool:
-        """Whether the link ended just now, and the next may take new work.
+        """Whether the link was lost recently and is expected to return.
 
-        Not if a dial has been refused since, by which the sidecar is gone.
+        False if a dial was refused since, which means that the sidecar is
+        down.
         """
         if (
             self.linked
@@ -173,7 +176,7 @@
         )
 
     def _accepts_work_for(self, name: str) -> bool:
-        """Whether the upstream takes work for a model or service."""
+        """Whether the upstream accepts work for a model or service."""
         if self.leaving:
             return False
         if name in self._spec.services:
@@ -181,15 +184,16 @@
         return name in self._spec.models and self.status.has_loaded(name)
 
     def open(self, dispatch: message.Dispatch) -> peer_attempt.Attempt:
-        """Sends a Dispatch and gives the attempt.
+        """Sends a Dispatch and returns the attempt.
 
-        If it can't be written to a link, the attempt answers Refused at
+        If it can't be written to a link, the attempt ends with Refused at
         once: it has not run and never will.
         """
         attempt = peer_attempt.Attempt(dispatch, self, self._recover_s)
         self._attempts[attempt.id] = attempt
         if self.status.going_away and not dispatch.recover:
-            # Chosen before its word came, by whose echo it may exit.
+            # Selected before the GoAway arrived. The sidecar may exit as soon
+            # as this router's echo confirms the GoAway.
             attempt.refuse(LEAVING, 'going away')
             return attempt
         try:
@@ -209,23 +213,23 @@
         return attempt
 
     async def fetch_config(self, revision: int) -> message.ConfigReply:
-        """Gets the sidecar's configuration if newer than `revision`.
+        """Returns the sidecar's configuration if newer than `revision`.
 
         Raises:
           error.ConfigFetchError: There is no link, or no newer configuration
-            came in time.
+            was received in time.
         """
         return await self._config_fetcher.fetch(revision)
 
     def update(self, spec: model.Upstream, state: str, address: str) -> None:
-        """Takes what the configuration says now, and the host list."""
+        """Updates the peer from the configuration and the host list."""
         if self._host_entry.update(state, address):
             self._wake.set()
         self._spec = spec
         self.availability_zone = spec.availability_zone
 
     def retire(self) -> None:
-        """Takes no new work; the link is closed with the last attempt."""
+        """Stops accepting work; the link closes after the last attempt."""
         self._retired = True
         self._close_if_done()
 
@@ -234,7 +238,7 @@
         self._retired = False
 
     async def run(self) -> None:
-        """Links and links again until retired and out of attempts."""
+        """Links and relinks until retired and without attempts."""
         delays = backoff.delays()
         clock = asyncio.get_running_loop().time
         try:
@@ -254,7 +258,7 @@
                 attempt.expire()
 
     def send(self, msg: message.Message) -> bool:
-        """Sends a message if there is a link; False if there is none.
+        """Sends a message; returns False if there is no link.
 
         Raises:
           wire_error.MalformedFrameError: A field cannot be encoded.
@@ -274,7 +278,7 @@
             self._deferred.append(msg)
 
     def send_go_away(self, reason: str) -> None:
-        """Tells the sidecar not to wait for this router when the link ends."""
+        """Tells the sidecar that this router won't reconnect."""
         self.send(message.GoAway(reason))
 
     async def send_body(self, msg: message.Body) -> None:
@@ -288,7 +292,7 @@
         await self._link.send(msg)
 
     def remove_attempt(self, attempt: peer_attempt.Attempt) -> None:
-        """Takes an attempt off the peer."""
+        """Removes an attempt from the peer."""
         self._attempts.pop(attempt.id, None)
         self._close_if_done()
 
@@ -335,10 +339,10 @@
             self._config_fetcher.fail()
 
     def _adopt(self, welcome: message.Welcome) -> None:
-        """Takes up the attempts, on the same sidecar or on a new one."""
+        """Resumes attempts on the same sidecar, recovers them on a new one."""
         same = welcome.incarnation == self.incarnation
         if not same:
-            # Nothing that is known of the old one holds for the new one.
+            # The status of the old incarnation does not apply to the new one.
             self.status = sidecar_status.SidecarStatus(welcome.incarnation)
             self.revision = 0
             self._deferred.clear()
@@ -386,12 +390,12 @@
             return
         self.dropped += 1
         dropped_total.inc({'upstream': self.upstream})
-        # A sidecar keeps the end of an answer until somebody acknowledges it.
+        # A sidecar keeps the end of an answer until it is acknowledged.
         if attempt is None and type(msg) in (message.Finished, message.Failed):
             self.send(message.Ack(msg.attempt))
 
     def record_revision(self, revision: int) -> None:
-        """Takes a revision that the sidecar has named."""
+        """Records a revision that the sidecar has reported."""
         self.revision = max(self.revision, revision)
         if revision > self._holder.revision:
             self._on_revision(revision, self)
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
@@ -1,4 +1,4 @@
-"""All sidecars that a router is linked to."""
+"""The set of sidecars that a router is linked to."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 def _ignore_revision(revision: int, peer: peer_module.Peer) -> None:
-    """Default of `on_revision`."""
+    """Does nothing; the default of `on_revision`."""
 
 
 class Peers:
-    """Keeps one `Peer` for each upstream of the router's subset."""
+    """Maintains one `Peer` for each upstream in the router's subset."""
 
     def __init__(
         self,
@@ -49,21 +49,21 @@
         recover_s: float = RECOVER_S,
         on_revision: Callable[[int, peer_module.Peer], None] | None = None,
     ) -> None:
-        """Makes an empty set; `reconcile` fills it.
+        """Initializes an empty set; `reconcile` fills it.
 
         Args:
           node: Name and availability zone of the router.
-          incarnation: Number of this run of the router.
-          credential: Credential of the fleet's links.
-          holder: Configuration in force.
-          timing: Bounds of links.
-          tls: Context of encrypted links, or a function that gives it for
-            each dial, so that replaced certificates are used; None for
-            plain ones.
-          recover_s: Seconds without a link, or without an answer of a new
-            sidecar, after which an attempt's outcome is given as unknown.
-          on_revision: Called with a revision higher than the one in force
-            and the peer that named it.
+          incarnation: Number of this start of the router.
+          credential: Credential for the fleet's links.
+          holder: Holder of the current configuration.
+          timing: Timeouts of links.
+          tls: Context for encrypted links, or a function that returns it for
+            each dial, so that renewed certificates are used; None for
+            unencrypted links.
+          recover_s: Seconds without a link, or without a response from a new
+            sidecar, after which an attempt's outcome is reported as unknown.
+          on_revision: Called with a revision newer than the current one and
+            the peer that reported it.
         """
         self._node = node
         self._incarnation = incarnation
@@ -82,7 +82,7 @@
         holder.on_change(self._broadcast_revision)
 
     def next_attempt_id(self) -> str:
-        """Gives an id that no attempt of any router has had."""
+        """Returns an attempt id that is unique across all routers."""
         return f'{self._node.name}/{self._incarnation}/{next(self._counter)}'
 
     def reconcile(
@@ -90,12 +90,12 @@
         cfg: model.Configuration,
         hosts: Iterable[platform_hosts.Host] | None,
     ) -> None:
-        """Brings the peers to what configuration and host list say.
+        """Reconciles the peers with the configuration and the host list.
 
         Args:
-          cfg: Configuration in force; it alone says which upstreams exist.
-          hosts: The host list, a hint that lags; None while it is down,
-            when what was known goes on.
+          cfg: Current configuration; it alone defines which upstreams exist.
+          hosts: The host list, a hint that may lag; None if it is
+            unavailable, then the previous list stays in use.
         """
         if hosts is not None:
             self._hosts = {
@@ -114,7 +114,7 @@
         self._peers_by_target = self._index_by_target(cfg)
 
     def candidates(self, model_or_service: str) -> list[peer_module.Peer]:
-        """Gives the peers that may get new work for a model or service."""
+        """Returns the peers that accept new work for a model or service."""
         return [
             peer
             for peer in self._peers_by_target.get(model_or_service, ())
@@ -122,18 +122,18 @@
         ]
 
     def is_reconnecting(self, model_or_service: str) -> bool:
-        """Whether a peer that serves it is dialed again after a lost link."""
+        """Whether a peer that serves it is reconnecting after a lost link."""
         return any(
             peer.is_reconnecting(model_or_service)
             for peer in self._peers_by_target.get(model_or_service, ())
         )
 
     def peers(self) -> list[peer_module.Peer]:
-        """Gives all peers, linked or not, in order of their names."""
+        """Returns all peers, linked or not, sorted by name."""
         return [self._peers[name] for name in sorted(self._peers)]
 
     def get(self, upstream: str) -> peer_module.Peer | None:
-        """Gives the peer of an upstream; None if it is not in the subset."""
+        """Returns the peer of an upstream; None if it is not in the subset."""
         return self._peers.get(upstream)
 
     async def stop(self) -> None:
@@ -146,10 +146,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _broadcast_revision(self, cfg: model.Configuration) -> None:
-        """Tells every sidecar of a new revision at once.
+        """Sends a new revision to every sidecar at once.
 
-        A link that is never idle sends no heartbeat of its own, so that a
-        sidecar under steady load would go on under the old revision.
+        Revisions are otherwise sent with heartbeats, and a link that is never
+        idle sends none. A sidecar under steady load would keep using the old
+        revision.
         """
         for peer in (*self._peers.values(), *self._retiring.values()):
             peer.send(message.Ping(0, cfg.revision))
@@ -168,7 +169,7 @@
 
     def _ensure_peer(self, name: str, spec: model.Upstream) -> None:
         peer = self._peers.get(name)
-        # A sidecar at another address is another one. Attempts open at the
+        # A different address means a different sidecar. Attempts open at the
         # old one end there.
         if peer is not None and peer.address != spec.sidecar:
             self._retire(name)
@@ -185,9 +186,9 @@
     def _reinstate(
         self, name: str, spec: model.Upstream
     ) -> peer_module.Peer | None:
-        """Takes back a peer that still ends its attempts, if it is the same.
+        """Reuses a retiring peer that still has attempts, if it is the same.
 
-        A second link to one sidecar would split what is known of it.
+        A second link to one sidecar would split its state.
         """
         peer = self._retiring.get(name)
         if peer is None or peer.address != spec.sidecar:
@@ -220,7 +221,7 @@
             del self._retiring[peer.upstream]
         if task.cancelled():
             return
-        # The next reconcile makes a new one, should it be wanted after all.
+        # The next `reconcile` creates a new one if it is still needed.
         if self._peers.get(peer.upstream) is peer:
             del self._peers[peer.upstream]
         if task.exception() is not None:
@@ -264,5 +265,5 @@
         )
 
     def _heartbeat_factor(self, peer: peer_module.Peer) -> float:
-        """Factor of the heartbeats of a link; none while it carries work."""
+        """Returns the heartbeat interval factor; 1 while work is open."""
         return 1.0 if peer.outstanding else pace.dialled(len(self._peers))
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/sidecar_status.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/sidecar_status.py
@@ -1,4 +1,4 @@
-"""What is known of a sidecar from its own mouth."""
+"""Status that a sidecar has reported about itself."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(slots=True)
 class SidecarStatus:
-    """What one incarnation of a sidecar has said.
+    """Status reported by one incarnation of a sidecar.
 
     Attributes:
       incarnation: Incarnation of the sidecar; 0 before the first link.
-      load: Newest Load; None before the first.
-      leaving: It said that it is leaving, and no later Load denied that.
-      going_away: It said that it is stopping, which is final.
+      load: Latest Load; None before the first.
+      leaving: It reported that it is leaving; a later Load may reset this.
+      going_away: It reported that it is stopping, which is final.
     """
 
     incarnation: int = 0
@@ -28,17 +28,17 @@
     going_away: bool = False
 
     def update_load(self, load: message.Load) -> None:
-        """Takes a newer Load."""
+        """Stores a newer Load."""
         self.load = load
         self.leaving = load.leaving
 
     def has_loaded(self, model: str) -> bool:
-        """Whether the model is loaded and its engine answers."""
+        """Whether the model is loaded and its engine is healthy."""
         return self.healthy and model in self.load.models
 
     @property
     def healthy(self) -> bool:
-        """Whether the upstream is known to answer."""
+        """Whether the upstream is known to be healthy."""
         return self.load is not None and self.load.healthy
 
     @property
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/subset.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/subset.py
@@ -1,9 +1,9 @@
-"""Which upstreams of a model a router keeps links to.
+"""Selects the upstreams that a router keeps links to.
 
-A link from every router to every sidecar costs too much in a large fleet.
-Each router keeps a few upstreams of each model, chosen by rendezvous hashing:
-routers need not agree on anything, each upstream is chosen by about equally
-many, and an upstream that comes or goes changes at most one other choice.
+A full mesh of routers and sidecars is too expensive in a large fleet. Each
+router keeps links to a few upstreams of each model, chosen by rendezvous
+hashing: routers need no coordination, the upstreams are chosen about equally
+often, and adding or removing an upstream changes at most one other choice.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 __all__ = ['choose', 'select_upstreams']
 
-# Part of a subset kept outside the own availability zone, for when the
-# zone's upstreams fail together.
+# One in this many upstreams of a subset is outside the router's availability
+# zone, in case all upstreams of the zone fail together.
 REMOTE_PART = 4
 
 
@@ -31,15 +31,15 @@
 ) -> set[str]:
     """Chooses upstreams for a router.
 
-    Most are of the router's own availability zone, the others are spread
-    over the other zones. Adding or removing one upstream changes the choice
-    by at most that upstream and one other.
+    Most are in the router's own availability zone; the others are spread over
+    the other zones. Adding or removing one upstream changes the choice by at
+    most that upstream and one other.
 
     Args:
       node: Name of the router.
       zone: Its availability zone.
-      zones: Availability zone of each upstream by its name.
-      size: Upstreams wanted.
+      zones: Availability zone of each upstream, by name.
+      size: Number of upstreams to choose.
     """
     ranked = sorted(zones, key=lambda name: _score(node, name))
     local = [name for name in ranked if zones[name] == zone]
@@ -56,15 +56,15 @@
 def select_upstreams(
     node: str, zone: str, cfg: model.Configuration, passive: Collection[str]
 ) -> set[str]:
-    """Gives all upstreams that a router should be linked to.
+    """Returns the names of all upstreams that a router should be linked to.
 
     Args:
       node: Name of the router.
       zone: Its availability zone.
-      cfg: Configuration in force.
-      passive: Upstreams that take no new work. They don't count towards
-        the size of a subset, but a link to them is kept, since it brings
-        them the configuration.
+      cfg: Current configuration.
+      passive: Upstreams that accept no new work. They don't count towards
+        the size of a subset, but links to them are kept, since they carry
+        the configuration.
     """
     chosen: set[str] = set()
     for names in _group_by_target(cfg).values():
@@ -79,7 +79,7 @@
 
 
 def _group_by_target(cfg: model.Configuration) -> Mapping[str, list[str]]:
-    """Groups upstreams by model or service; those of none are a group too."""
+    """Groups upstreams by model or service, or under `''` if without."""
     groups = collections.defaultdict(list)
     for name, upstream in cfg.upstreams.items():
         for target in (*upstream.models, *upstream.services) or ('',):
@@ -88,7 +88,7 @@
 
 
 def _interleave_zones(node: str, zones: Mapping[str, str]) -> Iterator[str]:
-    """Takes one upstream of each zone in turn."""
+    """Yields upstreams by taking one from each zone in turn."""
     by_zone = collections.defaultdict(list)
     for name, zone in zones.items():
         by_zone[zone].append(name)
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/upload.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/upload.py
@@ -1,4 +1,4 @@
-"""Request body of a call, sent as fast as the sidecar takes it."""
+"""Request body of a call, sent with flow control."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 __all__ = ['PIECE_BYTES', 'WINDOW_BYTES', 'Upload']
 
 PIECE_BYTES = 32768
-# The least that a sidecar may be set to keep of a body.
+# The minimum body buffer that a sidecar can be configured with.
 WINDOW_BYTES = 65536
 
 
 class Upload:
-    """Paces the pieces of one body.
+    """Flow control for the pieces of one body.
 
-    The sidecar acknowledges pieces by Credit, the one in the Dispatch among
-    them. A slow app server would otherwise fill the sidecar's memory, or hold
-    up all that shares the link.
+    The sidecar acknowledges each piece with Credit, including the one in the
+    Dispatch. Without it, a slow app server would fill the sidecar's memory or
+    stall all other traffic on the link.
     """
 
     def __init__(self, dispatch: message.Dispatch) -> None:
-        """Begins with the piece in the Dispatch."""
+        """Starts with the piece in the Dispatch."""
         self._attempt = dispatch.attempt
         self._open = dispatch.body_open
         self._aborted = False
@@ -40,16 +40,16 @@
 
     @property
     def incomplete(self) -> bool:
-        """The body was cut off before its last piece."""
+        """Whether the body was aborted before its last piece."""
         return self._open and self._aborted
 
     async def pieces(
         self, data: bytes, last: bool
     ) -> AsyncIterator[message.Body]:
-        """Yields the messages for `data`, each when there is room for it.
+        """Yields the messages for `data`, each once the window permits it.
 
         Raises:
-          wire_error.LinkClosedError: The body was cut off.
+          wire_error.LinkClosedError: The body was aborted.
         """
         for piece in _split_pieces(data):
             await self._wait_for_window(len(piece))
@@ -61,14 +61,14 @@
             yield message.Body(self._attempt, b'', True)
 
     def acknowledge(self, acknowledged: int) -> None:
-        """The sidecar has written `acknowledged` pieces to the app server."""
+        """Records that `acknowledged` pieces were written to the app server."""
         while self._acknowledged < acknowledged and self._unacknowledged:
             self._unacknowledged.popleft()
             self._acknowledged += 1
         self._changed.set()
 
     def abort(self) -> None:
-        """Nothing more can be sent: the link is lost or the call ended."""
+        """Aborts the body: the link is lost or the call has ended."""
         self._aborted = True
         self._changed.set()
 
@@ -84,7 +84,7 @@
 
     def _check_not_aborted(self) -> None:
         if self._aborted:
-            raise wire_error.LinkClosedError('the body was cut off')
+            raise wire_error.LinkClosedError('the request body was aborted')
 
 
 def _split_pieces(data: bytes) -> Iterator[bytes]:
