--- a/tests/quetzalsill_router/peer/test_peers.py
+++ b/tests/quetzalsill_router/peer/test_peers.py
@@ -116,7 +116,7 @@
                     self.assertIsInstance(msg, message.Started)
         return items, None
 
-    async def test_an_answer_survives_cut_and_silent_links(self):
+    async def test_answer_survives_cut_and_unresponsive_links(self):
         """A plan stops in the middle, or repeats some of its tokens.
 
         The link breaks after some tokens, and the next one falls silent
@@ -166,7 +166,7 @@
         items, _ = await self.read(attempt)
         self.assertEqual(len(items), TOTAL)
 
-    async def test_without_a_link_nothing_runs_and_nothing_waits(self):
+    async def test_attempt_without_a_link_is_refused_at_once(self):
         peer = await self.linked()
         self.relay.refusing = True
         self.relay.cut()
@@ -176,7 +176,7 @@
         _, end = await self.read(attempt, message.Refused)
         self.assertEqual(end.code, 'no_upstream')
 
-    async def test_a_link_that_ended_just_now_may_return(self):
+    async def test_peer_is_reconnecting_after_a_lost_link(self):
         """A query is refused although its server is a dial away."""
         peer = await self.linked()
         self.relay.silence()
@@ -187,7 +187,7 @@
         await self.until(lambda: peer.linked)
         self.assertFalse(self.peers.is_reconnecting(fake.MODEL))
 
-    async def test_a_dial_that_is_refused_ends_the_wait(self):
+    async def test_peer_is_not_reconnecting_after_a_refused_dial(self):
         """A query waits for a server that is known to be gone."""
         peer = await self.linked()
         self.relay.refusing = True
@@ -196,7 +196,7 @@
         await self.until(lambda: not self.peers.is_reconnecting(fake.MODEL))
         self.assertFalse(peer.linked)
 
-    async def test_a_sidecar_that_goes_away_is_not_waited_for(self):
+    async def test_peer_is_not_reconnecting_after_go_away(self):
         peer = await self.linked()
         self.sidecar.send(message.GoAway('stopping'))
         await self.until(lambda: peer.leaving)
@@ -236,7 +236,7 @@
         await self.until(lambda: peer.incarnation == 2)
         self.assertEqual(self.engine.runs, [attempt.id])
 
-    async def test_a_body_is_sent_as_it_is_taken(self):
+    async def test_body_is_sent_with_flow_control(self):
         peer = await self.linked()
         first = bytes(100)
         attempt = peer.open(
@@ -259,7 +259,7 @@
     def bodies(self):
         return [msg for msg in self.received if isinstance(msg, message.Body)]
 
-    async def test_what_a_sidecar_says_of_leaving(self):
+    async def test_leaving_as_reported_by_the_sidecar(self):
         peer = await self.linked()
         self.sidecar.send(message.Leaving('engine-1', 'reclaimed'))
         await self.until(lambda: not self.peers.candidates(fake.MODEL))
@@ -276,7 +276,7 @@
         await self.until(lambda: self.peers.candidates(fake.MODEL))
         self.assertEqual((peer.incarnation, peer.load.queued), (2, 0))
 
-    async def test_revision_of_a_replaced_sidecar_is_forgotten(self):
+    async def test_revision_of_a_replaced_sidecar_is_reset(self):
         """Operators see a revision in force that the new process lacks."""
         peer = await self.linked()
         self.sidecar.send(fake.load(revision=9))
@@ -315,7 +315,7 @@
         with self.assertRaises(error.ConfigFetchError):
             await waiting
 
-    async def test_a_busy_link_tells_of_a_new_revision(self):
+    async def test_busy_link_announces_a_new_revision(self):
         """An edit is not in force on an upstream as long as it has work.
 
         Tokens one way and credits the other leave no link idle, so that
--- a/tests/quetzalsill_router/peer/test_resume.py
+++ b/tests/quetzalsill_router/peer/test_resume.py
@@ -243,7 +243,7 @@
 ResumeTest = ResumeMachine.TestCase
 
 
-class OrderTest(unittest.TestCase):
+class EventSequenceTest(unittest.TestCase):
     """Single orders of events that are too rare to be left to chance."""
 
     def setUp(self):
@@ -290,7 +290,7 @@
         machine.router_reads(9)
         self.assertIs(machine.link, link)
 
-    def test_not_run_is_not_believed_of_a_restarted_engine(self):
+    def test_not_run_is_rejected_from_a_restarted_engine(self):
         """A caller is told "not run" and orders again; both orders come.
 
         The host dies after its engine began and before Started is out, and
@@ -304,7 +304,7 @@
         machine.engine.restart()
         machine.sidecar_restarts()
 
-    def test_credit_of_a_recover_that_was_never_seen(self):
+    def test_credit_of_a_recover_that_was_not_received(self):
         """An answer stops for good after its sidecar restarted.
 
         The link breaks before the new sidecar reads the Dispatch. It counts
@@ -327,7 +327,7 @@
         machine.caller_reads()
         self.assertEqual(machine.ends, [message.Withdrawn(machine.attempt.id)])
 
-    def test_not_run_after_started_is_not_believed(self):
+    def test_not_run_after_started_is_rejected(self):
         machine = self.machine
         machine.disturbed = True
         machine.all_go_on(False)
--- a/tests/quetzalsill_router/peer/test_with_sidecar.py
+++ b/tests/quetzalsill_router/peer/test_with_sidecar.py
@@ -51,7 +51,7 @@
         cfg = model.Configuration(upstreams={'ikeja-planner-1': spec})
         self.peers.reconcile(cfg, None)
         self.count = 0
-        self.grown = asyncio.Condition()
+        self.count_changed = asyncio.Condition()
 
     async def start_sidecar(self):
         self.sidecar = await self.stack.enter_async_context(
@@ -72,24 +72,24 @@
                 items += msg.items
                 end = msg.seq + len(msg.items)
                 attempt.grant(end, len(msg.items))
-                await self.grow(len(msg.items))
+                await self.count_items(len(msg.items))
             elif not isinstance(msg, message.Started):
                 self.assertIsInstance(msg, message.Finished, msg)
                 attempt.close()
                 return [json.loads(item) for item in items]
 
-    async def grow(self, count):
-        async with self.grown:
+    async def count_items(self, count):
+        async with self.count_changed:
             self.count += count
-            self.grown.notify_all()
+            self.count_changed.notify_all()
 
-    async def after(self, part):
+    async def wait_for_fraction(self, fraction):
         """Waits until that part of all tokens has arrived."""
-        goal = part * ATTEMPTS * TOKENS
-        async with self.grown:
-            await self.grown.wait_for(lambda: self.count >= goal)
+        goal = fraction * ATTEMPTS * TOKENS
+        async with self.count_changed:
+            await self.count_changed.wait_for(lambda: self.count >= goal)
 
-    async def disturb(self):
+    async def inject_faults(self):
         """Cut, silence each way, restart of the sidecar, twice over."""
         faults = (
             self.relay.cut,
@@ -98,7 +98,7 @@
             self.replace_sidecar,
         ) * 2
         for number, fault in enumerate(faults, start=1):
-            await self.after(number / (len(faults) + 1))
+            await self.wait_for_fraction(number / (len(faults) + 1))
             result = fault()
             if result is not None:
                 await result
@@ -121,7 +121,7 @@
             while not self.peers.candidates(support.MODEL):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.disturb())
+                group.create_task(self.inject_faults())
                 answers = [
                     group.create_task(self.run_attempt())
                     for _ in range(ATTEMPTS)
