--- a/tests/quetzalsill_router/peer/__init__.py
+++ b/tests/quetzalsill_router/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of quetzalsill_router.peer."""
--- a/tests/quetzalsill_router/peer/fake.py
+++ b/tests/quetzalsill_router/peer/fake.py
@@ -1,4 +1,4 @@
-"""A sidecar and its engine in a few lines, for tests of the router's end."""
+"""Fakes of a sidecar and its engine, for tests of the router's side."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """A generation; its items name it, so that a splice is seen."""
+    """A generation; items contain its number, so that mixing is detected."""
 
     generation: int
     total: int
@@ -47,7 +47,7 @@
 
 
 class Engine:
-    """Keeps its work while sidecars come and go."""
+    """Keeps its work across restarts of the sidecar."""
 
     def __init__(self, total):
         self.total = total
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SidecarAttempt:
-    """An attempt that the sidecar knows."""
+    """State of an attempt at the sidecar."""
 
     limit: int
     expected_engine: int = -1
@@ -81,7 +81,7 @@
 
 
 class FakeSidecar:
-    """One incarnation; `put` sends on the newest link."""
+    """One incarnation of a sidecar; `send` uses the latest link."""
 
     def __init__(self, incarnation, engine):
         self.incarnation = incarnation
@@ -207,7 +207,8 @@
 
     def _pump(self, attempt, state):
         work = state.work
-        # What the sidecar has read it keeps; the rest goes with the engine.
+        # The sidecar keeps the items it has read; the others are lost with
+        # the engine.
         lost = attempt not in self.engine.work
         cut = lost and work is not None and work.made < work.total
         if cut and state.terminal is None:
--- a/tests/quetzalsill_router/peer/test_peers.py
+++ b/tests/quetzalsill_router/peer/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of peers over real links, with a relay that makes them fail."""
+"""Tests of peers over real links, with a relay that injects faults."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         return model.Configuration(upstreams={'engine-1': spec})
 
     async def linked(self, **kwargs):
-        """Starts peers and gives the one peer, linked and with a Load."""
+        """Starts peers and returns the only peer, linked and with a Load."""
         self.peers = peers.Peers(
             section.Node('entry-1', 'dha-hall'),
             1,
@@ -88,7 +88,7 @@
                 await asyncio.sleep(0.005)
 
     async def test_a_router_that_stops_sends_go_away(self):
-        """Sidecars wait seconds for a router that doesn't come back."""
+        """Sidecars wait for seconds for a router that won't reconnect."""
         await self.linked()
         await self.peers.stop()
         await self.until(
@@ -101,7 +101,7 @@
         self.sidecar.pump()
 
     async def read(self, attempt, until=message.Finished):
-        """Reads and grants up to a message of a class, or `until` items."""
+        """Reads and grants items up to a message class or a number of items."""
         items = []
         async with asyncio.timeout(BOUND_S):
             while len(items) != until:
@@ -117,10 +117,10 @@
         return items, None
 
     async def test_answer_survives_cut_and_unresponsive_links(self):
-        """A plan stops in the middle, or repeats some of its tokens.
+        """An answer stops midway or repeats items after its link failed.
 
-        The link breaks after some tokens, and the next one falls silent
-        with both ends open; each time the attempt is resumed at its seq.
+        The link breaks after some items, and the next one stops responding
+        with both ends open. Each time the attempt must resume at its seq.
         """
         peer = await self.linked()
         attempt = peer.open(fake.dispatch())
@@ -177,7 +177,7 @@
         self.assertEqual(end.code, 'no_upstream')
 
     async def test_peer_is_reconnecting_after_a_lost_link(self):
-        """A query is refused although its server is a dial away."""
+        """A request is refused while the link to its upstream reconnects."""
         peer = await self.linked()
         self.relay.silence()
         self.relay.cut()
@@ -188,7 +188,7 @@
         self.assertFalse(self.peers.is_reconnecting(fake.MODEL))
 
     async def test_peer_is_not_reconnecting_after_a_refused_dial(self):
-        """A query waits for a server that is known to be gone."""
+        """A request waits for an upstream that is known to be down."""
         peer = await self.linked()
         self.relay.refusing = True
         self.relay.cut()
@@ -205,10 +205,10 @@
         self.assertFalse(self.peers.is_reconnecting(fake.MODEL))
 
     async def test_an_attempt_that_cannot_be_recovered_is_unknown(self):
-        """A caller waits for its deadline although the host is dead.
+        """A caller waits for its deadline although the host has failed.
 
-        The sidecar and its host vanish after the work was sent and do not
-        come back; the caller is told within recover_s, once.
+        The sidecar and its host fail after the work was sent and do not
+        return. The outcome must be reported within recover_s, once.
         """
         peer = await self.linked(recover_s=0.2)
         attempt = peer.open(fake.dispatch())
@@ -221,10 +221,10 @@
         self.assertIs(await attempt.receive(), end)
 
     async def test_a_call_is_not_sent_to_a_new_sidecar(self):
-        """A shop gets its order twice.
+        """A call runs twice after its sidecar failed.
 
-        The sidecar dies with a call open; no app server keeps what became
-        of a call, and a second Dispatch could run it again.
+        App servers do not keep the outcome of a call, so a second Dispatch to
+        a new sidecar could run it again.
         """
         peer = await self.linked()
         attempt = peer.open(fake.dispatch(kind='call', idempotent=False))
@@ -244,7 +244,7 @@
         )
         size = 2 * upload.WINDOW_BYTES
         sending = asyncio.create_task(attempt.send_body(bytes(size), True))
-        # One piece beside the first, then one for each that was taken.
+        # One piece in addition to the first, then one per acknowledgement.
         for taken in range(1, size // upload.PIECE_BYTES):
             await self.until(lambda sent=taken: len(self.bodies()) == sent)
             self.assertFalse(sending.done())
@@ -277,7 +277,7 @@
         self.assertEqual((peer.incarnation, peer.load.queued), (2, 0))
 
     async def test_revision_of_a_replaced_sidecar_is_reset(self):
-        """Operators see a revision in force that the new process lacks."""
+        """Operators see a revision that the new process does not have."""
         peer = await self.linked()
         self.sidecar.send(fake.load(revision=9))
         await self.until(lambda: peer.revision == 9)
@@ -316,9 +316,9 @@
             await waiting
 
     async def test_busy_link_announces_a_new_revision(self):
-        """An edit is not in force on an upstream as long as it has work.
+        """An edit is not applied on an upstream while it has work.
 
-        Tokens one way and credits the other leave no link idle, so that
+        Items in one direction and credits in the other keep the link busy, so
         neither end sends a heartbeat, which would carry the revision.
         """
         peer = await self.linked()
@@ -335,10 +335,10 @@
         await self.until(lambda: 2 in self.announced)
 
     async def test_another_upstream_at_the_address_is_not_linked(self):
-        """Requests for one engine reach another.
+        """Requests for one engine are sent to another.
 
-        Its host was replaced, and the IP number now belongs to the host of
-        another upstream, whose sidecar answers the dial.
+        Its host was replaced, and the IP address now belongs to the host of
+        another upstream, whose sidecar accepts the dial.
         """
         peer = await self.linked()
         self.upstream = 'engine-2'
@@ -365,10 +365,11 @@
         self.assertTrue(peer.retired)
 
     async def test_the_host_list_is_a_hint(self):
-        """Upstreams vanish while the host list is down, or though they live.
+        """Upstreams are lost because the host list is unavailable or stale.
 
-        The list lags: it calls a host leaving that has come back, or has
-        the new address before the configuration. The sidecar's word counts.
+        A stale list reports a host as leaving that has returned, or has the
+        new address before the configuration. The state that the sidecar
+        reports takes precedence.
         """
         wrong = self.configuration(1)
         right = f'127.0.0.1:{self.relay.port}'
--- a/tests/quetzalsill_router/peer/test_resume.py
+++ b/tests/quetzalsill_router/peer/test_resume.py
@@ -1,4 +1,4 @@
-"""Attempts over links that break, against a fake sidecar, by Hypothesis."""
+"""Property-based tests of attempts over failing links and a fake sidecar."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FakeLink:
-    """Carries messages only when the test says so."""
+    """A link that carries messages only when the test delivers them."""
 
     def __init__(self, sidecar, quiet):
         self.peer = sidecar.welcome()
@@ -244,18 +244,18 @@
 
 
 class EventSequenceTest(unittest.TestCase):
-    """Single orders of events that are too rare to be left to chance."""
+    """Event sequences too rare to rely on random generation."""
 
     def setUp(self):
         self.machine = ResumeMachine()
         self.addCleanup(self.machine.teardown)
 
     def test_withdraw_while_a_recover_is_unanswered(self):
-        """An order is delivered twice, to two doors.
+        """Work is dispatched a second time while the first run continues.
 
-        Its sidecar starts it and dies before Started is out. The router
-        asks the new one to recover it, and withdraws it as if still queued;
-        "Withdrawn" would let it be dispatched again beside the running one.
+        The sidecar starts the work and fails before it sends Started. The
+        router asks the new sidecar to recover the work and withdraws it as if
+        it were still queued. "Withdrawn" would permit a second Dispatch.
         """
         machine = self.machine
         machine.disturbed = True
@@ -272,8 +272,8 @@
         """An answer stops for good after its sidecar restarted.
 
         The link breaks again before the new sidecar's first item arrives.
-        It counts the credit of the second Dispatch from what was
-        acknowledged, sends too much, and is cut off, again and again.
+        The sidecar counts the credit of the second Dispatch from the first
+        unacknowledged item, exceeds it, and is disconnected repeatedly.
         """
         machine = self.machine
         machine.all_go_on(False)
@@ -291,11 +291,11 @@
         self.assertIs(machine.link, link)
 
     def test_not_run_is_rejected_from_a_restarted_engine(self):
-        """A caller is told "not run" and orders again; both orders come.
+        """Work that ran is reported as "not run", and the caller repeats it.
 
-        The host dies after its engine began and before Started is out, and
-        comes back; its new engine has never heard of the work. Dispatch
-        names the engine that was meant, so that the sidecar can tell.
+        The host fails after its engine started the work and before Started is
+        sent, and restarts; the new engine has no record of the work. Dispatch
+        contains the engine's incarnation, so the sidecar can detect this.
         """
         machine = self.machine
         machine.disturbed = True
@@ -308,8 +308,8 @@
         """An answer stops for good after its sidecar restarted.
 
         The link breaks before the new sidecar reads the Dispatch. It counts
-        the credit of the second one from 0, which ends before the items
-        that are still missing.
+        the credit of the second Dispatch from 0, so the credit is used up
+        before the items that are still missing.
         """
         machine = self.machine
         machine.all_go_on(True)
--- a/tests/quetzalsill_router/peer/test_subset.py
+++ b/tests/quetzalsill_router/peer/test_subset.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of upstreams."""
+"""Tests of the selection of upstreams."""
 
 from __future__ import annotations
 
--- a/tests/quetzalsill_router/peer/test_with_sidecar.py
+++ b/tests/quetzalsill_router/peer/test_with_sidecar.py
@@ -1,4 +1,4 @@
-"""The router's peers against the real sidecar and the engine stand-in."""
+"""Tests of the router's peers with the real sidecar and an engine stand-in."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class WithSidecarTest(unittest.IsolatedAsyncioTestCase):
-    """Many answers at once while their link and their sidecar fail."""
+    """Many concurrent answers while their link and their sidecar fail."""
 
     async def asyncSetUp(self):
         stack = contextlib.AsyncExitStack()
@@ -55,13 +55,13 @@
 
     async def start_sidecar(self):
         self.sidecar = await self.stack.enter_async_context(
-            # Attempts still queued must outlast the silent links too.
+            # Queued attempts must also survive the links that stop responding.
             support.sidecar(self.url, queued_orphan_s=BOUND_S)
         )
         return self.sidecar
 
     async def run_attempt(self):
-        """Reads one answer whole; gives its events."""
+        """Reads one complete answer and returns its events."""
         peer = self.peers.candidates(support.MODEL)[0]
         dispatch = support.make_dispatch(peer.incarnation, TOKENS, credit=8)
         attempt = peer.open(dispatch)
@@ -84,13 +84,13 @@
             self.count_changed.notify_all()
 
     async def wait_for_fraction(self, fraction):
-        """Waits until that part of all tokens has arrived."""
+        """Waits until that fraction of all tokens was received."""
         goal = fraction * ATTEMPTS * TOKENS
         async with self.count_changed:
             await self.count_changed.wait_for(lambda: self.count >= goal)
 
     async def inject_faults(self):
-        """Cut, silence each way, restart of the sidecar, twice over."""
+        """Injects each fault twice: cut, one-way silence, sidecar restart."""
         faults = (
             self.relay.cut,
             lambda: self.relay.silence(down=False),
@@ -104,7 +104,7 @@
                 await result
 
     async def replace_sidecar(self):
-        """A new incarnation takes the place of one that died."""
+        """Replaces the sidecar by a new incarnation."""
         old = self.sidecar
         new = await self.start_sidecar()
         self.relay.target = ('127.0.0.1', new.port)
@@ -112,10 +112,10 @@
         await old.stop()
 
     async def test_each_answer_is_whole_and_of_one_generation(self):
-        """Retailers see answers with holes, repeats, or two mixed.
+        """Answers have missing or repeated items, or mix two generations.
 
-        While many answers stream over one link, it is cut and silenced one
-        way and the other, and the sidecar is replaced in mid-answer.
+        While many answers stream over one link, it is cut and made
+        unresponsive in each direction, and the sidecar is replaced midway.
         """
         async with asyncio.timeout(BOUND_S):
             while not self.peers.candidates(support.MODEL):  # noqa: ASYNC110
