--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/dialer.py
@@ -12,7 +12,7 @@
     from collections.abc import Iterator
 
     from quetzalsill.wire import link
-    from quetzalsill_router.peer import host_list_entry
+    from quetzalsill_router.peer import listing
 
 __all__ = ['Connect', 'Dialer']
 
@@ -27,7 +27,7 @@
         self,
         upstream: str,
         address: str,
-        host_entry: host_list_entry.HostListEntry,
+        host_entry: listing.HostListEntry,
         connect: Connect,
     ) -> None:
         """Initializes the dialer; `dial` connects.
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
@@ -18,7 +18,7 @@
     backoff,
     config_fetch,
     dialer,
-    host_list_entry,
+    listing,
     sidecar_status,
 )
 
@@ -89,7 +89,7 @@
         self.revision = 0
         self.dropped = 0
         self._spec = spec
-        self._host_entry = host_list_entry.HostListEntry()
+        self._host_entry = listing.HostListEntry()
         self._dialer = dialer.Dialer(
             upstream,
             spec.sidecar,
