--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/__init__.py
@@ -10,9 +10,9 @@
 Lifecycle of a request that is durable or has an idempotency key:
 
     request = await state.journal.accept(entry)
-    claim = await state.claims.claim(entry)        # only with a key
-    if claim.request != request:                   # duplicate: await original
+    claim = await state.claims.claim(entry)          # only with a key
+    if claim.request != request:                     # duplicate: await original
         stored = await state.answers.wait(entry.account, claim.request, s)
     await state.journal.record_dispatch(entry, run)  # before each Dispatch
-    await state.journal.settle(entry, answer)      # exactly once
+    await state.journal.settle(entry, answer)        # exactly once
 """
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/pace.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/pace.py
@@ -7,9 +7,9 @@
 With 480 routers that each serve 1 or 7 requests per second, `test_cost` counts
 250 writes and 202 reads per second in total, and 349 writes if every request
 has an idempotency key. The number of writes does not depend on the request
-rate. A key costs one read when it expires: at 7 requests with a key per second
-and router this makes 2,486 reads per second, so the platform's limit of two
-thousand reads is reached first.
+rate. A key costs one read when it expires: with 7 requests per second on each
+router, all with a key, that is 2,486 reads per second in total, so the
+platform's limit of two thousand reads per second is reached first.
 """
 
 from __future__ import annotations
