--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/log_writer.py
@@ -114,10 +114,10 @@
           SupersededError: The entry is not owned here or is already settled.
         """
         self.check_owned(entry)
-        waiting = _make_item(entry, answer)
+        item = _make_item(entry, answer)
         self.unsettled.mark_settling(entry.request)
-        self.queue.add(waiting)
-        return waiting.done
+        self.queue.add(item)
+        return item.done
 
     def check_owned(self, entry: durable_entry.Entry) -> None:
         """Checks that an entry is owned here and has no outcome.
