--- a/tests/quetzalsill_sidecar/support.py
+++ b/tests/quetzalsill_sidecar/support.py
@@ -1,4 +1,4 @@
-"""Parts that the tests of the sidecar share."""
+"""Fixtures and helpers shared by the tests of the sidecar."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def registry() -> registry_lib.Registry:
-    """A registry that holds the sidecar's plug-ins alone."""
+    """Returns a registry with only the sidecar's plug-ins."""
     plugins = registry_lib.Registry()
     plugin.register(plugins)
     plugins.add(
@@ -49,7 +49,7 @@
 
 
 def configuration(**policies: object) -> bytes:
-    """The document of a small configuration."""
+    """Returns the document of a small configuration."""
     return document.render(
         model.Configuration(
             profiles={
@@ -64,7 +64,7 @@
 
 
 def settings(url: str, kind: str = 'model', **timing: float):
-    """Settings of a sidecar with short bounds."""
+    """Returns settings of a sidecar with short timeouts."""
     bounds = {
         'stall_s': 1.0,
         'resume_s': 2.0,
@@ -87,7 +87,7 @@
 async def serve_app(
     app: object, port: int = 0, http: object = 'auto'
 ) -> AsyncIterator[str]:
-    """Serves an ASGI application; gives its URL."""
+    """Serves an ASGI application; yields its URL."""
     listener = socket.create_server(('127.0.0.1', port))
     cfg = uvicorn.Config(
         app,
@@ -108,7 +108,7 @@
 
 @contextlib.asynccontextmanager
 async def engine(port: int = 0, **options: object):
-    """Serves an engine stand-in; gives it and its URL."""
+    """Serves an engine stand-in; yields it and its URL."""
     stand_in = engine_lib.Engine(
         engine_lib.EngineOptions(models=[MODEL], **options)
     )
@@ -125,8 +125,8 @@
 ) -> AsyncIterator[sidecar_lib.Sidecar]:
     """Runs a sidecar inside this process.
 
-    A fault in a callback or a forgotten task, which asyncio only logs, fails
-    the test.
+    An exception in a callback or an unawaited task, which asyncio only logs,
+    fails the test.
     """
     faults: list[dict[str, object]] = []
     loop = asyncio.get_running_loop()
@@ -145,7 +145,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Router:
-    """Router's end of a link; keeps what came and hands it out by attempt."""
+    """The router's side of a link; sorts received messages by attempt."""
 
     link: link_lib.Link
     inboxes: dict[str, asyncio.Queue]
@@ -169,19 +169,19 @@
         return self.inboxes.setdefault(attempt, asyncio.Queue())
 
     async def receive(self, attempt: str) -> message.Message:
-        """The next message about an attempt."""
+        """Returns the next message about an attempt."""
         async with asyncio.timeout(TIMEOUT_S):
             return await self.inbox(attempt).get()
 
     async def receive_other(self, kind: type) -> message.Message:
-        """The next message of a kind that is about no attempt."""
+        """Returns the next message of a kind that concerns no attempt."""
         async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(msg := await self.others.get(), kind):
                 pass
             return msg
 
     async def receive_all(self, attempt: str) -> list[message.Message]:
-        """Messages about an attempt up to its terminal."""
+        """Returns the messages about an attempt up to its terminal message."""
         terminals = (
             message.Refused,
             message.Withdrawn,
@@ -197,7 +197,7 @@
         self.link.send_nowait(msg)
 
     def dispatch(self, **changes: object) -> str:
-        """Sends a Dispatch; gives its attempt id."""
+        """Sends a Dispatch; returns its attempt id."""
         sent = make_dispatch(**({'incarnation': self.incarnation} | changes))
         self.send(sent)
         return sent.attempt
@@ -205,7 +205,7 @@
 
 @contextlib.asynccontextmanager
 async def router(port: int, revision: int = 1) -> AsyncIterator[Router]:
-    """Dials a sidecar as a router would."""
+    """Connects to a sidecar as a router does."""
     hello = message.Hello(
         message.VERSION, 'entry-1', 7, CREDENTIAL, 'ikeja-hall', revision
     )
@@ -223,7 +223,7 @@
 def make_dispatch(
     incarnation: int, tokens: int = 5, **changes: object
 ) -> message.Dispatch:
-    """A Dispatch of a prompt completion of `tokens` tokens."""
+    """Returns a Dispatch of a completion of `tokens` tokens."""
     number = next(_attempt_numbers)
     dispatch = message.Dispatch(
         attempt=f'entry-1/7/{number}',
@@ -254,12 +254,12 @@
 
 
 def prompt(tokens: int) -> bytes:
-    """Payload whose answer has that many tokens."""
+    """Returns a payload whose answer has `tokens` tokens."""
     return json.dumps({'prompt': f'plan [[tokens={tokens}]]'}).encode()
 
 
 def indexes(messages: list[message.Message]) -> list[int]:
-    """Token indexes that chunks carried, in order of arrival."""
+    """Returns the token indexes in chunks, in order of arrival."""
     return [
         json.loads(item)['index']
         for msg in messages
@@ -269,7 +269,7 @@
 
 
 def generations(messages: list[message.Message]) -> set[int]:
-    """Generations whose tokens chunks carried."""
+    """Returns the ids of the generations whose tokens are in chunks."""
     return {
         json.loads(item)['generation']
         for msg in messages
@@ -279,12 +279,12 @@
 
 
 def costs(token_s: float) -> model_lib.Costs:
-    """Costs of an engine that makes a token in about that time."""
+    """Returns costs of an engine that takes about `token_s` per token."""
     return model_lib.Costs(base_s=token_s)
 
 
 def upstream(**changes: object) -> model.Upstream:
-    """The upstream of these tests as the configuration has it."""
+    """Returns the configuration of the tested upstream."""
     spec = {
         'kind': 'model',
         'sidecar': '127.0.0.1:1',
@@ -294,7 +294,7 @@
 
 
 async def start_relay(url: str) -> relay_lib.Relay:
-    """A relay to a URL; the caller stops it."""
+    """Starts a relay to a URL; the caller stops it."""
     origin = upstream_http.Origin.parse(url)
     relay = relay_lib.Relay(origin.host, origin.port)
     await relay.start()
@@ -302,18 +302,18 @@
 
 
 def url_of(relay: relay_lib.Relay) -> str:
-    """URL at which a relay listens."""
+    """Returns the URL that a relay listens on."""
     return f'http://127.0.0.1:{relay.port}'
 
 
 def start_on_engine(engine: engine_lib.Engine, attempt: str) -> None:
-    """Lets the request of an attempt arrive at an engine."""
+    """Delivers the request of an attempt to an engine."""
     body = {'request_id': attempt, 'model': MODEL, 'prompt': 'late'}
     engine.start(completion.parse(body, chat=False))
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Waits for a condition that no message tells of."""
+    """Polls until a condition holds that no message announces."""
     async with asyncio.timeout(TIMEOUT_S):
         while True:
             if condition():
--- a/tests/quetzalsill_sidecar/test_calls.py
+++ b/tests/quetzalsill_sidecar/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of an app server: bodies stream, and nothing is sent twice."""
+"""Calls to an app server: bodies stream, and nothing is sent twice."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 def call(**changes: object) -> dict[str, object]:
-    """Changes that make a Dispatch a call."""
+    """Returns changes that turn a Dispatch into a call."""
     defaults = {'kind': 'call', 'path': '/echo', 'payload': b''}
     return defaults | changes
 
 
 def body(messages: list[message.Message]) -> bytes:
-    """The answer's body."""
+    """Returns the body of the answer."""
     chunks = [msg for msg in messages if isinstance(msg, message.Chunk)]
     return b''.join(item for chunk in chunks for item in chunk.items)
 
 
 def has_credit(messages: list[message.Message], pieces: int) -> bool:
-    """Whether the sidecar has taken so many pieces of a body."""
+    """Whether the sidecar has consumed that many pieces of a body."""
     return any(
         isinstance(msg, message.Credit) and msg.seq >= pieces
         for msg in messages
@@ -40,7 +40,7 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """A plain service beside the sidecar."""
+    """Calls to an app server through a sidecar."""
 
     async def asyncSetUp(self):
         self.service = service_standin.Service()
@@ -62,7 +62,7 @@
         expected = b'a'
         messages: list[message.Message] = []
         for number in range(1, 9):
-            # Piece `number` has reached the service before the next leaves.
+            # Send the next piece only after piece `number` was consumed.
             while not has_credit(messages, number):
                 messages.append(await self.router.receive(attempt))
             seen = sum(isinstance(msg, message.Chunk) for msg in messages)
@@ -76,7 +76,7 @@
         self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_body_that_outruns_its_credit_is_not_kept(self):
-        """One router's upload takes the sidecar's memory."""
+        """An upload that exceeds its credit must not fill the memory."""
         attempt = self.router.dispatch(**call(body_open=True))
         for _ in range(64):
             self.router.send(message.Body(attempt, b'x' * 32_768, False))
@@ -104,10 +104,11 @@
         )
 
     async def test_order_without_an_answer_is_unknown_and_sent_once(self):
-        """A shop gets the same order twice.
+        """A non-idempotent call without a response is not sent again.
 
-        The service takes the order and closes the connection before it
-        answers; a client that resends by itself doubles the order.
+        The service accepts the order and closes the connection before it
+        responds. An HTTP client that retries by itself would place the order
+        twice.
         """
         self.service.close_orders = 1
         order = json.dumps({'id': 'truck-7'}).encode()
@@ -123,10 +124,10 @@
         self.assertEqual(self.service.orders['truck-7'], 1)
 
     async def test_recovery_takes_up_a_call_and_never_makes_one(self):
-        """A second truck is sent by asking what became of the first order.
+        """Recovering a call must not execute it.
 
-        A router dies; the one that takes its requests over asks the sidecar
-        for two orders, of which one had reached it and one had not.
+        A router dies. Its successor asks the sidecar for the outcome of two
+        calls: one had reached the sidecar, the other had not.
         """
         order = json.dumps({'id': 'truck-8'}).encode()
         changes = call(path='/orders', payload=order, idempotent=False)
@@ -146,10 +147,11 @@
         self.assertEqual(self.service.orders['truck-8'], 1)
 
     async def test_body_that_lost_its_link_ends_the_call(self):
-        """A shop waits for its deadline, and an app server with it.
+        """A call with an incomplete body fails when its link is lost.
 
-        The link is lost, or replaced before its loss is noticed, while the
-        rest of an order's body is to come; it can't follow on another link.
+        The link closes, or is replaced before its loss is detected, before the
+        whole body was sent. The rest can't be sent on another link, so the
+        caller and the app server would wait until the deadline.
         """
         for closes in (True, False):
             async with support.router(self.sidecar.port) as lost:
@@ -168,9 +170,9 @@
             )
 
     async def test_slow_reader_holds_up_the_service_not_the_memory(self):
-        """One merchant on a bad line takes the sidecar's memory.
+        """Backpressure reaches the service if an answer is not read.
 
-        A large proof is fetched, and nobody reads it.
+        Otherwise the sidecar would buffer a large response in memory.
         """
         size = 64 * MEBIBYTE
         attempt = self.router.dispatch(
@@ -205,10 +207,10 @@
 
 
 class PauseTest(unittest.IsolatedAsyncioTestCase):
-    """A service that answers, and a process that is paused right behind."""
+    """The process is paused just after the service has responded."""
 
     async def test_an_answer_that_comes_as_the_deadline_passes(self):
-        """A shop is told that its order's time ran out, though it is taken."""
+        """A response that arrived before the deadline is delivered."""
 
         async def serve(reader, writer):
             await reader.readuntil(b'\r\n\r\n')
--- a/tests/quetzalsill_sidecar/test_config_fetcher.py
+++ b/tests/quetzalsill_sidecar/test_config_fetcher.py
@@ -1,4 +1,4 @@
-"""Configurations are fetched from one router at a time."""
+"""Tests that configurations are fetched from one router at a time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeRouter:
-    """Notes what it is asked."""
+    """Records the messages that it is sent."""
 
     def __init__(self):
         self.requests = []
@@ -22,10 +22,10 @@
 
 
 class ConfigFetchTest(unittest.IsolatedAsyncioTestCase):
-    """A sidecar that starts runs out of memory.
+    """Guards against a starting sidecar that runs out of memory.
 
-    Hundreds of routers link to it at once and name their revision. Were each
-    asked for it, all documents would arrive together.
+    Hundreds of routers connect to it at once and announce their revision. If
+    each were asked for it, all documents would arrive at the same time.
     """
 
     async def asyncSetUp(self):
@@ -62,7 +62,7 @@
         self.assertEqual(self.request_counts(), [1, 1, 1])
 
     async def test_the_next_is_asked_if_a_router_stays_silent(self):
-        """An edit is not in force because one router is paused."""
+        """A paused router must not delay a configuration edit."""
         loop = mock.Mock()
         with mock.patch('asyncio.get_running_loop', return_value=loop):
             self.offer_all(2)
--- a/tests/quetzalsill_sidecar/test_dispatch.py
+++ b/tests/quetzalsill_sidecar/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Way of a Dispatch to the engine and of its answer back."""
+"""Tests a Dispatch and its answer without failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DispatchTest(unittest.IsolatedAsyncioTestCase):
-    """The way without failures."""
+    """The sidecar, a router and an engine, all healthy."""
 
     async def test_answer_streams_whole_and_in_order(self):
         async with (
--- a/tests/quetzalsill_sidecar/test_engine_faults.py
+++ b/tests/quetzalsill_sidecar/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""The engine, or the connection to it, fails in mid-answer."""
+"""Failures of the engine or its connection during an answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """A relay stands between sidecar and engine."""
+    """Connection failures, injected by a relay before the engine."""
 
     async def asyncSetUp(self):
         self.engine, url = await self.enterAsyncContext(
@@ -30,7 +30,7 @@
         )
 
     async def start_streaming(self, **changes) -> tuple[str, list[int]]:
-        """Dispatches; gives the attempt and the first indexes received."""
+        """Dispatches; returns the attempt and the first token indexes."""
         attempt = self.router.dispatch(**changes)
         received: list[int] = []
         while not received:
@@ -45,10 +45,10 @@
         self.assertEqual(len(self.engine.audit()['runs']), 1)
 
     async def test_cut_connection_is_resumed(self):
-        """A plan breaks off though its engine goes on making it.
+        """The answer continues after its engine connection is reset.
 
-        The connection between sidecar and engine is reset in mid-answer,
-        and once more after the answer was resumed.
+        The connection is reset during the answer, and again after the answer
+        was resumed.
         """
         attempt, received = await self.start_streaming(tokens=150)
         for _ in range(2):
@@ -60,20 +60,22 @@
         await self.assert_resumes(attempt, received, 150)
 
     async def test_silent_connection_is_replaced(self):
-        """An answer hangs for ever while others stream.
+        """A connection that stalls is replaced by a new one.
 
-        Something between the ends loses track of the connection: it stays
-        open, nothing arrives any more, and new connections work.
+        A middlebox drops the state of the connection: it stays open but
+        carries no more data, while new connections work. Without a stall
+        timeout the answer would hang forever.
         """
         attempt, received = await self.start_streaming(tokens=100)
         self.relay.silence()
         await self.assert_resumes(attempt, received, 100)
 
     async def test_request_lost_on_its_way_is_proved_gone(self):
-        """A plan is called lost, is begun elsewhere, and runs here too.
+        """A request reported as lost must not run later.
 
-        The request is written to a connection that has gone silent; it may
-        still arrive after the engine said that it knows nothing of it.
+        The request is written to a stalled connection. It may still arrive
+        after the engine has reported it as unknown; run elsewhere in the
+        meantime, it would then run twice.
         """
         self.relay.up.silent = True
         attempt = self.router.dispatch()
@@ -88,7 +90,7 @@
             support.start_on_engine(self.engine, attempt)
 
     async def test_engine_out_of_reach_is_given_up_and_cancelled_later(self):
-        """A clerk waits until the deadline for an engine that is gone."""
+        """An unreachable engine fails the attempt before its deadline."""
         attempt, _ = await self.start_streaming(tokens=3000)
         self.relay.refusing = True
         self.relay.cut()
@@ -102,10 +104,10 @@
 
 
 class CrashTest(unittest.IsolatedAsyncioTestCase):
-    """A fault of the sidecar's own program."""
+    """An unexpected exception in the sidecar itself."""
 
     async def test_attempt_ends_and_leaves_its_place(self):
-        """A caller waits for its deadline, and the queue for ever."""
+        """The caller gets a failure, and the slot on the engine is freed."""
         async with (
             support.engine() as (_, url),
             support.sidecar(url) as sidecar,
@@ -123,10 +125,10 @@
 
 
 class DeadEngineTest(unittest.IsolatedAsyncioTestCase):
-    """The engine process ends in mid-answer."""
+    """The engine process exits during an answer."""
 
     async def start_then_stop_engine(self, refused_s: float) -> None:
-        """Begins an answer and ends the engine behind it."""
+        """Starts an answer and stops its engine."""
         async with support.engine(costs=support.costs(0.005)) as (_, url):
             self.port = http.Origin.parse(url).port
             sidecar = await self.enterAsyncContext(
@@ -142,9 +144,9 @@
                 received += support.indexes([msg])
 
     async def test_generation_of_a_replaced_engine_is_gone(self):
-        """A plan ends in the tokens of another generation.
+        """An answer must not continue with tokens of another generation.
 
-        The engine dies in mid-answer and another takes its address.
+        The engine dies during the answer and another takes over its address.
         """
         await self.start_then_stop_engine(refused_s=60.0)
         async with support.engine(port=self.port):
@@ -153,7 +155,7 @@
         self.assertTrue(messages[-1].gone)
 
     async def test_dead_engine_is_given_up_before_a_lost_one(self):
-        """A clerk waits a minute for an engine whose process is dead."""
+        """Refused connections fail the attempt before `resume_s` ends."""
         await self.start_then_stop_engine(refused_s=0.3)
         messages = await self.router.receive_all(self.attempt)
         self.assertEqual(messages[-1].code, 'upstream_failed')
--- a/tests/quetzalsill_sidecar/test_intake.py
+++ b/tests/quetzalsill_sidecar/test_intake.py
@@ -1,4 +1,4 @@
-"""Any order of messages about one attempt keeps "not run" true."""
+"""Tests that "not run" stays true for any order of messages."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class _Upstream:
-    """Takes the place of the runner; connects when the machine says so."""
+    """Replaces the runner; connects when the state machine says so."""
 
     def __init__(self, attempts: table.Attempts):
         self.attempts = attempts
@@ -47,7 +47,7 @@
 
 
 class IntakeMachine(stateful.RuleBasedStateMachine):
-    """Messages come late, twice and crossed, over two links."""
+    """Messages arrive late, duplicated and reordered, over two links."""
 
     def __init__(self):
         super().__init__()
@@ -90,7 +90,7 @@
 
     @stateful.initialize()
     def some_are_on_their_way(self):
-        """Attempts 0 to 2 have started, 3 is connecting, and 4 waits."""
+        """Attempts 0 to 2 have started, 3 is connecting, 4 is queued."""
         for number in (0, 1, 2):
             self.dispatch_arrives(number, 'a link')
         self.queue_moves()
--- a/tests/quetzalsill_sidecar/test_leaving.py
+++ b/tests/quetzalsill_sidecar/test_leaving.py
@@ -1,4 +1,4 @@
-"""Nothing new for an upstream that is leaving; nothing running is cut."""
+"""A leaving upstream gets no new work; running work is completed."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.quetzalsill_sidecar import support
 
 LINK_DELAY_S = 0.4
-# The last moment at which a router does not know yet that the sidecar leaves.
+# Just under LINK_DELAY_S: the router does not yet know of the shutdown.
 DISPATCH_DELAY_S = 0.3
-# Writes that reach a sidecar which ends on hearing that the router knows, while
-# the refusal is on its way.
+# Writes that arrive while the refusal is in transit, after a sidecar that waits
+# only for the first echo of the router would have exited.
 WRITES = 2
 WRITE_INTERVAL_S = 0.18
 RECONNECT_DELAY_S = 0.3
-# Less than a sidecar waits for a router that may come back.
+# Shorter than a sidecar waits for a router that may reconnect.
 STOP_TIMEOUT_S = 4.0
 
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    """One answer runs, one attempt waits, and a third comes later."""
+    """One attempt is running, one is queued, and a third arrives later."""
 
     async def asyncSetUp(self):
         self.engine, url = await self.enterAsyncContext(
@@ -54,9 +54,10 @@
         self.assertIsInstance(running[-1], message.Finished)
 
     async def test_engine_says_that_it_is_leaving(self):
-        """Work is sent to a reclaimed engine and cut off.
+        """A leaving engine gets no new work, which would be cut off.
 
-        The engine gets notice; the host list still calls it live.
+        The engine has notice of its reclamation, while the host list still
+        reports it as live.
         """
         self.engine.set_switches({'leaving': True})
         await self.router.receive_other(message.Leaving)
@@ -64,9 +65,9 @@
         await self.assert_only_running_ends()
 
     async def test_shutdown_waits_for_running_work(self):
-        """A deployment cuts a plan in mid-answer.
+        """A shutdown does not cut off a running answer.
 
-        SIGTERM comes twice while an answer streams.
+        SIGTERM arrives twice while the answer streams.
         """
         self.sidecar.leave('shutting down')
         self.sidecar.leave('shutting down')
@@ -75,7 +76,7 @@
         self.assertTrue(await self.sidecar.wait_drained())
 
     async def test_drained_upstream_comes_back(self):
-        """An upstream that was drained and undrained takes no work."""
+        """An upstream accepts work again after it is undrained."""
         cfg = document.parse(support.configuration(admission='one'), 2)
         cfg.upstreams['ikeja-planner-1'] = support.upstream(draining=True)
         self.sidecar.configuration.install(document.render(cfg), 2)
@@ -89,15 +90,15 @@
 
 
 class RefusalInTransitTest(unittest.IsolatedAsyncioTestCase):
-    """A router with a slow link to a sidecar that ends."""
+    """A router has a slow link to a sidecar that shuts down."""
 
     async def test_refusal_on_its_way_while_the_sidecar_ends(self):
-        """A shop is told that nobody knows what became of its order.
+        """A refusal must not be lost when the sidecar exits.
 
-        The order meets a sidecar that is leaving; it is refused, and the
-        sidecar ends. The refusal is still on its way when the router writes
-        again: that write meets a closed connection, which is reset, and the
-        refusal is lost with it.
+        A leaving sidecar refuses a Dispatch and exits. The refusal is still in
+        transit when the router writes again: the write reaches a closed
+        connection, which is reset and drops the refusal. The caller would get
+        an unknown outcome.
         """
         _, url = await self.enterAsyncContext(support.engine())
         sidecar = await self.enterAsyncContext(support.sidecar(url))
@@ -117,12 +118,12 @@
         await shutdown
 
     async def shut_down(self, sidecar):
-        """Ends a sidecar as its process does."""
+        """Shuts a sidecar down as its process does."""
         await shut_down(sidecar)
 
 
 class LostLinkTest(unittest.IsolatedAsyncioTestCase):
-    """A router loses its link as the sidecar ends, and dials again."""
+    """A router loses its link while the sidecar exits, and reconnects."""
 
     async def asyncSetUp(self):
         _, url = await self.enterAsyncContext(support.engine())
@@ -135,7 +136,7 @@
         )
 
     async def assert_not_run(self, attempt):
-        """Cuts the link and asks on another what became of an attempt."""
+        """Cuts the link and asks for the outcome of an attempt on another."""
         self.relay.cut()
         shutdown = asyncio.create_task(shut_down(self.sidecar))
         await asyncio.sleep(RECONNECT_DELAY_S)
@@ -146,17 +147,18 @@
             await shutdown
 
     async def test_work_that_waits_is_refused_while_the_link_is_down(self):
-        """An order that never ran gets "outcome unknown".
+        """An attempt that never ran must not get an unknown outcome.
 
-        Its sidecar refuses it, to nobody, and ends before its router is back.
+        The sidecar refuses it while no router is connected; it must not exit
+        before the router is back.
         """
-        # It waits for a configuration that nobody has.
+        # The attempt waits for a configuration that does not exist.
         waiting = self.router.dispatch(revision=9)
         await support.wait_until(lambda: self.sidecar.attempts.get(waiting))
         await self.assert_not_run(waiting)
 
     async def test_refusal_is_lost_with_the_link(self):
-        """An order that was refused gets "outcome unknown"."""
+        """A refused attempt must not get an unknown outcome."""
         self.relay.delay(LINK_DELAY_S)
         refused = self.router.dispatch(revision=0)
         tombstones = self.sidecar.attempts.stones
@@ -164,7 +166,7 @@
         await self.assert_not_run(refused)
 
     async def test_order_is_lost_with_the_link(self):
-        """An order that never arrived gets "outcome unknown"."""
+        """A Dispatch that never arrived must not get an unknown outcome."""
         self.relay.delay(LINK_DELAY_S)
         await self.assert_not_run(self.router.dispatch())
 
@@ -177,21 +179,21 @@
 
 
 async def shut_down(sidecar):
-    """Ends a sidecar as its process does."""
+    """Shuts a sidecar down as its process does."""
     sidecar.leave('shutting down')
     await sidecar.wait_drained()
     await sidecar.stop()
 
 
 class RevisionTest(unittest.IsolatedAsyncioTestCase):
-    """A Dispatch is judged under the revision that it was made under."""
+    """A Dispatch is checked against the revision that it was made under."""
 
     async def asyncSetUp(self):
         _, url = await self.enterAsyncContext(support.engine())
         self.sidecar = await self.enterAsyncContext(support.sidecar(url))
 
     async def test_newer_revision_is_fetched_before_judging(self):
-        """An edit is in force at the router and ignored beside the engine."""
+        """An edit that is active at the router is not ignored here."""
         async with support.router(self.sidecar.port) as router:
             attempt = router.dispatch(revision=2)
             await router.receive_other(message.ConfigFetch)
@@ -207,7 +209,7 @@
         self.assertEqual(messages[-1].code, 'stale_revision')
 
     async def test_older_revision_is_refused(self):
-        """A request is served under a profile that was edited away."""
+        """A request is not served under a profile that was since edited."""
         self.sidecar.configuration.install(support.configuration(), 2)
         async with support.router(self.sidecar.port) as router:
             messages = await router.receive_all(router.dispatch(revision=1))
--- a/tests/quetzalsill_sidecar/test_links.py
+++ b/tests/quetzalsill_sidecar/test_links.py
@@ -1,4 +1,4 @@
-"""Answers over links that break, and over slow and fast ones."""
+"""Answers over links that break, and to slow and fast readers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """Tokens come once and in order, whatever the link does."""
+    """Tokens arrive once and in order, whatever happens to the link."""
 
     async def asyncSetUp(self):
         self.engine, self.url = await self.enterAsyncContext(
@@ -18,10 +18,10 @@
         )
 
     async def test_resume_has_neither_gaps_nor_doubles(self):
-        """A clerk reads a plan with a hole, or with lines twice.
+        """A resumed answer has neither missing nor duplicate tokens.
 
-        The link breaks in mid-answer, twice; each time the router resumes
-        at the item that it needs next, on another link.
+        The link breaks twice during the answer. Each time the router resumes
+        on another link, at the next item that it needs.
         """
         async with support.sidecar(self.url) as sidecar:
             received: list[int] = []
@@ -40,7 +40,7 @@
         self.assertEqual(len(self.engine.audit()['runs']), 1)
 
     async def test_answer_waits_for_its_acknowledgement(self):
-        """A finished answer is lost with the link that carried its end."""
+        """A finished answer is kept until acknowledged, if its link is lost."""
         async with support.sidecar(self.url) as sidecar:
             async with support.router(sidecar.port) as router:
                 attempt = router.dispatch(tokens=10)
@@ -57,10 +57,10 @@
         self.assertEqual(answer.ran, 'yes')
 
     async def test_slow_reader_of_an_answer_that_has_ended(self):
-        """A plan breaks off because the clerk's line is slow.
+        """An answer is kept beyond its retention while it is being read.
 
-        The engine has ended it long ago, and the router still takes it item
-        by item.
+        The engine has finished long ago; the router still reads the items
+        slowly.
         """
         async with (
             support.sidecar(self.url, retention_s=0.1) as sidecar,
@@ -78,10 +78,10 @@
         self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_slow_reader_holds_up_nobody(self):
-        """Every handset waits for one clerk's stalled browser.
+        """One slow reader must not block other answers on its link.
 
-        One router link carries an answer whose reader gives no credit, and
-        beside it one that is read at full speed.
+        One link carries an answer whose reader grants no credit and another
+        that is read at full speed.
         """
         async with (
             support.sidecar(self.url) as sidecar,
@@ -99,7 +99,7 @@
         self.assertEqual(received, list(range(60)))
 
     async def test_queued_work_of_a_lost_router_never_starts(self):
-        """A plan runs for a router that has sent it elsewhere since."""
+        """Queued work of a lost router, since sent elsewhere, never runs."""
         sidecar = await self.enterAsyncContext(
             support.sidecar(self.url, policies={'admission': 'one'})
         )
@@ -118,7 +118,7 @@
         self.assertNotIn(queued, runs)
 
     async def test_running_work_of_a_lost_router_ends_in_time(self):
-        """Answers that nobody will read fill the engine's memory."""
+        """Answers that nobody will read must not occupy engine memory."""
         async with support.sidecar(self.url, orphan_s=0.3) as sidecar:
             async with support.router(sidecar.port) as router:
                 attempt = router.dispatch(tokens=3000)
@@ -130,7 +130,7 @@
         self.assertTrue(runs[0]['cancelled'])
 
     async def receive_items(self, router, attempt, received, count):
-        """Receives until at least `count` more items have come."""
+        """Receives until at least `count` more items have arrived."""
         goal = len(received) + count
         while len(received) < goal:
             received += support.indexes([await router.receive(attempt)])
--- a/tests/quetzalsill_sidecar/test_load_change.py
+++ b/tests/quetzalsill_sidecar/test_load_change.py
@@ -1,4 +1,4 @@
-"""Which changes of the load every router is told, and how often."""
+"""Tests which load changes are reported to routers, and how often."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class LoadChangeTest(unittest.IsolatedAsyncioTestCase):
-    """Reports must not cost a large fleet its network."""
+    """Load reports must not saturate the network of a large fleet."""
 
     async def test_changes_are_told_apart(self):
         for kind, cases in CHANGES.items():
@@ -71,7 +71,7 @@
             self.assertEqual(intervals, expected)
 
     async def test_idle_sidecar_reports_once_and_each_change_after(self):
-        """A router sends to an engine that it takes for idle."""
+        """Without each report, a router would take a busy engine for idle."""
         _, url = await self.enterAsyncContext(support.engine())
         sidecar = await self.enterAsyncContext(support.sidecar(url, 'app'))
         async with support.router(sidecar.port) as router:
--- a/tests/quetzalsill_sidecar/test_monitoring.py
+++ b/tests/quetzalsill_sidecar/test_monitoring.py
@@ -1,4 +1,4 @@
-"""What monitoring sees of a sidecar."""
+"""Tests the monitoring endpoints of a sidecar."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MonitoringTest(unittest.IsolatedAsyncioTestCase):
-    """Readiness follows leaving; metrics count what ended."""
+    """Readiness reflects leaving; metrics count ended attempts."""
 
     async def test_readiness_and_metrics(self):
         async with (
--- a/tests/quetzalsill_sidecar/test_not_run.py
+++ b/tests/quetzalsill_sidecar/test_not_run.py
@@ -1,4 +1,4 @@
-"""A refusal means not run, whatever order messages come in."""
+"""A refusal means "not run", in whatever order messages arrive."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class NotRunTest(unittest.IsolatedAsyncioTestCase):
-    """Refused and Withdrawn are true, and stay true."""
+    """Refused and Withdrawn are true when sent and stay true."""
 
     async def asyncSetUp(self):
         self.engine, url = await self.enterAsyncContext(
@@ -28,10 +28,11 @@
         )
 
     async def test_dispatch_that_arrives_after_its_withdrawal_is_refused(self):
-        """A brief is billed twice.
+        """A withdrawn attempt must not run if its Dispatch arrives late.
 
-        The router gives an attempt up over a new link and sends the brief
-        elsewhere; its Dispatch was stuck on the way and arrives only now.
+        The router withdraws the attempt on a new link and sends the request
+        elsewhere. The delayed Dispatch arrives afterwards; run, it would be
+        billed twice.
         """
         late = support.make_dispatch(self.router.incarnation)
         self.router.send(message.Withdraw(late.attempt))
@@ -44,10 +45,10 @@
         self.assertNotIn(late.attempt, run_ids(self.engine))
 
     async def test_refused_dispatch_stays_refused(self):
-        """A refused order is served after all.
+        """A refused attempt must not run later.
 
-        The router was told "not run" and moved on; the same Dispatch comes
-        again when the cause of the refusal is over.
+        The router has received "not run" and moved on. The same Dispatch
+        arrives again after the cause of the refusal has ended.
         """
         sent = support.make_dispatch(self.router.incarnation, queue_ms=-1)
         for _ in range(2):
@@ -59,11 +60,11 @@
         self.assertNotIn(sent.attempt, run_ids(self.engine))
 
     async def test_burst_at_an_idle_engine_is_taken(self):
-        """Handsets get "overloaded" from an engine that has nothing to do.
+        """An idle engine must not refuse a burst as overloaded.
 
-        Two queries arrive in one read of the link. While the second is
-        judged the first still waits for the end of the loop's turn, and
-        counts as a queue before an engine that makes long answers.
+        Several requests arrive in one read of the link. If the first were
+        started only in the next loop iteration, it would count as queued when
+        the second is checked, before an engine with long answers.
         """
         await self.router.receive_all(self.router.dispatch())
         burst = [self.router.dispatch(queue_ms=0) for _ in range(3)]
@@ -72,10 +73,10 @@
             self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_repeated_dispatch_runs_once(self):
-        """A plan is made twice.
+        """A repeated Dispatch must not run twice.
 
-        A router repeats a Dispatch because the link broke before any answer
-        came; the first had arrived.
+        The router repeats a Dispatch because the link broke before any
+        answer; the first Dispatch had arrived.
         """
         sent = support.make_dispatch(self.router.incarnation)
         self.router.send(sent)
@@ -85,9 +86,10 @@
         self.assertEqual(run_ids(self.engine).count(sent.attempt), 1)
 
     async def test_started_attempt_is_never_called_not_run(self):
-        """A plan that is being made is sent to a second engine.
+        """A started attempt must not be reported as withdrawn.
 
-        The router withdraws an attempt at the moment when it starts.
+        The router withdraws an attempt just as it starts, and would otherwise
+        send it to a second engine.
         """
         attempt = self.router.dispatch(tokens=50)
         self.assertIsInstance(
@@ -101,10 +103,10 @@
         self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_resume_of_an_unknown_attempt_forbids_it(self):
-        """A request that the router has given up runs late.
+        """A Dispatch that arrives after its Resume must not run.
 
-        The link broke with the Dispatch still in it; the router asks on the
-        new link, is told "not run", and the Dispatch arrives then.
+        The link broke with the Dispatch in transit. The router resumes on the
+        new link and receives "not run"; then the Dispatch arrives.
         """
         late = support.make_dispatch(self.router.incarnation)
         self.router.send(message.Resume(late.attempt, 0, 100))
@@ -115,10 +117,10 @@
         self.assertIsInstance(answer, message.Refused)
 
     async def test_lower_fence_is_refused(self):
-        """Two routers run one durable plan.
+        """Two routers must not run the same durable request.
 
-        The first owner was paused, its request was taken over with a higher
-        fence, and it wakes and dispatches as if it still owned it.
+        The first owner was paused and its request was taken over with a
+        higher fence. It wakes up and dispatches as if it were still the owner.
         """
         owner = self.router.dispatch(request='plan', fence=5)
         await self.router.receive_all(owner)
@@ -152,7 +154,7 @@
         await self.wait_cancelled_on_engine(attempt)
 
     async def barrier(self):
-        """Returns once everything sent before has been acted on."""
+        """Returns once all messages sent before have been handled."""
         await self.router.receive_all(self.router.dispatch(tokens=1))
 
     async def wait_cancelled_on_engine(self, attempt):
@@ -168,10 +170,10 @@
 
 
 class UnreachableEngineTest(unittest.IsolatedAsyncioTestCase):
-    """No engine listens."""
+    """No engine is listening."""
 
     async def test_connection_that_never_opened_is_not_run(self):
-        """A shopkeeper's query is called "unknown" though nothing was sent."""
+        """A refused connection means "not run", since nothing was sent."""
         async with (
             support.sidecar('http://127.0.0.1:9') as sidecar,
             support.router(sidecar.port) as router,
--- a/tests/quetzalsill_sidecar/test_peer.py
+++ b/tests/quetzalsill_sidecar/test_peer.py
@@ -1,4 +1,4 @@
-"""Request bodies from the router's real end."""
+"""Request bodies sent by the router's real link implementation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def read(attempt):
-    """Takes the whole answer, granting credit as it goes."""
+    """Reads the whole answer, granting credit for each chunk."""
     items: list[bytes] = []
     while True:
         msg = await attempt.receive()
@@ -30,10 +30,10 @@
 
 
 class PeerTest(unittest.IsolatedAsyncioTestCase):
-    """A router's peer beside one sidecar."""
+    """A router's peer connected to one sidecar."""
 
     async def link(self, port: int):
-        """Links a peer to a sidecar beside an app server."""
+        """Connects a peer to a sidecar of an app server."""
         cfg = document.parse(support.configuration(), 1)
         cfg.upstreams[UPSTREAM] = support.upstream(
             kind='app', sidecar=f'127.0.0.1:{port}', services=[support.MODEL]
@@ -54,7 +54,7 @@
         return peer
 
     async def test_body_is_paced_to_its_end(self):
-        """An upload stands still, or fills the sidecar's memory."""
+        """An upload neither stalls nor fills the sidecar's memory."""
         service = service_standin.Service()
         url = await self.enterAsyncContext(
             support.serve_app(service_standin.make_app(service))
--- a/tests/quetzalsill_sidecar/test_recover.py
+++ b/tests/quetzalsill_sidecar/test_recover.py
@@ -1,4 +1,4 @@
-"""A new sidecar takes up what the engine still runs."""
+"""A new sidecar recovers generations that the engine still runs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RecoverTest(unittest.IsolatedAsyncioTestCase):
-    """The sidecar process dies; its engine may live on."""
+    """The sidecar process dies; its engine may keep running."""
 
     async def asyncSetUp(self):
         self.engine, self.url = await self.enterAsyncContext(
@@ -23,7 +23,7 @@
         )
 
     async def start_and_stop_sidecar(self) -> str:
-        """Gives an attempt that the engine runs and whose sidecar is gone."""
+        """Returns an attempt whose engine runs and whose sidecar is gone."""
         async with (
             support.sidecar(self.url) as sidecar,
             support.router(sidecar.port) as router,
@@ -34,7 +34,7 @@
         return attempt
 
     async def recover(self, attempt: str, url: str, **changes):
-        """Dispatches a recovery to a new sidecar; gives the answer."""
+        """Dispatches a recovery to a new sidecar; returns the messages."""
         changes = {'engine': self.engine.incarnation, **changes}
         async with (
             support.sidecar(url) as sidecar,
@@ -44,10 +44,10 @@
             return await router.receive_all(attempt)
 
     async def test_running_generation_is_attached_to(self):
-        """A day's plan is lost, or begun a second time.
+        """A recovered generation is neither lost nor started again.
 
-        The sidecar is killed in mid-answer and restarted; the router asks
-        the new one for the same attempt.
+        The sidecar is killed during the answer and restarted. The router
+        asks the new one for the same attempt.
         """
         attempt = await self.start_and_stop_sidecar()
         messages = await self.recover(attempt, self.url)
@@ -57,10 +57,10 @@
         self.assertEqual(len(self.engine.audit()['runs']), 1)
 
     async def test_taken_over_while_the_sidecar_is_paused(self):
-        """A plan is lost with a router, though another has taken it over.
+        """A request taken over during a pause must not be dropped.
 
-        The sidecar wakes to the new router's Dispatch, and past the time that
-        it waits for the old one.
+        When the sidecar wakes up, the new router's Dispatch has arrived, but
+        the orphan timeout of the old router has expired, too.
         """
         loop = asyncio.get_running_loop()
         async with support.sidecar(self.url, orphan_s=ORPHAN_S) as sidecar:
@@ -74,13 +74,13 @@
                     recover=True,
                     engine=self.engine.incarnation,
                 )
-                # Behind the write of the Dispatch, which follows this tick.
+                # Scheduled after the write of the Dispatch in this iteration.
                 loop.call_soon(pause.pause, 2 * ORPHAN_S)
                 messages = await router.receive_all(attempt)
         self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_taken_over_too_late(self):
-        """A caller is told that its plan was cancelled, which nobody did."""
+        """Work stopped as an orphan is reported as failed, not cancelled."""
         async with support.sidecar(self.url, orphan_s=ORPHAN_S) as sidecar:
             async with support.router(sidecar.port) as lost:
                 attempt = lost.dispatch(tokens=2000)
@@ -98,10 +98,11 @@
         self.assertEqual(messages[-1].code, 'upstream_failed')
 
     async def test_link_cut_again_before_the_engine_is_read(self):
-        """A plan fails though its engine goes on with it.
+        """A resume beyond the items read so far must not fail.
 
-        The sidecar was replaced, and the link to the new one is cut before
-        it has read from the engine what the router had from the old one.
+        The sidecar was replaced, and the link to the new one is cut before it
+        has read from the engine the items that the router already has. The
+        engine is still running the generation.
         """
         attempt = await self.start_and_stop_sidecar()
         async with (
@@ -116,10 +117,10 @@
         self.assertIsInstance(messages[-1], message.Finished)
 
     async def test_work_that_never_arrived_is_forbidden_and_not_run(self):
-        """A brief called "not run" is billed after all.
+        """A request reported as "not run" must not run later.
 
-        The old sidecar died with the request still in its socket; the new
-        one finds nothing, says "not run", and the request arrives then.
+        The old sidecar died with the request still in its socket. The new
+        one finds nothing and reports "not run"; then the request arrives.
         """
         attempt = 'entry-1/7/lost-1'
         messages = await self.recover(attempt, self.url)
@@ -128,17 +129,17 @@
             support.start_on_engine(self.engine, attempt)
 
     async def test_restarted_engine_proves_nothing(self):
-        """A brief that ran on an engine that died is called "not run"."""
+        """A request that ran on a dead engine is not reported as "not run"."""
         messages = await self.recover('entry-1/7/lost-2', self.url, engine=1)
         self.assertIsInstance(messages[-1], message.Failed)
         self.assertEqual(messages[-1].ran, 'unknown')
 
     async def test_an_engine_that_tells_no_start_proves_nothing(self):
-        """A brief is made twice.
+        """An engine without an incarnation proves nothing about a request.
 
-        Its engine was restarted, and tells no start of its own. Neither start
-        is known, the one at the Dispatch nor the one now; that both are
-        unknown was taken for one and the same, and the brief for not run.
+        The engine was restarted and reports no incarnation. The incarnation is
+        unknown both at the Dispatch and now. Comparing the two unknown values
+        as equal reported the request as not run, so it was run twice.
         """
         self.engine.incarnation = 0
         messages = await self.recover('entry-1/7/lost-3', self.url, engine=0)
@@ -146,11 +147,12 @@
         self.assertEqual(messages[-1].ran, 'unknown')
 
     async def test_what_ended_here_is_not_called_not_run(self):
-        """A plan is made twice.
+        """An attempt known to have run is not reported as "not run".
 
-        It ended at this sidecar, which remembers that. Another router takes it
-        over and asks for it; the engine has forgotten what it made. That the
-        engine knows nothing was believed over the sidecar's own memory.
+        It ended at this sidecar, which has a record of it. Another router
+        takes the request over and recovers it; the engine has dropped the
+        generation. The sidecar believed the engine over its own record, so the
+        request was run twice.
         """
         async with (
             support.sidecar(self.url) as sidecar,
@@ -168,10 +170,10 @@
         self.assertNotEqual(messages[-1].ran, 'no')
 
     async def test_recovery_is_tried_anew_once_the_engine_is_back(self):
-        """A plan is given up though its engine made it to the end.
+        """A recovery is retried after the engine was unreachable.
 
-        The engine can't be reached at the first recovery; the router asks
-        again, and must not be given the old answer.
+        The engine can't be reached at the first recovery, but has completed
+        the answer. The router asks again and must not get the old result.
         """
         attempt = await self.start_and_stop_sidecar()
         relay = await support.start_relay(self.url)
@@ -191,10 +193,10 @@
         self.assertEqual(support.indexes(messages), list(range(80)))
 
     async def test_other_router_takes_up_a_durable_answer_from_its_start(self):
-        """A clerk gets the second half of a plan.
+        """The successor of a router gets the whole answer, not its end.
 
-        The router that owned the request dies after it has acknowledged
-        some items; another takes over under a higher fence.
+        The router that owned the request dies after it has acknowledged some
+        items; another takes over with a higher fence.
         """
         async with support.sidecar(self.url) as sidecar:
             changes = {'profile': 'patient', 'request': 'plan'}
@@ -211,10 +213,10 @@
         self.assertEqual(support.indexes(messages), list(range(60)))
 
     async def test_answer_that_was_acknowledged_is_had_again(self):
-        """A plan is made, and its clerk is told that it is lost.
+        """An acknowledged answer can still be recovered from the engine.
 
-        The router that had the whole answer dies before it has stored it;
-        the sidecar has dropped it, but the engine has not.
+        The router dies after it received the whole answer and before it stored
+        it. The sidecar has dropped the answer, but the engine has not.
         """
         async with support.sidecar(self.url) as sidecar:
             changes = {'profile': 'patient', 'request': 'plan'}
@@ -237,11 +239,12 @@
     async def test_answer_that_is_partly_dropped_is_not_begun_in_mid_stream(
         self,
     ):
-        """Every request on a link stalls, again and again.
+        """A new owner must not get an answer that starts in the middle.
 
-        A router dies after its caller took part of a streamed brief; the one
-        that asks what became of it gets items from the middle, takes that
-        for a broken protocol and drops the link, each time it asks.
+        A router dies after its caller has read part of a streamed answer. Its
+        successor would receive items from the middle, treat that as a protocol
+        error and drop the link each time it asks, which stalls all requests on
+        the link.
         """
         async with support.sidecar(self.url) as sidecar:
             async with support.router(sidecar.port) as first:
