--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/__init__.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: a proxy through which one upstream is reached."""
+"""The sidecar: a proxy that all requests to one upstream pass through."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/config_fetcher.py
@@ -13,7 +13,7 @@
 __all__ = ['REPLY_TIMEOUT_S', 'ConfigFetcher', 'Source']
 
 # Shorter than the time that a Dispatch waits for its newer revision, so that
-# a second router can still be asked.
+# a second router can still be asked in time.
 REPLY_TIMEOUT_S = 1.0
 
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load_change.py
@@ -13,8 +13,8 @@
 MIN_INTERVAL_S = 0.25
 MIN_SMALL_INTERVAL_S = 1.0
 # A Load takes about 200 bytes on the network, including headers and
-# acknowledgement, and is sent to every router. This limits a sidecar to 1.6
-# KB/s for large changes and 0.4 KB/s for small ones, for any number of
+# acknowledgement, and is sent to every router. This limits a sidecar to
+# 1.6 KB/s for large changes and 0.4 KB/s for small ones, for any number of
 # routers.
 INTERVAL_S_PER_LINK = 0.125
 SMALL_INTERVAL_S_PER_LINK = 0.5
@@ -48,7 +48,7 @@
 
 
 def min_interval_s(kind: Change, link_count: int) -> float:
-    """Minimum time between the last report and this one, in seconds."""
+    """Minimum time from the last report to the next one, in seconds."""
     if kind is Change.STATE:
         return MIN_INTERVAL_S
     if kind is Change.LARGE:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
@@ -29,7 +29,7 @@
             settings.SidecarSettings,
             role.late('quetzalsill_sidecar.run'),
         ),
-        'Proxy through which one upstream is reached.',
+        'Proxy that all requests to one upstream pass through.',
     )
     registry.add(
         'fairness',
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -48,7 +48,7 @@
 
 
 class Sidecar:
-    """A proxy through which routers reach one upstream.
+    """The proxy that all requests to one upstream pass through.
 
     Attributes:
       incarnation: Number of this start of the process.
