--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
@@ -28,8 +28,8 @@
           is_open: More will come.
           max_bytes: Bytes that may wait.
         """
-        self.taken = 0
-        self.broken = False
+        self.consumed = 0
+        self.overflowed = False
         self._pieces = collections.deque([first] if first else [])
         self._waiting = len(first)
         self._open = is_open
@@ -51,7 +51,7 @@
             return
         self._open = not last
         if self._waiting + len(data) > self._max_bytes:
-            self.broken = True
+            self.overflowed = True
             self._open = False
         elif data:
             self._pieces.append(data)
@@ -64,7 +64,7 @@
             while self._pieces:
                 data = self._pieces.popleft()
                 self._waiting -= len(data)
-                self.taken += 1
+                self.consumed += 1
                 yield data
             if not self._open:
                 return
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/judge.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/dispatch_check.py
@@ -13,14 +13,14 @@
     from quetzalsill.wire import message
     from quetzalsill_sidecar.attempt import fence
 
-__all__ = ['Circumstances', 'Verdict', 'judge']
+__all__ = ['SidecarState', 'Refusal', 'find_refusal']
 
 LEAST_RETRY_MS = 100
 NOT_NEGATIVE = ('prompt_tokens', 'max_tokens', 'credit', 'fence', 'engine')
 
 
 @dataclasses.dataclass(slots=True)
-class Verdict:
+class Refusal:
     """Why a Dispatch is refused.
 
     Attributes:
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Circumstances:
+class SidecarState:
     """What the sidecar knows while it judges.
 
     Attributes:
@@ -59,7 +59,9 @@
     expected_wait_ms: int
 
 
-def judge(dispatch: message.Dispatch, known: Circumstances) -> Verdict | None:
+def find_refusal(
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     """Returns why the Dispatch is refused, or None if it may be queued.
 
     A recovery only attaches to work that the engine already has, so nothing
@@ -73,37 +75,37 @@
 
 
 def _check_incarnation(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     if dispatch.incarnation == known.incarnation:
         return None
-    return Verdict(
+    return Refusal(
         request_error.SupersededError.code,
         f'this is incarnation {known.incarnation}',
     )
 
 
 def _check_kind(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     if dispatch.kind in known.kinds:
         return None
-    return Verdict(
+    return Refusal(
         request_error.BadRequestError.code,
         f'kind {dispatch.kind!r} is not served here',
     )
 
 
 def _check_numbers(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     # With a credit below 0 an attempt runs, never delivers and never ends;
     # lengths below 0 would be planned as memory that it gives back.
     del known
     for name in NOT_NEGATIVE:
         value = getattr(dispatch, name)
         if value < 0:
-            return Verdict(
+            return Refusal(
                 request_error.BadRequestError.code,
                 f'{name} is {value}, below 0',
             )
@@ -111,41 +113,41 @@
 
 
 def _check_fence(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     if known.fences.admit(dispatch.request, dispatch.fence):
         return None
-    return Verdict(
+    return Refusal(
         request_error.SupersededError.code, f'fence {dispatch.fence} is old'
     )
 
 
 def _check_leaving(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     del dispatch
     if not known.leaving:
         return None
-    return Verdict(request_error.UpstreamLeavingError.code, known.leaving)
+    return Refusal(request_error.UpstreamLeavingError.code, known.leaving)
 
 
 def _check_revision(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     if dispatch.revision >= known.revision:
         return None
-    return Verdict(
+    return Refusal(
         request_error.StaleRevisionError.code,
         f'revision {known.revision} is in force',
     )
 
 
 def _check_queue(
-    dispatch: message.Dispatch, known: Circumstances
-) -> Verdict | None:
+    dispatch: message.Dispatch, known: SidecarState
+) -> Refusal | None:
     wait_ms = known.expected_wait_ms
     if known.queued >= known.max_queued:
-        return Verdict(
+        return Refusal(
             request_error.OverloadedError.code,
             'queue full',
             max(wait_ms, LEAST_RETRY_MS),
@@ -154,7 +156,7 @@
     if wait_ms <= allowed_ms:
         return None
     retry_ms = max(wait_ms - allowed_ms, LEAST_RETRY_MS)
-    return Verdict(
+    return Refusal(
         request_error.OverloadedError.code,
         f'expected wait {wait_ms} ms',
         retry_ms,
@@ -162,7 +164,7 @@
 
 
 if TYPE_CHECKING:
-    Check = Callable[[message.Dispatch, Circumstances], Verdict | None]
+    Check = Callable[[message.Dispatch, SidecarState], Refusal | None]
 
 ALL_CHECKS: tuple[Check, ...] = (
     _check_incarnation,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/state.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/state.py
@@ -21,11 +21,11 @@
 class Stage(enum.Enum):
     """How far an attempt is."""
 
-    JUDGED = 'judged'
+    RECEIVED = 'judged'
     QUEUED = 'queued'
     CONNECTING = 'connecting'
     STARTED = 'started'
-    OVER = 'over'
+    ENDED = 'over'
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -61,7 +61,7 @@
     tail: tail_lib.Tail
     body: body_lib.RequestBody
     orphan_s: float
-    stage: Stage = Stage.JUDGED
+    stage: Stage = Stage.RECEIVED
     started: float = 0.0
     has_run: bool = False
     link: object = None
@@ -71,7 +71,7 @@
     terminal: message.Message | None = None
     ended: float = 0.0
     task: asyncio.Task[None] | None = None
-    stopping: str = ''
+    stop_code: str = ''
     _flush_due: bool = False
     _terminal_sent: bool = False
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
@@ -52,7 +52,7 @@
 
     def __init__(self, max_stones: int, clock: Callable[[], float]) -> None:
         """Makes an empty table that remembers at most `max_stones` ended."""
-        self.stones = tombstone.Tombstones(max_stones, clock)
+        self.tombstones = tombstone.Tombstones(max_stones, clock)
         self.fences = fence.Fences(MAX_FENCES)
         self._clock = clock
         self._live: dict[str, state.Attempt] = {}
@@ -95,7 +95,7 @@
         """
         if attempt.terminal is not None:
             return
-        attempt.stage = state.Stage.OVER
+        attempt.stage = state.Stage.ENDED
         attempt.terminal = terminal
         attempt.ended = self._clock()
         _log_end(attempt, terminal)
@@ -106,13 +106,13 @@
     def drop(self, attempt_id: str) -> None:
         """Forgets an ended attempt without a trace, to run it anew."""
         self._live.pop(attempt_id, None)
-        self.stones.remove(attempt_id)
+        self.tombstones.remove(attempt_id)
 
     def forget(self, attempt: state.Attempt) -> None:
         """Drops an ended attempt and leaves a tombstone."""
         self._live.pop(attempt.id, None)
         keep_s = max(0.0, attempt.deadline - self._clock()) + MARGIN_S
-        self.stones.lay(attempt.id, _epitaph(attempt), keep_s)
+        self.tombstones.add(attempt.id, _epitaph(attempt), keep_s)
 
 
 def _epitaph(attempt: state.Attempt) -> message.Message:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
@@ -74,7 +74,7 @@
         self._bytes += sum(map(len, items))
         self._note_room()
 
-    async def room(self) -> None:
+    async def wait_for_room(self) -> None:
         """Waits until less than `max_bytes` are kept."""
         await self._has_room.wait()
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
@@ -66,7 +66,7 @@
     def __len__(self) -> int:
         return len(self._stones)
 
-    def lay(
+    def add(
         self, attempt: str, terminal: message.Message, keep_s: float
     ) -> None:
         """Remembers how an attempt ended, for `keep_s` seconds."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -9,7 +9,7 @@
 from quetzalsill.error import request as request_error
 from quetzalsill.wire import kind, message
 from quetzalsill_sidecar import event, make
-from quetzalsill_sidecar.attempt import judge, state
+from quetzalsill_sidecar.attempt import dispatch_check, state
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -87,10 +87,10 @@
         if attempt is not None:
             self._withdraw_known(attempt, put)
             return
-        stone = self._attempts.stones.find(attempt_id)
+        stone = self._attempts.tombstones.find(attempt_id)
         if stone is None:
             stone = message.Withdrawn(attempt_id)
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
+            self._attempts.tombstones.add(attempt_id, stone, NEVER_SEEN_KEEP_S)
         put(stone)
 
     def cancel(self, attempt_id: str) -> None:
@@ -103,11 +103,11 @@
         self, attempt: state.Attempt, code: str, retry_after_ms: int = 0
     ) -> None:
         """Ends an attempt at whatever stage it is."""
-        if attempt.stage in (state.Stage.JUDGED, state.Stage.QUEUED):
+        if attempt.stage in (state.Stage.RECEIVED, state.Stage.QUEUED):
             self._queue.remove(attempt.id)
             self._attempts.refuse(attempt, code, code, retry_after_ms)
             self._on_change()
-        elif attempt.stage is not state.Stage.OVER:
+        elif attempt.stage is not state.Stage.ENDED:
             self._runs.stop_attempt(attempt, code)
 
     def resume(self, msg: message.Resume, link: object, put: Put) -> None:
@@ -145,7 +145,7 @@
 
     def adopt(self, cfg: model.Configuration) -> None:
         """Lets a new configuration apply to what waits and what runs."""
-        self._queue.reorder(
+        self._queue.set_policies(
             self._registry.get('fairness', cfg.policies.fairness)(),
             self._registry.get('admission', cfg.policies.admission),
             self._demand_of,
@@ -191,7 +191,7 @@
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             return attempt.terminal
-        return self._attempts.stones.find(attempt_id)
+        return self._attempts.tombstones.find(attempt_id)
 
     def _take_up(
         self,
@@ -220,16 +220,16 @@
             attempt.attach(link, put)
 
     def _answer_lost(self, attempt_id: str) -> message.Message:
-        stone = self._attempts.stones.find(attempt_id)
+        stone = self._attempts.tombstones.find(attempt_id)
         if stone is None:
             stone = message.Refused(
                 attempt_id, request_error.NotFoundError.code, 'never seen', 0
             )
-            self._attempts.stones.lay(attempt_id, stone, NEVER_SEEN_KEEP_S)
+            self._attempts.tombstones.add(attempt_id, stone, NEVER_SEEN_KEEP_S)
         return stone
 
     def _withdraw_known(self, attempt: state.Attempt, put: Put) -> None:
-        if attempt.started or attempt.stage is state.Stage.OVER:
+        if attempt.started or attempt.stage is state.Stage.ENDED:
             put(message.Running(attempt.id))
             return
         self._queue.remove(attempt.id)
@@ -249,7 +249,7 @@
         self._judge(attempt)
 
     def _judge(self, attempt: state.Attempt) -> None:
-        if attempt.stage is not state.Stage.JUDGED:
+        if attempt.stage is not state.Stage.RECEIVED:
             return
         dispatch = attempt.dispatch
         if dispatch.revision > self._configuration.revision:
@@ -259,13 +259,15 @@
             )
             return
         demand = self._demand(attempt)
-        verdict = judge.judge(dispatch, self._circumstances(demand))
+        verdict = dispatch_check.find_refusal(
+            dispatch, self._circumstances(demand)
+        )
         if verdict is not None:
             self._attempts.refuse(
                 attempt, verdict.code, verdict.detail, verdict.retry_after_ms
             )
         elif dispatch.recover:
-            self._queue.occupy(demand)
+            self._queue.mark_running(demand)
             self._runs.start(attempt, demand)
         else:
             attempt.stage = state.Stage.QUEUED
@@ -276,10 +278,12 @@
             self.pump()
         self._on_change()
 
-    def _circumstances(self, demand: policy.Demand) -> judge.Circumstances:
+    def _circumstances(
+        self, demand: policy.Demand
+    ) -> dispatch_check.SidecarState:
         is_model = self._settings.upstream.kind == 'model'
         wait_s = self._queue.expected_wait_s(demand.rank(demand.arrived))
-        return judge.Circumstances(
+        return dispatch_check.SidecarState(
             incarnation=self._incarnation,
             revision=self._configuration.revision,
             leaving=self._leaving.refusal(),
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
@@ -110,7 +110,7 @@
         await self._loaded.confirm([] if leaving else models)
         cfg = self._sidecar.configuration.current
         wanted = cfg.upstreams.get(self._name)
-        due = list(plan.orders(wanted, report)) if wanted else []
+        due = list(plan.commands(wanted, report)) if wanted else []
         if not due or leaving:
             if self._lease.valid():
                 await self._lease.release()
@@ -146,14 +146,16 @@
             await self._lease.release()
             raise error.OrderWithheldError(f'revision {newest} is published')
 
-    async def _give(self, order: plan.Order, cfg: model.Configuration) -> bool:
+    async def _give(
+        self, order: plan.Command, cfg: model.Configuration
+    ) -> bool:
         """Gives an order; False if it has to wait for others."""
-        if order.takes_model_out:
+        if order.unloads_model:
             return await self._unload(order, cfg)
         if not order.loads:
             await self._send(order, cfg)
             return True
-        taken = await self._slots.take(cfg.policies.load_slots)
+        taken = await self._slots.acquire(cfg.policies.load_slots)
         if taken is None:
             return False
         try:
@@ -163,7 +165,7 @@
         return True
 
     async def _unload(
-        self, order: plan.Order, cfg: model.Configuration
+        self, order: plan.Command, cfg: model.Configuration
     ) -> bool:
         """Unloads a model that has no work here and is loaded elsewhere."""
         if any(
@@ -185,7 +187,7 @@
 
     async def _send(
         self,
-        order: plan.Order,
+        order: plan.Command,
         cfg: model.Configuration,
         taken: lease.Lease | None = None,
     ) -> None:
@@ -211,8 +213,10 @@
         engine = self._sidecar.runs.engine
         outcome = 'failed'
         try:
-            async with self._kept([self._lease, *([taken] if taken else [])]):
-                await engine.order(
+            async with self._renewing(
+                [self._lease, *([taken] if taken else [])]
+            ):
+                await engine.send_command(
                     order.kind,
                     order.name,
                     cfg.revision,
@@ -232,7 +236,7 @@
                 )
             )
 
-    async def _read_back(self, order: plan.Order) -> None:
+    async def _read_back(self, order: plan.Command) -> None:
         """Waits until the engine's report, which lags, shows the order."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timing.read_back_s):
@@ -243,7 +247,7 @@
                     await asyncio.sleep(self._timing.interval_s)
 
     @contextlib.asynccontextmanager
-    async def _kept(self, leases: list[lease.Lease]) -> AsyncIterator[None]:
+    async def _renewing(self, leases: list[lease.Lease]) -> AsyncIterator[None]:
         """Renews leases meanwhile: a load may last longer than their TTL."""
         task = asyncio.create_task(self._renew(leases))
         try:
@@ -270,7 +274,7 @@
     yield from (upstream for _, upstream in sorted(others))
 
 
-def _shows(report: engine.EngineReport, order: plan.Order) -> bool:
+def _shows(report: engine.EngineReport, order: plan.Command) -> bool:
     verb, _, what = order.kind.partition('_')
     if verb == 'set':
         return report.role == order.name
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
@@ -10,11 +10,11 @@
     from quetzalsill.config import model
     from quetzalsill_sidecar.upstream import engine
 
-__all__ = ['Order', 'orders']
+__all__ = ['Command', 'commands']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Order:
+class Command:
     """One order to the engine.
 
     Attributes:
@@ -32,23 +32,23 @@
         return self.kind in ('load_model', 'load_adapter')
 
     @property
-    def takes_model_out(self) -> bool:
+    def unloads_model(self) -> bool:
         """Whether the engine stops serving a model."""
         return self.kind == 'unload_model'
 
 
-def orders(
+def commands(
     wanted: model.Upstream, report: engine.EngineReport
-) -> Iterator[Order]:
+) -> Iterator[Command]:
     """Yields what differs, loads first, by the engine's own word."""
     yield from _each('load_model', wanted.models, report.models)
     yield from _each('load_adapter', wanted.adapters, report.adapters)
     if report.role and report.role != wanted.role:
-        yield Order('set_role', wanted.role)
+        yield Command('set_role', wanted.role)
     yield from _each('unload_adapter', report.adapters, wanted.adapters)
     yield from _each('unload_model', report.models, wanted.models)
 
 
-def _each(kind: str, these: list[str], without: list[str]) -> Iterator[Order]:
+def _each(kind: str, these: list[str], without: list[str]) -> Iterator[Command]:
     for name in sorted(set(these) - set(without)):
-        yield Order(kind, name)
+        yield Command(kind, name)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
@@ -23,7 +23,7 @@
         self._first = zlib.crc32(owner.encode())
         self._leases: dict[int, lease.Lease] = {}
 
-    async def take(self, count: int) -> lease.Lease | None:
+    async def acquire(self, count: int) -> lease.Lease | None:
         """Takes a free slot of `count`; None if there is none.
 
         Each sidecar begins at another slot, so that a start of many does
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
@@ -21,7 +21,7 @@
 __all__ = ['admit', 'admit_declared', 'peak_tokens']
 
 
-def admit(view: policy.View, demand: policy.Demand) -> bool:
+def admit(view: policy.EngineState, demand: policy.Demand) -> bool:
     """Starts a demand if the predicted peak of memory stays under capacity.
 
     Each attempt is planned at its profile's quantile of the length still to
@@ -37,7 +37,7 @@
     return _admit(view, demand, remaining)
 
 
-def admit_declared(view: policy.View, demand: policy.Demand) -> bool:
+def admit_declared(view: policy.EngineState, demand: policy.Demand) -> bool:
     """Starts a demand if all answers may grow to their declared bound.
 
     Never overcommits, and wastes what bounds exceed lengths by. Where callers
@@ -79,7 +79,7 @@
 
 
 def _admit(
-    view: policy.View, demand: policy.Demand, remaining: Remaining
+    view: policy.EngineState, demand: policy.Demand, remaining: Remaining
 ) -> bool:
     if len(view.running) >= view.max_running:
         return False
@@ -97,7 +97,7 @@
         # the engine's preemption by priority is the last relief.
         beside = [o for o in beside if o.demand.uses_headroom]
     else:
-        budget -= view.kept_tokens
+        budget -= view.reserved_tokens
     sizes = [(o.held_tokens, remaining(o.demand, o.produced)) for o in beside]
     newcomer = (demand.prompt_tokens, remaining(demand, 0))
     return peak_tokens(sizes, newcomer) <= budget
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Sequence
 
-__all__ = ['Admit', 'Demand', 'Occupant', 'Order', 'View']
+__all__ = ['Admit', 'Demand', 'RunningAttempt', 'Order', 'EngineState']
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Occupant:
+class RunningAttempt:
     """An attempt on the upstream.
 
     Attributes:
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class View:
+class EngineState:
     """What an admission policy may look at.
 
     Attributes:
@@ -89,9 +89,9 @@
     now: float
     capacity_tokens: int
     foreign_tokens: int
-    kept_tokens: float
+    reserved_tokens: float
     max_running: int
-    running: Sequence[Occupant]
+    running: Sequence[RunningAttempt]
     remaining: Callable[[str, str, int, float], int]
 
 
@@ -116,6 +116,6 @@
 
 if TYPE_CHECKING:
     # An admission plug-in: whether the demand may start now.
-    Admit = Callable[[View, Demand], bool]
+    Admit = Callable[[EngineState, Demand], bool]
 else:
     Admit = object
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
@@ -47,7 +47,7 @@
         self._max_running = max_running
         self._clock = clock
         self._waiting: dict[str, policy.Demand] = {}
-        self._running: dict[str, policy.Occupant] = {}
+        self._running: dict[str, policy.RunningAttempt] = {}
         self._service_s = 0.0
         self._blocked = False
         self._prompt_work = headroom_lib.Headroom()
@@ -68,7 +68,7 @@
         own = sum(o.held_tokens for o in self._running.values())
         return own + self.foreign_tokens
 
-    def reorder(
+    def set_policies(
         self,
         order: policy.Order,
         admit: policy.Admit,
@@ -109,12 +109,12 @@
         while (demand := self._next()) is not None:
             self._order.take(demand)
             del self._waiting[demand.attempt]
-            self.occupy(demand)
+            self.mark_running(demand)
             yield demand.attempt
 
-    def occupy(self, demand: policy.Demand) -> None:
+    def mark_running(self, demand: policy.Demand) -> None:
         """Notes an attempt on the upstream."""
-        occupant = policy.Occupant(demand, self._clock())
+        occupant = policy.RunningAttempt(demand, self._clock())
         self._running[demand.attempt] = occupant
 
     def produce(self, attempt: str, tokens: int) -> None:
@@ -183,7 +183,7 @@
         )
         return demand.prompt_tokens + min(expected, demand.max_tokens)
 
-    def _view(self, now: float) -> policy.View:
+    def _view(self, now: float) -> policy.EngineState:
         held = sum(
             o.held_tokens
             for o in self._running.values()
@@ -191,11 +191,11 @@
         )
         self._prompt_work.note(held, now)
         least = self.headroom * self.capacity_tokens
-        return policy.View(
+        return policy.EngineState(
             now=now,
             capacity_tokens=self.capacity_tokens,
             foreign_tokens=self.foreign_tokens,
-            kept_tokens=max(least, self._prompt_work.reserve() - held),
+            reserved_tokens=max(least, self._prompt_work.reserve() - held),
             max_running=self._max_running,
             running=list(self._running.values()),
             remaining=self.lengths.remaining,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -81,8 +81,8 @@
 
     def stop_attempt(self, attempt: state.Attempt, code: str) -> None:
         """Ends an attempt that was admitted, for the named cause."""
-        if attempt.task is not None and not attempt.stopping:
-            attempt.stopping = code
+        if attempt.task is not None and not attempt.stop_code:
+            attempt.stop_code = code
             attempt.task.cancel()
 
     async def stop(self) -> None:
@@ -129,9 +129,9 @@
                     attempt, request_error.DeadlineError.code
                 )
             except asyncio.CancelledError:
-                if not attempt.stopping:
+                if not attempt.stop_code:
                     raise
-                terminal = self._stopped(attempt, attempt.stopping)
+                terminal = self._stopped(attempt, attempt.stop_code)
             except (
                 error.UpstreamConnectError,
                 error.RequestMalformedError,
@@ -148,7 +148,7 @@
 
         if attempt.dispatch.kind == kind.CALL:
             if attempt.dispatch.recover:
-                return call.never_made(attempt.id)
+                return call.not_found(attempt.id)
             return await call.run(
                 attempt, self._origin, self._timing.connect_s, start
             )
@@ -165,10 +165,10 @@
                 attempt.start(asyncio.get_running_loop().time())
             self._queue.produce(attempt.id, len(items))
             attempt.deliver(items)
-            await attempt.tail.room()
+            await attempt.tail.wait_for_room()
 
         timing = self._timing
-        bounds = generation.Bounds(
+        bounds = generation.Timeouts(
             timing.stall_s, timing.resume_s, timing.refused_s
         )
         return generation.Generation(self.engine, attempt.id, bounds, deliver)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -18,7 +18,7 @@
 
 INTERVAL_S = 0.1
 EXPIRY_S = 5.0
-WAITING = (state.Stage.JUDGED, state.Stage.QUEUED)
+WAITING = (state.Stage.RECEIVED, state.Stage.QUEUED)
 
 
 async def run(sidecar: parts.Parts) -> None:
@@ -33,7 +33,7 @@
         sweep(sidecar, clock())
         if clock() >= expiry:
             expiry = clock() + EXPIRY_S
-            sidecar.attempts.stones.expire()
+            sidecar.attempts.tombstones.expire()
 
 
 def sweep(sidecar: parts.Parts, now: float) -> None:
@@ -47,7 +47,7 @@
     sidecar: parts.Parts, attempt: state.Attempt, now: float
 ) -> None:
     timing = sidecar.settings.timing
-    if attempt.stage is state.Stage.OVER:
+    if attempt.stage is state.Stage.ENDED:
         # A slow caller may still take it item by item over a live link; it
         # would see its answer break off long after the engine was done.
         being_taken = attempt.link is not None and now < attempt.deadline
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -18,12 +18,12 @@
     from quetzalsill.net import parser
     from quetzalsill_sidecar.attempt import state
 
-__all__ = ['never_made', 'run']
+__all__ = ['not_found', 'run']
 
 ITEM_BYTES = 65536
 
 
-def never_made(attempt: str) -> message.Failed:
+def not_found(attempt: str) -> message.Failed:
     """Terminal of a recovery that found no call of this process.
 
     No app server can be asked what became of a call, and to make it would
@@ -87,7 +87,7 @@
     async for data in attempt.body.pieces():
         await conn.write_body(data)
         _acknowledge_body(attempt)
-    if attempt.body.broken:
+    if attempt.body.overflowed:
         conn.close()
         return
     await conn.write_end()
@@ -96,7 +96,7 @@
 def _acknowledge_body(attempt: state.Attempt) -> None:
     """Lets the router send further pieces of the body."""
     if attempt.put is not None and attempt.body.is_open:
-        attempt.put(message.Credit(attempt.id, attempt.body.taken, 1))
+        attempt.put(message.Credit(attempt.id, attempt.body.consumed, 1))
 
 
 async def _read(
@@ -117,7 +117,7 @@
     try:
         while data := await conn.read_data():
             attempt.deliver(_cut(data))
-            await attempt.tail.room()
+            await attempt.tail.wait_for_room()
     except error.AnswerLostError as exc:
         return outcome.failed(
             attempt.id,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -113,7 +113,7 @@
         known = {field.name for field in dataclasses.fields(EngineReport)}
         return EngineReport(**{k: v for k, v in answer.items() if k in known})
 
-    async def order(
+    async def send_command(
         self,
         kind: str,
         name: str,
@@ -152,7 +152,7 @@
                 http.exchange(self._origin, self._connect_s) as conn,
             ):
                 check()
-                await conn.ask(method, target, headers, content)
+                await conn.send_request(method, target, headers, content)
                 head = await conn.read_head()
                 body = await conn.read_all(MAX_ANSWER_BYTES)
         except TimeoutError as exc:
@@ -168,7 +168,7 @@
     Raises:
       AnswerLostError: the connection broke; the engine may have it.
     """
-    await conn.ask('POST', PATHS[kind], JSON_HEADERS, body)
+    await conn.send_request('POST', PATHS[kind], JSON_HEADERS, body)
 
 
 async def write_resume(conn: http.Connection, attempt: str, first: int) -> None:
@@ -178,7 +178,7 @@
       AnswerLostError: the connection broke.
     """
     target = f'{_request_path(attempt)}/stream?from={first}'
-    await conn.ask('GET', target, [])
+    await conn.send_request('GET', target, [])
 
 
 def generation_body(dispatch: message.Dispatch, priority: int) -> bytes:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -54,7 +54,7 @@
                 return message.Finished(attempt.id, attempt.tail.end)
         await progress.resume()
     except error.AnswerRejectedError as exc:
-        return outcome.rejected(attempt.id, exc)
+        return outcome.from_status(attempt.id, exc)
     except error.GenerationGoneError as exc:
         # The request may still be on its way to an engine that does not
         # know it yet; the loss is proved once its start is forbidden.
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -17,7 +17,7 @@
 
     from quetzalsill_sidecar.upstream import http
 
-__all__ = ['Bounds', 'Generation']
+__all__ = ['Timeouts', 'Generation']
 
 BACKOFF_FIRST_S = 0.05
 BACKOFF_MAX_S = 1.0
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bounds:
+class Timeouts:
     """Waits allowed while a generation is read.
 
     Attributes:
@@ -55,7 +55,7 @@
         self,
         engine: engine_lib.Engine,
         attempt: str,
-        bounds: Bounds,
+        bounds: Timeouts,
         deliver: Callable[[list[bytes]], Awaitable[None]],
     ) -> None:
         """Prepares to read.
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -133,7 +133,7 @@
         """Ends the request; raises as `write_body` does."""
         await self.write(self._send(h11.EndOfMessage()))
 
-    async def ask(
+    async def send_request(
         self, method: str, target: str, headers: Headers, body: bytes = b''
     ) -> None:
         """Writes a whole request; raises as its parts do."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from quetzalsill_sidecar import error
 
-__all__ = ['failed', 'rejected']
+__all__ = ['failed', 'from_status']
 
 REFUSING = {
     429: request_error.OverloadedError.code,
@@ -33,7 +33,7 @@
     return message.Failed(attempt, code, detail, ran.value, gone)
 
 
-def rejected(attempt: str, exc: error.AnswerRejectedError) -> message.Failed:
+def from_status(attempt: str, exc: error.AnswerRejectedError) -> message.Failed:
     """Terminal for an engine that answered a start with an error status."""
     status = exc.status
     if status == 409 and FORBIDDEN in exc.body:
--- a/tests/quetzalsill_sidecar/attempt/test_tombstone.py
+++ b/tests/quetzalsill_sidecar/attempt/test_tombstone.py
@@ -23,7 +23,7 @@
                 stones = tombstone.Tombstones(2, lambda now=now: now[0])
                 for number in (3, 4, 5) if drop == 'space' else (3,):
                     name = f'entry-1/7/{number}'
-                    stones.lay(name, message.Withdrawn(name), 60.0)
+                    stones.add(name, message.Withdrawn(name), 60.0)
                 now[0] = 61.0 if drop == 'time' else 0.0
                 stones.expire()
                 self.assertEqual(stones.find('entry-1/7/3').ran, 'unknown')
--- a/tests/quetzalsill_sidecar/placement/test_placement.py
+++ b/tests/quetzalsill_sidecar/placement/test_placement.py
@@ -126,7 +126,7 @@
         report = engine.EngineReport(
             models=['a', 'c'], adapters=['y'], role='decode'
         )
-        found = [(o.kind, o.name) for o in plan.orders(wanted, report)]
+        found = [(o.kind, o.name) for o in plan.commands(wanted, report)]
         expected = [
             ('load_model', 'b'),
             ('load_adapter', 'x'),
@@ -142,7 +142,7 @@
 
         async def load(name):
             slots = slot.Slots(self.rows, name, 60.0)
-            while (taken := await slots.take(2)) is None:  # noqa: ASYNC110
+            while (taken := await slots.acquire(2)) is None:  # noqa: ASYNC110
                 await asyncio.sleep(0)
             loading.append(name)
             self.assertLessEqual(len(loading), 2)
@@ -175,7 +175,7 @@
             async def report(self):
                 return engine.EngineReport(role='mixed')
 
-            async def order(self, kind, name, fence, timeout_s, check):
+            async def send_command(self, kind, name, fence, timeout_s, check):
                 happen()
                 check()
                 given.append((kind, name, fence))
@@ -217,10 +217,10 @@
     async def test_a_long_load_keeps_its_slot(self):
         """Loads that outlast the slots' TTL flood the weight store."""
         slots = slot.Slots(self.rows, NAMES[0], TTL_S)
-        taken = await slots.take(1)
+        taken = await slots.acquire(1)
         async with (
             asyncio.timeout(20 * TTL_S),
-            self.placer(None)._kept([taken]),
+            self.placer(None)._renewing([taken]),
         ):
             while self.slot_version() < 4:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
--- a/tests/quetzalsill_sidecar/test_leaving.py
+++ b/tests/quetzalsill_sidecar/test_leaving.py
@@ -159,7 +159,7 @@
         """An order that was refused gets "outcome unknown"."""
         self.relay.delay(LINK_DELAY_S)
         refused = self.router.dispatch(revision=0)
-        stones = self.sidecar.attempts.stones
+        stones = self.sidecar.attempts.tombstones
         await support.until(lambda: stones.find(refused))
         await self.assert_not_run(refused)
 
--- a/tests/quetzalsill_sidecar/upstream/test_generation.py
+++ b/tests/quetzalsill_sidecar/upstream/test_generation.py
@@ -9,7 +9,7 @@
 from quetzalsill_dev.testing import pause
 from quetzalsill_sidecar.upstream import engine, generation, http
 
-BOUNDS = generation.Bounds(stall_s=0.3, resume_s=0.2, refused_s=0.1)
+BOUNDS = generation.Timeouts(stall_s=0.3, resume_s=0.2, refused_s=0.1)
 EVENT = {'generation': 'g', 'index': 0}
 ANSWER = (
     'HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n'
