--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -9,7 +9,7 @@
 from quetzalsill.error import request as request_error
 from quetzalsill.wire import kind, message
 from quetzalsill_sidecar import event, factory
-from quetzalsill_sidecar.attempt import judge, state
+from quetzalsill_sidecar.attempt import dispatch_check, state
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -88,10 +88,10 @@
         if attempt is not None:
             self._withdraw_known(attempt, put)
             return
-        tombstone = self._attempts.stones.find(attempt_id)
+        tombstone = self._attempts.tombstones.find(attempt_id)
         if tombstone is None:
             tombstone = message.Withdrawn(attempt_id)
-            self._attempts.stones.lay(
+            self._attempts.tombstones.add(
                 attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
             )
         put(tombstone)
@@ -106,11 +106,11 @@
         self, attempt: state.Attempt, code: str, retry_after_ms: int = 0
     ) -> None:
         """Stops an attempt at any stage."""
-        if attempt.stage in (state.Stage.JUDGED, state.Stage.QUEUED):
+        if attempt.stage in (state.Stage.RECEIVED, state.Stage.QUEUED):
             self._queue.remove(attempt.id)
             self._attempts.refuse(attempt, code, code, retry_after_ms)
             self._on_change()
-        elif attempt.stage is not state.Stage.OVER:
+        elif attempt.stage is not state.Stage.ENDED:
             self._runner.stop_attempt(attempt, code)
 
     def resume(self, msg: message.Resume, link: object, put: Put) -> None:
@@ -149,7 +149,7 @@
 
     def apply_configuration(self, cfg: model.Configuration) -> None:
         """Applies a new configuration to waiting and running attempts."""
-        self._queue.reorder(
+        self._queue.set_policies(
             self._registry.get('fairness', cfg.policies.fairness)(),
             self._registry.get('admission', cfg.policies.admission),
             self._demand_of,
@@ -196,7 +196,7 @@
         attempt = self._attempts.get(attempt_id)
         if attempt is not None:
             return attempt.terminal
-        return self._attempts.stones.find(attempt_id)
+        return self._attempts.tombstones.find(attempt_id)
 
     def _reattach(
         self,
@@ -226,7 +226,7 @@
             attempt.attach(link, put)
 
     def _refuse_unknown(self, attempt_id: str) -> message.Message:
-        tombstone = self._attempts.stones.find(attempt_id)
+        tombstone = self._attempts.tombstones.find(attempt_id)
         if tombstone is None:
             tombstone = message.Refused(
                 attempt_id,
@@ -234,13 +234,13 @@
                 'unknown attempt',
                 0,
             )
-            self._attempts.stones.lay(
+            self._attempts.tombstones.add(
                 attempt_id, tombstone, UNKNOWN_TOMBSTONE_TTL_S
             )
         return tombstone
 
     def _withdraw_known(self, attempt: state.Attempt, put: Put) -> None:
-        if attempt.started or attempt.stage is state.Stage.OVER:
+        if attempt.started or attempt.stage is state.Stage.ENDED:
             put(message.Running(attempt.id))
             return
         self._queue.remove(attempt.id)
@@ -260,7 +260,7 @@
         self._admit(attempt)
 
     def _admit(self, attempt: state.Attempt) -> None:
-        if attempt.stage is not state.Stage.JUDGED:
+        if attempt.stage is not state.Stage.RECEIVED:
             return
         dispatch = attempt.dispatch
         if dispatch.revision > self._configuration.revision:
@@ -270,13 +270,15 @@
             )
             return
         demand = self._demand(attempt)
-        refusal = judge.judge(dispatch, self._admission_state(demand))
+        refusal = dispatch_check.find_refusal(
+            dispatch, self._admission_state(demand)
+        )
         if refusal is not None:
             self._attempts.refuse(
                 attempt, refusal.code, refusal.detail, refusal.retry_after_ms
             )
         elif dispatch.recover:
-            self._queue.occupy(demand)
+            self._queue.mark_running(demand)
             self._runner.start(attempt, demand)
         else:
             attempt.stage = state.Stage.QUEUED
@@ -288,10 +290,12 @@
             self.pump()
         self._on_change()
 
-    def _admission_state(self, demand: policy.Demand) -> judge.Circumstances:
+    def _admission_state(
+        self, demand: policy.Demand
+    ) -> dispatch_check.SidecarState:
         is_model = self._settings.upstream.kind == 'model'
         wait_s = self._queue.expected_wait_s(demand.rank(demand.arrived))
-        return judge.Circumstances(
+        return dispatch_check.SidecarState(
             incarnation=self._incarnation,
             revision=self._configuration.revision,
             leaving=self._leaving.refusal_reason(),
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -18,7 +18,7 @@
 
 SWEEP_INTERVAL_S = 0.1
 TOMBSTONE_EXPIRY_INTERVAL_S = 5.0
-UNSTARTED_STAGES = (state.Stage.JUDGED, state.Stage.QUEUED)
+UNSTARTED_STAGES = (state.Stage.RECEIVED, state.Stage.QUEUED)
 
 
 async def run(sidecar: context.SidecarContext) -> None:
@@ -34,7 +34,7 @@
         sweep(sidecar, clock())
         if clock() >= next_expiry:
             next_expiry = clock() + TOMBSTONE_EXPIRY_INTERVAL_S
-            sidecar.attempts.stones.expire()
+            sidecar.attempts.tombstones.expire()
 
 
 def sweep(sidecar: context.SidecarContext, now: float) -> None:
@@ -48,7 +48,7 @@
     sidecar: context.SidecarContext, attempt: state.Attempt, now: float
 ) -> None:
     timing = sidecar.settings.timing
-    if attempt.stage is state.Stage.OVER:
+    if attempt.stage is state.Stage.ENDED:
         # A slow caller may still be reading the answer over a live link; its
         # answer would be cut off long after the engine has finished.
         is_being_read = attempt.link is not None and now < attempt.deadline
--- a/tests/quetzalsill_sidecar/test_leaving.py
+++ b/tests/quetzalsill_sidecar/test_leaving.py
@@ -161,7 +161,7 @@
         """A refused attempt must not get an unknown outcome."""
         self.relay.delay(LINK_DELAY_S)
         refused = self.router.dispatch(revision=0)
-        tombstones = self.sidecar.attempts.stones
+        tombstones = self.sidecar.attempts.tombstones
         await support.wait_until(lambda: tombstones.find(refused))
         await self.assert_not_run(refused)
 
