--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/listing.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/listing.py
@@ -41,7 +41,7 @@
     def mark_outdated(self) -> None:
         """Marks the state as outdated when a different sidecar is linked.
 
-        The state may be that of a host that was replaced since. Otherwise
-        the new host would get no work until the list is updated.
+        The state may be that of a host that was replaced since. If it were
+        used, the new host would get no work until the list is updated.
         """
         self._is_outdated = True
