--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
@@ -17,7 +17,7 @@
         role.Role(
             'gateway',
             settings.Settings,
-            role.late('quetzalsill_gateway.run'),
+            role.run_lazily('quetzalsill_gateway.run'),
             reloads=True,
         ),
         "Forwards callers' requests directly to upstreams.",
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
@@ -27,7 +27,7 @@
     """Yields the names of secret keys of a section and those below it."""
     hints = typing.get_type_hints(section)
     for field in dataclasses.fields(section):
-        spec = field.metadata.get(key.DOC)
+        spec = field.metadata.get(key.METADATA_KEY)
         if spec is not None and spec.secret:
             yield field.name
         for inner in _classes(hints[field.name]):
--- a/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/durable/write.py
@@ -62,10 +62,10 @@
             stored = await _create(objects, segment_id, segment, tried)
         except platform_error.PlatformError as exc:
             lost |= isinstance(exc, platform_error.PlatformAnswerLostError)
-            health.failed()
+            health.record_failure()
             LOG.warning('segment_write_failed', log=segment_id[0], why=exc.code)
         else:
-            health.succeeded()
+            health.record_success()
             return stored
         # Called after each failure: once the platform is known to be down,
         # the entries queued behind this segment must be refused as well.
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peer.py
@@ -7,7 +7,7 @@
 import contextlib
 from typing import TYPE_CHECKING
 
-from quetzalsill.config import share
+from quetzalsill.config import fetch_handler
 from quetzalsill.error import request as request_error
 from quetzalsill.telemetry import metric
 from quetzalsill.wire import error as wire_error
@@ -384,6 +384,6 @@
             self._on_revision(revision, self)
 
     def _give_config(self, msg: message.ConfigFetch) -> None:
-        reply = share.answer(self._holder, msg)
+        reply = fetch_handler.build_reply(self._holder, msg)
         if reply is not None:
             self.send(reply)
--- a/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
@@ -23,7 +23,7 @@
         role.Role(
             'router',
             settings.RouterSettings,
-            role.late('quetzalsill_router.run'),
+            role.run_lazily('quetzalsill_router.run'),
         ),
         'Takes the requests of callers on an entry host.',
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
@@ -27,7 +27,7 @@
         role.Role(
             'sidecar',
             settings.SidecarSettings,
-            role.late('quetzalsill_sidecar.run'),
+            role.run_lazily('quetzalsill_sidecar.run'),
         ),
         'The only path to one upstream.',
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
@@ -6,7 +6,7 @@
 import contextlib
 from typing import TYPE_CHECKING
 
-from quetzalsill.config import share
+from quetzalsill.config import fetch_handler
 from quetzalsill.schema import error as schema_error
 from quetzalsill.wire import error as wire_error
 from quetzalsill.wire import message
@@ -144,7 +144,7 @@
         self._intake.resume(msg, self, self.put)
 
     def _on_config_fetch(self, msg: message.ConfigFetch) -> None:
-        reply = share.answer(self._configuration, msg)
+        reply = fetch_handler.build_reply(self._configuration, msg)
         if reply is not None:
             self.put(reply)
 
--- a/packages/quetzalsill/src/quetzalsill/config/difference.py
+++ b/packages/quetzalsill/src/quetzalsill/config/difference.py
@@ -16,7 +16,7 @@
 
 __all__ = ['Change', 'difference']
 
-MASK_DIGITS = 8
+MASK_DIGEST_CHARS = 8
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -54,7 +54,7 @@
     for field in dataclasses.fields(section):
         value = getattr(section, field.name)
         path = f'{prefix}{field.name}'
-        if field.metadata[schema_key.DOC].secret:
+        if field.metadata[schema_key.METADATA_KEY].secret:
             yield path, _mask(value)
         else:
             yield from _value_leaves(value, path)
@@ -72,4 +72,4 @@
 
 def _mask(value: Any) -> str:
     digest = hashlib.sha256(json.dumps(value).encode()).hexdigest()
-    return f'masked-{digest[:MASK_DIGITS]}'
+    return f'masked-{digest[:MASK_DIGEST_CHARS]}'
--- a/packages/quetzalsill/src/quetzalsill/config/document.py
+++ b/packages/quetzalsill/src/quetzalsill/config/document.py
@@ -9,9 +9,9 @@
 from quetzalsill.schema import error as schema_error
 from quetzalsill.schema import plain as schema_plain
 
-__all__ = ['MAX_DOCUMENT_BYTES', 'WHERE', 'parse', 'render']
+__all__ = ['MAX_DOCUMENT_BYTES', 'DOCUMENT_NAME', 'parse', 'render']
 
-WHERE = 'configuration'
+DOCUMENT_NAME = 'configuration'
 
 # A document travels in one frame of a link, which holds 4 MiB.
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024 - 64 * 1024
@@ -32,8 +32,8 @@
         text = document.decode()
     except UnicodeDecodeError as exc:
         raise _invalid(str(exc), 'UTF-8') from exc
-    plain = load.parse_strict(text, WHERE)
-    cfg = check.check(model.Configuration, plain, WHERE)
+    plain = load.parse_strict(text, DOCUMENT_NAME)
+    cfg = check.check(model.Configuration, plain, DOCUMENT_NAME)
     cfg.revision = revision
     return cfg
 
@@ -60,5 +60,7 @@
 
 
 def _invalid(found: str, allowed: str) -> schema_error.InvalidDocumentError:
-    fault = schema_error.InvalidKeyError(WHERE, '', found, allowed)
-    return schema_error.InvalidDocumentError(WHERE, [fault])
+    invalid_key = schema_error.InvalidKeyError(
+        DOCUMENT_NAME, '', found, allowed
+    )
+    return schema_error.InvalidDocumentError(DOCUMENT_NAME, [invalid_key])
--- a/packages/quetzalsill/src/quetzalsill/config/share.py
+++ b/packages/quetzalsill/src/quetzalsill/config/fetch_handler.py
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from quetzalsill.config import holder
 
-__all__ = ['answer']
+__all__ = ['build_reply']
 
 
-def answer(
-    held: holder.Holder, fetch: message.ConfigFetch
+def build_reply(
+    config_holder: holder.Holder, fetch: message.ConfigFetch
 ) -> message.ConfigReply | None:
     """Gives the answer to a fetch; None if nothing newer is in force here."""
-    if held.revision <= fetch.revision:
+    if config_holder.revision <= fetch.revision:
         return None
-    return message.ConfigReply(held.revision, held.document)
+    return message.ConfigReply(config_holder.revision, config_holder.document)
--- a/packages/quetzalsill/src/quetzalsill/config/follower.py
+++ b/packages/quetzalsill/src/quetzalsill/config/follower.py
@@ -16,9 +16,9 @@
 
 __all__ = ['Follower']
 
-JITTER = 0.2
-LEAST_GAP_S = 0.2
-FAILURES = (
+POLL_JITTER = 0.2
+MIN_POLL_GAP_S = 0.2
+READ_ERRORS = (
     error.PlatformError,
     config_store.ConfigStoreError,
     schema_error.InvalidDocumentError,
@@ -38,47 +38,49 @@
     def __init__(
         self,
         store: config_store.ConfigStore,
-        held: holder.Holder,
+        config_holder: holder.Holder,
         interval_s: float,
     ) -> None:
         self._store = store
-        self._holder = held
+        self._holder = config_holder
         self._interval_s = interval_s
-        self._hinted = asyncio.Event()
-        self._failing = False
+        self._newer_announced = asyncio.Event()
+        self._is_failing = False
 
     def hint(self, revision: int) -> None:
         """Polls soon because a peer has told of a newer revision."""
         if revision > self._holder.revision:
-            self._hinted.set()
+            self._newer_announced.set()
 
     async def run(self) -> None:
         """Follows until cancelled."""
         while True:
-            self._hinted.clear()
+            self._newer_announced.clear()
             await self._poll()
-            await asyncio.sleep(LEAST_GAP_S)
+            await asyncio.sleep(MIN_POLL_GAP_S)
             await self._wait()
 
     async def _wait(self) -> None:
-        wait_s = self._interval_s * random.uniform(1 - JITTER, 1 + JITTER)
+        wait_s = self._interval_s * random.uniform(
+            1 - POLL_JITTER, 1 + POLL_JITTER
+        )
         try:
-            async with asyncio.timeout(max(0, wait_s - LEAST_GAP_S)):
-                await self._hinted.wait()
+            async with asyncio.timeout(max(0, wait_s - MIN_POLL_GAP_S)):
+                await self._newer_announced.wait()
         except TimeoutError:
             return
 
     async def _poll(self) -> None:
         try:
             await self.refresh()
-        except FAILURES as exc:
-            if not self._failing:
+        except READ_ERRORS as exc:
+            if not self._is_failing:
                 event.note(event.ConfigurationNotRead(error=exc.code))
-            self._failing = True
+            self._is_failing = True
             return
-        if self._failing:
+        if self._is_failing:
             event.note(event.ConfigurationReadAgain())
-        self._failing = False
+        self._is_failing = False
 
     async def refresh(self) -> bool:
         """Reads the head once and installs its revision if newer.
--- a/packages/quetzalsill/src/quetzalsill/config/reference.py
+++ b/packages/quetzalsill/src/quetzalsill/config/reference.py
@@ -40,58 +40,62 @@
     Raises:
       InvalidDocumentError: With every fault that was found.
     """
-    faults = [*_missing(cfg, registry), *_repeated(cfg)]
-    if faults:
-        raise schema_error.InvalidDocumentError(document.WHERE, faults)
+    errors = [*_unresolved(cfg, registry), *_duplicates(cfg)]
+    if errors:
+        raise schema_error.InvalidDocumentError(document.DOCUMENT_NAME, errors)
 
 
-def _missing(
+def _unresolved(
     cfg: model.Configuration, registry: plugin_registry.Registry
 ) -> Iterator[schema_error.InvalidKeyError]:
     for reference in _references(cfg, registry):
         if reference.name not in reference.known:
             known = ', '.join(sorted(reference.known)[:20]) or 'none defined'
-            yield _fault(reference.path, repr(reference.name), known)
+            yield _invalid_key(reference.path, repr(reference.name), known)
 
 
 def _references(
     cfg: model.Configuration, registry: plugin_registry.Registry
 ) -> Iterator[_Reference]:
-    yield from _of_models(cfg)
-    yield from _of_upstreams(cfg)
-    yield from _of_accounts(cfg)
-    yield from _of_policies(cfg, registry)
+    yield from _model_references(cfg)
+    yield from _upstream_references(cfg)
+    yield from _account_references(cfg)
+    yield from _policy_references(cfg, registry)
 
 
-def _of_models(cfg: model.Configuration) -> Iterator[_Reference]:
+def _model_references(cfg: model.Configuration) -> Iterator[_Reference]:
     for name, item in cfg.models.items():
         if item.profile:
             path = f'models.{name}.profile'
             yield _Reference(path, item.profile, cfg.profiles)
 
 
-def _of_upstreams(cfg: model.Configuration) -> Iterator[_Reference]:
+def _upstream_references(cfg: model.Configuration) -> Iterator[_Reference]:
     adapters = {
         adapter for item in cfg.models.values() for adapter in item.adapters
     }
     for name, item in cfg.upstreams.items():
         path = f'upstreams.{name}'
-        yield from _each(f'{path}.models', item.models, cfg.models)
-        yield from _each(f'{path}.adapters', item.adapters, adapters)
-        yield from _each(f'{path}.services', item.services, cfg.services)
+        yield from _list_references(f'{path}.models', item.models, cfg.models)
+        yield from _list_references(f'{path}.adapters', item.adapters, adapters)
+        yield from _list_references(
+            f'{path}.services', item.services, cfg.services
+        )
 
 
-def _of_accounts(cfg: model.Configuration) -> Iterator[_Reference]:
+def _account_references(cfg: model.Configuration) -> Iterator[_Reference]:
     for name, item in cfg.accounts.items():
         path = f'accounts.{name}'
         if item.default_profile:
             yield _Reference(
                 f'{path}.default_profile', item.default_profile, cfg.profiles
             )
-        yield from _each(f'{path}.profiles', item.profiles, cfg.profiles)
+        yield from _list_references(
+            f'{path}.profiles', item.profiles, cfg.profiles
+        )
 
 
-def _of_policies(
+def _policy_references(
     cfg: model.Configuration, registry: plugin_registry.Registry
 ) -> Iterator[_Reference]:
     for kind in POLICY_KINDS:
@@ -102,14 +106,14 @@
             )
 
 
-def _each(
+def _list_references(
     path: str, names: list[str], known: Iterable[str]
 ) -> Iterator[_Reference]:
     for index, name in enumerate(names):
         yield _Reference(f'{path}[{index}]', name, known)
 
 
-def _repeated(
+def _duplicates(
     cfg: model.Configuration,
 ) -> Iterator[schema_error.InvalidKeyError]:
     """Yields what stands twice and must tell its owners apart."""
@@ -126,11 +130,13 @@
         (item.sidecar, f'upstreams.{name}.sidecar')
         for name, item in cfg.upstreams.items()
     ]
-    yield from _shared(tokens + operators, 'a token of one owner only')
-    yield from _shared(sidecars, 'the address of one upstream only')
+    yield from _duplicate_values(
+        tokens + operators, 'a token of one owner only'
+    )
+    yield from _duplicate_values(sidecars, 'the address of one upstream only')
 
 
-def _shared(
+def _duplicate_values(
     pairs: list[tuple[str, str]], allowed: str
 ) -> Iterator[schema_error.InvalidKeyError]:
     paths = collections.defaultdict(list)
@@ -138,8 +144,12 @@
         paths[value].append(path)
     for owners in paths.values():
         for path in owners[1:]:
-            yield _fault(path, f'the value of {owners[0]}', allowed)
+            yield _invalid_key(path, f'the value of {owners[0]}', allowed)
 
 
-def _fault(path: str, found: str, allowed: str) -> schema_error.InvalidKeyError:
-    return schema_error.InvalidKeyError(document.WHERE, path, found, allowed)
+def _invalid_key(
+    path: str, found: str, allowed: str
+) -> schema_error.InvalidKeyError:
+    return schema_error.InvalidKeyError(
+        document.DOCUMENT_NAME, path, found, allowed
+    )
--- a/packages/quetzalsill/src/quetzalsill/config/store.py
+++ b/packages/quetzalsill/src/quetzalsill/config/store.py
@@ -34,9 +34,9 @@
 ]
 
 TABLE = revision.TABLE
-SETTLE_S = 10.0
-FIRST_WAIT_S = 0.05
-LONGEST_WAIT_S = 1.0
+PUBLISH_TIMEOUT_S = 10.0
+MIN_RETRY_WAIT_S = 0.05
+MAX_RETRY_WAIT_S = 1.0
 
 
 class ConfigStoreError(base.QuetzalsillError):
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class _Position:
+class _VersionedHead:
     """The head and the version of its row."""
 
     head: revision.Head
@@ -115,13 +115,13 @@
         self,
         rows: table.Table,
         documents: objects.Objects,
-        settle_s: float = SETTLE_S,
+        publish_timeout_s: float = PUBLISH_TIMEOUT_S,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._rows = rows
         self._documents = documents
-        self._settle_s = settle_s
+        self._publish_timeout_s = publish_timeout_s
         self._clock = clock
         self._sleep = sleep
 
@@ -131,7 +131,7 @@
         Raises:
           PlatformError: The store does not answer as it should.
         """
-        return (await self._position()).head
+        return (await self._read_head()).head
 
     async def load(self, number: int) -> bytes:
         """Reads the document of a revision.
@@ -195,15 +195,18 @@
         entry = revision.describe(
             document, expected_revision + 1, edit, author, note
         )
-        deadline = self._clock() + self._settle_s
-        position = await self._position()
-        if position.head.revision != expected_revision:
+        deadline = self._clock() + self._publish_timeout_s
+        current = await self._read_head()
+        if current.head.revision != expected_revision:
             return await self._accepted_or_conflict(entry)
         await self._store_document(entry, document, deadline)
-        return await self._commit(entry, position, deadline)
+        return await self._commit(entry, current, deadline)
 
     async def _commit(
-        self, entry: revision.Revision, position: _Position, deadline: float
+        self,
+        entry: revision.Revision,
+        current: _VersionedHead,
+        deadline: float,
     ) -> int:
         """Moves the head, through lost answers, until the outcome is known.
 
@@ -214,12 +217,12 @@
         counts, the rest never can.
         """
         in_doubt = False
-        async for _ in self._tries(deadline):
+        async for _ in self._retries(deadline):
             try:
-                await self._transact(entry, position)
+                await self._transact(entry, current)
                 return entry.revision
             except error.ConditionFailedError:
-                return await self._settled(entry, deadline)
+                return await self._resolve_conflict(entry, deadline)
             except error.PlatformAnswerLostError:
                 in_doubt = True
             except error.PlatformError:
@@ -227,9 +230,11 @@
                     raise
         raise OutcomeUnknownEditError(entry.edit, entry.revision - 1)
 
-    async def _settled(self, entry: revision.Revision, deadline: float) -> int:
+    async def _resolve_conflict(
+        self, entry: revision.Revision, deadline: float
+    ) -> int:
         """Reads what a failed condition means, until the store answers."""
-        async for _ in self._tries(deadline):
+        async for _ in self._retries(deadline):
             try:
                 return await self._accepted_or_conflict(entry)
             except error.PlatformUnavailableError:
@@ -258,7 +263,7 @@
         Sending it again after a lost answer is safe: the key holds the digest
         of the bytes, so that whoever created it wrote the same.
         """
-        async for _ in self._tries(deadline):
+        async for _ in self._retries(deadline):
             try:
                 await self._documents.put(entry.document, document, True)
                 return
@@ -268,17 +273,17 @@
                 continue
         raise error.PlatformUnavailableError('the document was not stored')
 
-    async def _tries(self, deadline: float) -> AsyncIterator[None]:
+    async def _retries(self, deadline: float) -> AsyncIterator[None]:
         """Yields at once, then after growing waits until the deadline."""
-        wait_s = FIRST_WAIT_S
+        wait_s = MIN_RETRY_WAIT_S
         yield
         while self._clock() + wait_s <= deadline:
             await self._sleep(wait_s * random.uniform(0.5, 1.0))
-            wait_s = min(LONGEST_WAIT_S, 2 * wait_s)
+            wait_s = min(MAX_RETRY_WAIT_S, 2 * wait_s)
             yield
 
     async def _transact(
-        self, entry: revision.Revision, position: _Position
+        self, entry: revision.Revision, current: _VersionedHead
     ) -> None:
         plain = dataclasses.asdict(entry)
         head = revision.Head(entry.revision, entry.edit, entry.author, entry.at)
@@ -288,7 +293,7 @@
         )
         await self._rows.transact(
             [
-                table.Condition(TABLE, revision.HEAD_KEY, position.version),
+                table.Condition(TABLE, revision.HEAD_KEY, current.version),
                 *(table.Condition(TABLE, key, 0) for key in new_keys),
             ],
             [
@@ -297,8 +302,8 @@
             ],
         )
 
-    async def _position(self) -> _Position:
+    async def _read_head(self) -> _VersionedHead:
         row = await self._rows.get(TABLE, revision.HEAD_KEY)
         if row is None:
-            return _Position(revision.Head(), 0)
-        return _Position(revision.parse_head(row.value), row.version)
+            return _VersionedHead(revision.Head(), 0)
+        return _VersionedHead(revision.parse_head(row.value), row.version)
--- a/packages/quetzalsill/src/quetzalsill/daemon/background.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/background.py
@@ -9,7 +9,7 @@
 
 __all__ = ['keep_running']
 
-RESTART_S = 1.0
+RESTART_DELAY_S = 1.0
 
 
 async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
@@ -34,4 +34,4 @@
                 ),
                 exc=exc,
             )
-        await asyncio.sleep(RESTART_S)
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/packages/quetzalsill/src/quetzalsill/daemon/command.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/command.py
@@ -16,7 +16,7 @@
 
 __all__ = ['cli']
 
-KIND = 'role'
+ROLE_KIND = 'role'
 
 settings_option = click.option(
     '--settings',
@@ -101,7 +101,7 @@
             return
     if failures:
         # The role that the file comes nearest to is the one that was meant.
-        _refuse(min(failures, key=lambda exc: len(exc.exceptions)))
+        _exit_invalid(min(failures, key=lambda exc: len(exc.exceptions)))
     raise plugin_error.UnknownPluginError('no role is installed')
 
 
@@ -122,7 +122,7 @@
         try:
             settings = read()
         except schema_error.InvalidDocumentError as exc:
-            _refuse(exc)
+            _exit_invalid(exc)
         sys.exit(start.run_role(role, settings, read))
 
     return run_command
@@ -130,14 +130,14 @@
 
 def _role_names() -> list[str]:
     plugin_registry.REGISTRY.load()
-    return plugin_registry.REGISTRY.names(KIND)
+    return plugin_registry.REGISTRY.names(ROLE_KIND)
 
 
 def _role(name: str) -> plugin_role.Role:
-    return plugin_registry.REGISTRY.get(KIND, name)
+    return plugin_registry.REGISTRY.get(ROLE_KIND, name)
 
 
-def _refuse(exc: schema_error.InvalidDocumentError) -> NoReturn:
+def _exit_invalid(exc: schema_error.InvalidDocumentError) -> NoReturn:
     for line in exc.lines():
         click.echo(line, err=True)
     sys.exit(exit_code.ExitCode.INVALID_SETTINGS)
--- a/packages/quetzalsill/src/quetzalsill/daemon/start.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/start.py
@@ -18,7 +18,7 @@
 
 __all__ = ['run_role']
 
-TRACE = 'quetzalsill.telemetry.trace'
+TRACE_MODULE = 'quetzalsill.telemetry.trace'
 
 
 def run_role(
@@ -37,43 +37,43 @@
     """
     log.configure(settings.telemetry.log_level, settings.node.name, role.name)
     try:
-        _set_up_trace(settings.node.name, settings.telemetry)
+        _set_up_tracing(settings.node.name, settings.telemetry)
         event.note(event.ProcessStarted())
         arguments = (settings, read) if role.reloads else (settings,)
         asyncio.run(role.run(*arguments))
     except* (base.QuetzalsillError, OSError) as group:
-        for exc in _flat(group):
-            event.note(_failed(exc))
+        for exc in _flatten(group):
+            event.note(_failure_event(exc))
         return_code = exit_code.ExitCode.CANNOT_START
     except* Exception as group:
-        for exc in _flat(group):
-            event.note(_failed(exc), exc)
+        for exc in _flatten(group):
+            event.note(_failure_event(exc), exc)
         return_code = exit_code.ExitCode.INTERNAL
     else:
         event.note(event.ProcessStopped())
         return_code = exit_code.ExitCode.OK
-    if TRACE in sys.modules:
-        sys.modules[TRACE].shutdown()
+    if TRACE_MODULE in sys.modules:
+        sys.modules[TRACE_MODULE].shutdown()
     return return_code
 
 
-def _set_up_trace(node: str, cfg: section.Telemetry) -> None:
+def _set_up_tracing(node: str, cfg: section.Telemetry) -> None:
     """Sets spans up in a process that has any.
 
     Loaded for nothing, their library takes a tenth of the time from the power
     coming back to the first caller that is served.
     """
-    if cfg.trace_file or TRACE in sys.modules:
+    if cfg.trace_file or TRACE_MODULE in sys.modules:
         from quetzalsill.telemetry import trace
 
         trace.setup(node, cfg.trace_file)
 
 
-def _failed(exc: BaseException) -> event.ProcessFailed:
+def _failure_event(exc: BaseException) -> event.ProcessFailed:
     return event.ProcessFailed(error=type(exc).__name__, reason=str(exc))
 
 
-def _flat(exc: BaseException) -> list[BaseException]:
+def _flatten(exc: BaseException) -> list[BaseException]:
     if isinstance(exc, BaseExceptionGroup):
-        return [leaf for inner in exc.exceptions for leaf in _flat(inner)]
+        return [leaf for inner in exc.exceptions for leaf in _flatten(inner)]
     return [exc]
--- a/packages/quetzalsill/src/quetzalsill/platform/clients.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/clients.py
@@ -37,13 +37,15 @@
         self._timeout_s = cfg.timeout_s
         self._tls = tls
         self._sessions: list[client.Session] = []
-        self.table = table.Table(self._calls(cfg.table, self.health))
-        self.objects = objects.Objects(self._calls(cfg.objects, self.health))
+        self.table = table.Table(self._open_exchange(cfg.table, self.health))
+        self.objects = objects.Objects(
+            self._open_exchange(cfg.objects, self.health)
+        )
         self.hosts = hosts.HostList(
-            self._calls(cfg.hosts, health.StoreHealth())
+            self._open_exchange(cfg.hosts, health.StoreHealth())
         )
 
-    def _calls(
+    def _open_exchange(
         self, url: str, store_health: health.StoreHealth
     ) -> exchange.Exchange:
         # No bound of its own: the exchange bounds each attempt as a whole.
@@ -53,9 +55,11 @@
         self._sessions.append(session)
         return exchange.Exchange(session, self._timeout_s, store_health)
 
-    async def watch(self) -> None:
+    async def run_probes(self) -> None:
         """Probes the store while it fails; runs until cancelled."""
-        await self.health.watch(lambda: self.table.get(PROBE_TABLE, PROBE_KEY))
+        await self.health.run_probes(
+            lambda: self.table.get(PROBE_TABLE, PROBE_KEY)
+        )
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -74,10 +78,10 @@
       tls: Certificates for `https` addresses; the system's if None.
     """
     clients = Clients(cfg, tls)
-    watch = asyncio.create_task(clients.watch())
+    probes = asyncio.create_task(clients.run_probes())
     try:
         yield clients
     finally:
-        watch.cancel()
-        await asyncio.gather(watch, return_exceptions=True)
+        probes.cancel()
+        await asyncio.gather(probes, return_exceptions=True)
         await clients.close()
--- a/packages/quetzalsill/src/quetzalsill/platform/exchange.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/exchange.py
@@ -21,11 +21,11 @@
 
 __all__ = ['Exchange', 'Reply', 'quote']
 
-OPEN_CALLS = 64
-RETRY_JITTER_S = 0.1
-LARGEST_ANSWER = 64 * 1024 * 1024
-UNAVAILABLE = frozenset((429, 503))
-AMBIGUOUS = frozenset((500, 502, 504))
+MAX_OPEN_CALLS = 64
+MAX_RETRY_WAIT_S = 0.1
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+UNAVAILABLE_STATUSES = frozenset((429, 503))
+AMBIGUOUS_STATUSES = frozenset((500, 502, 504))
 
 
 @dataclasses.dataclass(slots=True)
@@ -76,7 +76,7 @@
         self.health = store_health
         self._session = session
         self._timeout_s = timeout_s
-        self._slots = asyncio.Semaphore(OPEN_CALLS)
+        self._slots = asyncio.Semaphore(MAX_OPEN_CALLS)
         self._generation = 0
         self._generations: weakref.WeakKeyDictionary[
             connection.Connection, int
@@ -93,7 +93,7 @@
         except error.PlatformUnavailableError:
             if not self.health.up:
                 raise
-        await asyncio.sleep(random.uniform(0, RETRY_JITTER_S))
+        await asyncio.sleep(random.uniform(0, MAX_RETRY_WAIT_S))
         return await self._attempt('GET', path, None, ())
 
     async def write(
@@ -127,9 +127,9 @@
         try:
             reply = await self._send(req)
         except error.PlatformError:
-            self.health.failed()
+            self.health.record_failure()
             raise
-        self.health.succeeded()
+        self.health.record_success()
         return reply
 
     async def _send(self, req: messages.Request) -> Reply:
@@ -147,23 +147,25 @@
         sent = False
         try:
             async with deadline.timeout(self._timeout_s):
-                conn = await self._connection(req.url)
+                conn = await self._acquire_connection(req.url)
                 sent = True
-                reply = await _answer(conn, req)
+                reply = await _receive_reply(conn, req)
         except TimeoutError as exc:
             self._generation += sent
             detail = f'no answer within {self._timeout_s} s'
-            raise _failure(req, sent)(detail) from exc
+            raise _failure_class(req, sent)(detail) from exc
         except net_error.NetError as exc:
-            raise _failure(req, sent)(exc.detail) from exc
+            raise _failure_class(req, sent)(exc.detail) from exc
         self._generations[conn] = self._generation
-        if reply.status in AMBIGUOUS:
-            raise _failure(req, sent)(f'status {reply.status}')
-        if reply.status in UNAVAILABLE:
+        if reply.status in AMBIGUOUS_STATUSES:
+            raise _failure_class(req, sent)(f'status {reply.status}')
+        if reply.status in UNAVAILABLE_STATUSES:
             raise error.PlatformUnavailableError(f'status {reply.status}')
         return reply
 
-    async def _connection(self, target: url.URL) -> connection.Connection:
+    async def _acquire_connection(
+        self, target: url.URL
+    ) -> connection.Connection:
         """Takes a connection that no silence has made suspect.
 
         A connection may go silent for good while new ones work: its user sees
@@ -181,7 +183,7 @@
             conn.abort()
 
 
-def _failure(
+def _failure_class(
     req: messages.Request, sent: bool
 ) -> type[error.PlatformUnavailableError] | type[error.PlatformAnswerLostError]:
     if sent and req.method != 'GET':
@@ -189,10 +191,12 @@
     return error.PlatformUnavailableError
 
 
-async def _answer(conn: connection.Connection, req: messages.Request) -> Reply:
+async def _receive_reply(
+    conn: connection.Connection, req: messages.Request
+) -> Reply:
     response = await conn.send(req)
     length = response.get_first_header(b'content-length')
-    if length and int(length) > LARGEST_ANSWER:
+    if length and int(length) > MAX_RESPONSE_BYTES:
         conn.abort()
         raise net_error.AnswerLostError(f'answer of {int(length)} bytes')
     return Reply(response.status, await response.read() or b'')
--- a/packages/quetzalsill/src/quetzalsill/platform/health.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/health.py
@@ -14,11 +14,11 @@
 
 __all__ = ['StoreHealth']
 
-FAILURES_TO_DOWN = 2
-FIRST_PROBE_S = 0.05
-LONGEST_PROBE_S = 2.0
-LEAST_RETRY_AFTER_S = 1.0
-MOST_RETRY_AFTER_S = 30.0
+FAILURES_UNTIL_DOWN = 2
+MIN_PROBE_WAIT_S = 0.05
+MAX_PROBE_WAIT_S = 2.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 30.0
 
 
 class StoreHealth:
@@ -37,26 +37,26 @@
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.up = True
-        self.since = clock()
+        self.changed_at = clock()
         self._clock = clock
         self._failures = 0
         self._failing = asyncio.Event()
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Records that the store answered."""
         self._failures = 0
         self._failing.clear()
         if not self.up:
             self.up = True
-            self.since = self._clock()
+            self.changed_at = self._clock()
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Records that the store did not answer."""
         self._failures += 1
         self._failing.set()
-        if self.up and self._failures >= FAILURES_TO_DOWN:
+        if self.up and self._failures >= FAILURES_UNTIL_DOWN:
             self.up = False
-            self.since = self._clock()
+            self.changed_at = self._clock()
 
     def retry_after_s(self) -> float:
         """Advises when to come back: the longer down, the later.
@@ -65,11 +65,11 @@
         those refused together do not return together.
         """
         if self.up:
-            return LEAST_RETRY_AFTER_S
-        wait_s = (self._clock() - self.since) * random.uniform(0.5, 1.5)
-        return min(MOST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, wait_s))
+            return MIN_RETRY_AFTER_S
+        wait_s = (self._clock() - self.changed_at) * random.uniform(0.5, 1.5)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
-    async def watch(self, probe: Callable[[], Awaitable[object]]) -> None:
+    async def run_probes(self, probe: Callable[[], Awaitable[object]]) -> None:
         """Probes while the store fails; runs until cancelled.
 
         Args:
@@ -82,10 +82,10 @@
     async def _probe_until_up(
         self, probe: Callable[[], Awaitable[object]]
     ) -> None:
-        wait_s = FIRST_PROBE_S
+        wait_s = MIN_PROBE_WAIT_S
         while self._failures:
             await asyncio.sleep(wait_s * random.uniform(0.5, 1.0))
-            wait_s = min(LONGEST_PROBE_S, 2 * wait_s)
+            wait_s = min(MAX_PROBE_WAIT_S, 2 * wait_s)
             try:
                 await probe()
             except error.PlatformError:
--- a/packages/quetzalsill/src/quetzalsill/platform/hosts.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/hosts.py
@@ -50,8 +50,8 @@
 class HostList:
     """Reads the list."""
 
-    def __init__(self, calls: exchange.Exchange) -> None:
-        self._calls = calls
+    def __init__(self, http: exchange.Exchange) -> None:
+        self._http = http
 
     async def fetch(self) -> list[Host]:
         """Reads all hosts.
@@ -60,7 +60,7 @@
           PlatformUnavailableError: The list does not answer.
           PlatformProtocolError: The answer is malformed.
         """
-        reply = await self._calls.read('/hosts')
+        reply = await self._http.read('/hosts')
         try:
             return [_host(plain) for plain in reply.json(200)['hosts']]
         except (KeyError, TypeError, ValueError) as exc:
--- a/packages/quetzalsill/src/quetzalsill/platform/lease.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/lease.py
@@ -28,8 +28,8 @@
 __all__ = ['Lease', 'suspend_aware_clock']
 
 TABLE = 'lease'
-MARGIN = 0.1
-RELEASE_TRIES = 3
+CLOCK_DRIFT_MARGIN = 0.1
+MAX_RELEASE_ATTEMPTS = 3
 CLOCK = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
 
 
@@ -99,8 +99,8 @@
         self._writes = 0
         self._version: int | None = None
         self._deadline = float('-inf')
-        self._seen: tuple[int, _Record] | None = None
-        self._seen_at = 0.0
+        self._observed: tuple[int, _Record] | None = None
+        self._observed_at = 0.0
 
     def valid(self) -> bool:
         """Tells whether nobody else can hold the lease now."""
@@ -126,12 +126,12 @@
         row = await self._rows.get(TABLE, self._name)
         found = _parse(row.value) if row else None
         if row is None or found is None:
-            return await self._write(0, self._record(1))
+            return await self._write(0, self._new_record(1))
         if self._owns(found):
-            return await self._write(row.version, self._record(found.fence))
-        if found.owner and not self._lapsed(row.version, found):
+            return await self._write(row.version, self._new_record(found.fence))
+        if found.owner and not self._has_expired(row.version, found):
             return False
-        return await self._write(row.version, self._record(found.fence + 1))
+        return await self._write(row.version, self._new_record(found.fence + 1))
 
     async def renew(self) -> bool:
         """Extends the lease by a TTL from now.
@@ -146,7 +146,7 @@
         """
         if self._version is None:
             return False
-        return await self._write(self._version, self._record(self.fence))
+        return await self._write(self._version, self._new_record(self.fence))
 
     async def release(self) -> None:
         """Frees the lease for others at once; valid() is False from now on.
@@ -157,14 +157,14 @@
         """
         self._deadline = float('-inf')
         version, self._version = self._version, None
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             if version is None:
                 return
-            version = await self._free(version)
+            version = await self._write_released(version)
 
-    async def _free(self, version: int) -> int | None:
+    async def _write_released(self, version: int) -> int | None:
         """Writes a free row; gives the version to try next, if any."""
-        record = dataclasses.replace(self._record(self.fence), owner='')
+        record = dataclasses.replace(self._new_record(self.fence), owner='')
         try:
             await self._transact(version, record)
         except error.ConditionFailedError as exc:
@@ -178,11 +178,11 @@
         try:
             versions = await self._transact(version, record)
         except error.ConditionFailedError as exc:
-            return await self._settle(exc.version, exc.value, record, sent_at)
+            return await self._resolve(exc.version, exc.value, record, sent_at)
         except error.PlatformAnswerLostError:
             row = await self._read_back()
-            return await self._settle(row.version, row.value, record, sent_at)
-        self._hold(versions[0], record, sent_at)
+            return await self._resolve(row.version, row.value, record, sent_at)
+        self._mark_held(versions[0], record, sent_at)
         return True
 
     async def _read_back(self) -> table.Row:
@@ -198,7 +198,7 @@
             raise error.PlatformAnswerLostError(exc.detail) from exc
         return row or table.Row(0, None)
 
-    async def _settle(
+    async def _resolve(
         self, version: int, value: Any, record: _Record, sent_at: float
     ) -> bool:
         """Decides what became of a write that was not answered plainly.
@@ -209,7 +209,7 @@
         """
         found = _parse(value)
         if found == record:
-            self._hold(version, record, sent_at)
+            self._mark_held(version, record, sent_at)
             return True
         if found is not None and self._owns(found):
             self._version = version
@@ -221,27 +221,27 @@
         self._deadline = float('-inf')
         return False
 
-    def _hold(self, version: int, record: _Record, sent_at: float) -> None:
+    def _mark_held(self, version: int, record: _Record, sent_at: float) -> None:
         self._version = version
         self.fence = record.fence
-        self._deadline = sent_at + self._ttl_s * (1 - MARGIN)
+        self._deadline = sent_at + self._ttl_s * (1 - CLOCK_DRIFT_MARGIN)
 
     def _owns(self, found: _Record) -> bool:
         return bool(found.owner) and found.nonce == self._nonce
 
-    def _record(self, fence: int) -> _Record:
+    def _new_record(self, fence: int) -> _Record:
         self._writes += 1
         return _Record(
             self._owner, self._nonce, fence, self._ttl_s, self._writes
         )
 
-    def _lapsed(self, version: int, found: _Record) -> bool:
+    def _has_expired(self, version: int, found: _Record) -> bool:
         now = self._clock()
-        if self._seen != (version, found):
-            self._seen = (version, found)
-            self._seen_at = now
+        if self._observed != (version, found):
+            self._observed = (version, found)
+            self._observed_at = now
             return False
-        return now - self._seen_at >= found.ttl_s
+        return now - self._observed_at >= found.ttl_s
 
     async def _transact(self, version: int, record: _Record) -> list[int]:
         condition = table.Condition(TABLE, self._name, version)
--- a/packages/quetzalsill/src/quetzalsill/platform/objects.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/objects.py
@@ -16,8 +16,8 @@
 class Objects:
     """Reads and writes whole objects."""
 
-    def __init__(self, calls: exchange.Exchange) -> None:
-        self._calls = calls
+    def __init__(self, http: exchange.Exchange) -> None:
+        self._http = http
 
     async def put(
         self, key: str, data: bytes, create_only: bool = False
@@ -32,7 +32,7 @@
         """
         content = contents.Content(b'application/octet-stream', data)
         headers = (CREATE_ONLY,) if create_only else ()
-        reply = await self._calls.write('PUT', _path(key), content, headers)
+        reply = await self._http.write('PUT', _path(key), content, headers)
         if reply.status == 412:
             raise error.ObjectExistsError(key)
         _check_written(reply)
@@ -44,7 +44,7 @@
           PlatformUnavailableError: The store does not answer.
           PlatformProtocolError: The answer is malformed.
         """
-        reply = await self._calls.read(_path(key))
+        reply = await self._http.read(_path(key))
         if reply.status == 404:
             return None
         if reply.status != 200:
@@ -59,7 +59,7 @@
           PlatformAnswerLostError: It may be deleted, now or later.
           PlatformProtocolError: The store refused the call.
         """
-        reply = await self._calls.write('DELETE', _path(key))
+        reply = await self._http.write('DELETE', _path(key))
         if reply.status != 404:
             _check_written(reply)
 
@@ -71,7 +71,7 @@
           PlatformProtocolError: The answer is malformed.
         """
         query = urllib.parse.urlencode({'prefix': prefix})
-        reply = await self._calls.read(f'/objects?{query}')
+        reply = await self._http.read(f'/objects?{query}')
         try:
             return list(reply.json(200)['keys'])
         except (KeyError, TypeError) as exc:
--- a/packages/quetzalsill/src/quetzalsill/platform/table.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/table.py
@@ -17,7 +17,7 @@
 
 __all__ = ['Condition', 'KeyedRow', 'Row', 'Table', 'Write']
 
-SCAN_PAGE = 1000
+SCAN_PAGE_ROWS = 1000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -63,8 +63,8 @@
     them as free.
     """
 
-    def __init__(self, calls: exchange.Exchange) -> None:
-        self._calls = calls
+    def __init__(self, http: exchange.Exchange) -> None:
+        self._http = http
 
     async def get(self, table: str, key: str) -> Row | None:
         """Reads one row; None if it is absent.
@@ -73,7 +73,7 @@
           PlatformUnavailableError: The store does not answer.
           PlatformProtocolError: The answer is malformed.
         """
-        reply = await self._calls.read(
+        reply = await self._http.read(
             f'/table/{exchange.quote(table)}/{exchange.quote(key)}'
         )
         if reply.status == 404:
@@ -90,9 +90,9 @@
         rows: list[KeyedRow] = []
         while True:
             after = rows[-1].key if rows else ''
-            page = await self.page(table, prefix, after, SCAN_PAGE)
+            page = await self.page(table, prefix, after, SCAN_PAGE_ROWS)
             rows += page
-            if len(page) < SCAN_PAGE:
+            if len(page) < SCAN_PAGE_ROWS:
                 return rows
 
     async def page(
@@ -107,9 +107,7 @@
         query = urllib.parse.urlencode(
             {'prefix': prefix, 'after': after, 'limit': limit}
         )
-        reply = await self._calls.read(
-            f'/table/{exchange.quote(table)}?{query}'
-        )
+        reply = await self._http.read(f'/table/{exchange.quote(table)}?{query}')
         return _keyed_rows(reply.json(200))
 
     async def transact(
@@ -127,7 +125,7 @@
             condition on a version keeps a repetition from counting twice.
           PlatformProtocolError: The store refused the transaction.
         """
-        reply = await self._calls.write(
+        reply = await self._http.write(
             'POST', '/table/transact', _transaction(conditions, writes)
         )
         if reply.status == 409:
@@ -157,12 +155,12 @@
 
 
 def _row(plain: Any) -> Row:
-    with _fields():
+    with _require_fields():
         return Row(plain['version'], plain['value'])
 
 
 def _keyed_rows(plain: Any) -> list[KeyedRow]:
-    with _fields():
+    with _require_fields():
         return [
             KeyedRow(row['key'], row['version'], row['value'])
             for row in plain['rows']
@@ -170,14 +168,14 @@
 
 
 def _failed_condition(plain: Any) -> error.ConditionFailedError:
-    with _fields():
+    with _require_fields():
         return error.ConditionFailedError(
             plain['failed'], plain['version'], plain['value']
         )
 
 
 @contextlib.contextmanager
-def _fields() -> Iterator[None]:
+def _require_fields() -> Iterator[None]:
     try:
         yield
     except (KeyError, TypeError) as exc:
--- a/packages/quetzalsill/src/quetzalsill/plugin/registry.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/registry.py
@@ -83,7 +83,7 @@
     def names(self, kind: str) -> list[str]:
         """Returns the names of a kind, sorted."""
         return sorted(
-            name for of_kind, name in self._plugins if of_kind == kind
+            name for plugin_kind, name in self._plugins if plugin_kind == kind
         )
 
     def plugins(self, kind: str) -> list[Plugin]:
@@ -105,7 +105,7 @@
             self._load_entry(entry)
         self._loaded = True
 
-    def load_these(self, *registers: Callable[[Registry], None]) -> None:
+    def load_only(self, *registers: Callable[[Registry], None]) -> None:
         """Takes plug-ins in place of those that are installed.
 
         For a program that knows its own. Looking for what is installed reads
--- a/packages/quetzalsill/src/quetzalsill/plugin/role.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/role.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-__all__ = ['Role', 'late']
+__all__ = ['Role', 'run_lazily']
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
     reloads: bool = False
 
 
-def late(module: str) -> Callable[..., Awaitable[None]]:
+def run_lazily(module: str) -> Callable[..., Awaitable[None]]:
     """Returns the `run` of a module that is loaded once it is called.
 
     Each process registers every role that is installed, and runs one of them.
--- a/packages/quetzalsill/src/quetzalsill/schema/check.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/check.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from quetzalsill.schema import fault as schema_fault
+from quetzalsill.schema import error_collector
 from quetzalsill.schema import key as schema_key
 
 __all__ = ['check', 'describe', 'is_required']
 
 T = TypeVar('T')
-Checker = Callable[[Any, str, schema_fault.Faults], Any]
+Checker = Callable[[Any, str, error_collector.ErrorCollector], Any]
 
 NAME = re.compile(schema_key.NAME)
 SCALARS = {
@@ -41,42 +41,44 @@
     Raises:
       InvalidDocumentError: With every fault that was found.
     """
-    faults = schema_fault.Faults(where)
-    built = _section(cls)(plain, '', faults)
-    faults.raise_if_any()
+    errors = error_collector.ErrorCollector(where)
+    built = _section_checker(cls)(plain, '', errors)
+    errors.raise_if_any()
     return built
 
 
 @functools.cache
-def _section(cls: type) -> Checker:
+def _section_checker(cls: type) -> Checker:
     """Returns the checker of a dataclass."""
     types = typing.get_type_hints(cls)
     fields = dataclasses.fields(cls)
     checkers = {
-        field.name: _checker(types[field.name], field.metadata[schema_key.DOC])
+        field.name: _key_checker(
+            types[field.name], field.metadata[schema_key.METADATA_KEY]
+        )
         for field in fields
     }
     required = [field.name for field in fields if is_required(field)]
 
     def check_section(
-        value: Any, path: str, faults: schema_fault.Faults
+        value: Any, path: str, errors: error_collector.ErrorCollector
     ) -> Any:
         if not isinstance(value, dict):
-            faults.add(path, schema_fault.show(value), 'object')
+            errors.add(path, error_collector.describe_value(value), 'object')
             return None
-        before = len(faults.found)
+        before = len(errors.errors)
         prefix = f'{path}.' if path else ''
         built = {}
         for name, item in value.items():
             checker = checkers.get(name)
             if checker is None:
-                faults.add_unknown(f'{prefix}{name}', name, checkers)
+                errors.add_unknown(f'{prefix}{name}', name, checkers)
             else:
-                built[name] = checker(item, f'{prefix}{name}', faults)
+                built[name] = checker(item, f'{prefix}{name}', errors)
         for name in required:
             if name not in value:
-                faults.add(f'{prefix}{name}', 'nothing', 'a value is required')
-        return cls(**built) if len(faults.found) == before else None
+                errors.add(f'{prefix}{name}', 'nothing', 'a value is required')
+        return cls(**built) if len(errors.errors) == before else None
 
     return check_section
 
@@ -89,60 +91,68 @@
     )
 
 
-def _checker(annotation: Any, spec: schema_key.KeySpec) -> Checker:
+def _key_checker(annotation: Any, spec: schema_key.KeySpec) -> Checker:
     """Returns the checker of one key by its annotation."""
     if dataclasses.is_dataclass(annotation):
-        return _section(annotation)
+        return _section_checker(annotation)
     origin = typing.get_origin(annotation)
     arguments = typing.get_args(annotation)
     if origin is list:
-        return _array(_checker(arguments[0], spec), spec)
+        return _array_checker(_key_checker(arguments[0], spec), spec)
     if origin is dict and arguments[0] is str:
-        return _named(_checker(arguments[1], spec), spec)
+        return _mapping_checker(_key_checker(arguments[1], spec), spec)
     if annotation in SCALARS:
-        return _scalar(annotation, spec)
+        return _scalar_checker(annotation, spec)
     raise TypeError(f'a key cannot be declared as {annotation!r}')
 
 
-def _array(item_checker: Checker, spec: schema_key.KeySpec) -> Checker:
-    def check_array(value: Any, path: str, faults: schema_fault.Faults) -> Any:
+def _array_checker(item_checker: Checker, spec: schema_key.KeySpec) -> Checker:
+    def check_array(
+        value: Any, path: str, errors: error_collector.ErrorCollector
+    ) -> Any:
         if not isinstance(value, list):
-            faults.add_value(path, value, 'array', spec)
+            errors.add_value(path, value, 'array', spec)
             return None
         return [
-            item_checker(item, f'{path}[{index}]', faults)
+            item_checker(item, f'{path}[{index}]', errors)
             for index, item in enumerate(value)
         ]
 
     return check_array
 
 
-def _named(item_checker: Checker, spec: schema_key.KeySpec) -> Checker:
-    def check_named(value: Any, path: str, faults: schema_fault.Faults) -> Any:
+def _mapping_checker(
+    item_checker: Checker, spec: schema_key.KeySpec
+) -> Checker:
+    def check_mapping(
+        value: Any, path: str, errors: error_collector.ErrorCollector
+    ) -> Any:
         if not isinstance(value, dict):
-            faults.add_value(path, value, 'object', spec)
+            errors.add_value(path, value, 'object', spec)
             return None
         for name in value:
             if not NAME.fullmatch(name):
-                found = f'the name {schema_fault.show(name)}'
-                faults.add(path, found, f'names that match {schema_key.NAME}')
+                found = f'the name {error_collector.describe_value(name)}'
+                errors.add(path, found, f'names that match {schema_key.NAME}')
         return {
-            name: item_checker(item, f'{path}.{name}', faults)
+            name: item_checker(item, f'{path}.{name}', errors)
             for name, item in value.items()
         }
 
-    return check_named
+    return check_mapping
 
 
-def _scalar(wanted: type, spec: schema_key.KeySpec) -> Checker:
-    convert = _CONVERTERS[wanted]
-    fits = _predicate(wanted, spec)
-    allowed = describe(wanted, spec)
+def _scalar_checker(value_type: type, spec: schema_key.KeySpec) -> Checker:
+    convert = _CONVERTERS[value_type]
+    is_allowed = _bounds_test(value_type, spec)
+    allowed = describe(value_type, spec)
 
-    def check_scalar(value: Any, path: str, faults: schema_fault.Faults) -> Any:
+    def check_scalar(
+        value: Any, path: str, errors: error_collector.ErrorCollector
+    ) -> Any:
         converted = convert(value)
-        if converted is None or not fits(converted):
-            faults.add_value(path, value, allowed, spec)
+        if converted is None or not is_allowed(converted):
+            errors.add_value(path, value, allowed, spec)
         return converted
 
     return check_scalar
@@ -151,12 +161,12 @@
 def _to_str(value: Any) -> str | None:
     # JSON can hold half of a surrogate pair ("\ud800"); such a string passes
     # here and fails later, when it is encoded for a frame or a log line.
-    if type(value) is not str or not _encodable(value):
+    if type(value) is not str or not _is_encodable(value):
         return None
     return value
 
 
-def _encodable(value: str) -> bool:
+def _is_encodable(value: str) -> bool:
     if value.isascii():
         return True
     try:
@@ -192,31 +202,33 @@
 }
 
 
-def _predicate(wanted: type, spec: schema_key.KeySpec) -> Callable[[Any], bool]:
+def _bounds_test(
+    value_type: type, spec: schema_key.KeySpec
+) -> Callable[[Any], bool]:
     """Returns the test of a converted value against its bounds."""
     if spec.choices:
         return lambda value: value in spec.choices
-    if wanted is str and spec.pattern:
+    if value_type is str and spec.pattern:
         pattern = re.compile(spec.pattern)
         return lambda value: pattern.fullmatch(value) is not None
-    if wanted in (int, float):
+    if value_type in (int, float):
         low = -math.inf if spec.minimum is None else spec.minimum
         high = math.inf if spec.maximum is None else spec.maximum
         return lambda value: low <= value <= high
     return lambda value: True
 
 
-def describe(wanted: Any, spec: schema_key.KeySpec) -> str:
+def describe(value_type: Any, spec: schema_key.KeySpec) -> str:
     """Says which values of a key are allowed."""
-    arguments = typing.get_args(wanted)
+    arguments = typing.get_args(value_type)
     if arguments:
         kind = 'array of' if len(arguments) == 1 else 'object by name of'
         return f'{kind} {describe(arguments[-1], spec)}'
-    if dataclasses.is_dataclass(wanted):
+    if dataclasses.is_dataclass(value_type):
         return 'object'
     if spec.choices:
         return 'one of ' + ', '.join(map(repr, spec.choices))
-    parts = [SCALARS[wanted]]
+    parts = [SCALARS[value_type]]
     if spec.pattern:
         parts.append(f'that matches {spec.pattern}')
     if spec.minimum is not None and spec.maximum is not None:
--- a/packages/quetzalsill/src/quetzalsill/schema/error.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/error.py
@@ -32,8 +32,8 @@
         self.path = path
         self.found = found
         self.allowed = allowed
-        place = f'{where}: {path}' if path else where
-        text = f'{place}: found {found}; allowed: {allowed}'
+        location = f'{where}: {path}' if path else where
+        text = f'{location}: found {found}; allowed: {allowed}'
         super().__init__(f'{text}. {advice}' if advice else text, advice=advice)
 
 
@@ -48,12 +48,12 @@
     code = 'invalid_document'
 
     def __new__(
-        cls, where: str, faults: Sequence[InvalidKeyError]
+        cls, where: str, errors: Sequence[InvalidKeyError]
     ) -> InvalidDocumentError:
         """Makes the group; at least one fault is needed."""
-        return super().__new__(cls, f'{where} is not valid', faults)
+        return super().__new__(cls, f'{where} is not valid', errors)
 
-    def __init__(self, where: str, faults: Sequence[InvalidKeyError]) -> None:
+    def __init__(self, where: str, errors: Sequence[InvalidKeyError]) -> None:
         super().__init__(f'{where} is not valid')
         self.where = where
 
@@ -63,4 +63,4 @@
 
     def lines(self) -> list[str]:
         """Returns one line of text for each fault."""
-        return [str(fault) for fault in self.exceptions]
+        return [str(invalid_key) for invalid_key in self.exceptions]
--- a/packages/quetzalsill/src/quetzalsill/schema/fault.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/error_collector.py
@@ -14,20 +14,20 @@
 
     from quetzalsill.schema import key
 
-__all__ = ['MAX_FAULTS', 'Faults']
+__all__ = ['MAX_ERRORS', 'ErrorCollector']
 
-MAX_FAULTS = 100
-SHOWN_CHARACTERS = 60
+MAX_ERRORS = 100
+MAX_SHOWN_CHARS = 60
 
 _repr = reprlib.Repr()
-_repr.maxstring = SHOWN_CHARACTERS
-_repr.maxother = SHOWN_CHARACTERS
-_repr.maxlong = SHOWN_CHARACTERS
+_repr.maxstring = MAX_SHOWN_CHARS
+_repr.maxother = MAX_SHOWN_CHARS
+_repr.maxlong = MAX_SHOWN_CHARS
 
 
 @dataclasses.dataclass(slots=True)
-class Faults:
-    """The faults found so far, up to `MAX_FAULTS`.
+class ErrorCollector:
+    """The faults found so far, up to `MAX_ERRORS`.
 
     Attributes:
       where: File or other origin of the document.
@@ -35,41 +35,47 @@
     """
 
     where: str
-    found: list[error.InvalidKeyError] = dataclasses.field(default_factory=list)
+    errors: list[error.InvalidKeyError] = dataclasses.field(
+        default_factory=list
+    )
 
     def add(
         self, path: str, found: str, allowed: str, advice: str = ''
     ) -> None:
         """Notes one fault."""
-        if len(self.found) < MAX_FAULTS:
-            fault = error.InvalidKeyError(
+        if len(self.errors) < MAX_ERRORS:
+            invalid_key = error.InvalidKeyError(
                 self.where, path, found, allowed, advice
             )
-            self.found.append(fault)
+            self.errors.append(invalid_key)
 
     def add_value(
         self, path: str, value: Any, allowed: str, spec: key.KeySpec
     ) -> None:
         """Notes a value that does not fit, masked if it is secret."""
-        shown = f'{type_name(value)} (masked)' if spec.secret else show(value)
-        self.add(path, shown, allowed)
+        description = (
+            f'{type_name(value)} (masked)'
+            if spec.secret
+            else describe_value(value)
+        )
+        self.add(path, description, allowed)
 
     def add_unknown(self, path: str, name: str, known: Iterable[str]) -> None:
         """Notes an unknown key with the nearest known one."""
-        if len(self.found) >= MAX_FAULTS:
+        if len(self.errors) >= MAX_ERRORS:
             return
         names = list(known)
-        near = difflib.get_close_matches(name, names, n=1)
-        advice = f'Did you mean {near[0]!r}?' if near else ''
+        nearest = difflib.get_close_matches(name, names, n=1)
+        advice = f'Did you mean {nearest[0]!r}?' if nearest else ''
         self.add(path, 'an unknown key', ', '.join(names), advice)
 
     def raise_if_any(self) -> None:
         """Raises `InvalidDocumentError` if there is a fault."""
-        if self.found:
-            raise error.InvalidDocumentError(self.where, self.found)
+        if self.errors:
+            raise error.InvalidDocumentError(self.where, self.errors)
 
 
-def show(value: Any) -> str:
+def describe_value(value: Any) -> str:
     """Shows a value with its type, shortened."""
     return f'{type_name(value)} {_repr.repr(value)}'
 
--- a/packages/quetzalsill/src/quetzalsill/schema/example.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/example.py
@@ -23,44 +23,46 @@
     Each key stands with its description, type, unit, bounds and default in
     a comment, and with its default or an example as value.
     """
-    return '\n'.join([*_object(cls, 0), ''])
+    return '\n'.join([*_object_lines(cls, 0), ''])
 
 
-def _object(cls: type, depth: int) -> Iterator[str]:
+def _object_lines(cls: type, depth: int) -> Iterator[str]:
     """Yields the lines of an object, without a line end after the brace."""
     types = typing.get_type_hints(cls)
     fields = dataclasses.fields(cls)
     yield '{'
     for field in fields:
         comma = '' if field is fields[-1] else ','
-        yield from _key(field, types[field.name], depth + 1, comma)
+        yield from _key_lines(field, types[field.name], depth + 1, comma)
     yield f'{INDENT * depth}}}'
 
 
-def _key(
+def _key_lines(
     field: dataclasses.Field, annotation: Any, depth: int, comma: str
 ) -> Iterator[str]:
     margin = INDENT * depth
-    yield from _comment(field, annotation, margin)
+    yield from _comment_lines(field, annotation, margin)
     if dataclasses.is_dataclass(annotation):
-        lines = list(_object(annotation, depth))
+        lines = list(_object_lines(annotation, depth))
     else:
-        lines = [json.dumps(_shown(field))]
+        lines = [json.dumps(_example_value(field))]
     lines[0] = f'{margin}"{field.name}": {lines[0]}'
     lines[-1] += comma
     yield from lines
 
 
-def _comment(
+def _comment_lines(
     field: dataclasses.Field, annotation: Any, margin: str
 ) -> Iterator[str]:
-    spec: key.KeySpec = field.metadata[key.DOC]
-    notes = [spec.doc]
+    spec: key.KeySpec = field.metadata[key.METADATA_KEY]
+    sentences = [spec.doc]
     if not dataclasses.is_dataclass(annotation):
-        notes.append(f'{check.describe(annotation, spec)}; {_default(field)}.')
-    for note in notes:
+        sentences.append(
+            f'{check.describe(annotation, spec)}; {_describe_default(field)}.'
+        )
+    for sentence in sentences:
         yield from textwrap.wrap(
-            note,
+            sentence,
             WIDTH,
             initial_indent=f'{margin}// ',
             subsequent_indent=f'{margin}// ',
@@ -69,19 +71,19 @@
         )
 
 
-def _default(field: dataclasses.Field) -> str:
+def _describe_default(field: dataclasses.Field) -> str:
     if check.is_required(field):
         return 'required'
-    return f'default {json.dumps(_value(field))}'
+    return f'default {json.dumps(_default_value(field))}'
 
 
-def _shown(field: dataclasses.Field) -> Any:
+def _example_value(field: dataclasses.Field) -> Any:
     if check.is_required(field):
-        return field.metadata[key.DOC].example
-    return _value(field)
+        return field.metadata[key.METADATA_KEY].example
+    return _default_value(field)
 
 
-def _value(field: dataclasses.Field) -> Any:
+def _default_value(field: dataclasses.Field) -> Any:
     if field.default is not dataclasses.MISSING:
         return plain.to_plain(field.default)
     return plain.to_plain(field.default_factory())
--- a/packages/quetzalsill/src/quetzalsill/schema/key.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/key.py
@@ -5,9 +5,9 @@
 import dataclasses
 from typing import Any
 
-__all__ = ['DOC', 'NAME', 'KeySpec', 'REQUIRED', 'key']
+__all__ = ['METADATA_KEY', 'NAME', 'KeySpec', 'REQUIRED', 'key']
 
-DOC = 'quetzalsill'
+METADATA_KEY = 'quetzalsill'
 NAME = r'[a-z0-9][a-z0-9._-]{0,62}'
 REQUIRED = dataclasses.MISSING
 
@@ -48,5 +48,5 @@
     return dataclasses.field(
         default=default,
         default_factory=factory,
-        metadata={DOC: KeySpec(doc=doc, **spec)},
+        metadata={METADATA_KEY: KeySpec(doc=doc, **spec)},
     )
--- a/packages/quetzalsill/src/quetzalsill/schema/load.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/load.py
@@ -33,7 +33,7 @@
       InvalidDocumentError: If the file cannot be read, is not JSON, or does
         not fit `cls`.
     """
-    return check.check(cls, parse_text(_read(path), path), path)
+    return check.check(cls, parse_text(_read_file(path), path), path)
 
 
 def parse_text(text: str, where: str) -> Any:
@@ -45,7 +45,7 @@
     # The parser for comments is slow, some seconds per megabyte, so a
     # document that is JSON without them never reaches it.
     try:
-        return json.loads(text, object_pairs_hook=_unique)
+        return json.loads(text, object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError):
         return _parse_with(_loads_commented, text, where)
 
@@ -63,11 +63,11 @@
     # Loaded only for documents with comments, of which a process has few.
     import json5
 
-    return json5.loads(text, object_pairs_hook=_unique)
+    return json5.loads(text, object_pairs_hook=_reject_duplicates)
 
 
 def _loads_strict(text: str) -> Any:
-    return json.loads(text, object_pairs_hook=_unique)
+    return json.loads(text, object_pairs_hook=_reject_duplicates)
 
 
 def _parse_with(loads: Callable[[str], Any], text: str, where: str) -> Any:
@@ -79,16 +79,16 @@
         raise _invalid(where, ' '.join(str(exc).split()), 'JSON') from exc
 
 
-def _unique(pairs: Pairs) -> dict[str, Any]:
+def _reject_duplicates(pairs: Pairs) -> dict[str, Any]:
     built = dict(pairs)
     if len(built) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise _DuplicateKeyError(f'the key {twice!r} twice in one object')
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise _DuplicateKeyError(f'the key {duplicate!r} twice in one object')
     return built
 
 
-def _read(path: str) -> str:
+def _read_file(path: str) -> str:
     try:
         size = pathlib.Path(path).stat().st_size
         if size > MAX_FILE_BYTES:
@@ -105,5 +105,5 @@
 def _invalid(
     where: str, found: str, allowed: str
 ) -> schema_error.InvalidDocumentError:
-    fault = schema_error.InvalidKeyError(where, '', found, allowed)
-    return schema_error.InvalidDocumentError(where, [fault])
+    invalid_key = schema_error.InvalidKeyError(where, '', found, allowed)
+    return schema_error.InvalidDocumentError(where, [invalid_key])
--- a/tests/quetzalsill/config/test_store.py
+++ b/tests/quetzalsill/config/test_store.py
@@ -310,7 +310,7 @@
 
         self.after_put(lose_then_fall)
         short = store.ConfigStore(
-            self.clients.table, self.clients.objects, settle_s=0.3
+            self.clients.table, self.clients.objects, publish_timeout_s=0.3
         )
         with self.assertRaises(store.OutcomeUnknownEditError) as caught:
             await short.publish(b'x', 0, 'edit-x', 'ada', '')
--- a/tests/quetzalsill/daemon/test_background.py
+++ b/tests/quetzalsill/daemon/test_background.py
@@ -30,7 +30,7 @@
 
         runs = mock.Mock(side_effect=work)
         with (
-            mock.patch.object(background, 'RESTART_S', 0),
+            mock.patch.object(background, 'RESTART_DELAY_S', 0),
             mock.patch.object(background.event, 'note') as noted,
         ):
             task = asyncio.create_task(background.keep_running('loop', runs))
--- a/tests/quetzalsill/platform/test_health.py
+++ b/tests/quetzalsill/platform/test_health.py
@@ -15,25 +15,25 @@
         self.health = health.StoreHealth(lambda: self.now)
 
     def test_one_lost_answer_refuses_nobody(self):
-        self.health.failed()
+        self.health.record_failure()
         self.assertTrue(self.health.up)
-        self.health.succeeded()
-        self.health.failed()
+        self.health.record_success()
+        self.health.record_failure()
         self.assertTrue(self.health.up)
 
     def test_down_since_the_second_failure(self):
         for _ in range(3):
             self.now += 1.0
-            self.health.failed()
+            self.health.record_failure()
         self.assertFalse(self.health.up)
-        self.assertEqual(self.health.since, 102.0)
-        self.health.succeeded()
+        self.assertEqual(self.health.changed_at, 102.0)
+        self.health.record_success()
         self.assertTrue(self.health.up)
-        self.assertEqual(self.health.since, 103.0)
+        self.assertEqual(self.health.changed_at, 103.0)
 
     def test_advice_grows_with_the_outage_and_is_bounded(self):
-        self.health.failed()
-        self.health.failed()
+        self.health.record_failure()
+        self.health.record_failure()
         self.assertEqual(self.health.retry_after_s(), 1.0)
         self.now += 10.0
         self.assertGreaterEqual(self.health.retry_after_s(), 5.0)
--- a/tests/quetzalsill/platform/test_lease.py
+++ b/tests/quetzalsill/platform/test_lease.py
@@ -278,7 +278,7 @@
         with self.assertRaises(error.PlatformUnavailableError):
             await self.first.renew()
         self.assertTrue(self.first.valid())
-        self.now += TTL_S * (1 - lease.MARGIN)
+        self.now += TTL_S * (1 - lease.CLOCK_DRIFT_MARGIN)
         self.assertFalse(self.first.valid())
 
 
--- a/tests/quetzalsill_dev/test_profiles_page.py
+++ b/tests/quetzalsill_dev/test_profiles_page.py
@@ -23,7 +23,7 @@
         for cls in (model.Profile, model.Policies):
             hints = typing.get_type_hints(cls)
             for field in dataclasses.fields(cls):
-                spec = field.metadata[key.DOC]
+                spec = field.metadata[key.METADATA_KEY]
                 allowed = check.describe(hints[field.name], spec)
                 default = json.dumps(field.default)
                 row = f'| `{field.name}` | {allowed} | `{default}` | {spec.doc}'
