--- a/tests/quetzalsill_platform/test_adapter.py
+++ b/tests/quetzalsill_platform/test_adapter.py
@@ -121,7 +121,7 @@
         self.assertEqual(cfg.regions, {'hall-1': 'metro', 'hall-2': 'metro'})
         self.assertEqual(cfg.warmup, settings_lib.Warmup())
 
-    def test_bounds_of_cold_upstreams_are_taken_where_they_are_told(self):
+    def test_warmup_bounds_are_read_if_present(self):
         bounds = {
             'bounds.warmupOverage|json': '1.5',
             'bounds.warmupAllowance|json': '5',
@@ -130,7 +130,7 @@
         cfg = load.load_file(settings_lib.Settings, str(self.path))
         self.assertEqual(cfg.warmup, settings_lib.Warmup(1.5, 5))
 
-    def test_what_does_not_fit_ends_with_its_field_and_mend(self):
+    def test_an_invalid_setting_is_named_in_the_error(self):
         """An invalid field is named in the error, and nothing starts."""
         registry = plugin_registry.Registry()
         plugin.register(registry)
@@ -197,7 +197,7 @@
         self.assertEqual(table.limits.body_bytes, 99)
         self.assertEqual(table.limits.idle_s, 0.5)
 
-    def test_a_document_that_makes_no_sense_is_a_typed_failure(self):
+    def test_an_invalid_document_is_a_configuration_error(self):
         for broken in (
             {},
             {'version': 1},
@@ -231,7 +231,7 @@
             membership.decode('i-1', without_incarnation).incarnation, 0
         )
 
-    def test_what_no_server_writes_names_no_server(self):
+    def test_invalid_entries_are_rejected(self):
         """Another writer stores an entry under a server's id.
 
         If it were used as a server, it would get requests for a service that it
@@ -268,7 +268,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.one_of(st.binary(max_size=60), DOCUMENTS.map(encode_document)))
-    def test_whatever_the_bytes_no_exception_leaves_the_adapter(self, data):
+    def test_arbitrary_bytes_raise_no_exception(self, data):
         existing = upstream_lib.Upstream(
             'good', 's', ('10.0.0.9', 80), 'zone-a'
         )
@@ -282,13 +282,13 @@
         upstreams.put(existing, revision.Revision(0, 1))
         text = base64.b64encode(data).decode()
         raw = {'key': 'i-1', 'ver': 2, 'value': text}
-        answer = rows.decode(0, {'rows': [raw], 'ver': 2})
+        changes = rows.decode(0, {'rows': [raw], 'ver': 2})
         with mock.patch.object(event, 'note'):
-            for change in polling.membership_changes(answer):
+            for change in polling.membership_changes(changes):
                 upstreams.apply(change)
         return upstreams
 
-    def test_impossible_figures_of_a_report_are_bounded(self):
+    def test_impossible_values_in_a_report_are_bounded(self):
         raw = {'queued': -1, 'active': 2, 'kvUsed': 99, 'kvTotal': 4}
         report = engine.decode_report(raw | {'leaves_ms': -3})
         self.assertEqual((report.queued, report.used_tokens), (0, 4))
--- a/tests/quetzalsill_platform/test_ambiguous_responses.py
+++ b/tests/quetzalsill_platform/test_ambiguous_responses.py
@@ -136,7 +136,7 @@
                 replica.break_after = None
         return await pending
 
-    async def test_a_refusal_in_plain_text_is_one(self):
+    async def test_a_refusal_in_plain_text_counts(self):
         """The engine refuses a stop command with a plain-text body.
 
         It keeps running after its connection broke, and responds with 409. If
@@ -244,7 +244,7 @@
         if response.whole:
             self.assertEqual(response.body, self.expected_stream('n7', LENGTH))
 
-    async def test_room_kept_for_a_move_is_given_back(self):
+    async def test_a_reservation_for_a_move_is_released(self):
         """A caller disconnects during the final copy of its run.
 
         The move succeeds, and nobody resumes from the copy. If the reservation
@@ -271,8 +271,8 @@
         core = self.process.core
         moving = self.process._gateway._migration._moving
         await self.wait_until(lambda: not moving)
-        for found in core.upstreams.all():
-            self.assertEqual(core.stats_table.of(found).reserved_tokens, 0)
+        for upstream in core.upstreams.all():
+            self.assertEqual(core.stats_table.of(upstream).reserved_tokens, 0)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_backups.py
+++ b/tests/quetzalsill_platform/test_backups.py
@@ -24,7 +24,7 @@
         await source.crash()
         return source
 
-    async def test_a_plan_outlives_the_crash_of_its_engine(self):
+    async def test_a_run_survives_the_crash_of_its_engine(self):
         """An engine crashes in the middle of an at-most-once run.
 
         The run resumes from its KV cache copy at a second engine. The caller
--- a/tests/quetzalsill_platform/test_directory.py
+++ b/tests/quetzalsill_platform/test_directory.py
@@ -75,7 +75,7 @@
 class SimultaneousStartTest(unittest.TestCase):
     """All gateways restart at once after a power loss."""
 
-    def test_what_stands_there_is_not_written_again(self):
+    def test_a_correct_entry_is_not_written_again(self):
         """All 300 hosts of a fleet restart while the directory is up to date.
 
         If each wrote its entry again, the writes would queue in one partition
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -59,7 +59,7 @@
         with self.assertRaises(error.MalformedSourceError):
             self.reader.read(header(b'3', b'4'), 3)
 
-    def test_a_store_that_leaves_it_out_is_not_believed(self):
+    def test_responses_without_it_are_rejected(self):
         """A proxy drops the header from some responses.
 
         If such a response counted for the previous epoch, the gateway would
@@ -78,7 +78,7 @@
 
         clock.run(scenario)
 
-    def test_a_store_that_no_longer_sends_it_is_heard_again(self):
+    def test_a_store_that_no_longer_sends_it_is_accepted_again(self):
         """A store that never sends the header sends it once by mistake.
 
         Without a time limit, every later response would be rejected.
@@ -99,13 +99,13 @@
 
     def test_a_field_of_another_kind_is_a_failure_that_names_it(self):
         row = {'key': 'a', 'ver': 3, 'value': 'e30='}
-        good = {'rows': [row], 'ver': 5}
+        valid = {'rows': [row], 'ver': 5}
         expected = revision.Revision(2, 5)
-        self.assertEqual(rows.decode(2, good).revision, expected)
+        self.assertEqual(rows.decode(2, valid).revision, expected)
         for version in (HUGE, -1, 1.5, '7', None, True, [], float('inf')):
             for raw in (
-                good | {'ver': version},
-                good | {'rows': [row | {'ver': version}]},
+                valid | {'ver': version},
+                valid | {'rows': [row | {'ver': version}]},
             ):
                 with self.subTest(raw):
                     with self.assertRaises(
@@ -139,21 +139,21 @@
 
     def events_of(self, kind):
         events = [call.args[0] for call in self.note.call_args_list]
-        return [one for one in events if isinstance(one, kind)]
+        return [record for record in events if isinstance(record, kind)]
 
     def in_epoch(self, epoch, status=200):
         self.headers = {'Store-Era': str(epoch)}
         self.status = status
 
-    async def test_every_answer_tells_it(self):
+    async def test_every_response_carries_it(self):
         """Any response may be the first one of a new epoch.
 
         While the store is unavailable it is a refusal; the epoch of a refusal,
         of lost history and of a write all count.
         """
-        seen = []
+        epochs = []
         self.store.epochs.on_change(
-            lambda: seen.append(self.store.epochs.newest)
+            lambda: epochs.append(self.store.epochs.newest)
         )
         self.in_epoch(1)
         await self.store.read('t')
@@ -164,7 +164,7 @@
             self.assertEqual(self.store.epochs.newest, epoch)
         self.in_epoch(6)
         await self.store.write('t', 'k', 1)
-        self.assertEqual(seen, [2, 3, 4, 5, 6])
+        self.assertEqual(epochs, [2, 3, 4, 5, 6])
 
     async def test_a_feed_of_an_epoch_before_is_not_read_on(self):
         after = revision.Revision(1, 3)
@@ -183,7 +183,7 @@
         self.assertEqual(self.store.epochs.newest, 2)
         self.assertEqual(len(self.events_of(event.AnswerStale)), 1)
 
-    async def test_a_call_of_before_says_nothing_of_an_epoch_that_fell(self):
+    async def test_an_earlier_call_does_not_confirm_a_lower_epoch(self):
         """A response from before a restore arrives long after it.
 
         A lower epoch is accepted only from calls that were sent later; the
@@ -219,7 +219,7 @@
             await slow
         self.assertEqual(self.store.epochs.newest, 2)
 
-    async def test_pages_of_two_epochs_are_no_list(self):
+    async def test_pages_of_two_epochs_are_rejected(self):
         """The store is restored between two pages of one listing.
 
         Combined, the pages would lack rows that the snapshot lacks, and hold
@@ -256,7 +256,7 @@
         found = await self.store.read('t')
         self.assertEqual(found.revision.version, 5)
 
-    async def test_a_write_that_is_gone_is_no_write(self):
+    async def test_a_write_that_gets_410_fails(self):
         self.status = 410
         with self.assertRaises(error.SourceError):
             await self.store.write('t', 'k', 1)
--- a/tests/quetzalsill_platform/test_era_path.py
+++ b/tests/quetzalsill_platform/test_era_path.py
@@ -15,7 +15,7 @@
 
     era = 1
 
-    async def test_both_tables_are_listed_anew_and_work_goes_on(self):
+    async def test_both_tables_are_listed_again_and_requests_served(self):
         """One call reports the epoch, and the other table is listed again too.
 
         The other watch would otherwise continue from a version that has been
@@ -57,7 +57,7 @@
         ]
         self.assertEqual(ahead, [])
 
-    async def test_a_refusal_that_tells_of_it_is_enough(self):
+    async def test_a_refusal_with_the_new_epoch_is_enough(self):
         self.store.down = 'busy'
         self.store.era += 1
         epochs = self.process.epochs
--- a/tests/quetzalsill_platform/test_names.py
+++ b/tests/quetzalsill_platform/test_names.py
@@ -22,7 +22,7 @@
 class NamesTest(unittest.TestCase):
     """A platform name in the gateway would tie it to one deployment."""
 
-    def test_the_gateway_knows_none(self):
+    def test_the_gateway_uses_none(self):
         package = ROOT / 'packages' / 'quetzalsill-gateway' / 'src'
         for path in sorted(package.rglob('*.py')):
             found = NAMES.findall(path.read_text())
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -51,9 +51,13 @@
         self.assertFalse(response.whole)
         logged = [call.args[0] for call in note.call_args_list]
         request_ends = [
-            one for one in logged if isinstance(one, event.RequestEnded)
+            record
+            for record in logged
+            if isinstance(record, event.RequestEnded)
         ]
-        self.assertEqual([one.outcome for one in request_ends], ['stopped'])
+        self.assertEqual(
+            [record.outcome for record in request_ends], ['stopped']
+        )
 
 
 class GracefulStopTest(fixture.GatewayTestCase):
--- a/tests/quetzalsill_platform/test_run_once.py
+++ b/tests/quetzalsill_platform/test_run_once.py
@@ -61,7 +61,7 @@
         self.assertFalse(response.whole)
         self.assertEqual(self.fleet.doubled, set())
 
-    async def test_an_engine_is_told_again_to_stop_a_run(self):
+    async def test_a_refused_stop_command_is_repeated(self):
         """The command in progress ends, and a later stop command succeeds."""
         response = await self.interrupt_stream('o3', busy_orders=2)
         self.assert_complete(response, 'o3', 80)
--- a/tests/quetzalsill_platform/test_sent_once.py
+++ b/tests/quetzalsill_platform/test_sent_once.py
@@ -45,7 +45,11 @@
             with self.subTest(script):
                 self.script(script)
                 await self.request('/unsafe/', request_id=f'o{number}')
-                run_ids = [one for one, *_ in self.runs if one == f'o{number}']
+                run_ids = [
+                    request_id
+                    for request_id, *_ in self.runs
+                    if request_id == f'o{number}'
+                ]
                 self.assertEqual(len(run_ids), 1)
 
     async def test_an_order_that_was_turned_away_first_is_sent_once(self):
@@ -53,7 +57,7 @@
         self.script('shed', 'reset')
         response = await self.request('/unsafe/', request_id='t1')
         self.assertEqual(response.status, 502)
-        self.assertEqual([one for one, *_ in self.runs], ['t1'])
+        self.assertEqual([request_id for request_id, *_ in self.runs], ['t1'])
 
     async def test_a_plan_that_may_have_run_does_not_begin_again(self):
         """An engine resets a run when it starts it; the route allows three."""
@@ -114,7 +118,7 @@
             with self.subTest(status):
                 self.assertTrue(await self.is_refused(status))
 
-    async def test_strangers_at_the_address_do_not(self):
+    async def test_other_services_at_the_address_do_not(self):
         """Another service, which lacks the command, now has the address."""
         for status in (400, 401, 404, 405, 421):
             with self.subTest(status):
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -107,7 +107,7 @@
             (await self.request('/safe/', key='key-1')).status, 401
         )
 
-    async def test_who_follows_goes_by_the_epoch_of_the_store(self):
+    async def test_all_watches_use_the_epoch_of_the_store(self):
         """All watches share the store's epoch.
 
         One response with a new epoch then makes the gateway list every table. A
@@ -331,7 +331,7 @@
         failed = await self.failures_during(drill)
         self.assertLessEqual(len(failed), len(lost_in_outage), failed)
 
-    async def test_a_copy_without_any_server_takes_nobody_out(self):
+    async def test_a_snapshot_without_servers_removes_none(self):
         """All servers registered after the snapshot, as after a release.
 
         They are alive and register again within the two seconds that they have.
@@ -341,7 +341,7 @@
         drill = self.drill(snapshot, away_s=0.5, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
-    async def test_a_drill_that_nobody_sees_takes_nobody_out(self):
+    async def test_an_unnoticed_drill_removes_no_server(self):
         """As above, but the store is back before any call fails.
 
         Waiting watches get responses of the new era: the gateway notices no
@@ -351,7 +351,7 @@
         drill = self.drill(snapshot, down='', away_s=0.0, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
-    async def test_watches_that_are_cut_take_nobody_out(self):
+    async def test_broken_watches_remove_no_server(self):
         """As above, but the connections of waiting watches are broken."""
         self.store.cuts_watches = True
         snapshot = await self.register_all_after_snapshot()
--- a/tests/quetzalsill_platform/test_store_eras.py
+++ b/tests/quetzalsill_platform/test_store_eras.py
@@ -46,7 +46,7 @@
         await self.wait_until(lambda: self.known_servers() == {'desk-2'})
         self.assertTrue(self.process.is_ready())
 
-    async def test_a_header_that_is_missing_once_it_was_told(self):
+    async def test_a_header_that_is_missing_once_it_was_sent(self):
         """A proxy responds in place of the store, with rows of its own.
 
         A response without the era that was sent before must change nothing.
@@ -72,7 +72,7 @@
         """If an era of 400 digits were accepted, no later era would count."""
         await self.check('huge', expected={'desk-1', 'desk-2'})
 
-    async def test_an_era_that_jumps_is_believed(self):
+    async def test_an_era_that_jumps_is_accepted(self):
         """Several restores happen while the gateway cannot reach the store."""
         self.store.era = 8
         self.store.remove('servers', 'desk-1')
@@ -81,7 +81,7 @@
         )
         await self.wait_until(lambda: self.known_servers() == {'desk-2'})
 
-    async def test_a_version_beyond_what_others_can_count(self):
+    async def test_a_version_beyond_exact_doubles(self):
         """The counter jumps beyond 2^53, and a restore resets it.
 
         However the gateway treats such a version, it serves requests, and
@@ -122,7 +122,7 @@
             lambda: self.known_servers() == {'desk-1', 'desk-2'}
         )
 
-    async def test_a_store_that_begins_to_tell_its_era(self):
+    async def test_a_store_that_starts_to_send_its_era(self):
         """The store is upgraded to a release that sends its era."""
         self.store.era = None
         self.process = await self.start_gateway()
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -33,15 +33,15 @@
         await self.wait_until_version(9)
         self.store.put('op', 'config', fixture.configuration(6))
         self.store.put('op', 'other', {'not': 'a configuration'})
-        answer = await self.request('/new/', key='key-2')
-        self.assertEqual(answer.status, 200)
+        response = await self.request('/new/', key='key-2')
+        self.assertEqual(response.status, 200)
         self.assertEqual(
             (await self.request('/safe/', key='key-2')).status, 404
         )
         self.assertEqual((await self.request('/new/', key='key-1')).status, 401)
         self.assertEqual(self.version(), 9)
 
-    async def test_one_that_cannot_be_held_is_left_out(self):
+    async def test_an_invalid_configuration_is_ignored(self):
         """A field is missing: the previous configuration stays active."""
         broken = fixture.configuration(7)
         del broken['routes'][0]['routeType']
@@ -68,7 +68,7 @@
                 self.assertTrue(self.process.is_ready())
                 self.store.down = ''
 
-    async def test_a_gateway_without_configuration_refuses_truly(self):
+    async def test_a_gateway_without_configuration_refuses_as_not_run(self):
         """A gateway starts while the store is down.
 
         It is not ready, and refuses requests as not run with a Retry-After
@@ -76,9 +76,9 @@
         """
         self.store.down = 'busy'
         self.process = await self.start_gateway(wait=False)
-        answer = await self.request('/unsafe/')
-        self.assertEqual(answer.status, 503)
-        self.assertIn('retry-after', answer.headers)
+        response = await self.request('/unsafe/')
+        self.assertEqual(response.status, 503)
+        self.assertIn('retry-after', response.headers)
         self.assertFalse(self.process.is_ready())
         self.store.down = ''
         await self.wait_until(self.process.is_ready)
@@ -88,8 +88,8 @@
     """Which upstreams the gateway uses."""
 
     def available_ids(self, service='desk'):
-        found = self.process.core.upstreams.available(service)
-        return {upstream.id for upstream in found}
+        available = self.process.core.upstreams.available(service)
+        return {upstream.id for upstream in available}
 
     async def test_a_draining_upstream_gets_nothing_new(self):
         server = self.http_servers[0]
@@ -180,7 +180,7 @@
             self.assertEqual((await self.request('/unsafe/')).status, 200)
         self.assertEqual(other_server.runs, [])
 
-    async def test_an_entry_that_makes_no_sense_is_left_out(self):
+    async def test_an_invalid_entry_is_ignored(self):
         self.store.put('servers', 'odd', {'service': 'desk'})
         self.store.put('servers', 'odd-2', {'service': 'desk', 'address': 'x'})
         server = self.http_servers[0]
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -87,7 +87,7 @@
         self.assert_complete(response, 's3')
         self.assertEqual(len(self.fleet.started['s3']), 2)
 
-    async def test_a_refusal_is_true_and_says_when_to_come_back(self):
+    async def test_a_refusal_has_a_retry_after_header(self):
         for replica in self.engines:
             replica.refuse = 503
         response = await self.stream(request_id='s4')
@@ -95,7 +95,7 @@
         self.assertIn('retry-after', response.headers)
         self.assertNotIn('s4', self.fleet.started)
 
-    async def test_another_start_at_an_address_is_sent_little(self):
+    async def test_a_restarted_engine_gets_few_requests(self):
         """An engine restarts while its old entry is still listed.
 
         It always looks idle, and once got 234 requests in a row, all of which
@@ -115,7 +115,7 @@
         self.assertGreaterEqual(len(restarted.requests), 1)
         self.assertLessEqual(len(restarted.requests), 3)
 
-    async def test_runs_of_a_leaving_engine_go_on_with_their_memory(self):
+    async def test_runs_of_a_draining_engine_resume_from_their_copy(self):
         """An engine is terminated 1.5 s after its notice, during a run.
 
         The run's KV cache moves to another engine. The caller gets one response
@@ -217,11 +217,11 @@
             )
         )
 
-    async def test_what_a_stream_held_is_given_back(self):
+    async def test_reservations_of_a_stream_are_released(self):
         await self.stream(request_id='s9')
         stats_table = self.process.core.stats_table
-        for found in self.process.core.upstreams.available('writers'):
-            self.assertEqual(stats_table.of(found).reserved_tokens, 0)
+        for upstream in self.process.core.upstreams.available('writers'):
+            self.assertEqual(stats_table.of(upstream).reserved_tokens, 0)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_unary_calls.py
+++ b/tests/quetzalsill_platform/test_unary_calls.py
@@ -142,7 +142,7 @@
                 self.assertEqual(len(self.runs), before + 1)
                 self.script()
 
-    async def test_a_true_refusal_says_when_to_come_back(self):
+    async def test_a_refusal_has_a_retry_after_header(self):
         self.script('shed')
         response = await self.request('/unsafe/')
         self.assertEqual(response.status, 503)
@@ -194,7 +194,7 @@
         response = await self.request('/unsafe/')
         self.assertEqual((response.status, response.whole), (200, True))
 
-    async def test_silence_ends_at_the_deadline(self):
+    async def test_a_missing_response_ends_at_the_deadline(self):
         self.script('hang', 'hang', 'hang')
         response = await self.request('/unsafe/', deadline_ms=200)
         self.assertEqual((response.status, response.whole), (504, True))
--- a/tests/quetzalsill_platform/test_zone_drain.py
+++ b/tests/quetzalsill_platform/test_zone_drain.py
@@ -58,7 +58,7 @@
         self.assertEqual(response.status, 500)
         self.assertEqual(self.http_servers[0].runs, [])
 
-    async def test_all_zones_drained_is_a_true_refusal(self):
+    async def test_requests_are_refused_if_all_zones_are_drained(self):
         """No server is available: requests are refused at once.
 
         The refusal has a Retry-After header; requests that were held until
@@ -87,7 +87,7 @@
         response = await caller.read()
         self.assertEqual((response.status, response.whole), (200, True))
 
-    async def test_whatever_the_value_the_key_is_the_order(self):
+    async def test_the_value_of_a_drain_is_ignored(self):
         """The value may come from any writer; only the key counts."""
         await self.drain('zone-b', value=[7, 'x' * 65_536])
         self.assertEqual(await self.served_by('/safe/', 4), {'desk-2'})
