--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/attempt.py
@@ -110,16 +110,18 @@
         may have run.
     """
     dialect = core.dialect
-    conn = await core.conns.take(
+    conn = await core.conns.acquire(
         upstream.address,
         repeatable=exchange.route.kind.may_repeat,
         # The limit does not apply to a resumed run: it has been stopped at its
         # source, and would be lost without a connection.
-        most=None if continues else core.quota.max_connections(upstream),
+        max_connections=None
+        if continues
+        else core.quota.max_connections(upstream),
     )
     try:
         if not _accepts_work(core.upstreams, upstream, continues=continues):
-            raise error.ClosedError(upstream.address_text)
+            raise error.UpstreamClosedError(upstream.address_text)
         head = exchange.head(dialect, upstream.id, extra_headers)
         conn.send(
             head,
@@ -132,7 +134,7 @@
         response_class = classify(answer, dialect, exchange.request_id)
         yield SentRequest(conn, answer, response_class)
     finally:
-        core.conns.give_back(conn, core.quota.max_idle(upstream))
+        core.conns.release(conn, core.quota.max_idle(upstream))
 
 
 def _accepts_work(
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/run.py
@@ -1,4 +1,4 @@
-"""Runs a gateway from its start to its graceful end."""
+"""Runs a gateway process from startup to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 __all__ = ['Process', 'run']
 
 MS_PER_S = 1000
-TICK_S = 0.05
-# A store that answers has told both tables within a few round trips; without
-# one, callers are told so after this time.
-FIRST_READ_S = 0.5
-FIRST_READ_EVERY_S = 0.005
-# Left of the grace period for closing connections and ending the process.
-END_S = 0.3
+STOP_POLL_S = 0.05
+# A store that responds delivers both tables within a few round trips. After
+# this time the gateway starts without them and refuses callers.
+FIRST_READ_TIMEOUT_S = 0.5
+FIRST_READ_POLL_S = 0.005
+# Part of the grace period reserved for closing connections and exiting.
+CLOSE_MARGIN_S = 0.3
 
 
 class Process:
-    """A gateway with its listeners and loops."""
+    """A gateway with its listeners and background loops."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             upstreams=upstream.Upstreams(settings.regions),
             stats_table=stats_table,
             conns=conns,
-            budget=_budget(settings.retry),
+            budget=_make_budget(settings.retry),
             live=live.LiveStreams(stats_table),
             members=gateways,
             quota=quota.Quota(
@@ -103,19 +103,19 @@
         )
         self._gateway = gateway.Gateway(self.core)
         self.callers = listener.Listener(self._gateway.handle, self._limits)
-        asked = readiness.handler(
+        handler = readiness.make_handler(
             settings.ready_path, self.is_ready, self._observe
         )
-        self.asked = listener.Listener(asked, listener.Limits)
-        self.metrics = listener.Listener(asked, listener.Limits)
+        self.readiness = listener.Listener(handler, listener.Limits)
+        self.metrics = listener.Listener(handler, listener.Limits)
         self.peers = peer_exchange.Exchange(
             self.core, settings.node.name, sources.join, self.epochs
         )
-        kinds = {
+        followers = {
             update.MembershipUpdate: self.membership,
             update.ConfigurationUpdate: self.configuration,
         }
-        for kind, follower in kinds.items():
+        for kind, follower in followers.items():
             follower.set_announcer(self.peers.announce)
             follower.on_missing(self.peers.request_snapshot)
             self.peers.on_update(kind, follower.handle_update)
@@ -123,28 +123,28 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
-        """Whether callers should come here."""
+        """Whether the load balancer should send callers to this gateway."""
         core = self.core
-        known = (
+        has_state = (
             core.holder.current is not None
             and core.upstreams.revision > revision.NONE
         )
-        return known and not self.callers.stopping
+        return has_state and not self.callers.stopping
 
     def apply(self, settings: settings_lib.Settings) -> None:
-        """Takes settings that were changed while the process runs."""
+        """Applies settings that were changed while the process runs."""
         cfg = settings.retry
-        self.core.budget.change(
+        self.core.budget.set_limits(
             cfg.ratio, cfg.allowance, cfg.window_s, cfg.gateways
         )
 
     async def start(self) -> None:
-        """Opens the listeners and starts to follow the sources."""
+        """Opens the listeners and starts the background loops."""
         loops = {
             'configuration': self.configuration.run,
             'membership': self.membership.run,
-            'callers': self.callers.watch,
-            'readiness': self.asked.watch,
+            'callers': self.callers.enforce_timeouts,
+            'readiness': self.readiness.enforce_timeouts,
             'lookout': lambda: engine_poll.run(self.core),
         }
         if self._settings.peers:
@@ -152,56 +152,56 @@
             loops['directory'] = self.peers.join_directory
             loops['peers'] = self.peers.publish_changes
         self._tasks = [
-            asyncio.create_task(background.keep_running(name, work))
-            for name, work in loops.items()
+            asyncio.create_task(background.keep_running(name, loop))
+            for name, loop in loops.items()
         ]
         cfg = self._settings
-        await self.asked.start(*settings_lib.address(cfg.ready))
-        await self._until_known()
+        await self.readiness.start(*settings_lib.address(cfg.ready))
+        await self._wait_for_sources()
         await self.callers.start(*settings_lib.address(cfg.listen))
         if cfg.metrics:
             await self.metrics.start(*settings_lib.address(cfg.metrics))
 
-    async def _until_known(self) -> None:
-        """Waits for the first configuration and membership, but not for long.
+    async def _wait_for_sources(self) -> None:
+        """Waits briefly for the first configuration and membership.
 
-        Callers that come meanwhile wait to be accepted. Taken at once, they
-        would be refused for want of a configuration that is there within a few
-        round trips.
+        Callers that connect meanwhile stay in the listen queue. Accepted at
+        once, they would be refused because the configuration, which arrives
+        within a few round trips, is still missing.
         """
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + FIRST_READ_S
+        end_s = loop.time() + FIRST_READ_TIMEOUT_S
         while not self.is_ready() and loop.time() < end_s:  # noqa: ASYNC110
-            await asyncio.sleep(FIRST_READ_EVERY_S)
+            await asyncio.sleep(FIRST_READ_POLL_S)
 
     async def stop(self) -> None:
-        """Takes no more callers and lets requests in flight end.
+        """Stops accepting callers and waits for requests in flight.
 
-        The balancer sends new connections until it has asked twice, so they
-        are taken and served for that long.
+        The load balancer sends new connections until it has polled readiness
+        twice, so connections are accepted and served until then.
         """
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        bounds = self._settings.stop
-        end_s = begun_s + bounds.grace_s - END_S
+        started_s = loop.time()
+        stop = self._settings.stop
+        end_s = started_s + stop.grace_s - CLOSE_MARGIN_S
         self.core.ends_at_s = end_s
         self.callers.stopping = True
-        await asyncio.sleep(min(bounds.leave_s, bounds.grace_s))
+        await asyncio.sleep(min(stop.leave_s, stop.grace_s))
         self.callers.stop()
         while self.callers.connections and loop.time() < end_s:
             self.callers.close_idle()
-            await asyncio.sleep(TICK_S)
-        took_s = round(loop.time() - begun_s, 2)
+            await asyncio.sleep(STOP_POLL_S)
+        took_s = round(loop.time() - started_s, 2)
         event.note(event.Stopped(len(self.callers.connections), took_s))
         await self.close()
 
     async def close(self) -> None:
-        """Ends listeners and loops at once."""
+        """Closes the listeners and cancels the loops at once."""
         self.callers.stop()
-        self.asked.stop()
+        self.readiness.stop()
         self.metrics.stop()
         self.peers.close()
-        for conn in [*self.callers.connections, *self.asked.connections]:
+        for conn in [*self.callers.connections, *self.readiness.connections]:
             conn.abort()
         for task in self._tasks:
             task.cancel()
@@ -215,7 +215,7 @@
         return table.limits if table else listener.Limits()
 
 
-def _budget(cfg: settings_lib.Retry) -> retry_budget.RetryBudget:
+def _make_budget(cfg: settings_lib.Retry) -> retry_budget.RetryBudget:
     return retry_budget.RetryBudget(
         cfg.ratio, cfg.allowance, cfg.window_s, cfg.gateways
     )
@@ -225,16 +225,16 @@
     settings: settings_lib.Settings,
     read: Callable[[], settings_lib.Settings],
 ) -> None:
-    """Runs until a signal asks for a stop, and then to its end.
+    """Runs a gateway until a stop signal, then shuts it down gracefully.
 
     Args:
       settings: Settings of the process.
-      read: Reads them again after a change.
+      read: Reads the settings again after a change.
     """
     plugin = registry.REGISTRY.get('deployment', settings.deployment)
     with net_stop.StopSignal() as stop_signal:
         process = Process(settings, plugin)
-        reload.on_hangup(settings, read, process.apply)
+        reload.reload_on_sighup(settings, read, process.apply)
         await process.start()
         event.note(event.Listening(process.callers.port))
         await stop_signal.wait()
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/stream/continuation.py
@@ -231,7 +231,7 @@
         dialect = self._core.dialect
         extra_headers = [
             self._priority(),
-            (dialect.memory_from, dialect.memory_source(holder, handle)),
+            (dialect.kv_from, dialect.format_kv_from(holder, handle)),
             *self.resume_headers(),
         ]
         self._source = holder
@@ -254,7 +254,11 @@
             self._core.stats_table,
         )
         engine = req.service.engine
-        if engine is None or not engine.backups or req.route.kind.may_repeat:
+        if (
+            engine is None
+            or not engine.can_back_up
+            or req.route.kind.may_repeat
+        ):
             return segment
         if not backup.is_worthwhile(engine, stats_table, stream.reservation):
             return segment
--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/watch/configuration.py
@@ -159,7 +159,7 @@
     def handle_update(self, update: update_lib.ConfigurationUpdate) -> None:
         """Handles an update from a peer."""
         if self._epochs.is_refuted(update.revision.epoch):
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         self._deferred.note_announced(update.revision)
         # Each order is compared by its own revision, whatever else is in the
@@ -171,26 +171,26 @@
             self._apply_first(update)
             return
         if known is None or update.number < self.active.number:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         if self.active.is_superseded_by(update) and not self.active.apply(
             update
         ):
             # The known revision stays, so that no edit is skipped.
-            meter.news.inc({'of': NAME, 'result': 'newer'})
+            meter.updates.inc({'of': NAME, 'result': 'newer'})
             self._fetch(update)
             return
         if update.revision < known:
-            meter.news.inc({'of': NAME, 'result': 'old'})
+            meter.updates.inc({'of': NAME, 'result': 'old'})
             return
         if self._drained_zones.has_unlisted_drain(
             update.drains, update.revision
         ):
             # Advancing would hide for good that a drain order was cancelled.
-            meter.news.inc({'of': NAME, 'result': 'gap'})
+            meter.updates.inc({'of': NAME, 'result': 'gap'})
             self._schedule.poll_within(RELIST_JITTER_S, is_behind=True)
             return
-        meter.news.inc({'of': NAME, 'result': 'taken'})
+        meter.updates.inc({'of': NAME, 'result': 'taken'})
         self._advance(update)
 
     def _check_drains(self, reported: revision_lib.Revision) -> None:
@@ -266,7 +266,7 @@
         newest_drain = self._drained_zones.newest
         try:
             result = await self._poll_source(after, self._wait_s)
-        except error.StaleAnswerError:
+        except error.StaleResponseError:
             self._schedule.note_failure(loop.time())
             return
         except error.SourceError as exc:
--- a/tests/quetzalsill_gateway/fleet/test_quota.py
+++ b/tests/quetzalsill_gateway/fleet/test_quota.py
@@ -32,10 +32,10 @@
     return per_s * WARMUP.overage + WARMUP.allowance
 
 
-def table(per_s=0.0, most_connections=0):
+def table(per_s=0.0, max_connections=0):
     """Returns a stand-in for a configuration with one service."""
     service = types.SimpleNamespace(
-        cold_per_s=per_s, most_connections=most_connections
+        warmup_per_s=per_s, max_connections=max_connections
     )
     return types.SimpleNamespace(services={'s': service})
 
@@ -217,7 +217,7 @@
         now = asyncio.get_running_loop().time()
         known.add_listed([f'entry-{n}' for n in range(gateways)], now)
         return quota.Quota(
-            holder(most_connections=total), known, WARMUP, lambda _: found
+            holder(max_connections=total), known, WARMUP, lambda _: found
         )
 
     async def test_sum_of_shares_stays_within_the_limit(self):
--- a/tests/quetzalsill_gateway/http/test_fetch.py
+++ b/tests/quetzalsill_gateway/http/test_fetch.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's own small calls."""
+"""Tests of the gateway's own calls."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from quetzalsill_gateway.http import error, fetch, pool
 
-BOUND_S = 0.1
+TIMEOUT_S = 0.1
 ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}'
 
 
 class FetchTest(unittest.IsolatedAsyncioTestCase):
-    """A server that answers, and then pauses the process."""
+    """Calls to a server that responds and may then block the process."""
 
     async def asyncSetUp(self):
         self.answer = ANSWER
@@ -33,33 +33,38 @@
     async def fetch(self):
         address = self.server.sockets[0].getsockname()[:2]
         return await fetch.fetch(
-            pool.Pool(), address, 'POST', '/', timeout_s=BOUND_S
+            pool.Pool(), address, 'POST', '/', timeout_s=TIMEOUT_S
         )
 
-    async def test_an_answer_that_comes_as_its_time_ends(self):
-        """An engine has stopped a run and told its handle, which is lost.
+    async def test_a_response_that_arrives_as_the_timeout_expires(self):
+        """A response that is already here must not be lost to the timeout.
 
-        The run can't go on without it, and its caller's answer is cut off.
+        An engine has stopped a run and returned its handle. Without the handle
+        the run can't be resumed, and its caller's response is truncated.
         """
-        self.pause_s = 2 * BOUND_S
+        self.pause_s = 2 * TIMEOUT_S
         self.assertEqual((await self.fetch()).json(), {})
 
     async def test_silence(self):
         self.answer = b''
-        with self.assertRaises(error.SilentError):
+        with self.assertRaises(error.ResponseTimeoutError):
             await self.fetch()
 
     async def test_a_server_that_is_paused_is_not_gone(self):
-        """A plan is at work at two engines, one of them just paused."""
-        paused = socket.create_server(('127.0.0.1', 0))
-        self.addCleanup(paused.close)
-        with self.assertRaises(error.SilentError):
+        """A paused server accepts connections and must not count as gone.
+
+        Otherwise a run would be resumed at a second engine while the paused
+        one still has it.
+        """
+        unresponsive = socket.create_server(('127.0.0.1', 0))
+        self.addCleanup(unresponsive.close)
+        with self.assertRaises(error.ResponseTimeoutError):
             await fetch.fetch(
                 pool.Pool(),
-                paused.getsockname()[:2],
+                unresponsive.getsockname()[:2],
                 'POST',
                 '/',
-                timeout_s=BOUND_S,
+                timeout_s=TIMEOUT_S,
             )
 
 
--- a/tests/quetzalsill_gateway/test_routing_table.py
+++ b/tests/quetzalsill_gateway/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix."""
+"""Tests of route matching by host and longest prefix."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 class MatchTest(unittest.TestCase):
-    """The longest prefix that begins the path is taken."""
+    """The route with the longest matching prefix is chosen."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.sets(PREFIX, min_size=1), PREFIX, PART)
-    def test_as_the_plain_rule_says(self, prefixes, path, last):
+    def test_the_longest_matching_prefix_wins(self, prefixes, path, last):
         path += last
-        fitting = [p for p in prefixes if path.startswith(p)]
+        matching = [p for p in prefixes if path.startswith(p)]
         found = table(prefixes).match(b'H.Example:8080', path.encode())
-        if not fitting:
+        if not matching:
             self.assertIsNone(found)
         else:
-            self.assertEqual(found.prefix.decode(), max(fitting, key=len))
+            self.assertEqual(found.prefix.decode(), max(matching, key=len))
 
     def test_another_host_has_no_route(self):
         self.assertIsNone(table(['/']).match(b'other', b'/'))
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -20,7 +20,7 @@
     """Readiness, metrics and a stop that exceeds its grace period."""
 
     async def fetch_from_readiness_port(self, path):
-        client = caller.Caller('127.0.0.1', self.process.asked.port)
+        client = caller.Caller('127.0.0.1', self.process.readiness.port)
         return await client.ask(path)
 
     async def test_readiness_and_metrics(self):
@@ -131,7 +131,7 @@
         self.addCleanup(patch.stop)
         loop = asyncio.get_running_loop()
         self.addCleanup(loop.remove_signal_handler, signal.SIGHUP)
-        reload.on_hangup(self.settings, self.read, lambda _s: None)
+        reload.reload_on_sighup(self.settings, self.read, lambda _s: None)
 
     def note(self, logged):
         self.events.append(logged)
