--- a/packages/quetzalsill/src/quetzalsill/config/__init__.py
+++ b/packages/quetzalsill/src/quetzalsill/config/__init__.py
@@ -1,1 +1,1 @@
-"""The shared configuration: its model, checker and distribution."""
+"""The shared configuration: model, validation and distribution."""
--- a/packages/quetzalsill/src/quetzalsill/config/difference.py
+++ b/packages/quetzalsill/src/quetzalsill/config/difference.py
@@ -1,4 +1,4 @@
-"""Difference between two configurations, key by key."""
+"""Key-by-key comparison of two configurations."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Change:
-    """One key that differs.
+    """A key whose value differs between two configurations.
 
     Attributes:
       path: Path of the key, such as `accounts.lagos.limits.concurrency`.
-      before: JSON value in the old configuration; None if it had no such key.
-        A secret is masked by a short digest.
+      before: JSON value in the old configuration; None if the key is absent.
+        A secret is replaced by a short digest.
       after: The same for the new configuration.
     """
 
@@ -38,7 +38,7 @@
 def difference(
     old: model.Configuration, new: model.Configuration
 ) -> list[Change]:
-    """Returns the keys that differ, sorted by path, without the revision."""
+    """Returns the keys that differ, sorted by path, except `revision`."""
     before = dict(_leaves(old, ''))
     after = dict(_leaves(new, ''))
     changed = (
@@ -50,7 +50,7 @@
 
 
 def _leaves(section: Any, prefix: str) -> Iterator[tuple[str, Any]]:
-    """Yields path and JSON value of each key of a section."""
+    """Yields the path and JSON value of each key of a section."""
     for field in dataclasses.fields(section):
         value = getattr(section, field.name)
         path = f'{prefix}{field.name}'
--- a/packages/quetzalsill/src/quetzalsill/config/document.py
+++ b/packages/quetzalsill/src/quetzalsill/config/document.py
@@ -1,4 +1,4 @@
-"""The configuration as the bytes that the store keeps and links carry."""
+"""Serialization of the configuration for the store and for links."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 DOCUMENT_NAME = 'configuration'
 
-# A document travels in one frame of a link, which holds 4 MiB.
+# A document is sent in one link frame, which is limited to 4 MiB.
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024 - 64 * 1024
 
 
 def parse(document: bytes, revision: int) -> model.Configuration:
-    """Parses a document that was stored at a revision.
+    """Parses the document of a revision.
 
     Args:
       document: Strict JSON in UTF-8.
-      revision: Number that the store gave it.
+      revision: Revision number assigned by the store.
 
     Raises:
-      InvalidDocumentError: If it is not JSON or does not fit the model.
+      InvalidDocumentError: If it is not JSON or does not match the model.
     """
     _check_size(document)
     try:
@@ -39,12 +39,12 @@
 
 
 def render(cfg: model.Configuration) -> bytes:
-    """Returns the document of a configuration, without its revision.
+    """Serializes a configuration without its revision.
 
-    Equal configurations give equal bytes.
+    Equal configurations yield identical bytes.
 
     Raises:
-      InvalidDocumentError: If it is larger than a frame holds.
+      InvalidDocumentError: If it is too large for a link frame.
     """
     plain = schema_plain.to_plain(cfg)
     del plain['revision']
--- a/packages/quetzalsill/src/quetzalsill/config/fetch_handler.py
+++ b/packages/quetzalsill/src/quetzalsill/config/fetch_handler.py
@@ -1,4 +1,4 @@
-"""Hands the configuration in force to a process that asks for it."""
+"""Replies to processes that fetch the active configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def build_reply(
     config_holder: holder.Holder, fetch: message.ConfigFetch
 ) -> message.ConfigReply | None:
-    """Gives the answer to a fetch; None if nothing newer is in force here."""
+    """Returns the reply to a fetch; None if no newer revision is active."""
     if config_holder.revision <= fetch.revision:
         return None
     return message.ConfigReply(config_holder.revision, config_holder.document)
--- a/packages/quetzalsill/src/quetzalsill/config/follower.py
+++ b/packages/quetzalsill/src/quetzalsill/config/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a process at the newest revision in the platform."""
+"""Polls the platform for newer revisions of the configuration."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
 
 
 class Follower:
-    """Task of a router that installs newer revisions as they are accepted.
-
-    It reads the head row once per `interval_s`, spread by a fifth so that
-    nodes don't read in step: `1 / interval_s` reads a second, and two more
-    for each new revision (its row and its document). Hints can't raise that
-    above `1 / LEAST_GAP_S` polls a second. In an outage it goes on with what
-    the holder has; each poll then costs an attempt and its timeout.
+    """Task of a router that installs newer revisions once they are accepted.
+
+    It reads the head row every `interval_s`, with a jitter of one fifth so
+    that nodes do not poll in lockstep. This costs `1 / interval_s` reads per
+    second, plus two reads for each new revision (its row and its document).
+    Hints cannot raise the rate above `1 / MIN_POLL_GAP_S` polls per second.
+    During an outage the holder keeps its configuration, and each poll costs
+    one attempt with its timeout.
     """
 
     def __init__(
@@ -48,12 +49,12 @@
         self._is_failing = False
 
     def hint(self, revision: int) -> None:
-        """Polls soon because a peer has told of a newer revision."""
+        """Polls early if a peer has announced a newer revision."""
         if revision > self._holder.revision:
             self._newer_announced.set()
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Polls until cancelled."""
         while True:
             self._newer_announced.clear()
             await self._poll()
@@ -83,15 +84,15 @@
         self._is_failing = False
 
     async def refresh(self) -> bool:
-        """Reads the head once and installs its revision if newer.
+        """Reads the head once and installs its revision if it is newer.
 
         Returns:
           Whether a newer revision was installed.
 
         Raises:
-          PlatformError: The store does not answer as it should.
-          RevisionMissingError: The document is lost or damaged.
-          InvalidDocumentError: The document does not fit.
+          PlatformError: The store does not respond or the response is invalid.
+          RevisionMissingError: The document is missing or corrupt.
+          InvalidDocumentError: The document does not match the model.
         """
         newest = (await self._store.head()).revision
         if newest <= self._holder.revision:
--- a/packages/quetzalsill/src/quetzalsill/config/holder.py
+++ b/packages/quetzalsill/src/quetzalsill/config/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process."""
+"""The active configuration of a process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Holder:
-    """Holds the newest configuration seen and never steps down.
+    """Holds the newest configuration received; its revision never decreases.
 
     Until the first `install` it holds an empty configuration at revision 0.
 
     Attributes:
-      current: Configuration in force; replaced whole, never changed.
-      document: Its bytes, as the store keeps them.
+      current: Active configuration; replaced as a whole, never modified.
+      document: Its serialized form, as kept in the store.
     """
 
     def __init__(self) -> None:
@@ -33,22 +33,23 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force; 0 until the first install."""
+        """Active revision; 0 until the first install."""
         return self.current.revision
 
     def install(self, document: bytes, revision: int) -> bool:
-        """Puts a newer configuration in force.
+        """Activates a configuration if it is newer than the active one.
 
-        A late or repeated document, such as one that a lagging peer or a
-        paused task still holds, is older than `revision` and is dropped
-        here: this is the only place that replaces the configuration, and
-        nothing runs between its comparison and its assignment.
+        Late and repeated documents, for example from a lagging peer or a
+        paused task, are not newer than the active revision and are ignored.
+        This is the only place that replaces the configuration, and no other
+        task can run between the comparison and the assignment.
 
         Returns:
-          True if it is now in force, False if it was not newer.
+          True if it is now active, False if it was not newer.
 
         Raises:
-          InvalidDocumentError: If it does not fit; what was in force stays.
+          InvalidDocumentError: If it is invalid; the active configuration is
+            kept.
         """
         if revision <= self.revision:
             return False
@@ -60,11 +61,11 @@
         return True
 
     def on_change(self, callback: OnChange) -> None:
-        """Registers a function called after each install."""
+        """Registers a function to be called after each install."""
         self._callbacks.append(callback)
 
     async def wait_for(self, revision: int) -> model.Configuration:
-        """Waits until a revision at least this new is in force."""
+        """Waits until this revision or a newer one is active."""
         if self.revision < revision:
             fut = asyncio.get_running_loop().create_future()
             entry = (revision, fut)
@@ -84,9 +85,10 @@
                 entry[1].set_result(None)
 
     def _deliver(self) -> None:
-        # A callback may install a newer revision. Were it delivered from
-        # inside that call, the callbacks further down the list would see the
-        # newer one first and then the older one: a reverted configuration.
+        # A callback may install a newer revision. If that revision were
+        # delivered from within the nested call, the remaining callbacks would
+        # receive the newer one first and then the older one, which reverts
+        # the configuration.
         if self._delivering:
             return
         self._delivering = True
@@ -103,8 +105,8 @@
             try:
                 callback(cfg)
             except Exception as exc:
-                # One part that fails on a revision must not keep the other
-                # parts on the old one.
+                # A callback that fails must not keep the other callbacks
+                # from receiving the new revision.
                 event.note(
                     event.ConfigurationCallbackFailed(
                         revision=cfg.revision,
--- a/packages/quetzalsill/src/quetzalsill/config/model.py
+++ b/packages/quetzalsill/src/quetzalsill/config/model.py
@@ -1,7 +1,7 @@
-"""Model of the shared configuration, as operators edit it.
+"""Model of the shared configuration that operators edit.
 
-Every class is a section of the configuration document; `schema.check`
-builds them from parsed JSON and reports what does not fit.
+Each class is a section of the configuration document. `schema.check` builds
+the instances from parsed JSON and reports invalid keys.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Profile:
-    """What a kind of traffic is promised."""
+    """Delivery and scheduling guarantees of one class of requests."""
 
     delivery: str = key(
         'How tokens reach the caller: as they come, or once all are there.',
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Model:
-    """A model that callers name in their requests."""
+    """A model that callers select in their requests."""
 
     profile: str = key('Profile if caller and account name none.', '')
     adapters: list[str] = key('Adapters that may be asked for.', factory=list)
@@ -123,7 +123,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Route:
-    """One route of a plain service."""
+    """A route of a plain service."""
 
     path: str = key(
         'Path prefix below the service.', pattern=r'/.*', example='/'
@@ -142,14 +142,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Service:
-    """A plain service beside the model engines."""
+    """A plain service, called without a model engine."""
 
     routes: list[Route] = key('Routes; the longest path wins.', factory=list)
 
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """Bounds of one client account over all routers; 0 is no bound."""
+    """Limits of a client account across all routers; 0 means no limit."""
 
     concurrency: int = key('Requests at once.', 0, minimum=0, maximum=1_000_000)
     requests_per_minute: int = key(
@@ -184,7 +184,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Operator:
-    """A credential of the administration API."""
+    """A credential for the administration API."""
 
     token_sha256: str = key(
         'Digest of its bearer token.',
@@ -197,7 +197,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Policies:
-    """Names of the policy plug-ins in force."""
+    """Names of the active policy plug-ins, and related limits."""
 
     routing: str = key('Choice of the upstream.', 'expected-wait')
     admission: str = key('Choice of what starts on an engine.', 'predicted')
@@ -219,11 +219,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Configuration:
-    """The whole shared configuration at one revision.
+    """The complete shared configuration at one revision.
 
     Attributes:
-      revision: Number of the revision; grows by one with each edit and is
-        set by the store, not by operators.
+      revision: Revision number, incremented by one with each edit; set by
+        the store, not by operators.
     """
 
     profiles: dict[str, Profile] = key('Profiles by name.', factory=dict)
--- a/packages/quetzalsill/src/quetzalsill/config/reference.py
+++ b/packages/quetzalsill/src/quetzalsill/config/reference.py
@@ -1,4 +1,4 @@
-"""Check of the names by which parts of a configuration refer to others."""
+"""Validation of references between the sections of a configuration."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _Reference:
-    """A name that stands at a path and must be among those known."""
+    """A name found at a path that must be one of the known names."""
 
     path: str
     name: str
@@ -32,13 +32,13 @@
     cfg: model.Configuration,
     registry: plugin_registry.Registry = plugin_registry.REGISTRY,
 ) -> None:
-    """Checks that what a configuration names exists and is told apart.
+    """Checks that referenced names exist and unique values are unique.
 
-    Names of policies are checked only for kinds that have plug-ins in this
-    process, since an operator's desk need not have them installed.
+    Policy names are checked only for kinds that have plug-ins registered in
+    this process, since an operator's machine need not have them installed.
 
     Raises:
-      InvalidDocumentError: With every fault that was found.
+      InvalidDocumentError: With every error that was found.
     """
     errors = [*_unresolved(cfg, registry), *_duplicates(cfg)]
     if errors:
@@ -116,7 +116,7 @@
 def _duplicates(
     cfg: model.Configuration,
 ) -> Iterator[schema_error.InvalidKeyError]:
-    """Yields what stands twice and must tell its owners apart."""
+    """Yields an error for each duplicate of a value that must be unique."""
     tokens = [
         (digest, f'accounts.{name}.token_sha256')
         for name, item in cfg.accounts.items()
--- a/packages/quetzalsill/src/quetzalsill/config/revision.py
+++ b/packages/quetzalsill/src/quetzalsill/config/revision.py
@@ -1,4 +1,4 @@
-"""What the platform's table keeps of the revisions of the configuration."""
+"""Rows of the platform's table that describe configuration revisions."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     """The newest accepted revision; revision 0 before the first edit.
 
     Attributes:
-      revision: Its number.
-      edit: Id of the edit that made it.
+      revision: Revision number.
+      edit: Id of the edit that created it.
       author: Operator who made the edit.
-      at: UTC time of day at the editor, in ISO form; for readers only.
+      at: UTC time on the editing host in ISO format; informational only.
     """
 
     revision: int = 0
@@ -50,13 +50,13 @@
     """One accepted edit.
 
     Attributes:
-      revision: Its number.
+      revision: Revision number.
       edit: Id of the edit.
-      author: Operator who made it.
-      note: Their note.
-      at: UTC time of day at the editor, in ISO form; for readers only.
-      document: Key of its document in the object store.
-      sha256: Digest of its document.
+      author: Operator who made the edit.
+      note: Comment of the author.
+      at: UTC time on the editing host in ISO format; informational only.
+      document: Key of the document in the object store.
+      sha256: SHA-256 digest of the document.
     """
 
     revision: int
@@ -71,7 +71,7 @@
 def describe(
     document: bytes, number: int, edit: str, author: str, note: str
 ) -> Revision:
-    """Describes an edit that would become a revision."""
+    """Builds the record of an edit that is about to become a revision."""
     sha256 = digest(document)
     now = datetime.datetime.now(datetime.UTC)
     return Revision(
@@ -86,34 +86,34 @@
 
 
 def digest(document: bytes) -> str:
-    """Gives the digest by which a document is known."""
+    """Returns the SHA-256 digest of a document in hexadecimal."""
     return hashlib.sha256(document).hexdigest()
 
 
 def revision_key(number: int) -> str:
-    """Gives the key of a revision's row; keys sort as their numbers."""
+    """Returns the key of a revision's row; keys sort in revision order."""
     return f'{REVISION_PREFIX}{number:012d}'
 
 
 def edit_key(edit: str) -> str:
-    """Gives the key of the row that an accepted edit has."""
+    """Returns the key of the row of an accepted edit."""
     return f'edit/{edit}'
 
 
 def parse_head(value: Any) -> Head:
-    """Checks the value of the head row.
+    """Parses the value of the head row.
 
     Raises:
-      PlatformProtocolError: It is not one.
+      PlatformProtocolError: The fields are not those of a head.
     """
     return _parse(Head, value)
 
 
 def parse_revision(value: Any) -> Revision:
-    """Checks the value of a revision's or an edit's row.
+    """Parses the value of the row of a revision or an edit.
 
     Raises:
-      PlatformProtocolError: It is not one.
+      PlatformProtocolError: The fields are not those of a revision.
     """
     return _parse(Revision, value)
 
--- a/packages/quetzalsill/src/quetzalsill/config/store.py
+++ b/packages/quetzalsill/src/quetzalsill/config/store.py
@@ -1,10 +1,10 @@
-"""The shared configuration in the platform: one line of revisions.
+"""The shared configuration in the platform: a linear history of revisions.
 
-Each revision is an immutable object, an immutable row that describes it, and
-a row named for the edit that made it. One transaction adds both rows and
-moves the head row from the revision that the operator had read. So of several
-operators racing from one revision exactly one wins, and an edit is accepted
-once at most, however often it is sent.
+Each revision consists of an immutable object, an immutable row that describes
+it, and a row keyed by the id of the edit that created it. One transaction adds
+both rows and advances the head row from the revision that the operator had
+read. Of several concurrent edits of one revision exactly one succeeds, and an
+edit is accepted at most once, however often it is sent.
 """
 
 from __future__ import annotations
@@ -46,10 +46,10 @@
 
 
 class RevisionConflictError(ConfigStoreError):
-    """Another edit was accepted first; this one was not and will not be.
+    """Another edit was accepted first; this one was not and never will be.
 
     Attributes:
-      current: Revision at the head now.
+      current: Revision that is now the head.
     """
 
     code = 'revision_conflict'
@@ -61,11 +61,11 @@
 
 
 class OutcomeUnknownEditError(ConfigStoreError):
-    """The store was lost before it told whether the edit was accepted.
+    """The store failed before it reported whether the edit was accepted.
 
     Attributes:
       edit: Id of the edit.
-      expected: Revision from which it was made.
+      expected: Revision on which the edit is based.
     """
 
     code = 'edit_outcome_unknown'
@@ -84,21 +84,21 @@
 
 
 class EditReusedError(ConfigStoreError):
-    """The edit id was used for another document."""
+    """The edit id was already used for another document."""
 
     code = 'edit_reused'
     advice = 'Give each edit an id of its own.'
 
 
 class RevisionMissingError(ConfigStoreError):
-    """A revision does not exist, or its document is lost or damaged."""
+    """A revision does not exist, or its document is missing or corrupt."""
 
     code = 'revision_missing'
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class _VersionedHead:
-    """The head and the version of its row."""
+    """The head revision and the version of its row."""
 
     head: revision.Head
     version: int
@@ -107,8 +107,8 @@
 class ConfigStore:
     """Reads and publishes revisions.
 
-    `publish` lasts at most `settle_s` and the bound of one call more. An edit
-    that loses leaves its object behind, to which nothing refers.
+    `publish` takes at most `publish_timeout_s` plus the timeout of one call.
+    A rejected edit leaves an unreferenced object in the object store.
     """
 
     def __init__(
@@ -126,10 +126,10 @@
         self._sleep = sleep
 
     async def head(self) -> revision.Head:
-        """Reads which revision is the newest.
+        """Reads the head, which identifies the newest revision.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store does not respond or the response is invalid.
         """
         return (await self._read_head()).head
 
@@ -137,8 +137,8 @@
         """Reads the document of a revision.
 
         Raises:
-          RevisionMissingError: There is none, or it is damaged.
-          PlatformError: The store does not answer as it should.
+          RevisionMissingError: It does not exist, or its document is corrupt.
+          PlatformError: The store does not respond or the response is invalid.
         """
         row = await self._rows.get(TABLE, revision.revision_key(number))
         if row is None:
@@ -153,7 +153,7 @@
         """Reads the newest revisions, newest first.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store does not respond or the response is invalid.
         """
         newest = (await self.head()).revision
         after = revision.revision_key(max(0, newest - limit))
@@ -170,27 +170,27 @@
         author: str,
         note: str,
     ) -> int:
-        """Makes a document the next revision.
+        """Publishes a document as the next revision.
 
-        An edit that was accepted before gives its revision again.
+        Publishing an accepted edit again returns its revision.
 
         Args:
-          document: The whole configuration, checked by the caller.
-          expected_revision: The revision that it was made from.
-          edit: Id of the edit, unique for ever.
+          document: The complete configuration, validated by the caller.
+          expected_revision: The revision on which the edit is based.
+          edit: Id of the edit, never reused.
           author: Operator.
-          note: For the history.
+          note: Comment kept in the history.
 
         Returns:
-          The revision that holds the document.
+          The revision that contains the document.
 
         Raises:
           RevisionConflictError: The head is not the expected revision.
-          OutcomeUnknownEditError: The store was lost in the midst and did not
-            come back in time.
+          OutcomeUnknownEditError: The store failed during the call and did
+            not recover in time.
           EditReusedError: The edit id belongs to another document.
           PlatformUnavailableError: This call has published nothing, and what
-            it sent can't take effect any more.
+            it sent can no longer take effect.
         """
         entry = revision.describe(
             document, expected_revision + 1, edit, author, note
@@ -208,13 +208,13 @@
         current: _VersionedHead,
         deadline: float,
     ) -> int:
-        """Moves the head, through lost answers, until the outcome is known.
+        """Advances the head; retries lost responses until the outcome is known.
 
-        A transaction without an answer may still take effect later, so to
-        find the head unmoved settles nothing. The same transaction is sent
-        again: all copies are conditional on one version of the head row, so
-        one of them counts at most, and as soon as one or another editor's
-        counts, the rest never can.
+        A transaction without a response may still take effect later, so an
+        unchanged head proves nothing. The same transaction is sent again: all
+        copies are conditional on the same version of the head row, so at most
+        one of them takes effect. Once one of them or an edit by someone else
+        has taken effect, the remaining copies never can.
         """
         in_doubt = False
         async for _ in self._retries(deadline):
@@ -233,7 +233,7 @@
     async def _resolve_conflict(
         self, entry: revision.Revision, deadline: float
     ) -> int:
-        """Reads what a failed condition means, until the store answers."""
+        """Finds out why a condition failed; retries until the store replies."""
         async for _ in self._retries(deadline):
             try:
                 return await self._accepted_or_conflict(entry)
@@ -242,10 +242,10 @@
         raise OutcomeUnknownEditError(entry.edit, entry.revision - 1)
 
     async def _accepted_or_conflict(self, entry: revision.Revision) -> int:
-        """Gives the revision of this edit if it was accepted.
+        """Returns the revision of this edit if it was accepted.
 
-        The head has moved on from the expected revision by now, so that an
-        edit without a row can't get one any more.
+        The head is no longer the expected revision, so an edit that has no
+        row yet can never be accepted.
         """
         row = await self._rows.get(TABLE, revision.edit_key(entry.edit))
         if row is None:
@@ -258,10 +258,10 @@
     async def _store_document(
         self, entry: revision.Revision, document: bytes, deadline: float
     ) -> None:
-        """Creates the object, which nothing refers to yet.
+        """Creates the object of the document, not referenced yet.
 
-        Sending it again after a lost answer is safe: the key holds the digest
-        of the bytes, so that whoever created it wrote the same.
+        Retrying after a lost response is safe: the key contains the digest of
+        the content, so an existing object has the same content.
         """
         async for _ in self._retries(deadline):
             try:
@@ -274,7 +274,7 @@
         raise error.PlatformUnavailableError('the document was not stored')
 
     async def _retries(self, deadline: float) -> AsyncIterator[None]:
-        """Yields at once, then after growing waits until the deadline."""
+        """Yields at once, then after increasing delays until the deadline."""
         wait_s = MIN_RETRY_WAIT_S
         yield
         while self._clock() + wait_s <= deadline:
