--- a/packages/quetzalsill/src/quetzalsill/platform/clients.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/clients.py
@@ -1,4 +1,4 @@
-"""The platform's clients of one process, opened together."""
+"""Opens all platform clients of a process together."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 
 class Clients:
-    """Clients that share the health of the store.
+    """Platform clients that share one health state of the store.
 
     Attributes:
       table: Client of the table.
       objects: Client of the object store.
       hosts: Client of the host list.
-      health: Whether the store answers; the host list has no part in it.
+      health: Whether the store responds; calls of the host list are not
+        counted.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
     def _open_exchange(
         self, url: str, store_health: health.StoreHealth
     ) -> exchange.Exchange:
-        # No bound of its own: the exchange bounds each attempt as a whole.
+        # The session has no total timeout: the exchange limits each attempt.
         session = client.session(
             url, None, self._tls, connect_s=self._timeout_s
         )
@@ -56,7 +57,7 @@
         return exchange.Exchange(session, self._timeout_s, store_health)
 
     async def run_probes(self) -> None:
-        """Probes the store while it fails; runs until cancelled."""
+        """Probes the store while it is failing; runs until cancelled."""
         await self.health.run_probes(
             lambda: self.table.get(PROBE_TABLE, PROBE_KEY)
         )
@@ -71,11 +72,11 @@
 async def open_clients(
     cfg: section.Platform, tls: section.Tls | None = None
 ) -> AsyncIterator[Clients]:
-    """Opens clients, watches the store's health, and closes them at the end.
+    """Opens clients, monitors the store, and closes the clients on exit.
 
     Args:
-      cfg: Addresses; its timeout bounds one attempt, and a read has two.
-      tls: Certificates for `https` addresses; the system's if None.
+      cfg: Addresses; `timeout_s` applies to one attempt, and a read has two.
+      tls: Certificates for `https` addresses; those of the system if None.
     """
     clients = Clients(cfg, tls)
     probes = asyncio.create_task(clients.run_probes())
--- a/packages/quetzalsill/src/quetzalsill/platform/error.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/error.py
@@ -23,21 +23,21 @@
 
 
 class PlatformUnavailableError(PlatformError):
-    """The call has surely taken no effect; for a read, it gave nothing."""
+    """The call certainly had no effect; a read returned nothing."""
 
     code = 'platform_unavailable'
     advice = 'Come back when the platform answers again.'
 
 
 class PlatformAnswerLostError(PlatformError):
-    """A write was sent and may have taken effect, now or still to come."""
+    """A write was sent and may have taken effect or may do so later."""
 
     code = 'platform_answer_lost'
     advice = 'Read back what was written before writing again.'
 
 
 class PlatformProtocolError(PlatformError):
-    """The platform refused the call, or its answer is not of the protocol."""
+    """The platform rejected the call, or its response is malformed."""
 
     code = 'platform_protocol'
 
@@ -46,9 +46,9 @@
     """A condition of a transaction does not hold; nothing was written.
 
     Attributes:
-      index: Which condition.
-      version: Version of its row now; 0 if absent.
-      value: Value of its row now.
+      index: Index of the condition.
+      version: Current version of its row; 0 if absent.
+      value: Current value of its row.
     """
 
     code = 'condition_failed'
@@ -61,6 +61,6 @@
 
 
 class ObjectExistsError(PlatformError):
-    """An object that was to be created exists already."""
+    """An object that was to be created already exists."""
 
     code = 'object_exists'
--- a/packages/quetzalsill/src/quetzalsill/platform/exchange.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/exchange.py
@@ -1,4 +1,4 @@
-"""One bounded HTTP exchange with the platform, its failures typed."""
+"""HTTP exchanges with the platform, with timeouts and typed errors."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """Status and whole body of an answer."""
+    """Status and complete body of a response."""
 
     status: int
     body: bytes
 
     def json(self, status: int) -> Any:
-        """Parses the body of an answer with the status expected.
+        """Parses the body of a response that must have this status.
 
         Raises:
-          PlatformProtocolError: Another status, or the body is not JSON.
+          PlatformProtocolError: The status differs, or the body is not JSON.
         """
         if self.status != status:
             raise error.PlatformProtocolError(f'status {self.status}')
@@ -50,21 +50,23 @@
 
 
 def quote(name: str) -> str:
-    """Makes a name one segment of a path."""
+    """Percent-encodes a name as one path segment."""
     return urllib.parse.quote(name, safe='')
 
 
 class Exchange:
     """Calls one base URL of the platform.
 
-    An attempt lasts `timeout_s` at most, its body included. A read has a
-    second attempt after a jittered wait unless the store is known to be down;
-    a write has none. At most `OPEN_CALLS` calls are open; others wait for one
-    to end, `timeout_s` at most before each attempt. That wait is not part of
-    the attempt: cut short by it, a write would be sent only to be in doubt.
+    An attempt takes at most `timeout_s`, including the response body. A read
+    gets a second attempt after a random delay unless the store is known to be
+    down; a write is attempted once. At most `MAX_OPEN_CALLS` calls are open at
+    a time; further ones wait up to `timeout_s` before each attempt. This wait
+    does not count towards the attempt: it would shorten the time for the
+    response, and a write that times out after it was sent has an unknown
+    outcome.
 
     Attributes:
-      health: Told of the outcome of every attempt.
+      health: Records the outcome of every attempt.
     """
 
     def __init__(
@@ -86,7 +88,7 @@
         """Sends a GET.
 
         Raises:
-          PlatformUnavailableError: Neither attempt was answered.
+          PlatformUnavailableError: No attempt was answered.
         """
         try:
             return await self._attempt('GET', path, None, ())
@@ -106,7 +108,7 @@
         """Sends a write once.
 
         Raises:
-          PlatformUnavailableError: It has surely taken no effect.
+          PlatformUnavailableError: It certainly had no effect.
           PlatformAnswerLostError: It may have taken effect.
         """
         return await self._attempt(method, path, content, headers)
@@ -166,14 +168,15 @@
     async def _acquire_connection(
         self, target: url.URL
     ) -> connection.Connection:
-        """Takes a connection that no silence has made suspect.
-
-        A connection may go silent for good while new ones work: its user sees
-        no answer within the timeout. What lost track of one has mostly lost
-        its siblings too, and each would cost another user a timeout. So one
-        timeout starts a new generation, and those of an older one are not
-        used again unless an answer came on them since. The pool gives each
-        idle connection once and then dials, so the loop ends.
+        """Takes a connection that is not suspected to be dead.
+
+        A pooled connection may stop responding permanently while new ones
+        work, and its next call times out. A failure that affects one
+        connection usually affects the others of the pool as well, and each of
+        them would cost another call its timeout. Therefore a timeout starts a
+        new generation, and connections of an older generation are not reused
+        unless a response has arrived on them since. The pool returns each idle
+        connection once and then opens new ones, so the loop terminates.
         """
         while True:
             conn = await self._session.get_connection(target)
--- a/packages/quetzalsill/src/quetzalsill/platform/health.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/health.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store answers, for those who must not wait for it."""
+"""Health of the platform's store, for callers that must fail fast."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 
 
 class StoreHealth:
-    """State of the store as this process sees it.
+    """State of the store as observed by this process.
 
-    Every call reports its outcome here. The first failure makes `watch`
-    probe at once; the second one in a row makes the store down. So callers
-    see an outage within one call's timeout plus one probe's, and a refused
-    connection within about 0.1 s, while a single lost answer, which the probe
-    contradicts, refuses nobody. One answered call makes it up again.
+    Every call records its outcome here. The first failure makes `run_probes`
+    send a probe at once; the second consecutive failure marks the store as
+    down. Callers therefore see an outage within the timeout of one call plus
+    that of one probe, and refused connections within about 0.1 s. A single
+    lost response is followed by a successful probe and rejects no requests.
+    One successful call marks the store as up again.
 
     Attributes:
-      up: The store answers.
-      since: Time of `clock` at which that became so.
+      up: The store responds.
+      changed_at: Time by `clock` at which `up` last changed.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -43,7 +44,7 @@
         self._failing = asyncio.Event()
 
     def record_success(self) -> None:
-        """Records that the store answered."""
+        """Records that the store responded."""
         self._failures = 0
         self._failing.clear()
         if not self.up:
@@ -51,7 +52,7 @@
             self.changed_at = self._clock()
 
     def record_failure(self) -> None:
-        """Records that the store did not answer."""
+        """Records that the store did not respond."""
         self._failures += 1
         self._failing.set()
         if self.up and self._failures >= FAILURES_UNTIL_DOWN:
@@ -59,10 +60,10 @@
             self.changed_at = self._clock()
 
     def retry_after_s(self) -> float:
-        """Advises when to come back: the longer down, the later.
+        """Returns the delay to advise, which grows with the outage.
 
-        Half as long again as the outage has lasted, spread by jitter so that
-        those refused together do not return together.
+        It is the duration of the outage with a jitter of one half, so that
+        requests rejected together are not retried together.
         """
         if self.up:
             return MIN_RETRY_AFTER_S
@@ -70,10 +71,10 @@
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
     async def run_probes(self, probe: Callable[[], Awaitable[object]]) -> None:
-        """Probes while the store fails; runs until cancelled.
+        """Probes the store while it is failing; runs until cancelled.
 
         Args:
-          probe: One cheap read through a client that reports here.
+          probe: A cheap read by a client that records its outcome here.
         """
         while True:
             await self._failing.wait()
@@ -89,5 +90,5 @@
             try:
                 await probe()
             except error.PlatformError:
-                # The client has reported the failure to this object already.
+                # The client has already recorded the failure here.
                 continue
--- a/packages/quetzalsill/src/quetzalsill/platform/hosts.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/hosts.py
@@ -1,4 +1,4 @@
-"""Client of the platform's host list, which lags behind the truth."""
+"""Client of the platform's host list, which may be out of date."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class HostKind(enum.StrEnum):
-    """What runs on a host."""
+    """Type of the process that runs on a host."""
 
     ENTRY = 'entry'
     UPSTREAM = 'upstream'
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host."""
+    """State of a host as reported by the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Host:
-    """One line of the list.
+    """One entry of the list.
 
     Attributes:
-      name: Of an upstream host, the upstream's name.
+      name: Name of the host; for an upstream host, that of the upstream.
       kind: Entry host or upstream host.
-      address: IP:PORT of the router's HTTP side or of the sidecar.
-      availability_zone: Where the host stands.
-      state: Live or leaving; a dead host is missing.
+      address: IP:PORT of the router's HTTP listener or of the sidecar.
+      availability_zone: Availability zone of the host.
+      state: Live or leaving; a dead host is not listed.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class HostList:
-    """Reads the list."""
+    """Reads the host list."""
 
     def __init__(self, http: exchange.Exchange) -> None:
         self._http = http
@@ -57,8 +57,8 @@
         """Reads all hosts.
 
         Raises:
-          PlatformUnavailableError: The list does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The service does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         reply = await self._http.read('/hosts')
         try:
--- a/packages/quetzalsill/src/quetzalsill/platform/lease.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/lease.py
@@ -1,16 +1,16 @@
-"""A lease on a name, held by one process at a time, kept in one row.
+"""A lease on a name, held by one process at a time and stored in one row.
 
 The row's version changes with every write, and every write is conditional on
-the version last seen, so the table serializes all holders. Two clocks are
-never compared:
+the version last read, so the table serializes all holders. Clocks of different
+hosts are never compared:
 
-- The holder counts its own time from before its write was sent, less a margin.
-- Anyone else counts its own time from after it first read a version, and
-  takes the lease only when that version has stood for the whole TTL.
+- The holder measures the TTL, less a margin, from before it sent its write.
+- Other processes measure the TTL from after they first read a version, and
+  take the lease only if that version has not changed for the whole TTL.
 
-The write comes before the read that sees it, so the first span ends before
-the second as long as the two clocks run at rates that differ by less than the
-margin.
+The write precedes the read that returns it, so the holder's period ends before
+that of the others as long as the rates of the two clocks differ by less than
+the margin.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 def suspend_aware_clock() -> float:
-    """Gives monotonic seconds that also pass while the host is suspended.
+    """Returns monotonic seconds that include time the host is suspended.
 
-    `time.monotonic` stands still then, and a holder would wake with a lease
-    that others have long seen lapse.
+    `time.monotonic` stops during a suspension, so a holder would resume with a
+    lease that has already expired for the others.
     """
     return time.clock_gettime(CLOCK)
 
@@ -48,11 +48,11 @@
 
     Attributes:
       owner: Name of the holder; empty once released.
-      nonce: The holder's `Lease` object, so that a restarted process of the
-        same name counts as another holder.
-      fence: Grows by one with each change of holder.
-      ttl_s: TTL of the holder, by which others judge it.
-      write: Counts the holder's writes, so that it tells its own apart.
+      nonce: Identifies the holder's `Lease` object, so that a restarted
+        process of the same name counts as another holder.
+      fence: Incremented by one with each change of holder.
+      ttl_s: TTL of the holder, which others use to detect expiry.
+      write: Number of the holder's write, which identifies it.
     """
 
     owner: str
@@ -72,13 +72,13 @@
 
 
 class Lease:
-    """One process's side of a lease; its calls must not overlap.
+    """A process's handle to a lease; its calls must not overlap.
 
-    Check `valid()` just before each effect that the lease guards, and hand
-    `fence` on to whatever can refuse a lower one.
+    Check `valid()` immediately before each operation that the lease protects,
+    and pass `fence` to any component that can reject a lower one.
 
     Attributes:
-      fence: Fencing number of the newest acquisition; 0 before the first.
+      fence: Fencing token of the latest acquisition; 0 before the first.
     """
 
     def __init__(
@@ -103,23 +103,23 @@
         self._observed_at = 0.0
 
     def valid(self) -> bool:
-        """Tells whether nobody else can hold the lease now."""
+        """Returns whether no other process can hold the lease now."""
         return self._clock() < self._deadline
 
     def remaining_s(self) -> float:
-        """Seconds of validity left; 0 if none."""
+        """Returns the remaining seconds of validity; 0 if not valid."""
         return max(0.0, self._deadline - self._clock())
 
     async def acquire(self) -> bool:
-        """Takes the lease if it is free, lapsed or this object's own.
+        """Takes the lease if it is free, expired or held by this object.
 
-        To find it lapsed takes two calls at least, a TTL apart.
+        Detecting expiry takes at least two calls that are a TTL apart.
 
         Returns:
-          False if another holds it or may hold it.
+          False if another process holds it or may hold it.
 
         Raises:
-          PlatformUnavailableError: The table does not answer.
+          PlatformUnavailableError: The table does not respond.
           PlatformAnswerLostError: Neither the write nor a read was answered;
             the lease is not valid here.
         """
@@ -140,20 +140,20 @@
           False if it is lost; `valid()` is False from then on.
 
         Raises:
-          PlatformUnavailableError: The table does not answer; the lease
+          PlatformUnavailableError: The table does not respond; the lease
             stays valid until its deadline.
-          PlatformAnswerLostError: Likewise; it may turn out extended.
+          PlatformAnswerLostError: Likewise; the renewal may have taken effect.
         """
         if self._version is None:
             return False
         return await self._write(self._version, self._new_record(self.fence))
 
     async def release(self) -> None:
-        """Frees the lease for others at once; valid() is False from now on.
+        """Releases the lease at once; `valid()` is False from then on.
 
         Raises:
-          PlatformUnavailableError: It lapses by itself instead.
-          PlatformAnswerLostError: Likewise, unless it was freed.
+          PlatformUnavailableError: The lease expires by itself instead.
+          PlatformAnswerLostError: Likewise, unless it was released.
         """
         self._deadline = float('-inf')
         version, self._version = self._version, None
@@ -163,12 +163,12 @@
             version = await self._write_released(version)
 
     async def _write_released(self, version: int) -> int | None:
-        """Writes a free row; gives the version to try next, if any."""
+        """Marks the row as free; returns the version to retry with, if any."""
         record = dataclasses.replace(self._new_record(self.fence), owner='')
         try:
             await self._transact(version, record)
         except error.ConditionFailedError as exc:
-            # A renewal whose answer was lost may have come in between.
+            # A renewal whose response was lost may have been applied since.
             found = _parse(exc.value)
             return exc.version if found and self._owns(found) else None
         return None
@@ -186,11 +186,11 @@
         return True
 
     async def _read_back(self) -> table.Row:
-        """Reads the row after a write whose answer was lost.
+        """Reads the row after a write whose response was lost.
 
         Raises:
-          PlatformAnswerLostError: The read was not answered either, so that
-            the write stays in doubt.
+          PlatformAnswerLostError: The read failed as well, so the outcome of
+            the write remains unknown.
         """
         try:
             row = await self._rows.get(TABLE, self._name)
@@ -201,11 +201,11 @@
     async def _resolve(
         self, version: int, value: Any, record: _Record, sent_at: float
     ) -> bool:
-        """Decides what became of a write that was not answered plainly.
+        """Determines the outcome of a write from the current row.
 
-        Only the very write that was sent extends the deadline. An older one
-        of this object that came late moves the version alone, and the next
-        renewal goes on from there.
+        Only the write itself extends the deadline. If the row holds an older
+        write of this object that was applied late, only the version is
+        updated, and the next renewal continues from it.
         """
         found = _parse(value)
         if found == record:
@@ -215,8 +215,8 @@
             self._version = version
             self.fence = found.fence
             return self.valid()
-        # An acquisition that has not come through may still do so. It counts
-        # for nothing here, and others see it lapse after a TTL.
+        # The write may still be applied later. It is ignored here, and the
+        # other processes see it expire after a TTL.
         self._version = None
         self._deadline = float('-inf')
         return False
--- a/packages/quetzalsill/src/quetzalsill/platform/objects.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/objects.py
@@ -14,7 +14,7 @@
 
 
 class Objects:
-    """Reads and writes whole objects."""
+    """Reads and writes complete objects."""
 
     def __init__(self, http: exchange.Exchange) -> None:
         self._http = http
@@ -22,13 +22,13 @@
     async def put(
         self, key: str, data: bytes, create_only: bool = False
     ) -> None:
-        """Writes an object; repeating the same bytes does no harm.
+        """Writes an object; writing the same data again is harmless.
 
         Raises:
-          ObjectExistsError: `create_only` and the key is taken.
+          ObjectExistsError: `create_only` is set and the key exists.
           PlatformUnavailableError: Nothing was written.
-          PlatformAnswerLostError: It may be written, now or later.
-          PlatformProtocolError: The store refused the object.
+          PlatformAnswerLostError: It may have been written or may be later.
+          PlatformProtocolError: The store rejected the object.
         """
         content = contents.Content(b'application/octet-stream', data)
         headers = (CREATE_ONLY,) if create_only else ()
@@ -41,8 +41,8 @@
         """Reads an object; None if it is absent.
 
         Raises:
-          PlatformUnavailableError: The store does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The store does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         reply = await self._http.read(_path(key))
         if reply.status == 404:
@@ -52,12 +52,12 @@
         return reply.body
 
     async def delete(self, key: str) -> None:
-        """Deletes an object; that it is absent is no failure.
+        """Deletes an object; does nothing if it is absent.
 
         Raises:
           PlatformUnavailableError: Nothing was deleted.
-          PlatformAnswerLostError: It may be deleted, now or later.
-          PlatformProtocolError: The store refused the call.
+          PlatformAnswerLostError: It may have been deleted or may be later.
+          PlatformProtocolError: The store rejected the call.
         """
         reply = await self._http.write('DELETE', _path(key))
         if reply.status != 404:
@@ -67,8 +67,8 @@
         """Reads the keys that start with `prefix`, in order.
 
         Raises:
-          PlatformUnavailableError: The store does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The store does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         query = urllib.parse.urlencode({'prefix': prefix})
         reply = await self._http.read(f'/objects?{query}')
--- a/packages/quetzalsill/src/quetzalsill/platform/table.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/table.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Condition:
-    """A row that must stand at a version; 0 if it must be absent."""
+    """Requires a row to have this version; 0 requires it to be absent."""
 
     table: str
     key: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Row:
-    """A JSON value and its version, which grows with each write."""
+    """A JSON value and its version, which increases with each write."""
 
     version: int
     value: Any
@@ -58,9 +58,9 @@
 class Table:
     """Reads rows and changes them in transactions.
 
-    A row that was deleted and made again may start at version 1 again, so a
-    condition can't tell the two apart: keep rows that are raced for, and mark
-    them as free.
+    A row that is deleted and created again may restart at version 1, so a
+    condition cannot distinguish the two. Never delete a row that several
+    writers contend for; mark it as free instead.
     """
 
     def __init__(self, http: exchange.Exchange) -> None:
@@ -70,8 +70,8 @@
         """Reads one row; None if it is absent.
 
         Raises:
-          PlatformUnavailableError: The store does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The store does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         reply = await self._http.read(
             f'/table/{exchange.quote(table)}/{exchange.quote(key)}'
@@ -81,11 +81,11 @@
         return _row(reply.json(200))
 
     async def scan(self, table: str, prefix: str = '') -> list[KeyedRow]:
-        """Reads all rows whose keys start with `prefix`, in order of key.
+        """Reads all rows whose keys start with `prefix`, sorted by key.
 
         Raises:
-          PlatformUnavailableError: The store does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The store does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         rows: list[KeyedRow] = []
         while True:
@@ -98,11 +98,11 @@
     async def page(
         self, table: str, prefix: str, after: str, limit: int
     ) -> list[KeyedRow]:
-        """Reads at most `limit` rows behind the key `after`.
+        """Reads at most `limit` rows whose keys sort after `after`.
 
         Raises:
-          PlatformUnavailableError: The store does not answer.
-          PlatformProtocolError: The answer is malformed.
+          PlatformUnavailableError: The store does not respond.
+          PlatformProtocolError: The response is malformed.
         """
         query = urllib.parse.urlencode(
             {'prefix': prefix, 'after': after, 'limit': limit}
@@ -113,17 +113,17 @@
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> list[int]:
-        """Applies all writes if all conditions hold, else none.
+        """Applies all writes if all conditions hold, otherwise none.
 
         Returns:
           The new version of each written row.
 
         Raises:
-          ConditionFailedError: A condition does not hold; nothing written.
+          ConditionFailedError: A condition does not hold; nothing was written.
           PlatformUnavailableError: Nothing was written.
-          PlatformAnswerLostError: All may be written, now or later; a
-            condition on a version keeps a repetition from counting twice.
-          PlatformProtocolError: The store refused the transaction.
+          PlatformAnswerLostError: All writes may have been applied or may be
+            later; a condition on a version makes a retry safe.
+          PlatformProtocolError: The store rejected the transaction.
         """
         reply = await self._http.write(
             'POST', '/table/transact', _transaction(conditions, writes)
