--- a/packages/quetzalsill/src/quetzalsill/plugin/error.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/error.py
@@ -19,19 +19,19 @@
 
 
 class UnknownPluginError(PluginError):
-    """No plug-in of that kind and name is registered."""
+    """No plug-in with this kind and name is registered."""
 
     code = 'unknown_plugin'
 
 
 class DuplicatePluginError(PluginError):
-    """Another plug-in of that kind and name is registered."""
+    """Another plug-in with this kind and name is already registered."""
 
     code = 'duplicate_plugin'
 
 
 class PluginLoadError(PluginError):
-    """An installed plug-in cannot be imported or does not register."""
+    """An installed plug-in cannot be imported or has no `register`."""
 
     code = 'plugin_load_failed'
-    advice = 'Install the package that brings it again, or remove it.'
+    advice = 'Reinstall or remove the package that provides it.'
--- a/packages/quetzalsill/src/quetzalsill/plugin/registry.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/registry.py
@@ -31,9 +31,9 @@
 
     Attributes:
       kind: One of `KINDS`.
-      name: Name by which configuration and command line choose it.
-      value: What the kind asks for: a function, or a `Role`.
-      doc: One sentence for operators.
+      name: Name that selects it in configuration and command line.
+      value: Object that the kind requires: a function or a `Role`.
+      doc: One-sentence description for operators.
     """
 
     kind: str
@@ -43,7 +43,7 @@
 
 
 class Registry:
-    """Plug-ins by kind and name."""
+    """Maps kind and name to plug-ins."""
 
     def __init__(self) -> None:
         self._plugins: dict[tuple[str, str], Plugin] = {}
@@ -53,16 +53,16 @@
         """Registers a plug-in.
 
         Raises:
-          UnknownPluginError: If there is no such kind.
-          DuplicatePluginError: If the kind has the name already.
+          UnknownPluginError: If the kind does not exist.
+          DuplicatePluginError: If the kind already has this name.
         """
         if kind not in KINDS:
             raise error.UnknownPluginError(
-                f'there is no kind {kind!r} of plug-in: {", ".join(KINDS)}'
+                f'unknown plug-in kind {kind!r}; known: {", ".join(KINDS)}'
             )
         if (kind, name) in self._plugins:
             raise error.DuplicatePluginError(
-                f'the {kind} plug-in {name!r} is registered twice'
+                f'the {kind} plug-in {name!r} is already registered'
             )
         self._plugins[kind, name] = Plugin(kind, name, value, doc)
 
@@ -70,7 +70,8 @@
         """Returns the value of a plug-in.
 
         Raises:
-          UnknownPluginError: If there is none; its text names those known.
+          UnknownPluginError: If it does not exist; the message lists the
+            known names.
         """
         found = self._plugins.get((kind, name))
         if found is None:
@@ -81,7 +82,7 @@
         return found.value
 
     def names(self, kind: str) -> list[str]:
-        """Returns the names of a kind, sorted."""
+        """Returns the sorted names of the plug-ins of a kind."""
         return sorted(
             name for plugin_kind, name in self._plugins if plugin_kind == kind
         )
@@ -91,14 +92,14 @@
         return [self._plugins[kind, name] for name in self.names(kind)]
 
     def load(self) -> None:
-        """Lets every installed plug-in module register itself, once.
+        """Registers all installed plug-ins; does nothing if called again.
 
         Raises:
-          PluginLoadError: If one cannot be imported or does not register.
+          PluginLoadError: If one cannot be imported or has no `register`.
         """
         if self._loaded:
             return
-        # Slow to load, and needed only where plug-ins are installed.
+        # Slow to import, and not needed where `load_only` is used.
         import importlib.metadata
 
         for entry in importlib.metadata.entry_points(group=GROUP):
@@ -106,10 +107,10 @@
         self._loaded = True
 
     def load_only(self, *registers: Callable[[Registry], None]) -> None:
-        """Takes plug-ins in place of those that are installed.
+        """Registers only these plug-ins instead of the installed ones.
 
-        For a program that knows its own. Looking for what is installed reads
-        the metadata of every package there is.
+        For programs with a fixed set of plug-ins: discovery reads the metadata
+        of every installed package.
         """
         for register in registers:
             register(self)
@@ -120,8 +121,7 @@
             register = entry.load().register
         except (ImportError, AttributeError) as exc:
             raise error.PluginLoadError(
-                f'the plug-in {entry.name!r} ({entry.value}) does not load: '
-                f'{exc}'
+                f'cannot load the plug-in {entry.name!r} ({entry.value}): {exc}'
             ) from exc
         register(self)
 
--- a/packages/quetzalsill/src/quetzalsill/plugin/role.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/role.py
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Role:
-    """A role, registered as plug-in of the kind `role`.
+    """A role, registered as a plug-in of the kind `role`.
 
     Attributes:
       name: Subcommand of `quetzalsilld`.
-      settings_class: Declared dataclass of the role's settings, with at least
-        the keys `node` of `settings.section.Node` and `telemetry` of
-        `settings.section.Telemetry`, from which logs and traces are set up.
+      settings_class: Dataclass that declares the role's settings, with at
+        least the keys `node` of `settings.section.Node` and `telemetry` of
+        `settings.section.Telemetry`, which configure logs and traces.
       run: Runs the role with its settings; returns after a graceful stop.
-      reloads: The role reads its settings again while it runs: `run` takes,
-        as second argument, a function that returns the settings as they
-        stand now, or raises `InvalidDocumentError`.
+      reloads: The role reloads its settings while it runs: `run` takes as
+        second argument a function that reads the current settings or raises
+        `InvalidDocumentError`.
     """
 
     name: str
@@ -32,12 +32,12 @@
 
 
 def run_lazily(module: str) -> Callable[..., Awaitable[None]]:
-    """Returns the `run` of a module that is loaded once it is called.
+    """Returns a function that imports a module and calls its `run`.
 
-    Each process registers every role that is installed, and runs one of them.
+    Each process registers all installed roles but runs only one of them.
 
     Args:
-      module: Dotted name.
+      module: Dotted name of the module.
     """
 
     def run(*args: Any) -> Awaitable[None]:
