--- a/packages/quetzalsill/src/quetzalsill/schema/check.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/check.py
@@ -1,4 +1,4 @@
-"""Check of parsed JSON against the dataclasses that declare its keys."""
+"""Validation of parsed JSON against the dataclasses that declare it."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     Args:
       cls: Dataclass whose fields are declared with `schema.key.key`.
       plain: Parsed JSON.
-      where: File or other origin of the document, for its reader.
+      where: File or other origin of the document, for error messages.
 
     Returns:
-      The instance, with defaults where keys are absent.
+      The instance, with defaults for absent keys.
 
     Raises:
-      InvalidDocumentError: With every fault that was found.
+      InvalidDocumentError: With every error that was found.
     """
     errors = error_collector.ErrorCollector(where)
     built = _section_checker(cls)(plain, '', errors)
@@ -92,7 +92,7 @@
 
 
 def _key_checker(annotation: Any, spec: schema_key.KeySpec) -> Checker:
-    """Returns the checker of one key by its annotation."""
+    """Returns the checker of a key with this annotation."""
     if dataclasses.is_dataclass(annotation):
         return _section_checker(annotation)
     origin = typing.get_origin(annotation)
@@ -159,8 +159,8 @@
 
 
 def _to_str(value: Any) -> str | None:
-    # JSON can hold half of a surrogate pair ("\ud800"); such a string passes
-    # here and fails later, when it is encoded for a frame or a log line.
+    # JSON may contain an unpaired surrogate ("\ud800"). Python accepts such a
+    # string, but encoding it later for a frame or a log line would fail.
     if type(value) is not str or not _is_encodable(value):
         return None
     return value
@@ -205,7 +205,7 @@
 def _bounds_test(
     value_type: type, spec: schema_key.KeySpec
 ) -> Callable[[Any], bool]:
-    """Returns the test of a converted value against its bounds."""
+    """Returns a function that tests a converted value against the spec."""
     if spec.choices:
         return lambda value: value in spec.choices
     if value_type is str and spec.pattern:
@@ -219,7 +219,7 @@
 
 
 def describe(value_type: Any, spec: schema_key.KeySpec) -> str:
-    """Says which values of a key are allowed."""
+    """Describes the allowed values of a key."""
     arguments = typing.get_args(value_type)
     if arguments:
         kind = 'array of' if len(arguments) == 1 else 'object by name of'
--- a/packages/quetzalsill/src/quetzalsill/schema/error.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/error.py
@@ -1,4 +1,4 @@
-"""Failures of a document that does not fit its schema."""
+"""Errors of documents that do not match their schema."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class InvalidKeyError(base.QuetzalsillError):
-    """One value of a document does not fit.
+    """One value of a document is invalid.
 
     Attributes:
       where: File or other origin of the document.
       path: Path of the key, such as `accounts.lagos.limits.concurrency`;
         empty for the document as a whole.
-      found: What stands there, shortened, and masked if it is secret.
-      allowed: What may stand there.
+      found: The value found, shortened, and masked if it is secret.
+      allowed: Description of the allowed values.
     """
 
     code = 'invalid_key'
@@ -38,11 +38,11 @@
 
 
 class InvalidDocumentError(base.QuetzalsillError, ExceptionGroup):
-    """A document does not fit; its `exceptions` are all the faults.
+    """A document is invalid; its `exceptions` are all the errors found.
 
     Attributes:
       where: File or other origin of the document.
-      exceptions: The `InvalidKeyError` of each fault, in document order.
+      exceptions: An `InvalidKeyError` for each error, in document order.
     """
 
     code = 'invalid_document'
@@ -50,7 +50,7 @@
     def __new__(
         cls, where: str, errors: Sequence[InvalidKeyError]
     ) -> InvalidDocumentError:
-        """Makes the group; at least one fault is needed."""
+        """Creates the group; at least one error is required."""
         return super().__new__(cls, f'{where} is not valid', errors)
 
     def __init__(self, where: str, errors: Sequence[InvalidKeyError]) -> None:
@@ -58,9 +58,9 @@
         self.where = where
 
     def derive(self, excs: Sequence[InvalidKeyError]) -> InvalidDocumentError:
-        """Makes the group of a part of the faults, for `except*`."""
+        """Creates a group from a subset of the errors, for `except*`."""
         return InvalidDocumentError(self.where, excs)
 
     def lines(self) -> list[str]:
-        """Returns one line of text for each fault."""
+        """Returns one line of text for each error."""
         return [str(invalid_key) for invalid_key in self.exceptions]
--- a/packages/quetzalsill/src/quetzalsill/schema/error_collector.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/error_collector.py
@@ -1,4 +1,4 @@
-"""Collection of the faults of one document while it is checked."""
+"""Collects the errors of a document during validation."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ErrorCollector:
-    """The faults found so far, up to `MAX_ERRORS`.
+    """The errors found so far, up to `MAX_ERRORS`.
 
     Attributes:
       where: File or other origin of the document.
-      found: The faults in the order of their finding.
+      errors: The errors in the order in which they were found.
     """
 
     where: str
@@ -42,7 +42,7 @@
     def add(
         self, path: str, found: str, allowed: str, advice: str = ''
     ) -> None:
-        """Notes one fault."""
+        """Adds an error."""
         if len(self.errors) < MAX_ERRORS:
             invalid_key = error.InvalidKeyError(
                 self.where, path, found, allowed, advice
@@ -52,7 +52,7 @@
     def add_value(
         self, path: str, value: Any, allowed: str, spec: key.KeySpec
     ) -> None:
-        """Notes a value that does not fit, masked if it is secret."""
+        """Adds an error for an invalid value, masked if it is secret."""
         description = (
             f'{type_name(value)} (masked)'
             if spec.secret
@@ -61,7 +61,7 @@
         self.add(path, description, allowed)
 
     def add_unknown(self, path: str, name: str, known: Iterable[str]) -> None:
-        """Notes an unknown key with the nearest known one."""
+        """Adds an error for an unknown key; suggests the closest known one."""
         if len(self.errors) >= MAX_ERRORS:
             return
         names = list(known)
@@ -70,18 +70,18 @@
         self.add(path, 'an unknown key', ', '.join(names), advice)
 
     def raise_if_any(self) -> None:
-        """Raises `InvalidDocumentError` if there is a fault."""
+        """Raises `InvalidDocumentError` if there are any errors."""
         if self.errors:
             raise error.InvalidDocumentError(self.where, self.errors)
 
 
 def describe_value(value: Any) -> str:
-    """Shows a value with its type, shortened."""
+    """Returns the type and the shortened representation of a value."""
     return f'{type_name(value)} {_repr.repr(value)}'
 
 
 def type_name(value: Any) -> str:
-    """Names the type of a value as readers of JSON know it."""
+    """Returns the JSON name of the type of a value."""
     if value is None:
         return 'null'
     names = {
--- a/packages/quetzalsill/src/quetzalsill/schema/example.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/example.py
@@ -1,4 +1,4 @@
-"""Commented examples of documents, made from the declared keys."""
+"""Commented example documents, generated from the declared keys."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def example(cls: type) -> str:
-    """Returns a document that passes the check of `cls`.
+    """Returns an example document that is valid for `cls`.
 
-    Each key stands with its description, type, unit, bounds and default in
-    a comment, and with its default or an example as value.
+    Each key has its default or an example as value, and a comment with its
+    description, type, unit, bounds and default.
     """
     return '\n'.join([*_object_lines(cls, 0), ''])
 
 
 def _object_lines(cls: type, depth: int) -> Iterator[str]:
-    """Yields the lines of an object, without a line end after the brace."""
+    """Yields the lines of an object; the last one is the closing brace."""
     types = typing.get_type_hints(cls)
     fields = dataclasses.fields(cls)
     yield '{'
--- a/packages/quetzalsill/src/quetzalsill/schema/key.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/key.py
@@ -1,4 +1,4 @@
-"""Declaration of one typed key of settings or configuration."""
+"""Declaration of typed keys of settings and configuration."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class KeySpec:
-    """What is known of a key besides its name, type and default.
+    """Metadata of a key besides its name, type and default.
 
     Attributes:
-      doc: One sentence for the reader of the file.
+      doc: One-sentence description for readers of the file.
       unit: Unit of the value, such as `s` or `bytes`; empty if none.
-      minimum: Least value allowed, inclusive; None for no bound.
-      maximum: Greatest value allowed, inclusive; None for no bound.
-      choices: Values allowed; empty for any.
+      minimum: Smallest allowed value, inclusive; None for no bound.
+      maximum: Largest allowed value, inclusive; None for no bound.
+      choices: Allowed values; empty for any.
       example: Value shown by `example-settings` if there is no default.
       secret: The value is masked wherever it is printed.
-      pattern: Regular expression that a string must match whole.
+      pattern: Regular expression that must match the whole string.
     """
 
     doc: str
@@ -44,7 +44,7 @@
     factory: Any = REQUIRED,
     **spec: Any,
 ) -> Any:
-    """Declares a key as a dataclass field with its `KeySpec` beside it."""
+    """Declares a key: a dataclass field with a `KeySpec` as metadata."""
     return dataclasses.field(
         default=default,
         default_factory=factory,
--- a/packages/quetzalsill/src/quetzalsill/schema/load.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/load.py
@@ -1,4 +1,4 @@
-"""Reading of documents in JSON, with or without comments."""
+"""Parsing of JSON documents with or without comments."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class _DuplicateKeyError(ValueError):
-    """A key stands twice in one object, so that one value would be lost."""
+    """An object has a duplicate key, so one of its values would be lost."""
 
 
 def load_file(cls: type[T], path: str) -> T:
-    """Reads and checks a file of JSON with comments.
+    """Reads and validates a JSON file with comments.
 
     Args:
-      cls: Declared dataclass of the whole document.
+      cls: Dataclass that declares the document.
       path: File to read.
 
     Raises:
-      InvalidDocumentError: If the file cannot be read, is not JSON, or does
-        not fit `cls`.
+      InvalidDocumentError: If the file cannot be read, is not JSON, or is
+        not valid for `cls`.
     """
     return check.check(cls, parse_text(_read_file(path), path), path)
 
@@ -42,8 +42,8 @@
     Raises:
       InvalidDocumentError: If the text is not JSON.
     """
-    # The parser for comments is slow, some seconds per megabyte, so a
-    # document that is JSON without them never reaches it.
+    # The parser that accepts comments takes some seconds per megabyte, so it
+    # is used only for documents that are not plain JSON.
     try:
         return json.loads(text, object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError):
@@ -60,7 +60,7 @@
 
 
 def _loads_commented(text: str) -> Any:
-    # Loaded only for documents with comments, of which a process has few.
+    # Imported only when needed: few documents of a process have comments.
     import json5
 
     return json5.loads(text, object_pairs_hook=_reject_duplicates)
--- a/packages/quetzalsill/src/quetzalsill/schema/plain.py
+++ b/packages/quetzalsill/src/quetzalsill/schema/plain.py
@@ -1,4 +1,4 @@
-"""Conversion of declared dataclasses to plain JSON values."""
+"""Conversion of declared dataclasses to JSON values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def to_plain(obj: Any) -> Any:
-    """Returns dicts, lists and scalars that `check` turns back into `obj`."""
+    """Converts to dicts, lists and scalars; `check` is the inverse."""
     if dataclasses.is_dataclass(obj):
         return {
             field.name: to_plain(getattr(obj, field.name))
