--- a/packages/quetzalsill/src/quetzalsill/settings/__init__.py
+++ b/packages/quetzalsill/src/quetzalsill/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of one process."""
+"""Settings of a process."""
--- a/packages/quetzalsill/src/quetzalsill/settings/section.py
+++ b/packages/quetzalsill/src/quetzalsill/settings/section.py
@@ -1,7 +1,7 @@
-"""Sections of settings that roles share.
+"""Settings sections shared by the roles.
 
-Settings belong to one process: addresses, keys, timings. What the whole
-system shares is configuration and stands in `config.model`.
+Settings apply to one process: addresses, keys, timings. Values shared by the
+whole system belong to the configuration, see `config.model`.
 """
 
 from __future__ import annotations
@@ -47,9 +47,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Tls:
-    """Certificate files; all empty turns TLS off.
+    """Certificate files; TLS is disabled if all are empty.
 
-    With an authority both ends must show a certificate signed by it.
+    If an authority is set, both sides must present a certificate signed by it.
     """
 
     certificate: str = schema_key.key('PEM file of the certificate chain.', '')
@@ -89,7 +89,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Telemetry:
-    """What a process tells of itself."""
+    """Logs and traces of a process."""
 
     log_level: str = key(
         'Least level of log lines.',
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LinkTiming:
-    """Bounds of a link between router and sidecar."""
+    """Timeouts of a link between router and sidecar."""
 
     idle_s: float = key(
         'Silence after which a side sends a heartbeat.',
