--- a/packages/quetzalsill/src/quetzalsill/error/base.py
+++ b/packages/quetzalsill/src/quetzalsill/error/base.py
@@ -1,4 +1,4 @@
-"""Base of every failure that quetzalsill raises."""
+"""Base class of the errors that quetzalsill raises."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class QuetzalsillError(Exception):
-    """A failure with a stable code and advice for its reader.
+    """An error with a stable code and advice for the reader.
 
     Attributes:
-      code: Stable name of the failure, in lower case with underscores.
+      code: Stable name of the error, in lower case with underscores.
       advice: What the reader can do about it; empty if nothing.
     """
 
--- a/packages/quetzalsill/src/quetzalsill/error/request.py
+++ b/packages/quetzalsill/src/quetzalsill/error/request.py
@@ -1,4 +1,4 @@
-"""Failures of a caller's request, as the caller is told of them."""
+"""Errors of a request, as they are reported to the caller."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class RequestError(base.QuetzalsillError):
-    """A request ends without its whole answer.
+    """A request ended without a complete response.
 
     Attributes:
-      status: HTTP status told to the caller.
+      status: HTTP status sent to the caller.
       ran: Whether the work ran; only `Ran.NO` permits another dispatch.
-      retry_after_s: Seconds after which coming back helps; None if it
-        does not.
-      request: Id of the request; empty if it was given none.
+      retry_after_s: Seconds after which a retry may succeed; None if a retry
+        does not help.
+      request: Id of the request; empty if none was assigned.
     """
 
     code = 'request_failed'
@@ -87,7 +87,7 @@
 
 
 class NotFoundError(RequestError):
-    """No such request, path or object."""
+    """The request, path or object does not exist."""
 
     code = 'not_found'
     status = 404
@@ -95,48 +95,48 @@
 
 
 class UnknownRequestError(NotFoundError):
-    """No such request is kept: there never was one, or it is forgotten."""
+    """The request is not stored: it never existed or was removed."""
 
     ran = base.Ran.UNKNOWN
     advice = 'This says nothing of whether it ran.'
 
 
 class UnknownModelError(NotFoundError):
-    """The configuration holds no such model."""
+    """The configuration does not contain the model."""
 
     code = 'unknown_model'
     advice = 'GET /v1/models lists the models.'
 
 
 class UnknownProfileError(BadRequestError):
-    """The configuration holds no such profile."""
+    """The configuration does not contain the profile."""
 
     code = 'unknown_profile'
 
 
 class ConflictError(RequestError):
-    """An idempotency key came again with another body, or an edit lost."""
+    """An idempotency key was reused for another body, or an edit conflicts."""
 
     code = 'conflict'
     status = 409
 
 
 class TooLargeError(RequestError):
-    """The body or an argument is over its bound."""
+    """The body or an argument exceeds its limit."""
 
     code = 'too_large'
     status = 413
 
 
 class LimitError(RequestError):
-    """The client account is over one of its limits."""
+    """The client account exceeds one of its limits."""
 
     code = 'limit_exceeded'
     status = 429
 
 
 class OverloadedError(RequestError):
-    """No upstream can take the request in time."""
+    """No upstream can accept the request in time."""
 
     code = 'overloaded'
     status = 503
@@ -150,42 +150,42 @@
 
 
 class ShuttingDownError(RequestError):
-    """The process takes no new work because it is stopping."""
+    """The process accepts no new work because it is shutting down."""
 
     code = 'shutting_down'
     status = 503
 
 
 class UpstreamLeavingError(RequestError):
-    """The upstream takes no new work because it is leaving."""
+    """The upstream accepts no new work because it is leaving."""
 
     code = 'upstream_leaving'
     status = 503
 
 
 class StaleRevisionError(RequestError):
-    """The dispatch was made under a configuration that is superseded."""
+    """The dispatch is based on an outdated configuration."""
 
     code = 'stale_revision'
     status = 503
 
 
 class SupersededError(RequestError):
-    """A newer owner or attempt of the same request exists."""
+    """The same request has a newer owner or attempt."""
 
     code = 'superseded'
     status = 409
 
 
 class StoreUnavailableError(RequestError):
-    """The platform's store did not answer, so nothing was accepted."""
+    """The platform's store did not respond, so nothing was accepted."""
 
     code = 'store_unavailable'
     status = 503
 
 
 class DeadlineError(RequestError):
-    """The request cannot make, or did not make, its deadline."""
+    """The request cannot meet, or did not meet, its deadline."""
 
     code = 'deadline_exceeded'
     status = 504
@@ -199,7 +199,7 @@
 
 
 class UpstreamFailedError(RequestError):
-    """The upstream failed after work had reached it."""
+    """The upstream failed after it had received the work."""
 
     code = 'upstream_failed'
     status = 502
@@ -207,7 +207,7 @@
 
 
 class OutcomeUnknownError(RequestError):
-    """Work was sent and nothing proves whether it ran."""
+    """The work was sent, and it is unknown whether it ran."""
 
     code = 'outcome_unknown'
     status = 504
@@ -234,6 +234,6 @@
     ran: base.Ran,
     retry_after_s: float | None = None,
 ) -> RequestError:
-    """Rebuilds a failure that another process reported by its code."""
+    """Recreates an error that another process reported by its code."""
     cls = BY_CODE.get(code, RequestError)
     return cls(detail, ran=ran, retry_after_s=retry_after_s)
