--- a/packages/quetzalsill/src/quetzalsill/daemon/background.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/background.py
@@ -1,4 +1,4 @@
-"""Work in the background that must not end while its process lives."""
+"""Background tasks that must run as long as their process."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Runs work until cancelled, and again whenever it ends or fails.
+    """Runs work until cancelled; restarts it whenever it ends or fails.
 
-    A fault in such a loop would else show much later: as a router that goes
-    on with an old configuration or old peers, or a sidecar that gives its
-    engine no more orders. Restarted, it reads its state anew, and the fault
-    is in the log with its traceback.
+    Without a restart, an error in such a loop would only show much later: a
+    router would keep an old configuration or old peers, or a sidecar would
+    send its engine no more commands. After a restart the loop reads its state
+    again, and the error is logged with its traceback.
 
     Args:
-      name: Names the work in the log.
-      work: Starts it; called for each run.
+      name: Name of the task in the log.
+      work: Called for each run.
     """
     while True:
         try:
--- a/packages/quetzalsill/src/quetzalsill/daemon/command.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/command.py
@@ -1,4 +1,4 @@
-"""Commands of `quetzalsilld`; each role brings one of its own."""
+"""Commands of `quetzalsilld`; each role adds one."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class _RoleGroup(click.Group):
-    """Group whose further commands are the registered roles."""
+    """Command group that includes the registered roles."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return [*super().list_commands(ctx), *_role_names()]
@@ -100,7 +100,7 @@
             click.echo(f'{path}: fits the role {role_name}')
             return
     if failures:
-        # The role that the file comes nearest to is the one that was meant.
+        # The file was most likely written for the role with the fewest errors.
         _exit_invalid(min(failures, key=lambda exc: len(exc.exceptions)))
     raise plugin_error.UnknownPluginError('no role is installed')
 
--- a/packages/quetzalsill/src/quetzalsill/daemon/exit_code.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/exit_code.py
@@ -8,15 +8,15 @@
 
 
 class ExitCode(enum.IntEnum):
-    """How the process ended.
+    """Reason why the process exited.
 
     Attributes:
-      OK: Done, or stopped gracefully.
-      USAGE: The command line is wrong.
-      INVALID_SETTINGS: The settings do not fit; nothing was started.
-      CANNOT_START: The settings fit and the role did not start, such as for
-        an address in use or a certificate that cannot be read.
-      INTERNAL: A fault of the program.
+      OK: Completed, or stopped gracefully.
+      USAGE: The command line is invalid.
+      INVALID_SETTINGS: The settings are invalid; nothing was started.
+      CANNOT_START: The settings are valid but the role did not start, for
+        example because an address is in use or a certificate is unreadable.
+      INTERNAL: An internal error.
     """
 
     OK = 0
--- a/packages/quetzalsill/src/quetzalsill/daemon/start.py
+++ b/packages/quetzalsill/src/quetzalsill/daemon/start.py
@@ -1,4 +1,4 @@
-"""Running of a role with its settings until it stops."""
+"""Runs a role with its settings until it stops."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 def run_role(
     role: plugin_role.Role, settings: Any, read: Callable[[], Any]
 ) -> exit_code.ExitCode:
-    """Runs a role to its end.
+    """Runs a role until it stops.
 
     Args:
-      role: What to run.
-      settings: Its settings.
-      read: Reads the settings again, for a role that reloads them.
+      role: The role to run.
+      settings: Settings of the role.
+      read: Reads the settings again, for roles that reload them.
 
     Returns:
-      `OK` after a graceful stop, `CANNOT_START` for a typed failure and
-      `INTERNAL` for any other; the failures are logged.
+      `OK` after a graceful stop, `CANNOT_START` for an error of this project
+      or the operating system, and `INTERNAL` for any other; all are logged.
     """
     log.configure(settings.telemetry.log_level, settings.node.name, role.name)
     try:
@@ -58,10 +58,10 @@
 
 
 def _set_up_tracing(node: str, cfg: section.Telemetry) -> None:
-    """Sets spans up in a process that has any.
+    """Sets up tracing in processes that use it.
 
-    Loaded for nothing, their library takes a tenth of the time from the power
-    coming back to the first caller that is served.
+    The tracing library is not imported needlessly: that takes a tenth of the
+    time from power-on to the first served request.
     """
     if cfg.trace_file or TRACE_MODULE in sys.modules:
         from quetzalsill.telemetry import trace
--- a/packages/quetzalsill/src/quetzalsill/run.py
+++ b/packages/quetzalsill/src/quetzalsill/run.py
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Runs the command line; see `daemon.exit_code` for how it ends."""
+    """Runs the command line; see `daemon.exit_code` for the exit codes."""
     try:
         command.cli(prog_name='quetzalsilld')
     except base.QuetzalsillError as exc:
