--- a/tests/quetzalsill/config/test_document.py
+++ b/tests/quetzalsill/config/test_document.py
@@ -84,12 +84,12 @@
 class ReferenceTest(unittest.TestCase):
     """Names that lead nowhere are told before a configuration is accepted."""
 
-    def faults(self, plain, registry=None):
+    def invalid_paths(self, plain, registry=None):
         registry = registry or plugin_registry.Registry()
         try:
             reference.check_references(parse(plain), registry)
         except error.InvalidDocumentError as exc:
-            return [fault.path for fault in exc.exceptions]
+            return [invalid_key.path for invalid_key in exc.exceptions]
         return []
 
     def test_names_must_exist(self):
@@ -102,7 +102,7 @@
             'services': ['gone'],
         }
         self.assertEqual(
-            self.faults(
+            self.invalid_paths(
                 {
                     'profiles': {'prompt': {}},
                     'models': {'m': {'profile': 'gone', 'adapters': ['a']}},
@@ -123,7 +123,9 @@
         registry = plugin_registry.Registry()
         registry.add('routing', 'rotate', None, 'In turn.')
         plain = {'policies': {'routing': 'gone', 'fairness': 'gone'}}
-        self.assertEqual(self.faults(plain, registry), ['policies.routing'])
+        self.assertEqual(
+            self.invalid_paths(plain, registry), ['policies.routing']
+        )
 
     def test_tokens_and_sidecars_belong_to_one(self):
         """A caller would be charged to another account.
@@ -138,7 +140,7 @@
             'availability_zone': 'z',
         }
         self.assertEqual(
-            self.faults(
+            self.invalid_paths(
                 {
                     'profiles': {'prompt': {}},
                     'accounts': {'a': {'token_sha256': [digest]}},
--- a/tests/quetzalsill/config/test_follower.py
+++ b/tests/quetzalsill/config/test_follower.py
@@ -8,8 +8,8 @@
 from quetzalsill.config import document, follower, holder, model, revision
 from quetzalsill.platform import error
 
-LONG_S = 3600.0
-BOUND_S = 10.0
+LONG_INTERVAL_S = 3600.0
+TIMEOUT_S = 10.0
 
 
 def _render(headroom):
@@ -42,30 +42,30 @@
         self.store = _Store()
         self.holder = holder.Holder()
 
-    def follow(self, interval_s):
-        followed = follower.Follower(self.store, self.holder, interval_s)
-        task = asyncio.create_task(followed.run())
+    def start_follower(self, interval_s):
+        config_follower = follower.Follower(self.store, self.holder, interval_s)
+        task = asyncio.create_task(config_follower.run())
         self.addAsyncCleanup(asyncio.wait, [task])
         self.addCleanup(task.cancel)
-        return followed
+        return config_follower
 
-    async def reach(self, number):
-        async with asyncio.timeout(BOUND_S):
+    async def wait_for_revision(self, number):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.holder.wait_for(number)
 
     async def test_installs_what_is_accepted_later(self):
-        self.follow(0.01)
-        await self.reach(1)
+        self.start_follower(0.01)
+        await self.wait_for_revision(1)
         self.store.documents.append(_render(0.2))
-        await self.reach(2)
+        await self.wait_for_revision(2)
         self.assertEqual(self.holder.current.policies.headroom, 0.2)
 
     async def test_hint_wakes_at_once(self):
-        followed = self.follow(LONG_S)
-        await self.reach(1)
+        config_follower = self.start_follower(LONG_INTERVAL_S)
+        await self.wait_for_revision(1)
         self.store.documents.append(_render(0.2))
-        followed.hint(2)
-        await self.reach(2)
+        config_follower.hint(2)
+        await self.wait_for_revision(2)
 
     async def test_goes_on_through_an_outage(self):
         """The store falls after revision 1 and comes back with revision 2.
@@ -73,17 +73,17 @@
         Requests are served under revision 1 throughout, and revision 2 is in
         force soon after the store is back, without anyone's doing.
         """
-        self.follow(0.01)
-        await self.reach(1)
+        self.start_follower(0.01)
+        await self.wait_for_revision(1)
         self.store.down = True
         self.store.documents.append(_render(0.2))
         polls = self.store.heads
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while self.store.heads < polls + 2:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         self.assertEqual(self.holder.revision, 1)
         self.store.down = False
-        await self.reach(2)
+        await self.wait_for_revision(2)
 
     async def test_never_steps_down(self):
         """A lagging replica of the store answers with an old head.
@@ -92,21 +92,23 @@
         that was replaced before.
         """
         self.holder.install(_render(0.3), 5)
-        followed = follower.Follower(self.store, self.holder, LONG_S)
-        self.assertFalse(await followed.refresh())
+        config_follower = follower.Follower(
+            self.store, self.holder, LONG_INTERVAL_S
+        )
+        self.assertFalse(await config_follower.refresh())
         self.assertEqual(self.holder.revision, 5)
 
     async def test_keeps_what_it_has_when_a_document_is_invalid(self):
-        self.follow(0.01)
-        await self.reach(1)
+        self.start_follower(0.01)
+        await self.wait_for_revision(1)
         self.store.documents.append(b'{"unheard_of": 1}')
         polls = self.store.heads
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while self.store.heads < polls + 2:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
         self.assertEqual(self.holder.revision, 1)
         self.store.documents.append(_render(0.4))
-        await self.reach(3)
+        await self.wait_for_revision(3)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill/config/test_store.py
+++ b/tests/quetzalsill/config/test_store.py
@@ -238,12 +238,12 @@
             *(self.publish(f'edit-{i}', 0) for i in range(3)),
             return_exceptions=True,
         )
-        lost = [
+        conflicts = [
             exc.current
             for exc in outcomes
             if isinstance(exc, store.RevisionConflictError)
         ]
-        self.assertEqual(lost, [1, 1])
+        self.assertEqual(conflicts, [1, 1])
         winner = outcomes.index(1)
         self.assertEqual(await self.store.load(1), f'edit-{winner}'.encode())
 
@@ -296,24 +296,24 @@
         and what to do; the same edit sent again gives the settled outcome.
         """
 
-        def lose_then_fall():
+        def lose_then_disconnect():
             self.switches.lose_answers = 1
             transact = self.clients.table.transact
 
-            async def transact_then_fall(*args):
+            async def transact_then_disconnect(*args):
                 try:
                     return await transact(*args)
                 finally:
                     self.switches.reset = True
 
-            self.clients.table.transact = transact_then_fall
+            self.clients.table.transact = transact_then_disconnect
 
-        self.after_put(lose_then_fall)
-        short = store.ConfigStore(
+        self.after_put(lose_then_disconnect)
+        short_store = store.ConfigStore(
             self.clients.table, self.clients.objects, publish_timeout_s=0.3
         )
         with self.assertRaises(store.OutcomeUnknownEditError) as caught:
-            await short.publish(b'x', 0, 'edit-x', 'ada', '')
+            await short_store.publish(b'x', 0, 'edit-x', 'ada', '')
         self.assertIn('edit-x', caught.exception.detail)
         self.switches.reset = False
         again = await self.store.publish(b'x', 0, 'edit-x', 'ada', '')
--- a/tests/quetzalsill/daemon/test_background.py
+++ b/tests/quetzalsill/daemon/test_background.py
@@ -19,28 +19,28 @@
         Its follower meets a fault of our own and its task ends; nobody looks
         at the task before the process stops.
         """
-        third = asyncio.Event()
+        third_run = asyncio.Event()
 
         async def work() -> None:
             if runs.call_count == 1:
                 raise ValueError('a fault of our own')
             if runs.call_count == 3:
-                third.set()
+                third_run.set()
                 await asyncio.Event().wait()
 
         runs = mock.Mock(side_effect=work)
         with (
             mock.patch.object(background, 'RESTART_DELAY_S', 0),
-            mock.patch.object(background.event, 'note') as noted,
+            mock.patch.object(background.event, 'note') as note,
         ):
             task = asyncio.create_task(background.keep_running('loop', runs))
             async with asyncio.timeout(10):
-                await third.wait()
+                await third_run.wait()
             task.cancel()
             await asyncio.wait([task])
         self.assertTrue(task.cancelled())
-        noted.assert_called_once_with(
+        note.assert_called_once_with(
             event.BackgroundFailed('loop'), exc=mock.ANY
         )
-        self.assertIsInstance(noted.call_args.kwargs['exc'], ValueError)
+        self.assertIsInstance(note.call_args.kwargs['exc'], ValueError)
         self.assertEqual(event.BackgroundFailed.LEVEL, 'error')
--- a/tests/quetzalsill/daemon/test_command.py
+++ b/tests/quetzalsill/daemon/test_command.py
@@ -36,13 +36,13 @@
 
     def setUp(self):
         self.run_role = mock.AsyncMock()
-        known = registry.Registry()
-        known.add(
+        plugins = registry.Registry()
+        plugins.add(
             'role', 'small', role.Role('small', _Settings, self.run_role), ''
         )
-        known.load = lambda: None
+        plugins.load = lambda: None
         for target, name, value in (
-            (registry, 'REGISTRY', known),
+            (registry, 'REGISTRY', plugins),
             (log, 'configure', mock.Mock()),
         ):
             patch = mock.patch.object(target, name, value)
@@ -79,10 +79,10 @@
 
     def test_exit_codes_tell_failures_apart(self):
         self.path.write_text(self.invoke('example-settings', 'small').stdout)
-        taken = error.ListenError('port taken')
+        port_in_use = error.ListenError('port taken')
         for failure, code in (
-            (taken, Code.CANNOT_START),
-            (ExceptionGroup('tasks', [taken]), Code.CANNOT_START),
+            (port_in_use, Code.CANNOT_START),
+            (ExceptionGroup('tasks', [port_in_use]), Code.CANNOT_START),
             (ZeroDivisionError(), Code.INTERNAL),
         ):
             self.run_role.side_effect = failure
--- a/tests/quetzalsill/platform/gated.py
+++ b/tests/quetzalsill/platform/gated.py
@@ -10,7 +10,7 @@
 
 __all__ = ['Call', 'Gate', 'GatedObjects', 'GatedTable', 'settle']
 
-TURNS = 8
+EVENT_LOOP_PASSES = 8
 
 
 class Call:
@@ -59,9 +59,9 @@
 
     async def call(self, apply, is_write):
         """Waits for the test to answer."""
-        entered = Call(apply, is_write)
-        self.calls.append(entered)
-        return await entered.answer
+        pending = Call(apply, is_write)
+        self.calls.append(pending)
+        return await pending.answer
 
     def drop_done(self):
         """Forgets calls that have had both effect and answer."""
@@ -114,5 +114,5 @@
 
 async def settle():
     """Runs every task as far as it gets without an answer."""
-    for _ in range(TURNS):
+    for _ in range(EVENT_LOOP_PASSES):
         await asyncio.sleep(0)
--- a/tests/quetzalsill/platform/test_exchange.py
+++ b/tests/quetzalsill/platform/test_exchange.py
@@ -10,8 +10,8 @@
 from tests.quetzalsill.platform import standin
 
 TIMEOUT_S = 0.5
-BOUND_S = 10.0
-SHORT_S = 0.1
+WAIT_TIMEOUT_S = 10.0
+SHORT_TIMEOUT_S = 0.1
 CREATE = [table.Condition('t', 'row', 0)]
 WRITE = [table.Write('t', 'row', {'n': 1})]
 
@@ -29,8 +29,8 @@
         self.clients = await standin.open_clients(self, url, TIMEOUT_S)
         self.table = self.clients.table
 
-    async def until_health(self, up):
-        async with asyncio.timeout(BOUND_S):
+    async def wait_for_health(self, up):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while self.clients.health.up is not up:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
@@ -93,10 +93,10 @@
         self.switches.down = True
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.transact(CREATE, WRITE)
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
         self.assertGreaterEqual(self.clients.health.retry_after_s(), 1.0)
         self.switches.down = False
-        await self.until_health(up=True)
+        await self.wait_for_health(up=True)
         self.assertIsNone(await self.table.get('t', 'row'))
 
     async def test_store_refuses_connections(self):
@@ -107,7 +107,7 @@
         await self.standin.stop()
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.transact(CREATE, WRITE)
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
 
     async def test_silent_connections(self):
         """Open connections to the store go silent; new ones work.
@@ -147,9 +147,9 @@
         self.switches.silent = True
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.get('t', 'row')
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
         self.switches.silent = False
-        await self.until_health(up=True)
+        await self.wait_for_health(up=True)
 
     async def test_answer_cut_in_the_middle(self):
         """A server says 100 bytes, sends half of them and closes.
@@ -158,13 +158,13 @@
         write tells nothing of its effect.
         """
 
-        async def cut(reader, writer):
+        async def respond_partially(reader, writer):
             await reader.readuntil(b'\r\n\r\n')
             writer.write(b'HTTP/1.1 200 OK\r\ncontent-length: 100\r\n')
             writer.write(b'content-type: application/json\r\n\r\n{"versions":')
             writer.close()
 
-        server = await asyncio.start_server(cut, '127.0.0.1', 0)
+        server = await asyncio.start_server(respond_partially, '127.0.0.1', 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         await self.open_clients(f'http://127.0.0.1:{port}')
@@ -183,7 +183,7 @@
         self.addCleanup(self.server.close)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.clients = await standin.open_clients(
-            self, f'http://{host}:{port}', SHORT_S
+            self, f'http://{host}:{port}', SHORT_TIMEOUT_S
         )
 
     async def serve(self, reader, writer):
@@ -194,7 +194,7 @@
             b'content-length: %d\r\n\r\n%s' % (len(body), body)
         )
         if head.startswith((b'GET', b'POST')):
-            time.sleep(2 * SHORT_S)
+            time.sleep(2 * SHORT_TIMEOUT_S)
         await reader.read()
         writer.close()
 
--- a/tests/quetzalsill/platform/test_hosts.py
+++ b/tests/quetzalsill/platform/test_hosts.py
@@ -8,7 +8,7 @@
 from quetzalsill_dev.platform_standin import host
 from tests.quetzalsill.platform import standin
 
-PLAIN = {
+HOST = {
     'name': 'planner-1',
     'kind': 'upstream',
     'address': '127.0.0.1:7201',
@@ -27,16 +27,16 @@
 
     async def test_fetch(self):
         self.assertEqual(await self.list.fetch(), [])
-        self.standin.board.set([PLAIN], 0.0)
-        [found] = await self.list.fetch()
-        self.assertEqual(found.kind, hosts.HostKind.UPSTREAM)
-        self.assertEqual(found.state, hosts.HostState.LIVE)
-        self.assertEqual(found.address, '127.0.0.1:7201')
+        self.standin.board.set([HOST], 0.0)
+        [listed] = await self.list.fetch()
+        self.assertEqual(listed.kind, hosts.HostKind.UPSTREAM)
+        self.assertEqual(listed.state, hosts.HostState.LIVE)
+        self.assertEqual(listed.address, '127.0.0.1:7201')
 
     async def test_malformed(self):
-        for wrong in ({'name': 'x'}, PLAIN | {'state': 'fine'}, 'text'):
-            with self.subTest(wrong):
-                self.standin.board.set([wrong], 0.0)
+        for malformed in ({'name': 'x'}, HOST | {'state': 'fine'}, 'text'):
+            with self.subTest(malformed):
+                self.standin.board.set([malformed], 0.0)
                 with self.assertRaises(error.PlatformProtocolError):
                     await self.list.fetch()
 
--- a/tests/quetzalsill/platform/test_lease.py
+++ b/tests/quetzalsill/platform/test_lease.py
@@ -156,16 +156,16 @@
         self.gate.drop_done()
         return next(c for c in self.gate.calls if not c.answer.done())
 
-    async def let_through(self, count):
+    async def complete_calls(self, count):
         for _ in range(count):
             call = await self.next_call()
             call.effect()
             call.deliver()
         await gated.settle()
 
-    async def run_through(self, lease_call, count):
+    async def run_with_calls(self, lease_call, count):
         task = asyncio.create_task(lease_call)
-        await self.let_through(count)
+        await self.complete_calls(count)
         return await task
 
     async def test_answer_that_comes_late(self):
@@ -175,21 +175,21 @@
         the answer would believe in its lease after they have taken it.
         """
         task = asyncio.create_task(self.first.acquire())
-        await self.let_through(1)
+        await self.complete_calls(1)
         write = await self.next_call()
         write.effect()
-        seen = asyncio.create_task(self.second.acquire())
+        second_acquire = asyncio.create_task(self.second.acquire())
         await gated.settle()
         read = self.gate.calls[-1]
         read.effect()
         read.deliver()
-        self.assertFalse(await seen)
+        self.assertFalse(await second_acquire)
         self.now += 0.85 * TTL_S
         write.deliver()
         self.assertTrue(await task)
         self.assertTrue(self.first.valid())
         self.now += 0.2 * TTL_S
-        self.assertTrue(await self.run_through(self.second.acquire(), 2))
+        self.assertTrue(await self.run_with_calls(self.second.acquire(), 2))
         self.assertFalse(self.first.valid())
 
     async def test_renewal_without_effect_extends_nothing(self):
@@ -198,19 +198,19 @@
         That row is the holder's own, yet others count from when it was
         written. To take it for the renewal would leave two holders.
         """
-        self.assertTrue(await self.run_through(self.first.acquire(), 2))
-        self.assertFalse(await self.run_through(self.second.acquire(), 1))
+        self.assertTrue(await self.run_with_calls(self.first.acquire(), 2))
+        self.assertFalse(await self.run_with_calls(self.second.acquire(), 1))
         self.now += 0.85 * TTL_S
         task = asyncio.create_task(self.first.renew())
         write = await self.next_call()
         write.lose()
-        await self.let_through(1)
+        await self.complete_calls(1)
         self.assertTrue(await task)
         self.now += 0.2 * TTL_S
-        self.assertTrue(await self.run_through(self.second.acquire(), 2))
+        self.assertTrue(await self.run_with_calls(self.second.acquire(), 2))
         self.assertFalse(self.first.valid())
         write.effect()
-        self.assertTrue(await self.run_through(self.second.renew(), 1))
+        self.assertTrue(await self.run_with_calls(self.second.renew(), 1))
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/quetzalsill/plugin/test_registry.py
+++ b/tests/quetzalsill/plugin/test_registry.py
@@ -12,7 +12,7 @@
 from quetzalsill.plugin import error, registry
 
 ROLES = ('gateway', 'router', 'sidecar')
-LOAD = """
+LOAD_SCRIPT = """
 import sys
 from quetzalsill.plugin import registry
 registry.REGISTRY.load()
@@ -21,11 +21,13 @@
 """
 
 
-def entry(module):
-    fake = mock.create_autospec(importlib.metadata.EntryPoint, instance=True)
-    fake.load.return_value = module
-    fake.name, fake.value = 'fake', 'fake.plugin'
-    return fake
+def make_entry_point(module):
+    entry_point = mock.create_autospec(
+        importlib.metadata.EntryPoint, instance=True
+    )
+    entry_point.load.return_value = module
+    entry_point.name, entry_point.value = 'fake', 'fake.plugin'
+    return entry_point
 
 
 class RegistryTest(unittest.TestCase):
@@ -55,7 +57,9 @@
 
     def load(self, module):
         with mock.patch.object(
-            importlib.metadata, 'entry_points', return_value=[entry(module)]
+            importlib.metadata,
+            'entry_points',
+            return_value=[make_entry_point(module)],
         ):
             self.registry.load()
 
@@ -67,10 +71,10 @@
 
     def test_a_role_that_does_not_run_is_not_loaded(self):
         """A sidecar comes back late: it loads the code of all other roles."""
-        printed = subprocess.run(
-            [sys.executable, '-c', LOAD], check=True, capture_output=True
+        output = subprocess.run(
+            [sys.executable, '-c', LOAD_SCRIPT], check=True, capture_output=True
         ).stdout
-        self.assertEqual(printed.decode().splitlines(), [' '.join(ROLES), ''])
+        self.assertEqual(output.decode().splitlines(), [' '.join(ROLES), ''])
 
     def test_names_a_module_that_does_not_register(self):
         with self.assertRaisesRegex(error.PluginLoadError, 'fake.plugin'):
--- a/tests/quetzalsill/schema/test_check.py
+++ b/tests/quetzalsill/schema/test_check.py
@@ -56,10 +56,13 @@
 class CheckTest(unittest.TestCase):
     """What fits is built, and every fault of what does not is told."""
 
-    def faults(self, value):
+    def errors_of(self, value):
         with self.assertRaises(error.InvalidDocumentError) as caught:
             check.check(Outer, value, 'f.json')
-        return {fault.path: fault for fault in caught.exception.exceptions}
+        return {
+            invalid_key.path: invalid_key
+            for invalid_key in caught.exception.exceptions
+        }
 
     def test_builds_what_fits(self):
         built = check.check(
@@ -69,7 +72,7 @@
         self.assertIsInstance(built.named['a'].ratio, float)
 
     def test_tells_all_faults_at_once(self):
-        found = self.faults(
+        found = self.errors_of(
             {
                 'token': 'secret-value',
                 'inner': {'ratio': float('nan'), 'words': ['x', 'Y', 3]},
@@ -93,28 +96,28 @@
 
     def test_masks_secrets(self):
         for value in ('secret-value', ['secret-value'], {'x': 'secret-value'}):
-            fault = self.faults({'count': 1, 'token': value})['token']
-            self.assertNotIn('secret-value', str(fault))
+            invalid_key = self.errors_of({'count': 1, 'token': value})['token']
+            self.assertNotIn('secret-value', str(invalid_key))
 
     def test_booleans_and_fractions_are_not_integers(self):
         for value in (True, 1.0, '1', None, 0):
-            self.assertIn('count', self.faults({'count': value}))
+            self.assertIn('count', self.errors_of({'count': value}))
 
     def test_refuses_numbers_that_floats_cannot_hold(self):
         for value in (10**400, float('inf'), False):
             self.assertIn(
                 'inner.ratio',
-                self.faults({'count': 1, 'inner': {'ratio': value}}),
+                self.errors_of({'count': 1, 'inner': {'ratio': value}}),
             )
 
     def test_refuses_half_surrogates(self):
         words = json.loads('["\\ud800"]')
-        found = self.faults({'count': 1, 'inner': {'words': words}})
+        found = self.errors_of({'count': 1, 'inner': {'words': words}})
         self.assertIn('inner.words[0]', found)
 
     def test_keeps_a_bounded_number_of_faults(self):
         unknown = {f'key{index}': 0 for index in range(10_000)}
-        self.assertLessEqual(len(self.faults(unknown)), 100)
+        self.assertLessEqual(len(self.errors_of(unknown)), 100)
 
     def test_faults_stay_typed_when_split(self):
         """`except*` takes a group apart; the rest must keep its type."""
--- a/tests/quetzalsill/schema/test_load.py
+++ b/tests/quetzalsill/schema/test_load.py
@@ -39,7 +39,7 @@
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / 'settings.json'
 
-    def refusal(self, data):
+    def load_error(self, data):
         self.path.write_bytes(data)
         with self.assertRaises(error.InvalidDocumentError) as caught:
             load.load_file(_Settings, str(self.path))
@@ -60,11 +60,11 @@
         check.check(model.Configuration, load.parse_text(text, 'e'), 'e')
 
     def test_refuses_what_is_no_document(self):
-        self.assertIn('Unexpected', self.refusal(b'{"node": }'))
-        self.assertIn('UTF-8', self.refusal(b'\xff'))
-        self.assertIn('too deep', self.refusal(b'[' * 100_000))
-        self.assertIn('twice', self.refusal(b'{"node": 1, "node": 2}'))
-        self.assertIn('twice', self.refusal(b'{node: 1, node: 2}'))
+        self.assertIn('Unexpected', self.load_error(b'{"node": }'))
+        self.assertIn('UTF-8', self.load_error(b'\xff'))
+        self.assertIn('too deep', self.load_error(b'[' * 100_000))
+        self.assertIn('twice', self.load_error(b'{"node": 1, "node": 2}'))
+        self.assertIn('twice', self.load_error(b'{node: 1, node: 2}'))
 
     def test_refuses_a_missing_file(self):
         with self.assertRaises(error.InvalidDocumentError) as caught:
