--- a/tests/quetzalsill/config/test_document.py
+++ b/tests/quetzalsill/config/test_document.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration's document, differences and references."""
+"""Tests of documents, differences and references of the configuration."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    """A document is the same configuration on every node."""
+    """A document parses to the same configuration on every node."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(CONFIGURATIONS, strategies.integers(0))
@@ -82,7 +82,7 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """Names that lead nowhere are told before a configuration is accepted."""
+    """Invalid references are reported before a configuration is accepted."""
 
     def invalid_paths(self, plain, registry=None):
         registry = registry or plugin_registry.Registry()
@@ -128,10 +128,10 @@
         )
 
     def test_tokens_and_sidecars_belong_to_one(self):
-        """A caller would be charged to another account.
+        """Guards against charging a caller to another account.
 
-        Two accounts hold the digest of the same token, so which of them a
-        request belongs to depends on the order of the table.
+        If two accounts have the digest of the same token, the account of a
+        request depends on the order of the accounts.
         """
         digest = '0' * 64
         upstream = {
--- a/tests/quetzalsill/config/test_follower.py
+++ b/tests/quetzalsill/config/test_follower.py
@@ -18,7 +18,7 @@
 
 
 class _Store:
-    """Has the reading methods of `ConfigStore`."""
+    """Fake with the read methods of `ConfigStore`."""
 
     def __init__(self):
         self.documents = [_render(0.1)]
@@ -36,7 +36,7 @@
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
-    """The follower over a store that answers in the same process."""
+    """The follower with an in-process fake of the store."""
 
     def setUp(self):
         self.store = _Store()
@@ -68,10 +68,10 @@
         await self.wait_for_revision(2)
 
     async def test_goes_on_through_an_outage(self):
-        """The store falls after revision 1 and comes back with revision 2.
+        """The store fails after revision 1 and recovers with revision 2.
 
-        Requests are served under revision 1 throughout, and revision 2 is in
-        force soon after the store is back, without anyone's doing.
+        Revision 1 must stay active during the outage, and revision 2 must be
+        installed after the recovery without intervention.
         """
         self.start_follower(0.01)
         await self.wait_for_revision(1)
@@ -86,10 +86,10 @@
         await self.wait_for_revision(2)
 
     async def test_never_steps_down(self):
-        """A lagging replica of the store answers with an old head.
+        """A lagging replica of the store returns an old head.
 
-        A router that took it would serve requests under a configuration
-        that was replaced before.
+        A router that installed it would serve requests with an outdated
+        configuration.
         """
         self.holder.install(_render(0.3), 5)
         config_follower = follower.Follower(
--- a/tests/quetzalsill/config/test_holder.py
+++ b/tests/quetzalsill/config/test_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in force in a process."""
+"""Tests of `quetzalsill.config.holder`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HolderTest(unittest.IsolatedAsyncioTestCase):
-    """The newest configuration is in force and never steps down."""
+    """The newest configuration is active, and its revision never decreases."""
 
     def test_starts_empty(self):
         held = holder.Holder()
@@ -44,11 +44,11 @@
         self.assertEqual(seen, sorted(set(seen)))
 
     def test_callbacks_see_no_step_back(self):
-        """A part of a process would go back to an old profile.
+        """Guards against a component that reverts to an old profile.
 
-        The first callback fetches and installs a newer revision while an
-        older one is being delivered; the second must not get the older one
-        after the newer.
+        The first callback installs a newer revision while an older one is
+        being delivered; the second callback must not receive the older one
+        after the newer one.
         """
         held, seen = holder.Holder(), []
         held.on_change(lambda _cfg: held.install(document(2), 2))
--- a/tests/quetzalsill/config/test_store.py
+++ b/tests/quetzalsill/config/test_store.py
@@ -18,12 +18,12 @@
 
 
 class _Edit:
-    """An edit that is sent once or several times.
+    """An edit that is published once or several times.
 
     Attributes:
-      sendings: How often it was sent.
-      doubtful: A sending may still take effect, as its sender was told.
-      refused: The sender was told that it will never take effect.
+      sendings: How many times it was published.
+      doubtful: Its outcome was reported as unknown: it may still take effect.
+      refused: It was reported that it will never take effect.
     """
 
     def __init__(self, name):
@@ -188,7 +188,7 @@
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """The store over the stand-in, through real connections."""
+    """The store with the platform stand-in, over real connections."""
 
     async def asyncSetUp(self):
         self.standin = await standin.start(self, 'all')
@@ -205,7 +205,7 @@
         )
 
     def after_put(self, action):
-        """Runs an action between an edit's document and its transaction."""
+        """Runs an action after an edit's document is stored."""
         put = self.clients.objects.put
 
         async def put_then_act(*args):
@@ -228,11 +228,11 @@
             await self.store.load(4)
 
     async def test_three_racing_operators(self):
-        """Three operators save different edits of revision 0 at once.
+        """Three operators publish different edits of revision 0 concurrently.
 
-        Each is told at once whether theirs is in force: one is, two get the
-        revision that beat them. Without the condition on the head's version
-        the last to write would silently undo the others.
+        Exactly one edit is accepted; the two others fail with the current
+        revision. Without the condition on the head's version the last write
+        would silently overwrite the others.
         """
         outcomes = await asyncio.gather(
             *(self.publish(f'edit-{i}', 0) for i in range(3)),
@@ -248,12 +248,12 @@
         self.assertEqual(await self.store.load(1), f'edit-{winner}'.encode())
 
     async def test_answer_lost_after_the_write(self):
-        """An operator's edit is accepted, but the store's answer is lost.
+        """An edit is accepted, but the store's response is lost.
 
-        The operator must be told that it is in force, not that it failed:
-        sent again as new, it would meet its own revision and look like a
-        conflict with somebody else. Both the document's and the head's
-        writes lose their answer here.
+        It must be reported as accepted, not as failed: if the operator sent it
+        again as a new edit, it would conflict with its own revision. The
+        responses to the write of the document and to that of the head are
+        lost here.
         """
         self.switches.lose_answers = 1
         self.assertEqual(await self.publish('first', 0), 1)
@@ -263,10 +263,10 @@
         self.assertEqual(self.counts['conflict'], 1)
 
     async def test_write_that_takes_effect_late(self):
-        """A slow store applies an edit after the operator's call timed out.
+        """A slow store applies an edit after the call has timed out.
 
-        To find the head unmoved in between and report that the edit was not
-        accepted would become untrue a moment later.
+        The head is still unchanged after the timeout; reporting the edit as
+        rejected at this point would be wrong.
         """
         self.after_put(lambda: setattr(self.switches, 'slow_s', 2 * TIMEOUT_S))
         task = asyncio.create_task(self.publish('slow', 0))
@@ -278,10 +278,10 @@
         self.assertEqual((await self.store.head()).edit, 'slow')
 
     async def test_store_down(self):
-        """An operator edits while the store is down.
+        """An operator publishes an edit while the store is down.
 
-        They are told at once that nothing was accepted, and the same edit
-        goes through once the store is back.
+        The call must report that nothing was accepted, and the same edit must
+        succeed after the store has recovered.
         """
         self.switches.down = True
         with self.assertRaises(error.PlatformUnavailableError):
@@ -290,10 +290,10 @@
         self.assertEqual(await self.publish('patient', 0), 1)
 
     async def test_store_lost_for_good_in_mid_edit(self):
-        """The store dies between the head's write and its answer.
+        """The store fails after the head is written, before it responds.
 
-        The operator learns that the outcome is unknown, with the edit's id
-        and what to do; the same edit sent again gives the settled outcome.
+        The outcome must be reported as unknown, together with the edit's id;
+        publishing the same edit again returns the final outcome.
         """
 
         def lose_then_disconnect():
