--- a/tests/quetzalsill/platform/gated.py
+++ b/tests/quetzalsill/platform/gated.py
@@ -1,4 +1,4 @@
-"""A table and an object store whose calls a test lets through one by one."""
+"""Fakes of table and object store whose calls are controlled by a test."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Call:
-    """One call: its effect and its answer are separate events."""
+    """A call whose effect and response are separate events."""
 
     def __init__(self, apply, is_write):
         self.effected = False
@@ -25,7 +25,7 @@
         self._failure = None
 
     def effect(self):
-        """Takes effect in the store, whether or not anyone still waits."""
+        """Applies the call to the store, even if its caller has given up."""
         self.effected = True
         try:
             self._result = self._apply()
@@ -33,38 +33,38 @@
             self._failure = exc
 
     def deliver(self):
-        """Answers with what the effect gave."""
+        """Returns the result of the effect to the caller."""
         if self._failure is not None:
             self.answer.set_exception(self._failure)
         else:
             self.answer.set_result(self._result)
 
     def lose(self):
-        """Loses the answer; a write may take effect before or after."""
+        """Loses the response; a write may take effect before or after."""
         lost = error.PlatformAnswerLostError
         unanswered = error.PlatformUnavailableError
         self.answer.set_exception((lost if self._is_write else unanswered)())
 
     def refuse(self):
-        """Answers that the store is unavailable; there is no effect."""
+        """Reports the store as unavailable; the call has no effect."""
         self.effected = True
         self.answer.set_exception(error.PlatformUnavailableError())
 
 
 class Gate:
-    """All calls that are not done with."""
+    """Queue of the calls whose effect or response is pending."""
 
     def __init__(self):
         self.calls = []
 
     async def call(self, apply, is_write):
-        """Waits for the test to answer."""
+        """Enqueues a call and waits until the test answers it."""
         pending = Call(apply, is_write)
         self.calls.append(pending)
         return await pending.answer
 
     def drop_done(self):
-        """Forgets calls that have had both effect and answer."""
+        """Removes calls that have had both their effect and their response."""
         self.calls = [
             call
             for call in self.calls
@@ -73,7 +73,7 @@
 
 
 class GatedTable:
-    """Has the methods of `platform.table.Table`."""
+    """Fake with the methods of `platform.table.Table`."""
 
     def __init__(self, gate, rows=None):
         self.rows = standin_table.Rows() if rows is None else rows
@@ -94,7 +94,7 @@
 
 
 class GatedObjects:
-    """Has the methods of `platform.objects.Objects`."""
+    """Fake with the methods of `platform.objects.Objects`."""
 
     def __init__(self, gate):
         self.objects = {}
@@ -113,6 +113,6 @@
 
 
 async def settle():
-    """Runs every task as far as it gets without an answer."""
+    """Runs all tasks until they wait for a response."""
     for _ in range(EVENT_LOOP_PASSES):
         await asyncio.sleep(0)
--- a/tests/quetzalsill/platform/standin.py
+++ b/tests/quetzalsill/platform/standin.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in inside the process of a test."""
+"""Runs the platform stand-in in the test process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def start(case, part):
-    """Serves a part of the platform until the test ends."""
+    """Serves one part of the platform until the test ends."""
     standin = serve.StandIn(part)
     await standin.start()
     case.addAsyncCleanup(standin.stop)
@@ -19,13 +19,13 @@
 
 
 async def open_clients(case, url, timeout_s):
-    """Opens the clients of a platform until the test ends."""
+    """Opens platform clients that are closed when the test ends."""
     cfg = section.Platform(url, url, url, timeout_s)
     return await case.enterAsyncContext(clients.open_clients(cfg))
 
 
 def transact(rows, conditions, writes):
-    """Runs a transaction on rows, with the errors of `platform.table`."""
+    """Runs a transaction; raises the errors of `platform.table`."""
     try:
         return rows.transact(conditions, writes)
     except standin_table.ConflictError as exc:
--- a/tests/quetzalsill/platform/test_exchange.py
+++ b/tests/quetzalsill/platform/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of `quetzalsill.platform.exchange` through the clients."""
+"""Tests of `quetzalsill.platform.exchange` through the platform clients."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ExchangeTest(unittest.IsolatedAsyncioTestCase):
-    """Clients over the stand-in, through real connections."""
+    """Clients with the platform stand-in, over real connections."""
 
     async def asyncSetUp(self):
         self.standin = await standin.start(self, 'all')
@@ -69,11 +69,11 @@
         self.assertIsNone(await objects.get('a/ü'))
 
     async def test_answer_lost_after_the_write(self):
-        """The store takes a write and the connection drops unanswered.
+        """The store applies a write and closes the connection unanswered.
 
-        The caller must not be told that nothing was written: it would write
-        again, or refuse as not run what is journalled. Nor may the client
-        send it again by itself.
+        The client must not report that nothing was written: the caller would
+        write again, or reject a journalled request as not run. The client must
+        not retry the write itself either.
         """
         self.switches.lose_answers = 1
         with self.assertRaises(error.PlatformAnswerLostError):
@@ -84,11 +84,11 @@
         self.assertTrue(self.clients.health.up)
 
     async def test_store_down(self):
-        """The store refuses every call for a while.
+        """The store rejects every call for a while.
 
-        Writes are known to have no effect, patient requests can be refused
-        at once by the store's health without a call of their own, and the
-        health recovers with the store, without traffic.
+        Writes must be reported as having no effect, the health state must let
+        requests be rejected without a call, and it must recover with the store
+        without traffic.
         """
         self.switches.down = True
         with self.assertRaises(error.PlatformUnavailableError):
@@ -100,9 +100,9 @@
         self.assertIsNone(await self.table.get('t', 'row'))
 
     async def test_store_refuses_connections(self):
-        """The store's process is gone; its port refuses.
+        """The store's process has stopped; its port refuses connections.
 
-        Nothing can have been written, so a write is not in doubt.
+        Nothing can have been written, so the outcome of a write is known.
         """
         await self.standin.stop()
         with self.assertRaises(error.PlatformUnavailableError):
@@ -110,11 +110,11 @@
         await self.wait_for_health(up=False)
 
     async def test_silent_connections(self):
-        """Open connections to the store go silent; new ones work.
+        """Open connections to the store stop responding; new ones work.
 
-        The kept-alive connections of a busy client are all dead at once, and
-        nothing closes them. One read finds out by its timeout and is answered
-        by its second attempt; no later call meets one of the dead ones.
+        All keep-alive connections of a client are dead at once without being
+        closed. One read must time out and succeed on its second attempt; no
+        later call may use one of the dead connections.
         """
         reads = [self.table.get('t', str(i)) for i in range(8)]
         await asyncio.gather(*reads)
@@ -127,10 +127,11 @@
         self.assertTrue(self.clients.health.up)
 
     async def test_write_on_a_silent_connection(self):
-        """A write meets a connection that went silent.
+        """A write is sent on a connection that has stopped responding.
 
-        Whether it arrived can't be known here, so it is reported as in doubt
-        within its timeout, and the next call dials anew.
+        The client cannot know whether it arrived, so it must report an unknown
+        outcome within the timeout, and the next call must open a new
+        connection.
         """
         await self.table.get('t', 'row')
         self.standin.faults.mute_open()
@@ -139,10 +140,10 @@
         self.assertEqual(await self.table.transact(CREATE, WRITE), [1])
 
     async def test_store_silent(self):
-        """The store accepts connections and never answers.
+        """The store accepts connections and never responds.
 
-        Every call ends within its timeout, the probes keep trying, and the
-        health turns down and up again.
+        Every call must end within its timeout, the probes must continue, and
+        the health state must change to down and back to up.
         """
         self.switches.silent = True
         with self.assertRaises(error.PlatformUnavailableError):
@@ -152,10 +153,10 @@
         await self.wait_for_health(up=True)
 
     async def test_answer_cut_in_the_middle(self):
-        """A server says 100 bytes, sends half of them and closes.
+        """A server announces 100 bytes, sends fewer of them and closes.
 
-        Half a journal must not be read as a whole one; half an answer to a
-        write tells nothing of its effect.
+        A truncated journal must not be read as complete, and a truncated
+        response to a write leaves its outcome unknown.
         """
 
         async def respond_partially(reader, writer):
@@ -175,7 +176,7 @@
 
 
 class PauseTest(unittest.IsolatedAsyncioTestCase):
-    """A store that answers, and a process that is paused right behind."""
+    """The process is paused right after the store has responded."""
 
     async def asyncSetUp(self):
         self.server = await asyncio.start_server(self.serve, '127.0.0.1', 0)
@@ -199,12 +200,12 @@
         writer.close()
 
     async def test_an_answer_that_comes_as_its_time_ends(self):
-        """A plan is refused for a store that has answered."""
+        """Guards against rejecting a request although the store responded."""
         row = await self.clients.table.get('t', 'row')
         self.assertEqual(row, table.Row(1, 7))
 
     async def test_a_write_that_is_answered_as_its_time_ends(self):
-        """A write that took effect counts as one that may be lost."""
+        """Guards against reporting an applied write as possibly lost."""
         versions = await self.clients.table.transact(CREATE, WRITE)
         self.assertEqual(versions, [1])
 
--- a/tests/quetzalsill/platform/test_health.py
+++ b/tests/quetzalsill/platform/test_health.py
@@ -8,7 +8,7 @@
 
 
 class StoreHealthTest(unittest.IsolatedAsyncioTestCase):
-    """The state alone; `test_exchange` has it with its probes."""
+    """The state without probes; `test_exchange` tests the probes."""
 
     def setUp(self):
         self.now = 100.0
--- a/tests/quetzalsill/platform/test_hosts.py
+++ b/tests/quetzalsill/platform/test_hosts.py
@@ -18,7 +18,7 @@
 
 
 class HostListTest(unittest.IsolatedAsyncioTestCase):
-    """The client over the stand-in; the lag on a clock of the test."""
+    """The client with the stand-in; its lag, with a fake clock."""
 
     async def asyncSetUp(self):
         self.standin = await standin.start(self, 'hosts')
--- a/tests/quetzalsill/platform/test_lease.py
+++ b/tests/quetzalsill/platform/test_lease.py
@@ -140,7 +140,7 @@
 
 
 class TimingTest(unittest.IsolatedAsyncioTestCase):
-    """Two holders whose calls the test lets through one by one."""
+    """Two holders whose calls are completed one by one by the test."""
 
     def setUp(self):
         self.now = 0.0
@@ -169,10 +169,11 @@
         return await task
 
     async def test_answer_that_comes_late(self):
-        """A holder's acquisition takes effect, its answer comes 0.85 s later.
+        """An acquisition takes effect; its response arrives 0.85 s later.
 
-        Others judge from when they saw the write. A holder that counted from
-        the answer would believe in its lease after they have taken it.
+        Others measure the TTL from when they read the write. A holder that
+        measured it from the response would consider its lease valid after
+        another process has taken it.
         """
         task = asyncio.create_task(self.first.acquire())
         await self.complete_calls(1)
@@ -193,10 +194,10 @@
         self.assertFalse(self.first.valid())
 
     async def test_renewal_without_effect_extends_nothing(self):
-        """A renewal is lost on its way; reading back shows the write before.
+        """A renewal is lost; reading back returns the previous write.
 
-        That row is the holder's own, yet others count from when it was
-        written. To take it for the renewal would leave two holders.
+        That row is the holder's own, but others measure the TTL from when it
+        was written. Mistaking it for the renewal would result in two holders.
         """
         self.assertTrue(await self.run_with_calls(self.first.acquire(), 2))
         self.assertFalse(await self.run_with_calls(self.second.acquire(), 1))
@@ -214,7 +215,7 @@
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
-    """Leases over the stand-in; only their clock is the test's."""
+    """Leases with the platform stand-in and a fake clock."""
 
     async def asyncSetUp(self):
         self.now = 0.0
@@ -241,11 +242,12 @@
         self.assertEqual(self.second.fence, 2)
 
     async def test_paused_holder_wakes(self):
-        """A sidecar is paused, its lease lapses and another one takes over.
+        """A sidecar is paused, its lease expires and another one takes over.
 
-        The engine would get orders from both if the first went on where it
-        stopped. It wakes with its own clock past its deadline, so it stops
-        itself, and its fence is below the new one's.
+        If the first continued after the pause, the engine would receive
+        commands from both. Its own clock must be past the deadline when it
+        resumes, so its lease is invalid, and its fence must be lower than that
+        of the new holder.
         """
         await self.first.acquire()
         self.assertFalse(await self.second.acquire())
@@ -256,10 +258,10 @@
         self.assertFalse(await self.first.renew())
 
     async def test_answer_of_acquire_lost(self):
-        """The store takes the acquisition and loses its answer.
+        """The store applies the acquisition, but its response is lost.
 
-        A holder that did not find its own write would wait a whole TTL for
-        itself to lapse, and its upstream would get no orders meanwhile.
+        A holder that did not recognize its own write would wait for a full TTL
+        until it expired, and its upstream would receive no commands meanwhile.
         """
         self.standin.faults.switches.lose_answers = 1
         self.assertTrue(await self.first.acquire())
@@ -268,10 +270,10 @@
         self.assertTrue(await self.first.renew())
 
     async def test_store_down_lets_the_lease_lapse(self):
-        """The store falls and the holder can't renew.
+        """The store fails and the holder cannot renew its lease.
 
-        Its lease stays valid until its deadline, which lies before the time
-        at which others may take it, and not a moment longer.
+        The lease must stay valid until its deadline, which precedes the time
+        at which others may take it, and no longer.
         """
         await self.first.acquire()
         self.standin.faults.switches.down = True
