--- a/tests/quetzalsill/plugin/test_registry.py
+++ b/tests/quetzalsill/plugin/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the plug-in registry."""
+"""Tests of `quetzalsill.plugin.registry`."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RegistryTest(unittest.TestCase):
-    """Plug-ins register themselves once, by kind and name."""
+    """Plug-ins are registered once, by kind and name."""
 
     def setUp(self):
         self.registry = registry.Registry()
@@ -70,7 +70,7 @@
         module.register.assert_called_once_with(self.registry)
 
     def test_a_role_that_does_not_run_is_not_loaded(self):
-        """A sidecar comes back late: it loads the code of all other roles."""
+        """Guards against slow restarts that import the code of every role."""
         output = subprocess.run(
             [sys.executable, '-c', LOAD_SCRIPT], check=True, capture_output=True
         ).stdout
