--- a/tests/quetzalsill/schema/test_check.py
+++ b/tests/quetzalsill/schema/test_check.py
@@ -1,4 +1,4 @@
-"""Tests of the check of parsed JSON against declared keys."""
+"""Tests of the validation of parsed JSON against declared keys."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    """What fits is built, and every fault of what does not is told."""
+    """Valid values are converted; all errors of invalid ones are reported."""
 
     def errors_of(self, value):
         with self.assertRaises(error.InvalidDocumentError) as caught:
@@ -120,7 +120,7 @@
         self.assertLessEqual(len(self.errors_of(unknown)), 100)
 
     def test_faults_stay_typed_when_split(self):
-        """`except*` takes a group apart; the rest must keep its type."""
+        """`except*` splits a group; each part must keep the type."""
         with self.assertRaises(error.InvalidDocumentError) as caught:
             check.check(Outer, {'x': 1}, 'f.json')
         matched, _ = caught.exception.split(error.InvalidKeyError)
--- a/tests/quetzalsill/schema/test_load.py
+++ b/tests/quetzalsill/schema/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of reading and of showing documents with comments."""
+"""Tests of parsing and generating documents with comments."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Settings:
-    """All shared sections together."""
+    """Settings with all shared sections."""
 
     node: section.Node = section.key('Identity.')
     listen: section.Listen = section.key('Address.', factory=section.Listen)
@@ -32,7 +32,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Files with comments are read, and all else is told with its file."""
+    """Files with comments are read; errors name the file."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
