--- a/tests/quetzalsill/daemon/test_background.py
+++ b/tests/quetzalsill/daemon/test_background.py
@@ -1,4 +1,4 @@
-"""Tests of work in the background."""
+"""Tests of `quetzalsill.daemon.background`."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class KeepRunningTest(unittest.IsolatedAsyncioTestCase):
-    """A loop that fails must not end for good."""
+    """A loop that fails is restarted."""
 
     async def test_runs_again_after_a_fault_until_cancelled(self):
-        """A router goes on with its old configuration for ever.
+        """Guards against a router that keeps an old configuration forever.
 
-        Its follower meets a fault of our own and its task ends; nobody looks
-        at the task before the process stops.
+        The follower fails because of a bug and its task ends; nothing awaits
+        the task before the process stops.
         """
         third_run = asyncio.Event()
 
         async def work() -> None:
             if runs.call_count == 1:
-                raise ValueError('a fault of our own')
+                raise ValueError('simulated bug')
             if runs.call_count == 3:
                 third_run.set()
                 await asyncio.Event().wait()
--- a/tests/quetzalsill/daemon/test_command.py
+++ b/tests/quetzalsill/daemon/test_command.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Settings:
-    """Settings of a small role."""
+    """Settings of a minimal role."""
 
     node: section.Node = section.key('Identity.')
     telemetry: section.Telemetry = section.key(
@@ -32,7 +32,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    """Settings are checked whole before anything starts."""
+    """Settings are validated completely before anything starts."""
 
     def setUp(self):
         self.run_role = mock.AsyncMock()
