--- a/packages/quetzalsill/src/quetzalsill/config/store.py
+++ b/packages/quetzalsill/src/quetzalsill/config/store.py
@@ -216,17 +216,17 @@
         one of them takes effect. Once one of them or an edit by someone else
         has taken effect, the remaining copies never can.
         """
-        in_doubt = False
-        async for _ in self._retries(deadline):
+        outcome_unknown = False
+        async for _ in self._attempts(deadline):
             try:
                 await self._transact(entry, current)
                 return entry.revision
             except error.ConditionFailedError:
                 return await self._resolve_conflict(entry, deadline)
             except error.PlatformAnswerLostError:
-                in_doubt = True
+                outcome_unknown = True
             except error.PlatformError:
-                if not in_doubt:
+                if not outcome_unknown:
                     raise
         raise OutcomeUnknownEditError(entry.edit, entry.revision - 1)
 
@@ -234,7 +234,7 @@
         self, entry: revision.Revision, deadline: float
     ) -> int:
         """Finds out why a condition failed; retries until the store replies."""
-        async for _ in self._retries(deadline):
+        async for _ in self._attempts(deadline):
             try:
                 return await self._accepted_or_conflict(entry)
             except error.PlatformUnavailableError:
@@ -263,7 +263,7 @@
         Retrying after a lost response is safe: the key contains the digest of
         the content, so an existing object has the same content.
         """
-        async for _ in self._retries(deadline):
+        async for _ in self._attempts(deadline):
             try:
                 await self._documents.put(entry.document, document, True)
                 return
@@ -273,7 +273,7 @@
                 continue
         raise error.PlatformUnavailableError('the document was not stored')
 
-    async def _retries(self, deadline: float) -> AsyncIterator[None]:
+    async def _attempts(self, deadline: float) -> AsyncIterator[None]:
         """Yields at once, then after increasing delays until the deadline."""
         wait_s = MIN_RETRY_WAIT_S
         yield
