--- a/tests/quetzalsill/config/test_document.py
+++ b/tests/quetzalsill/config/test_document.py
@@ -56,11 +56,11 @@
         self.assertEqual(document.render(parsed), stored)
         self.assertEqual(difference.difference(cfg, parsed), [])
 
-    def test_refuses_what_no_frame_holds(self):
+    def test_rejects_a_document_larger_than_a_frame(self):
         with self.assertRaises(error.InvalidDocumentError):
             document.parse(b' ' * (document.MAX_DOCUMENT_BYTES + 1), 1)
 
-    def test_refuses_comments_in_the_store(self):
+    def test_rejects_comments_in_the_store(self):
         with self.assertRaises(error.InvalidDocumentError):
             document.parse(b'{} // edited', 1)
 
@@ -127,7 +127,7 @@
             self.invalid_paths(plain, registry), ['policies.routing']
         )
 
-    def test_tokens_and_sidecars_belong_to_one(self):
+    def test_tokens_and_sidecars_are_unique(self):
         """Guards against charging a caller to another account.
 
         If two accounts have the digest of the same token, the account of a
--- a/tests/quetzalsill/config/test_follower.py
+++ b/tests/quetzalsill/config/test_follower.py
@@ -60,14 +60,14 @@
         await self.wait_for_revision(2)
         self.assertEqual(self.holder.current.policies.headroom, 0.2)
 
-    async def test_hint_wakes_at_once(self):
+    async def test_hint_triggers_a_poll(self):
         config_follower = self.start_follower(LONG_INTERVAL_S)
         await self.wait_for_revision(1)
         self.store.documents.append(_render(0.2))
         config_follower.hint(2)
         await self.wait_for_revision(2)
 
-    async def test_goes_on_through_an_outage(self):
+    async def test_continues_during_an_outage(self):
         """The store fails after revision 1 and recovers with revision 2.
 
         Revision 1 must stay active during the outage, and revision 2 must be
@@ -85,7 +85,7 @@
         self.store.down = False
         await self.wait_for_revision(2)
 
-    async def test_never_steps_down(self):
+    async def test_ignores_an_older_revision(self):
         """A lagging replica of the store returns an old head.
 
         A router that installed it would serve requests with an outdated
--- a/tests/quetzalsill/config/test_holder.py
+++ b/tests/quetzalsill/config/test_holder.py
@@ -43,7 +43,7 @@
                 self.assertIn(f'p{held.revision}', held.current.profiles)
         self.assertEqual(seen, sorted(set(seen)))
 
-    def test_callbacks_see_no_step_back(self):
+    def test_callbacks_receive_revisions_in_order(self):
         """Guards against a component that reverts to an old profile.
 
         The first callback installs a newer revision while an older one is
@@ -56,7 +56,7 @@
         held.install(document(1), 1)
         self.assertEqual(seen, [1, 2])
 
-    def test_failing_callback_keeps_no_other_part_back(self):
+    def test_failing_callback_does_not_block_the_others(self):
         held, seen = holder.Holder(), []
 
         def fail(_cfg):
@@ -74,7 +74,7 @@
             held.install(b'{"profile": {}}', 2)
         self.assertEqual((held.revision, held.document), (1, document(1)))
 
-    async def test_wait_for_returns_once_in_force(self):
+    async def test_wait_for_returns_once_active(self):
         held = holder.Holder()
         waiter = asyncio.create_task(held.wait_for(3))
         dropped = asyncio.create_task(held.wait_for(2))
--- a/tests/quetzalsill/config/test_store.py
+++ b/tests/quetzalsill/config/test_store.py
@@ -247,7 +247,7 @@
         winner = outcomes.index(1)
         self.assertEqual(await self.store.load(1), f'edit-{winner}'.encode())
 
-    async def test_answer_lost_after_the_write(self):
+    async def test_response_lost_after_the_write(self):
         """An edit is accepted, but the store's response is lost.
 
         It must be reported as accepted, not as failed: if the operator sent it
@@ -289,7 +289,7 @@
         self.switches.down = False
         self.assertEqual(await self.publish('patient', 0), 1)
 
-    async def test_store_lost_for_good_in_mid_edit(self):
+    async def test_store_fails_permanently_during_an_edit(self):
         """The store fails after the head is written, before it responds.
 
         The outcome must be reported as unknown, together with the edit's id;
--- a/tests/quetzalsill/daemon/test_background.py
+++ b/tests/quetzalsill/daemon/test_background.py
@@ -13,7 +13,7 @@
 class KeepRunningTest(unittest.IsolatedAsyncioTestCase):
     """A loop that fails is restarted."""
 
-    async def test_runs_again_after_a_fault_until_cancelled(self):
+    async def test_restarts_after_an_error_until_cancelled(self):
         """Guards against a router that keeps an old configuration forever.
 
         The follower fails because of a bug and its task ends; nothing awaits
--- a/tests/quetzalsill/daemon/test_command.py
+++ b/tests/quetzalsill/daemon/test_command.py
@@ -65,7 +65,7 @@
         self.assertEqual(result.exit_code, Code.OK, result.output)
         self.run_role.assert_awaited_once()
 
-    def test_faults_stand_on_their_own_lines_and_nothing_starts(self):
+    def test_each_error_is_one_line_and_nothing_starts(self):
         self.path.write_text('{"size": 0, "nod": {}, /* twice */ "node": 3}')
         for arguments in (
             ('small', '--settings', str(self.path)),
@@ -77,7 +77,7 @@
             self.assertEqual(len(result.stderr.splitlines()), 3)
         self.run_role.assert_not_called()
 
-    def test_exit_codes_tell_failures_apart(self):
+    def test_exit_codes_distinguish_failures(self):
         self.path.write_text(self.invoke('example-settings', 'small').stdout)
         port_in_use = error.ListenError('port taken')
         for failure, code in (
--- a/tests/quetzalsill/platform/test_exchange.py
+++ b/tests/quetzalsill/platform/test_exchange.py
@@ -68,7 +68,7 @@
         await objects.delete('a/ü')
         self.assertIsNone(await objects.get('a/ü'))
 
-    async def test_answer_lost_after_the_write(self):
+    async def test_response_lost_after_the_write(self):
         """The store applies a write and closes the connection unanswered.
 
         The client must not report that nothing was written: the caller would
@@ -109,7 +109,7 @@
             await self.table.transact(CREATE, WRITE)
         await self.wait_for_health(up=False)
 
-    async def test_silent_connections(self):
+    async def test_unresponsive_connections(self):
         """Open connections to the store stop responding; new ones work.
 
         All keep-alive connections of a client are dead at once without being
@@ -126,7 +126,7 @@
         self.assertEqual(self.counts['silent'], 1)
         self.assertTrue(self.clients.health.up)
 
-    async def test_write_on_a_silent_connection(self):
+    async def test_write_on_an_unresponsive_connection(self):
         """A write is sent on a connection that has stopped responding.
 
         The client cannot know whether it arrived, so it must report an unknown
@@ -139,7 +139,7 @@
             await self.table.transact(CREATE, WRITE)
         self.assertEqual(await self.table.transact(CREATE, WRITE), [1])
 
-    async def test_store_silent(self):
+    async def test_store_does_not_respond(self):
         """The store accepts connections and never responds.
 
         Every call must end within its timeout, the probes must continue, and
@@ -152,7 +152,7 @@
         self.switches.silent = False
         await self.wait_for_health(up=True)
 
-    async def test_answer_cut_in_the_middle(self):
+    async def test_truncated_response(self):
         """A server announces 100 bytes, sends fewer of them and closes.
 
         A truncated journal must not be read as complete, and a truncated
@@ -199,12 +199,12 @@
         await reader.read()
         writer.close()
 
-    async def test_an_answer_that_comes_as_its_time_ends(self):
+    async def test_response_arrives_at_the_timeout(self):
         """Guards against rejecting a request although the store responded."""
         row = await self.clients.table.get('t', 'row')
         self.assertEqual(row, table.Row(1, 7))
 
-    async def test_a_write_that_is_answered_as_its_time_ends(self):
+    async def test_write_is_answered_at_the_timeout(self):
         """Guards against reporting an applied write as possibly lost."""
         versions = await self.clients.table.transact(CREATE, WRITE)
         self.assertEqual(versions, [1])
--- a/tests/quetzalsill/platform/test_health.py
+++ b/tests/quetzalsill/platform/test_health.py
@@ -14,7 +14,7 @@
         self.now = 100.0
         self.health = health.StoreHealth(lambda: self.now)
 
-    def test_one_lost_answer_refuses_nobody(self):
+    def test_one_failure_is_not_an_outage(self):
         self.health.record_failure()
         self.assertTrue(self.health.up)
         self.health.record_success()
@@ -31,7 +31,7 @@
         self.assertTrue(self.health.up)
         self.assertEqual(self.health.changed_at, 103.0)
 
-    def test_advice_grows_with_the_outage_and_is_bounded(self):
+    def test_retry_after_grows_with_the_outage_and_is_bounded(self):
         self.health.record_failure()
         self.health.record_failure()
         self.assertEqual(self.health.retry_after_s(), 1.0)
--- a/tests/quetzalsill/platform/test_lease.py
+++ b/tests/quetzalsill/platform/test_lease.py
@@ -168,7 +168,7 @@
         await self.complete_calls(count)
         return await task
 
-    async def test_answer_that_comes_late(self):
+    async def test_late_response(self):
         """An acquisition takes effect; its response arrives 0.85 s later.
 
         Others measure the TTL from when they read the write. A holder that
@@ -241,7 +241,7 @@
         self.assertTrue(await self.second.acquire())
         self.assertEqual(self.second.fence, 2)
 
-    async def test_paused_holder_wakes(self):
+    async def test_paused_holder_resumes(self):
         """A sidecar is paused, its lease expires and another one takes over.
 
         If the first continued after the pause, the engine would receive
@@ -257,7 +257,7 @@
         self.assertGreater(self.second.fence, self.first.fence)
         self.assertFalse(await self.first.renew())
 
-    async def test_answer_of_acquire_lost(self):
+    async def test_response_to_acquire_lost(self):
         """The store applies the acquisition, but its response is lost.
 
         A holder that did not recognize its own write would wait for a full TTL
@@ -269,7 +269,7 @@
         self.assertEqual(self.standin.faults.counts['lost'], 1)
         self.assertTrue(await self.first.renew())
 
-    async def test_store_down_lets_the_lease_lapse(self):
+    async def test_lease_expires_while_the_store_is_down(self):
         """The store fails and the holder cannot renew its lease.
 
         The lease must stay valid until its deadline, which precedes the time
--- a/tests/quetzalsill/plugin/test_registry.py
+++ b/tests/quetzalsill/plugin/test_registry.py
@@ -43,14 +43,14 @@
         self.assertEqual(self.registry.get('routing', 'a'), 1)
         self.assertEqual(self.registry.plugins('routing')[1].doc, 'Second.')
 
-    def test_names_what_is_known_instead(self):
+    def test_error_lists_the_known_names(self):
         self.registry.add('routing', 'rotate', 1, '')
         with self.assertRaisesRegex(error.UnknownPluginError, 'rotate'):
             self.registry.get('routing', 'rotat')
         with self.assertRaises(error.UnknownPluginError):
             self.registry.add('rooting', 'rotate', 1, '')
 
-    def test_refuses_a_name_twice(self):
+    def test_rejects_a_duplicate_name(self):
         self.registry.add('routing', 'a', 1, '')
         with self.assertRaises(error.DuplicatePluginError):
             self.registry.add('routing', 'a', 2, '')
--- a/tests/quetzalsill/schema/test_check.py
+++ b/tests/quetzalsill/schema/test_check.py
@@ -64,14 +64,14 @@
             for invalid_key in caught.exception.exceptions
         }
 
-    def test_builds_what_fits(self):
+    def test_builds_valid_values(self):
         built = check.check(
             Outer, {'count': 2, 'named': {'a': {'ratio': 1}}}, 'f.json'
         )
         self.assertEqual(built, Outer(2, named={'a': Inner(1.0)}))
         self.assertIsInstance(built.named['a'].ratio, float)
 
-    def test_tells_all_faults_at_once(self):
+    def test_reports_all_errors_at_once(self):
         found = self.errors_of(
             {
                 'token': 'secret-value',
@@ -103,23 +103,23 @@
         for value in (True, 1.0, '1', None, 0):
             self.assertIn('count', self.errors_of({'count': value}))
 
-    def test_refuses_numbers_that_floats_cannot_hold(self):
+    def test_rejects_numbers_that_floats_cannot_represent(self):
         for value in (10**400, float('inf'), False):
             self.assertIn(
                 'inner.ratio',
                 self.errors_of({'count': 1, 'inner': {'ratio': value}}),
             )
 
-    def test_refuses_half_surrogates(self):
+    def test_rejects_unpaired_surrogates(self):
         words = json.loads('["\\ud800"]')
         found = self.errors_of({'count': 1, 'inner': {'words': words}})
         self.assertIn('inner.words[0]', found)
 
-    def test_keeps_a_bounded_number_of_faults(self):
+    def test_limits_the_number_of_errors(self):
         unknown = {f'key{index}': 0 for index in range(10_000)}
         self.assertLessEqual(len(self.errors_of(unknown)), 100)
 
-    def test_faults_stay_typed_when_split(self):
+    def test_error_group_keeps_its_type_when_split(self):
         """`except*` splits a group; each part must keep the type."""
         with self.assertRaises(error.InvalidDocumentError) as caught:
             check.check(Outer, {'x': 1}, 'f.json')
--- a/tests/quetzalsill/schema/test_load.py
+++ b/tests/quetzalsill/schema/test_load.py
@@ -59,14 +59,14 @@
         text = example.example(model.Configuration)
         check.check(model.Configuration, load.parse_text(text, 'e'), 'e')
 
-    def test_refuses_what_is_no_document(self):
+    def test_rejects_malformed_documents(self):
         self.assertIn('Unexpected', self.load_error(b'{"node": }'))
         self.assertIn('UTF-8', self.load_error(b'\xff'))
         self.assertIn('too deep', self.load_error(b'[' * 100_000))
         self.assertIn('twice', self.load_error(b'{"node": 1, "node": 2}'))
         self.assertIn('twice', self.load_error(b'{node: 1, node: 2}'))
 
-    def test_refuses_a_missing_file(self):
+    def test_rejects_a_missing_file(self):
         with self.assertRaises(error.InvalidDocumentError) as caught:
             load.load_file(_Settings, str(self.path))
         self.assertIn('No such file', caught.exception.lines()[0])
