--- a/tests/quetzalsill/config/test_document.py
+++ b/tests/quetzalsill/config/test_document.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration's document, differences and references."""
+"""Tests of documents, differences and references of the configuration."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    """A document is the same configuration on every node."""
+    """A document parses to the same configuration on every node."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(CONFIGURATIONS, strategies.integers(0))
@@ -56,11 +56,11 @@
         self.assertEqual(document.render(parsed), stored)
         self.assertEqual(difference.difference(cfg, parsed), [])
 
-    def test_refuses_what_no_frame_holds(self):
+    def test_rejects_a_document_larger_than_a_frame(self):
         with self.assertRaises(error.InvalidDocumentError):
             document.parse(b' ' * (document.MAX_DOCUMENT_BYTES + 1), 1)
 
-    def test_refuses_comments_in_the_store(self):
+    def test_rejects_comments_in_the_store(self):
         with self.assertRaises(error.InvalidDocumentError):
             document.parse(b'{} // edited', 1)
 
@@ -82,14 +82,14 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """Names that lead nowhere are told before a configuration is accepted."""
+    """Invalid references are reported before a configuration is accepted."""
 
-    def faults(self, plain, registry=None):
+    def invalid_paths(self, plain, registry=None):
         registry = registry or plugin_registry.Registry()
         try:
             reference.check_references(parse(plain), registry)
         except error.InvalidDocumentError as exc:
-            return [fault.path for fault in exc.exceptions]
+            return [invalid_key.path for invalid_key in exc.exceptions]
         return []
 
     def test_names_must_exist(self):
@@ -102,7 +102,7 @@
             'services': ['gone'],
         }
         self.assertEqual(
-            self.faults(
+            self.invalid_paths(
                 {
                     'profiles': {'prompt': {}},
                     'models': {'m': {'profile': 'gone', 'adapters': ['a']}},
@@ -123,13 +123,15 @@
         registry = plugin_registry.Registry()
         registry.add('routing', 'rotate', None, 'In turn.')
         plain = {'policies': {'routing': 'gone', 'fairness': 'gone'}}
-        self.assertEqual(self.faults(plain, registry), ['policies.routing'])
+        self.assertEqual(
+            self.invalid_paths(plain, registry), ['policies.routing']
+        )
 
-    def test_tokens_and_sidecars_belong_to_one(self):
-        """A caller would be charged to another account.
+    def test_tokens_and_sidecars_are_unique(self):
+        """Guards against charging a caller to another account.
 
-        Two accounts hold the digest of the same token, so which of them a
-        request belongs to depends on the order of the table.
+        If two accounts have the digest of the same token, the account of a
+        request depends on the order of the accounts.
         """
         digest = '0' * 64
         upstream = {
@@ -138,7 +140,7 @@
             'availability_zone': 'z',
         }
         self.assertEqual(
-            self.faults(
+            self.invalid_paths(
                 {
                     'profiles': {'prompt': {}},
                     'accounts': {'a': {'token_sha256': [digest]}},
--- a/tests/quetzalsill/config/test_holder.py
+++ b/tests/quetzalsill/config/test_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in force in a process."""
+"""Tests of `quetzalsill.config.holder`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HolderTest(unittest.IsolatedAsyncioTestCase):
-    """The newest configuration is in force and never steps down."""
+    """The newest configuration is active, and its revision never decreases."""
 
     def test_starts_empty(self):
         held = holder.Holder()
@@ -43,12 +43,12 @@
                 self.assertIn(f'p{held.revision}', held.current.profiles)
         self.assertEqual(seen, sorted(set(seen)))
 
-    def test_callbacks_see_no_step_back(self):
-        """A part of a process would go back to an old profile.
+    def test_callbacks_receive_revisions_in_order(self):
+        """Guards against a component that reverts to an old profile.
 
-        The first callback fetches and installs a newer revision while an
-        older one is being delivered; the second must not get the older one
-        after the newer.
+        The first callback installs a newer revision while an older one is
+        being delivered; the second callback must not receive the older one
+        after the newer one.
         """
         held, seen = holder.Holder(), []
         held.on_change(lambda _cfg: held.install(document(2), 2))
@@ -56,7 +56,7 @@
         held.install(document(1), 1)
         self.assertEqual(seen, [1, 2])
 
-    def test_failing_callback_keeps_no_other_part_back(self):
+    def test_failing_callback_does_not_block_the_others(self):
         held, seen = holder.Holder(), []
 
         def fail(_cfg):
@@ -74,7 +74,7 @@
             held.install(b'{"profile": {}}', 2)
         self.assertEqual((held.revision, held.document), (1, document(1)))
 
-    async def test_wait_for_returns_once_in_force(self):
+    async def test_wait_for_returns_once_active(self):
         held = holder.Holder()
         waiter = asyncio.create_task(held.wait_for(3))
         dropped = asyncio.create_task(held.wait_for(2))
--- a/tests/quetzalsill/daemon/test_command.py
+++ b/tests/quetzalsill/daemon/test_command.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Settings:
-    """Settings of a small role."""
+    """Settings of a minimal role."""
 
     node: section.Node = section.key('Identity.')
     telemetry: section.Telemetry = section.key(
@@ -32,17 +32,17 @@
 
 
 class CommandTest(unittest.TestCase):
-    """Settings are checked whole before anything starts."""
+    """Settings are validated completely before anything starts."""
 
     def setUp(self):
         self.run_role = mock.AsyncMock()
-        known = registry.Registry()
-        known.add(
+        plugins = registry.Registry()
+        plugins.add(
             'role', 'small', role.Role('small', _Settings, self.run_role), ''
         )
-        known.load = lambda: None
+        plugins.load = lambda: None
         for target, name, value in (
-            (registry, 'REGISTRY', known),
+            (registry, 'REGISTRY', plugins),
             (log, 'configure', mock.Mock()),
         ):
             patch = mock.patch.object(target, name, value)
@@ -65,7 +65,7 @@
         self.assertEqual(result.exit_code, Code.OK, result.output)
         self.run_role.assert_awaited_once()
 
-    def test_faults_stand_on_their_own_lines_and_nothing_starts(self):
+    def test_each_error_is_one_line_and_nothing_starts(self):
         self.path.write_text('{"size": 0, "nod": {}, /* twice */ "node": 3}')
         for arguments in (
             ('small', '--settings', str(self.path)),
@@ -77,12 +77,12 @@
             self.assertEqual(len(result.stderr.splitlines()), 3)
         self.run_role.assert_not_called()
 
-    def test_exit_codes_tell_failures_apart(self):
+    def test_exit_codes_distinguish_failures(self):
         self.path.write_text(self.invoke('example-settings', 'small').stdout)
-        taken = error.ListenError('port taken')
+        port_in_use = error.ListenError('port taken')
         for failure, code in (
-            (taken, Code.CANNOT_START),
-            (ExceptionGroup('tasks', [taken]), Code.CANNOT_START),
+            (port_in_use, Code.CANNOT_START),
+            (ExceptionGroup('tasks', [port_in_use]), Code.CANNOT_START),
             (ZeroDivisionError(), Code.INTERNAL),
         ):
             self.run_role.side_effect = failure
--- a/tests/quetzalsill/platform/test_exchange.py
+++ b/tests/quetzalsill/platform/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of `quetzalsill.platform.exchange` through the clients."""
+"""Tests of `quetzalsill.platform.exchange` through the platform clients."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.quetzalsill.platform import standin
 
 TIMEOUT_S = 0.5
-BOUND_S = 10.0
-SHORT_S = 0.1
+WAIT_TIMEOUT_S = 10.0
+SHORT_TIMEOUT_S = 0.1
 CREATE = [table.Condition('t', 'row', 0)]
 WRITE = [table.Write('t', 'row', {'n': 1})]
 
 
 class ExchangeTest(unittest.IsolatedAsyncioTestCase):
-    """Clients over the stand-in, through real connections."""
+    """Clients with the platform stand-in, over real connections."""
 
     async def asyncSetUp(self):
         self.standin = await standin.start(self, 'all')
@@ -29,8 +29,8 @@
         self.clients = await standin.open_clients(self, url, TIMEOUT_S)
         self.table = self.clients.table
 
-    async def until_health(self, up):
-        async with asyncio.timeout(BOUND_S):
+    async def wait_for_health(self, up):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while self.clients.health.up is not up:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
@@ -68,12 +68,12 @@
         await objects.delete('a/ü')
         self.assertIsNone(await objects.get('a/ü'))
 
-    async def test_answer_lost_after_the_write(self):
-        """The store takes a write and the connection drops unanswered.
+    async def test_response_lost_after_the_write(self):
+        """The store applies a write and closes the connection unanswered.
 
-        The caller must not be told that nothing was written: it would write
-        again, or refuse as not run what is journalled. Nor may the client
-        send it again by itself.
+        The client must not report that nothing was written: the caller would
+        write again, or reject a journalled request as not run. The client must
+        not retry the write itself either.
         """
         self.switches.lose_answers = 1
         with self.assertRaises(error.PlatformAnswerLostError):
@@ -84,37 +84,37 @@
         self.assertTrue(self.clients.health.up)
 
     async def test_store_down(self):
-        """The store refuses every call for a while.
+        """The store rejects every call for a while.
 
-        Writes are known to have no effect, patient requests can be refused
-        at once by the store's health without a call of their own, and the
-        health recovers with the store, without traffic.
+        Writes must be reported as having no effect, the health state must let
+        requests be rejected without a call, and it must recover with the store
+        without traffic.
         """
         self.switches.down = True
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.transact(CREATE, WRITE)
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
         self.assertGreaterEqual(self.clients.health.retry_after_s(), 1.0)
         self.switches.down = False
-        await self.until_health(up=True)
+        await self.wait_for_health(up=True)
         self.assertIsNone(await self.table.get('t', 'row'))
 
     async def test_store_refuses_connections(self):
-        """The store's process is gone; its port refuses.
+        """The store's process has stopped; its port refuses connections.
 
-        Nothing can have been written, so a write is not in doubt.
+        Nothing can have been written, so the outcome of a write is known.
         """
         await self.standin.stop()
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.transact(CREATE, WRITE)
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
 
-    async def test_silent_connections(self):
-        """Open connections to the store go silent; new ones work.
+    async def test_unresponsive_connections(self):
+        """Open connections to the store stop responding; new ones work.
 
-        The kept-alive connections of a busy client are all dead at once, and
-        nothing closes them. One read finds out by its timeout and is answered
-        by its second attempt; no later call meets one of the dead ones.
+        All keep-alive connections of a client are dead at once without being
+        closed. One read must time out and succeed on its second attempt; no
+        later call may use one of the dead connections.
         """
         reads = [self.table.get('t', str(i)) for i in range(8)]
         await asyncio.gather(*reads)
@@ -126,11 +126,12 @@
         self.assertEqual(self.counts['silent'], 1)
         self.assertTrue(self.clients.health.up)
 
-    async def test_write_on_a_silent_connection(self):
-        """A write meets a connection that went silent.
+    async def test_write_on_an_unresponsive_connection(self):
+        """A write is sent on a connection that has stopped responding.
 
-        Whether it arrived can't be known here, so it is reported as in doubt
-        within its timeout, and the next call dials anew.
+        The client cannot know whether it arrived, so it must report an unknown
+        outcome within the timeout, and the next call must open a new
+        connection.
         """
         await self.table.get('t', 'row')
         self.standin.faults.mute_open()
@@ -138,33 +139,33 @@
             await self.table.transact(CREATE, WRITE)
         self.assertEqual(await self.table.transact(CREATE, WRITE), [1])
 
-    async def test_store_silent(self):
-        """The store accepts connections and never answers.
+    async def test_store_does_not_respond(self):
+        """The store accepts connections and never responds.
 
-        Every call ends within its timeout, the probes keep trying, and the
-        health turns down and up again.
+        Every call must end within its timeout, the probes must continue, and
+        the health state must change to down and back to up.
         """
         self.switches.silent = True
         with self.assertRaises(error.PlatformUnavailableError):
             await self.table.get('t', 'row')
-        await self.until_health(up=False)
+        await self.wait_for_health(up=False)
         self.switches.silent = False
-        await self.until_health(up=True)
+        await self.wait_for_health(up=True)
 
-    async def test_answer_cut_in_the_middle(self):
-        """A server says 100 bytes, sends half of them and closes.
+    async def test_truncated_response(self):
+        """A server announces 100 bytes, sends fewer of them and closes.
 
-        Half a journal must not be read as a whole one; half an answer to a
-        write tells nothing of its effect.
+        A truncated journal must not be read as complete, and a truncated
+        response to a write leaves its outcome unknown.
         """
 
-        async def cut(reader, writer):
+        async def respond_partially(reader, writer):
             await reader.readuntil(b'\r\n\r\n')
             writer.write(b'HTTP/1.1 200 OK\r\ncontent-length: 100\r\n')
             writer.write(b'content-type: application/json\r\n\r\n{"versions":')
             writer.close()
 
-        server = await asyncio.start_server(cut, '127.0.0.1', 0)
+        server = await asyncio.start_server(respond_partially, '127.0.0.1', 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         await self.open_clients(f'http://127.0.0.1:{port}')
@@ -175,7 +176,7 @@
 
 
 class PauseTest(unittest.IsolatedAsyncioTestCase):
-    """A store that answers, and a process that is paused right behind."""
+    """The process is paused right after the store has responded."""
 
     async def asyncSetUp(self):
         self.server = await asyncio.start_server(self.serve, '127.0.0.1', 0)
@@ -183,7 +184,7 @@
         self.addCleanup(self.server.close)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.clients = await standin.open_clients(
-            self, f'http://{host}:{port}', SHORT_S
+            self, f'http://{host}:{port}', SHORT_TIMEOUT_S
         )
 
     async def serve(self, reader, writer):
@@ -194,17 +195,17 @@
             b'content-length: %d\r\n\r\n%s' % (len(body), body)
         )
         if head.startswith((b'GET', b'POST')):
-            time.sleep(2 * SHORT_S)
+            time.sleep(2 * SHORT_TIMEOUT_S)
         await reader.read()
         writer.close()
 
-    async def test_an_answer_that_comes_as_its_time_ends(self):
-        """A plan is refused for a store that has answered."""
+    async def test_response_arrives_at_the_timeout(self):
+        """Guards against rejecting a request although the store responded."""
         row = await self.clients.table.get('t', 'row')
         self.assertEqual(row, table.Row(1, 7))
 
-    async def test_a_write_that_is_answered_as_its_time_ends(self):
-        """A write that took effect counts as one that may be lost."""
+    async def test_write_is_answered_at_the_timeout(self):
+        """Guards against reporting an applied write as possibly lost."""
         versions = await self.clients.table.transact(CREATE, WRITE)
         self.assertEqual(versions, [1])
 
--- a/tests/quetzalsill/plugin/test_registry.py
+++ b/tests/quetzalsill/plugin/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the plug-in registry."""
+"""Tests of `quetzalsill.plugin.registry`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quetzalsill.plugin import error, registry
 
 ROLES = ('gateway', 'router', 'sidecar')
-LOAD = """
+LOAD_SCRIPT = """
 import sys
 from quetzalsill.plugin import registry
 registry.REGISTRY.load()
@@ -21,15 +21,17 @@
 """
 
 
-def entry(module):
-    fake = mock.create_autospec(importlib.metadata.EntryPoint, instance=True)
-    fake.load.return_value = module
-    fake.name, fake.value = 'fake', 'fake.plugin'
-    return fake
+def make_entry_point(module):
+    entry_point = mock.create_autospec(
+        importlib.metadata.EntryPoint, instance=True
+    )
+    entry_point.load.return_value = module
+    entry_point.name, entry_point.value = 'fake', 'fake.plugin'
+    return entry_point
 
 
 class RegistryTest(unittest.TestCase):
-    """Plug-ins register themselves once, by kind and name."""
+    """Plug-ins are registered once, by kind and name."""
 
     def setUp(self):
         self.registry = registry.Registry()
@@ -41,21 +43,23 @@
         self.assertEqual(self.registry.get('routing', 'a'), 1)
         self.assertEqual(self.registry.plugins('routing')[1].doc, 'Second.')
 
-    def test_names_what_is_known_instead(self):
+    def test_error_lists_the_known_names(self):
         self.registry.add('routing', 'rotate', 1, '')
         with self.assertRaisesRegex(error.UnknownPluginError, 'rotate'):
             self.registry.get('routing', 'rotat')
         with self.assertRaises(error.UnknownPluginError):
             self.registry.add('rooting', 'rotate', 1, '')
 
-    def test_refuses_a_name_twice(self):
+    def test_rejects_a_duplicate_name(self):
         self.registry.add('routing', 'a', 1, '')
         with self.assertRaises(error.DuplicatePluginError):
             self.registry.add('routing', 'a', 2, '')
 
     def load(self, module):
         with mock.patch.object(
-            importlib.metadata, 'entry_points', return_value=[entry(module)]
+            importlib.metadata,
+            'entry_points',
+            return_value=[make_entry_point(module)],
         ):
             self.registry.load()
 
@@ -66,11 +70,11 @@
         module.register.assert_called_once_with(self.registry)
 
     def test_a_role_that_does_not_run_is_not_loaded(self):
-        """A sidecar comes back late: it loads the code of all other roles."""
-        printed = subprocess.run(
-            [sys.executable, '-c', LOAD], check=True, capture_output=True
+        """Guards against slow restarts that import the code of every role."""
+        output = subprocess.run(
+            [sys.executable, '-c', LOAD_SCRIPT], check=True, capture_output=True
         ).stdout
-        self.assertEqual(printed.decode().splitlines(), [' '.join(ROLES), ''])
+        self.assertEqual(output.decode().splitlines(), [' '.join(ROLES), ''])
 
     def test_names_a_module_that_does_not_register(self):
         with self.assertRaisesRegex(error.PluginLoadError, 'fake.plugin'):
--- a/tests/quetzalsill/schema/test_check.py
+++ b/tests/quetzalsill/schema/test_check.py
@@ -1,4 +1,4 @@
-"""Tests of the check of parsed JSON against declared keys."""
+"""Tests of the validation of parsed JSON against declared keys."""
 
 from __future__ import annotations
 
@@ -54,22 +54,25 @@
 
 
 class CheckTest(unittest.TestCase):
-    """What fits is built, and every fault of what does not is told."""
+    """Valid values are converted; all errors of invalid ones are reported."""
 
-    def faults(self, value):
+    def errors_of(self, value):
         with self.assertRaises(error.InvalidDocumentError) as caught:
             check.check(Outer, value, 'f.json')
-        return {fault.path: fault for fault in caught.exception.exceptions}
+        return {
+            invalid_key.path: invalid_key
+            for invalid_key in caught.exception.exceptions
+        }
 
-    def test_builds_what_fits(self):
+    def test_builds_valid_values(self):
         built = check.check(
             Outer, {'count': 2, 'named': {'a': {'ratio': 1}}}, 'f.json'
         )
         self.assertEqual(built, Outer(2, named={'a': Inner(1.0)}))
         self.assertIsInstance(built.named['a'].ratio, float)
 
-    def test_tells_all_faults_at_once(self):
-        found = self.faults(
+    def test_reports_all_errors_at_once(self):
+        found = self.errors_of(
             {
                 'token': 'secret-value',
                 'inner': {'ratio': float('nan'), 'words': ['x', 'Y', 3]},
@@ -93,31 +96,31 @@
 
     def test_masks_secrets(self):
         for value in ('secret-value', ['secret-value'], {'x': 'secret-value'}):
-            fault = self.faults({'count': 1, 'token': value})['token']
-            self.assertNotIn('secret-value', str(fault))
+            invalid_key = self.errors_of({'count': 1, 'token': value})['token']
+            self.assertNotIn('secret-value', str(invalid_key))
 
     def test_booleans_and_fractions_are_not_integers(self):
         for value in (True, 1.0, '1', None, 0):
-            self.assertIn('count', self.faults({'count': value}))
+            self.assertIn('count', self.errors_of({'count': value}))
 
-    def test_refuses_numbers_that_floats_cannot_hold(self):
+    def test_rejects_numbers_that_floats_cannot_represent(self):
         for value in (10**400, float('inf'), False):
             self.assertIn(
                 'inner.ratio',
-                self.faults({'count': 1, 'inner': {'ratio': value}}),
+                self.errors_of({'count': 1, 'inner': {'ratio': value}}),
             )
 
-    def test_refuses_half_surrogates(self):
+    def test_rejects_unpaired_surrogates(self):
         words = json.loads('["\\ud800"]')
-        found = self.faults({'count': 1, 'inner': {'words': words}})
+        found = self.errors_of({'count': 1, 'inner': {'words': words}})
         self.assertIn('inner.words[0]', found)
 
-    def test_keeps_a_bounded_number_of_faults(self):
+    def test_limits_the_number_of_errors(self):
         unknown = {f'key{index}': 0 for index in range(10_000)}
-        self.assertLessEqual(len(self.faults(unknown)), 100)
+        self.assertLessEqual(len(self.errors_of(unknown)), 100)
 
-    def test_faults_stay_typed_when_split(self):
-        """`except*` takes a group apart; the rest must keep its type."""
+    def test_error_group_keeps_its_type_when_split(self):
+        """`except*` splits a group; each part must keep the type."""
         with self.assertRaises(error.InvalidDocumentError) as caught:
             check.check(Outer, {'x': 1}, 'f.json')
         matched, _ = caught.exception.split(error.InvalidKeyError)
--- a/tests/quetzalsill/schema/test_load.py
+++ b/tests/quetzalsill/schema/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of reading and of showing documents with comments."""
+"""Tests of parsing and generating documents with comments."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Settings:
-    """All shared sections together."""
+    """Settings with all shared sections."""
 
     node: section.Node = section.key('Identity.')
     listen: section.Listen = section.key('Address.', factory=section.Listen)
@@ -32,14 +32,14 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Files with comments are read, and all else is told with its file."""
+    """Files with comments are read; errors name the file."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / 'settings.json'
 
-    def refusal(self, data):
+    def load_error(self, data):
         self.path.write_bytes(data)
         with self.assertRaises(error.InvalidDocumentError) as caught:
             load.load_file(_Settings, str(self.path))
@@ -59,14 +59,14 @@
         text = example.example(model.Configuration)
         check.check(model.Configuration, load.parse_text(text, 'e'), 'e')
 
-    def test_refuses_what_is_no_document(self):
-        self.assertIn('Unexpected', self.refusal(b'{"node": }'))
-        self.assertIn('UTF-8', self.refusal(b'\xff'))
-        self.assertIn('too deep', self.refusal(b'[' * 100_000))
-        self.assertIn('twice', self.refusal(b'{"node": 1, "node": 2}'))
-        self.assertIn('twice', self.refusal(b'{node: 1, node: 2}'))
+    def test_rejects_malformed_documents(self):
+        self.assertIn('Unexpected', self.load_error(b'{"node": }'))
+        self.assertIn('UTF-8', self.load_error(b'\xff'))
+        self.assertIn('too deep', self.load_error(b'[' * 100_000))
+        self.assertIn('twice', self.load_error(b'{"node": 1, "node": 2}'))
+        self.assertIn('twice', self.load_error(b'{node: 1, node: 2}'))
 
-    def test_refuses_a_missing_file(self):
+    def test_rejects_a_missing_file(self):
         with self.assertRaises(error.InvalidDocumentError) as caught:
             load.load_file(_Settings, str(self.path))
         self.assertIn('No such file', caught.exception.lines()[0])
