--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
@@ -31,7 +31,7 @@
         self.consumed = 0
         self.overflowed = False
         self._pieces = collections.deque([first] if first else [])
-        self._waiting = len(first)
+        self._buffered_bytes = len(first)
         self._open = is_open
         self._max_bytes = max(max_bytes, len(first))
         self._changed = asyncio.Event()
@@ -50,12 +50,12 @@
         if not self._open:
             return
         self._open = not last
-        if self._waiting + len(data) > self._max_bytes:
+        if self._buffered_bytes + len(data) > self._max_bytes:
             self.overflowed = True
             self._open = False
         elif data:
             self._pieces.append(data)
-            self._waiting += len(data)
+            self._buffered_bytes += len(data)
         self._changed.set()
 
     async def pieces(self) -> AsyncIterator[bytes]:
@@ -63,7 +63,7 @@
         while True:
             while self._pieces:
                 data = self._pieces.popleft()
-                self._waiting -= len(data)
+                self._buffered_bytes -= len(data)
                 self.consumed += 1
                 yield data
             if not self._open:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/dispatch_check.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/dispatch_check.py
@@ -13,10 +13,16 @@
     from quetzalsill.wire import message
     from quetzalsill_sidecar.attempt import fence
 
-__all__ = ['SidecarState', 'Refusal', 'find_refusal']
-
-LEAST_RETRY_MS = 100
-NOT_NEGATIVE = ('prompt_tokens', 'max_tokens', 'credit', 'fence', 'engine')
+__all__ = ['Refusal', 'SidecarState', 'find_refusal']
+
+MIN_RETRY_MS = 100
+NON_NEGATIVE_FIELDS = (
+    'prompt_tokens',
+    'max_tokens',
+    'credit',
+    'fence',
+    'engine',
+)
 
 
 @dataclasses.dataclass(slots=True)
@@ -60,7 +66,7 @@
 
 
 def find_refusal(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
     """Returns why the Dispatch is refused, or None if it may be queued.
 
@@ -68,27 +74,27 @@
     that guards new work applies to it.
     """
     for check in RECOVER_CHECKS if dispatch.recover else ALL_CHECKS:
-        verdict = check(dispatch, known)
-        if verdict is not None:
-            return verdict
+        refusal = check(dispatch, sidecar)
+        if refusal is not None:
+            return refusal
     return None
 
 
 def _check_incarnation(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    if dispatch.incarnation == known.incarnation:
+    if dispatch.incarnation == sidecar.incarnation:
         return None
     return Refusal(
         request_error.SupersededError.code,
-        f'this is incarnation {known.incarnation}',
+        f'this is incarnation {sidecar.incarnation}',
     )
 
 
 def _check_kind(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    if dispatch.kind in known.kinds:
+    if dispatch.kind in sidecar.kinds:
         return None
     return Refusal(
         request_error.BadRequestError.code,
@@ -97,12 +103,12 @@
 
 
 def _check_numbers(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
     # With a credit below 0 an attempt runs, never delivers and never ends;
     # lengths below 0 would be planned as memory that it gives back.
-    del known
-    for name in NOT_NEGATIVE:
+    del sidecar
+    for name in NON_NEGATIVE_FIELDS:
         value = getattr(dispatch, name)
         if value < 0:
             return Refusal(
@@ -113,9 +119,9 @@
 
 
 def _check_fence(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    if known.fences.admit(dispatch.request, dispatch.fence):
+    if sidecar.fences.admit(dispatch.request, dispatch.fence):
         return None
     return Refusal(
         request_error.SupersededError.code, f'fence {dispatch.fence} is old'
@@ -123,39 +129,39 @@
 
 
 def _check_leaving(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
     del dispatch
-    if not known.leaving:
+    if not sidecar.leaving:
         return None
-    return Refusal(request_error.UpstreamLeavingError.code, known.leaving)
+    return Refusal(request_error.UpstreamLeavingError.code, sidecar.leaving)
 
 
 def _check_revision(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    if dispatch.revision >= known.revision:
+    if dispatch.revision >= sidecar.revision:
         return None
     return Refusal(
         request_error.StaleRevisionError.code,
-        f'revision {known.revision} is in force',
+        f'revision {sidecar.revision} is in force',
     )
 
 
 def _check_queue(
-    dispatch: message.Dispatch, known: SidecarState
+    dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    wait_ms = known.expected_wait_ms
-    if known.queued >= known.max_queued:
+    wait_ms = sidecar.expected_wait_ms
+    if sidecar.queued >= sidecar.max_queued:
         return Refusal(
             request_error.OverloadedError.code,
             'queue full',
-            max(wait_ms, LEAST_RETRY_MS),
+            max(wait_ms, MIN_RETRY_MS),
         )
     allowed_ms = min(dispatch.queue_ms, dispatch.remaining_ms)
     if wait_ms <= allowed_ms:
         return None
-    retry_ms = max(wait_ms - allowed_ms, LEAST_RETRY_MS)
+    retry_ms = max(wait_ms - allowed_ms, MIN_RETRY_MS)
     return Refusal(
         request_error.OverloadedError.code,
         f'expected wait {wait_ms} ms',
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
@@ -16,7 +16,7 @@
 
 __all__ = ['Attempts']
 
-MARGIN_S = 60.0
+TOMBSTONE_MARGIN_S = 60.0
 MAX_FENCES = 65536
 OUTCOMES = {
     message.Refused: 'refused',
@@ -24,7 +24,7 @@
     message.Finished: 'finished',
     message.Failed: 'failed',
 }
-ENDED = {
+END_EVENTS = {
     message.Refused: event.AttemptRefused,
     message.Withdrawn: event.AttemptWithdrawn,
     message.Finished: event.AttemptFinished,
@@ -34,7 +34,7 @@
 items_total = metric.counter(
     'quetzalsill_sidecar_items_total', 'Tokens and body pieces received.'
 )
-waits = metric.histogram(
+queue_wait = metric.histogram(
     'quetzalsill_sidecar_queue_wait_seconds', 'Wait before the start.'
 )
 ended_total = metric.counter(
@@ -50,9 +50,9 @@
       fences: Highest ownership epoch of each durable request.
     """
 
-    def __init__(self, max_stones: int, clock: Callable[[], float]) -> None:
-        """Makes an empty table that remembers at most `max_stones` ended."""
-        self.tombstones = tombstone.Tombstones(max_stones, clock)
+    def __init__(self, max_tombstones: int, clock: Callable[[], float]) -> None:
+        """Makes an empty table with at most `max_tombstones` tombstones."""
+        self.tombstones = tombstone.Tombstones(max_tombstones, clock)
         self.fences = fence.Fences(MAX_FENCES)
         self._clock = clock
         self._live: dict[str, state.Attempt] = {}
@@ -111,11 +111,11 @@
     def forget(self, attempt: state.Attempt) -> None:
         """Drops an ended attempt and leaves a tombstone."""
         self._live.pop(attempt.id, None)
-        keep_s = max(0.0, attempt.deadline - self._clock()) + MARGIN_S
-        self.tombstones.add(attempt.id, _epitaph(attempt), keep_s)
+        keep_s = max(0.0, attempt.deadline - self._clock()) + TOMBSTONE_MARGIN_S
+        self.tombstones.add(attempt.id, _terminal_to_keep(attempt), keep_s)
 
 
-def _epitaph(attempt: state.Attempt) -> message.Message:
+def _terminal_to_keep(attempt: state.Attempt) -> message.Message:
     """What a router is told that asks after the answer was dropped."""
     if not isinstance(attempt.terminal, message.Finished):
         return attempt.terminal
@@ -135,9 +135,9 @@
     profile = {'profile': attempt.dispatch.profile}
     items_total.add(profile, attempt.tail.end)
     if attempt.started:
-        waits.observe(profile, attempt.started - attempt.arrived)
+        queue_wait.observe(profile, attempt.started - attempt.arrived)
     event.note(
-        ENDED[type(terminal)](
+        END_EVENTS[type(terminal)](
             attempt=attempt.id,
             request=attempt.dispatch.request,
             account=attempt.dispatch.account,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
@@ -72,7 +72,7 @@
         """Takes further items of the answer."""
         self._items += items
         self._bytes += sum(map(len, items))
-        self._note_room()
+        self._update_room()
 
     async def wait_for_room(self) -> None:
         """Waits until less than `max_bytes` are kept."""
@@ -105,11 +105,11 @@
         """Sends what credit allows as chunks of bounded size."""
         stop = min(self.end, self.limit)
         while self.sent < stop:
-            items = self._cut(self.sent - self.start, stop - self.start)
+            items = self._next_chunk(self.sent - self.start, stop - self.start)
             put(message.Chunk(self._attempt, self.sent, items))
             self.sent += len(items)
 
-    def _cut(self, first: int, stop: int) -> list[bytes]:
+    def _next_chunk(self, first: int, stop: int) -> list[bytes]:
         size = 0
         last = first
         while last < stop and (size < CHUNK_BYTES or last == first):
@@ -127,9 +127,9 @@
         self._bytes -= sum(map(len, self._items[:count]))
         del self._items[:count]
         self.start += count
-        self._note_room()
+        self._update_room()
 
-    def _note_room(self) -> None:
+    def _update_room(self) -> None:
         if self._bytes < self._max_bytes:
             self._has_room.set()
         else:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Stone:
+class _Tombstone:
     terminal: message.Message
     expires: float
 
@@ -55,25 +55,25 @@
         """
         self._limit = limit
         self._clock = clock
-        self._stones: collections.OrderedDict[str, _Stone] = (
+        self._tombstones: collections.OrderedDict[str, _Tombstone] = (
             collections.OrderedDict()
         )
         self._max_sources = max_sources
-        self._floors: collections.OrderedDict[str, int] = (
+        self._highest_dropped: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        return len(self._stones)
+        return len(self._tombstones)
 
     def add(
         self, attempt: str, terminal: message.Message, keep_s: float
     ) -> None:
         """Remembers how an attempt ended, for `keep_s` seconds."""
-        self._stones[attempt] = _Stone(terminal, self._clock() + keep_s)
-        while len(self._stones) > self._limit:
-            dropped, _ = self._stones.popitem(last=False)
-            self._raise_floor(dropped)
+        self._tombstones[attempt] = _Tombstone(terminal, self._clock() + keep_s)
+        while len(self._tombstones) > self._limit:
+            dropped, _ = self._tombstones.popitem(last=False)
+            self._mark_dropped(dropped)
 
     def find(self, attempt: str) -> message.Message | None:
         """Returns the terminal of an attempt that is over, if known.
@@ -81,11 +81,11 @@
         For one that may have been dropped it is a failure of unknown
         outcome.
         """
-        stone = self._stones.get(attempt)
-        if stone is not None:
-            return stone.terminal
-        source, counter = _split(attempt)
-        if counter > self._floors.get(source, -1):
+        tombstone = self._tombstones.get(attempt)
+        if tombstone is not None:
+            return tombstone.terminal
+        source, counter = _split_id(attempt)
+        if counter > self._highest_dropped.get(source, -1):
             return None
         return message.Failed(
             attempt,
@@ -97,24 +97,24 @@
 
     def remove(self, attempt: str) -> None:
         """Forgets how an attempt ended."""
-        self._stones.pop(attempt, None)
+        self._tombstones.pop(attempt, None)
 
     def expire(self) -> None:
         """Drops what is past its time."""
         now = self._clock()
-        expired = [k for k, s in self._stones.items() if s.expires <= now]
+        expired = [k for k, s in self._tombstones.items() if s.expires <= now]
         for attempt in expired:
-            del self._stones[attempt]
-            self._raise_floor(attempt)
+            del self._tombstones[attempt]
+            self._mark_dropped(attempt)
 
-    def _raise_floor(self, attempt: str) -> None:
-        source, counter = _split(attempt)
-        floor = max(counter, self._floors.pop(source, -1))
-        self._floors[source] = floor
-        if len(self._floors) > self._max_sources:
-            self._floors.popitem(last=False)
+    def _mark_dropped(self, attempt: str) -> None:
+        source, counter = _split_id(attempt)
+        highest = max(counter, self._highest_dropped.pop(source, -1))
+        self._highest_dropped[source] = highest
+        if len(self._highest_dropped) > self._max_sources:
+            self._highest_dropped.popitem(last=False)
 
 
-def _split(attempt: str) -> tuple[str, int]:
+def _split_id(attempt: str) -> tuple[str, int]:
     source, _, counter = attempt.rpartition('/')
     return source, int(counter) if counter.isdecimal() else 0
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Own:
+class _OwnRow:
     """The own row as it was last written or read."""
 
     version: int
@@ -42,8 +42,8 @@
         self._upstream = upstream
         self._confirm_s = confirm_s
         self._clock = clock
-        self._own: _Own | None = None
-        self._seen: dict[str, int] = {}
+        self._own: _OwnRow | None = None
+        self._seen_versions: dict[str, int] = {}
 
     async def confirm(self, models: list[str]) -> None:
         """Writes what is loaded here if it has changed or is due.
@@ -54,7 +54,7 @@
         if self._own is None:
             row = await self._rows.get(TABLE, self._upstream)
             version = row.version if row else 0
-            self._own = _Own(version, _models(row), float('-inf'))
+            self._own = _OwnRow(version, _models(row), float('-inf'))
         due = self._own.written_at + self._confirm_s
         if models != self._own.models or self._clock() >= due:
             await self._write(models, [])
@@ -80,25 +80,29 @@
         for name in others:
             row = await self._rows.get(TABLE, name)
             if row is None or model not in _models(row):
-                self._seen.pop(name, None)
-            elif self._seen.setdefault(name, row.version) != row.version:
-                seen = table.Condition(TABLE, name, row.version)
-                self._seen.clear()
-                return await self._write(models, [seen])
+                self._seen_versions.pop(name, None)
+            elif (
+                self._seen_versions.setdefault(name, row.version) != row.version
+            ):
+                observed = table.Condition(TABLE, name, row.version)
+                self._seen_versions.clear()
+                return await self._write(models, [observed])
         return False
 
     async def _write(
-        self, models: list[str], seen: list[table.Condition]
+        self, models: list[str], observed: list[table.Condition]
     ) -> bool:
         """Writes the own row; False if it or a row that was seen changed."""
         own, self._own = self._own, None
-        mine = table.Condition(TABLE, self._upstream, own.version)
+        own_condition = table.Condition(TABLE, self._upstream, own.version)
         write = table.Write(TABLE, self._upstream, {'models': models})
         try:
-            versions = await self._rows.transact([mine, *seen], [write])
+            versions = await self._rows.transact(
+                [own_condition, *observed], [write]
+            )
         except error.ConditionFailedError:
             return False
-        self._own = _Own(versions[0], models, self._clock())
+        self._own = _OwnRow(versions[0], models, self._clock())
         return True
 
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
@@ -25,12 +25,12 @@
 __all__ = ['Placer']
 
 # Upstreams asked, one read each, before a model is unloaded.
-MAX_ASKED = 8
+MAX_UPSTREAMS_READ = 8
 # Time for an order to reach the engine once the lease was looked at.
-ORDER_MARGIN_S = 1.0
-RENEW_PART = 3
+MIN_LEASE_LEFT_S = 1.0
+RENEWALS_PER_TTL = 3
 # Intervals over which the first looks of a fleet are spread.
-START_SPREAD = 5
+START_SPREAD_INTERVALS = 5
 
 orders_total = metric.counter(
     'quetzalsill_sidecar_orders_total', 'Orders to the engine, by outcome.'
@@ -70,14 +70,14 @@
             self._timing.confirm_s,
             lease.suspend_aware_clock,
         )
-        self._failing = ''
-        self._taken_out: set[str] = set()
+        self._failure_code = ''
+        self._unloaded: set[str] = set()
 
     async def run(self) -> None:
         """Works until cancelled."""
         # A whole fleet that starts at once, as after a cut of power, would
         # read and write all its rows within one interval.
-        spread_s = START_SPREAD * self._timing.interval_s
+        spread_s = START_SPREAD_INTERVALS * self._timing.interval_s
         await asyncio.sleep(spread_s * random.random())
         while True:
             try:
@@ -87,17 +87,17 @@
                 config_store.ConfigStoreError,
                 error.ExchangeError,
             ) as exc:
-                self._note(exc.code, exc.detail)
+                self._record_state(exc.code, exc.detail)
             else:
-                self._note('', '')
+                self._record_state('', '')
             wait_s = self._timing.interval_s * random.uniform(0.8, 1.2)
             await asyncio.sleep(wait_s)
 
-    def _note(self, code: str, detail: str) -> None:
+    def _record_state(self, code: str, detail: str) -> None:
         """Logs when placement begins to fail and when it works again."""
-        if code != self._failing:
+        if code != self._failure_code:
             event.note(event.PlacementState(failing=code, detail=detail))
-        self._failing = code
+        self._failure_code = code
 
     async def _step(self) -> None:
         """Reads the engine back and gives the first order that is due."""
@@ -105,8 +105,8 @@
         leaving = report.leaving or bool(self._sidecar.leaving.refusal())
         # The report lags: what was just unloaded may still be in it, and
         # another upstream that relied on it would unload the last one.
-        self._taken_out &= set(report.models)
-        models = sorted(set(report.models) - self._taken_out)
+        self._unloaded &= set(report.models)
+        models = sorted(set(report.models) - self._unloaded)
         await self._loaded.confirm([] if leaving else models)
         cfg = self._sidecar.configuration.current
         wanted = cfg.upstreams.get(self._name)
@@ -115,26 +115,26 @@
             if self._lease.valid():
                 await self._lease.release()
             return
-        if await self._may_order(cfg):
-            for order in due:
-                if await self._give(order, cfg):
+        if await self._may_command(cfg):
+            for command in due:
+                if await self._execute(command, cfg):
                     return
 
-    async def _may_order(self, cfg: model.Configuration) -> bool:
+    async def _may_command(self, cfg: model.Configuration) -> bool:
         """Takes the lease, and looks whether the configuration is current.
 
         A sidecar that was paused may find the lease free again, its successor
         being done: it would undo that under its old configuration.
         """
-        await self._check_newest(cfg)
+        await self._check_revision(cfg)
         if self._lease.valid() and await self._lease.renew():
             return True
         if not await self._lease.acquire():
             return False
-        await self._check_newest(cfg)
+        await self._check_revision(cfg)
         return True
 
-    async def _check_newest(self, cfg: model.Configuration) -> None:
+    async def _check_revision(self, cfg: model.Configuration) -> None:
         """Gives the lease back under an old configuration.
 
         Raises:
@@ -146,50 +146,52 @@
             await self._lease.release()
             raise error.OrderWithheldError(f'revision {newest} is published')
 
-    async def _give(
-        self, order: plan.Command, cfg: model.Configuration
+    async def _execute(
+        self, command: plan.Command, cfg: model.Configuration
     ) -> bool:
         """Gives an order; False if it has to wait for others."""
-        if order.unloads_model:
-            return await self._unload(order, cfg)
-        if not order.loads:
-            await self._send(order, cfg)
+        if command.unloads_model:
+            return await self._unload(command, cfg)
+        if not command.loads:
+            await self._send(command, cfg)
             return True
-        taken = await self._slots.acquire(cfg.policies.load_slots)
-        if taken is None:
+        load_slot = await self._slots.acquire(cfg.policies.load_slots)
+        if load_slot is None:
             return False
         try:
-            await self._send(order, cfg, taken)
+            await self._send(command, cfg, load_slot)
         finally:
-            await taken.release()
+            await load_slot.release()
         return True
 
     async def _unload(
-        self, order: plan.Command, cfg: model.Configuration
+        self, command: plan.Command, cfg: model.Configuration
     ) -> bool:
         """Unloads a model that has no work here and is loaded elsewhere."""
         if any(
-            attempt.terminal is None and attempt.dispatch.model == order.name
+            attempt.terminal is None and attempt.dispatch.model == command.name
             for attempt in self._sidecar.attempts
         ):
             return False
-        if order.name in cfg.models:
-            others = list(_others(cfg, self._name, order.name))[:MAX_ASKED]
-            if not await self._loaded.take_out(order.name, others):
+        if command.name in cfg.models:
+            others = list(_other_upstreams(cfg, self._name, command.name))[
+                :MAX_UPSTREAMS_READ
+            ]
+            if not await self._loaded.take_out(command.name, others):
                 return False
-        self._taken_out.add(order.name)
+        self._unloaded.add(command.name)
         try:
-            await self._send(order, cfg)
+            await self._send(command, cfg)
         except (error.AnswerRejectedError, error.OrderWithheldError):
-            self._taken_out.discard(order.name)
+            self._unloaded.discard(command.name)
             raise
         return True
 
     async def _send(
         self,
-        order: plan.Command,
+        command: plan.Command,
         cfg: model.Configuration,
-        taken: lease.Lease | None = None,
+        load_slot: lease.Lease | None = None,
     ) -> None:
         """Sends an order and waits until the engine shows it.
 
@@ -204,8 +206,8 @@
             # fences would take its order. Only a pause between here and the
             # write, a few instructions on, gets by: what it did differs from
             # what is wanted, so that the successor's read-back undoes it.
-            late = self._lease.remaining_s() < ORDER_MARGIN_S
-            if late or (taken is not None and not taken.valid()):
+            is_expiring = self._lease.remaining_s() < MIN_LEASE_LEFT_S
+            if is_expiring or (load_slot is not None and not load_slot.valid()):
                 raise error.OrderWithheldError('the lease has lapsed')
             if self._sidecar.configuration.revision != cfg.revision:
                 raise error.OrderWithheldError('the configuration is old')
@@ -214,35 +216,35 @@
         outcome = 'failed'
         try:
             async with self._renewing(
-                [self._lease, *([taken] if taken else [])]
+                [self._lease, *([load_slot] if load_slot else [])]
             ):
                 await engine.send_command(
-                    order.kind,
-                    order.name,
+                    command.kind,
+                    command.name,
                     cfg.revision,
                     self._timing.order_s,
                     check,
                 )
                 outcome = 'done'
-                await self._read_back(order)
+                await self._read_back(command)
         finally:
-            orders_total.inc({'kind': order.kind, 'outcome': outcome})
+            orders_total.inc({'kind': command.kind, 'outcome': outcome})
             event.note(
                 event.OrderEnded(
-                    kind=order.kind,
-                    name=order.name,
+                    kind=command.kind,
+                    name=command.name,
                     fence=cfg.revision,
                     outcome=outcome,
                 )
             )
 
-    async def _read_back(self, order: plan.Command) -> None:
+    async def _read_back(self, command: plan.Command) -> None:
         """Waits until the engine's report, which lags, shows the order."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timing.read_back_s):
                 while True:
                     report = await self._sidecar.runs.engine.report()
-                    if _shows(report, order):
+                    if _is_applied(report, command):
                         return
                     await asyncio.sleep(self._timing.interval_s)
 
@@ -258,13 +260,15 @@
 
     async def _renew(self, leases: list[lease.Lease]) -> None:
         while True:
-            await asyncio.sleep(self._timing.lease_s / RENEW_PART)
+            await asyncio.sleep(self._timing.lease_s / RENEWALS_PER_TTL)
             for held in leases:
                 with contextlib.suppress(platform_error.PlatformError):
                     await held.renew()
 
 
-def _others(cfg: model.Configuration, own: str, name: str) -> Iterator[str]:
+def _other_upstreams(
+    cfg: model.Configuration, own: str, name: str
+) -> Iterator[str]:
     """Yields other model servers, first those that are to have the model."""
     others = [
         (name not in spec.models, upstream)
@@ -274,9 +278,9 @@
     yield from (upstream for _, upstream in sorted(others))
 
 
-def _shows(report: engine.EngineReport, order: plan.Command) -> bool:
-    verb, _, what = order.kind.partition('_')
+def _is_applied(report: engine.EngineReport, command: plan.Command) -> bool:
+    verb, _, subject = command.kind.partition('_')
     if verb == 'set':
-        return report.role == order.name
-    names = report.models if what == 'model' else report.adapters
-    return (order.name in names) == (verb == 'load')
+        return report.role == command.name
+    names = report.models if subject == 'model' else report.adapters
+    return (command.name in names) == (verb == 'load')
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
@@ -41,14 +41,16 @@
     wanted: model.Upstream, report: engine.EngineReport
 ) -> Iterator[Command]:
     """Yields what differs, loads first, by the engine's own word."""
-    yield from _each('load_model', wanted.models, report.models)
-    yield from _each('load_adapter', wanted.adapters, report.adapters)
+    yield from _commands_for('load_model', wanted.models, report.models)
+    yield from _commands_for('load_adapter', wanted.adapters, report.adapters)
     if report.role and report.role != wanted.role:
         yield Command('set_role', wanted.role)
-    yield from _each('unload_adapter', report.adapters, wanted.adapters)
-    yield from _each('unload_model', report.models, wanted.models)
+    yield from _commands_for('unload_adapter', report.adapters, wanted.adapters)
+    yield from _commands_for('unload_model', report.models, wanted.models)
 
 
-def _each(kind: str, these: list[str], without: list[str]) -> Iterator[Command]:
-    for name in sorted(set(these) - set(without)):
+def _commands_for(
+    kind: str, names: list[str], excluded: list[str]
+) -> Iterator[Command]:
+    for name in sorted(set(names) - set(excluded)):
         yield Command(kind, name)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
@@ -20,7 +20,7 @@
         self._rows = rows
         self._owner = owner
         self._ttl_s = ttl_s
-        self._first = zlib.crc32(owner.encode())
+        self._first_slot = zlib.crc32(owner.encode())
         self._leases: dict[int, lease.Lease] = {}
 
     async def acquire(self, count: int) -> lease.Lease | None:
@@ -32,8 +32,8 @@
         Raises:
           PlatformError: The store does not answer as it should.
         """
-        for step in range(count):
-            number = (self._first + step) % count
+        for offset in range(count):
+            number = (self._first_slot + offset) % count
             slot = self._leases.setdefault(
                 number,
                 lease.Lease(
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
@@ -21,7 +21,7 @@
 __all__ = ['admit', 'admit_declared', 'peak_tokens']
 
 
-def admit(view: policy.EngineState, demand: policy.Demand) -> bool:
+def admit(state: policy.EngineState, demand: policy.Demand) -> bool:
     """Starts a demand if the predicted peak of memory stays under capacity.
 
     Each attempt is planned at its profile's quantile of the length still to
@@ -29,15 +29,15 @@
     """
 
     def remaining(planned: policy.Demand, produced: int) -> int:
-        expected = view.remaining(
+        expected = state.remaining(
             planned.model, planned.profile, produced, planned.quantile
         )
         return max(1, min(expected, planned.max_tokens - produced))
 
-    return _admit(view, demand, remaining)
+    return _admit(state, demand, remaining)
 
 
-def admit_declared(view: policy.EngineState, demand: policy.Demand) -> bool:
+def admit_declared(state: policy.EngineState, demand: policy.Demand) -> bool:
     """Starts a demand if all answers may grow to their declared bound.
 
     Never overcommits, and wastes what bounds exceed lengths by. Where callers
@@ -47,11 +47,11 @@
     def remaining(planned: policy.Demand, produced: int) -> int:
         return max(1, planned.max_tokens - produced)
 
-    return _admit(view, demand, remaining)
+    return _admit(state, demand, remaining)
 
 
 def peak_tokens(
-    sizes: Iterable[tuple[int, int]], newcomer: tuple[int, int]
+    sizes: Iterable[tuple[int, int]], candidate: tuple[int, int]
 ) -> int:
     """Highest memory while a newcomer is on the engine.
 
@@ -60,44 +60,44 @@
 
     Args:
       sizes: For each running attempt the tokens held and those to come.
-      newcomer: The same for the attempt that may start.
+      candidate: The same for the attempt that may start.
     """
     peak = 0
     held = 0
     # From the last to end to the first: at an end, those that end later (or
     # then) hold what they have now and as many tokens as steps went by.
-    ordered = sorted([*sizes, newcomer], key=_to_come, reverse=True)
-    for count, (now, to_come) in enumerate(ordered, start=1):
-        held += now
-        if to_come <= newcomer[1]:
-            peak = max(peak, held + count * to_come)
+    ordered = sorted([*sizes, candidate], key=_remaining_of, reverse=True)
+    for count, (held_now, remaining) in enumerate(ordered, start=1):
+        held += held_now
+        if remaining <= candidate[1]:
+            peak = max(peak, held + count * remaining)
     return peak
 
 
-def _to_come(size: tuple[int, int]) -> int:
+def _remaining_of(size: tuple[int, int]) -> int:
     return size[1]
 
 
 def _admit(
-    view: policy.EngineState, demand: policy.Demand, remaining: Remaining
+    state: policy.EngineState, demand: policy.Demand, remaining: Remaining
 ) -> bool:
-    if len(view.running) >= view.max_running:
+    if len(state.running) >= state.max_running:
         return False
-    if view.capacity_tokens <= 0:
+    if state.capacity_tokens <= 0:
         return True
-    if not view.running:
+    if not state.running:
         # Alone on the engine: waiting would not make more memory free.
         return True
-    beside = view.running
-    budget = view.capacity_tokens - view.foreign_tokens
+    others = state.running
+    budget = state.capacity_tokens - state.foreign_tokens
     if demand.uses_headroom:
         # Patient work can outgrow its plan, and the engine then pushes it off
         # unseen; counted here it would hold prompt work back for as long as
         # it lasts. Prompt work goes by the memory of prompt work alone, and
         # the engine's preemption by priority is the last relief.
-        beside = [o for o in beside if o.demand.uses_headroom]
+        others = [o for o in others if o.demand.uses_headroom]
     else:
-        budget -= view.reserved_tokens
-    sizes = [(o.held_tokens, remaining(o.demand, o.produced)) for o in beside]
-    newcomer = (demand.prompt_tokens, remaining(demand, 0))
-    return peak_tokens(sizes, newcomer) <= budget
+        budget -= state.reserved_tokens
+    sizes = [(o.held_tokens, remaining(o.demand, o.produced)) for o in others]
+    candidate = (demand.prompt_tokens, remaining(demand, 0))
+    return peak_tokens(sizes, candidate) <= budget
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/headroom.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/headroom.py
@@ -20,20 +20,20 @@
 
     def __init__(self) -> None:
         self._mean = 0.0
-        self._square = 0.0
+        self._mean_square = 0.0
         self._held = 0
-        self._noted: float | None = None
+        self._updated_at: float | None = None
 
     def note(self, held_tokens: int, now: float) -> None:
         """Notes what prompt work holds from `now` (monotonic seconds) on."""
-        if self._noted is not None:
-            part = 1.0 - math.exp((self._noted - now) / TIME_CONSTANT_S)
-            self._mean += part * (self._held - self._mean)
-            self._square += part * (self._held**2 - self._square)
-        self._noted = now
+        if self._updated_at is not None:
+            weight = 1.0 - math.exp((self._updated_at - now) / TIME_CONSTANT_S)
+            self._mean += weight * (self._held - self._mean)
+            self._mean_square += weight * (self._held**2 - self._mean_square)
+        self._updated_at = now
         self._held = held_tokens
 
     def reserve(self) -> float:
         """Tokens that prompt work will hardly hold more than, soon."""
-        variance = max(0.0, self._square - self._mean**2)
+        variance = max(0.0, self._mean_square - self._mean**2)
         return self._mean + DEVIATIONS * math.sqrt(variance)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
@@ -19,7 +19,7 @@
 SIGNIFICANT_FIGURES = 2
 # Building a curve takes milliseconds, so it is built anew only once this
 # part of its observations is newer than it.
-STALE_PART = 0.05
+MAX_STALE_FRACTION = 0.05
 ROTATE_COUNT = 512
 ROTATE_S = 900.0
 # Stands in until lengths were observed; each counts as one observation, so
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Curve:
+class _CumulativeCounts:
     """Lengths in ascending order with the number of answers up to each."""
 
     values: list[int]
@@ -43,36 +43,36 @@
 
     def __init__(self, now: float) -> None:
         self.recent = _new_histogram()
-        self.earlier = _new_histogram()
+        self.previous = _new_histogram()
         for tokens in PRIOR:
-            self.earlier.record_value(tokens)
-        self.began = now
-        self.unseen = 0
-        self.curve: _Curve | None = None
+            self.previous.record_value(tokens)
+        self.started = now
+        self.unmerged = 0
+        self.counts: _CumulativeCounts | None = None
 
     def record(self, tokens: int, now: float) -> None:
         # A shift of the distribution must show soon, and one that went by
         # must be forgotten; a period ends by number or by time.
         full = self.recent.get_total_count() >= ROTATE_COUNT
-        old = now - self.began >= ROTATE_S
+        old = now - self.started >= ROTATE_S
         if full or (old and self.recent.get_total_count()):
-            self.earlier, self.recent = self.recent, _new_histogram()
-            self.began = now
-            self.curve = None
+            self.previous, self.recent = self.recent, _new_histogram()
+            self.started = now
+            self.counts = None
         self.recent.record_value(min(max(tokens, 1), MAX_TOKENS))
-        self.unseen += 1
+        self.unmerged += 1
 
-    def curve_now(self) -> _Curve:
+    def current_counts(self) -> _CumulativeCounts:
         if (
-            self.curve is None
-            or self.unseen > STALE_PART * self.curve.totals[-1]
+            self.counts is None
+            or self.unmerged > MAX_STALE_FRACTION * self.counts.totals[-1]
         ):
-            self.unseen = 0
-            both = _new_histogram()
-            both.add(self.recent)
-            both.add(self.earlier)
-            self.curve = _curve(both)
-        return self.curve
+            self.unmerged = 0
+            merged = _new_histogram()
+            merged.add(self.recent)
+            merged.add(self.previous)
+            self.counts = _cumulative_counts(merged)
+        return self.counts
 
 
 class Lengths:
@@ -90,41 +90,41 @@
     ) -> int:
         """Tokens still to come at a quantile, given those produced."""
         window = self._windows.get((model, profile))
-        curve = window.curve_now() if window else _PRIOR_CURVE
-        index = bisect.bisect_right(curve.values, produced)
-        before = curve.totals[index - 1] if index else 0
-        longer = curve.totals[-1] - before
+        counts = window.current_counts() if window else _PRIOR_COUNTS
+        index = bisect.bisect_right(counts.values, produced)
+        before = counts.totals[index - 1] if index else 0
+        longer = counts.totals[-1] - before
         if longer <= 0:
             return max(1, round(produced * TAIL_FACTOR))
         rank = before + quantile * longer
-        found = bisect.bisect_left(curve.totals, rank)
+        position = bisect.bisect_left(counts.totals, rank)
         return max(
-            1, curve.values[min(found, len(curve.values) - 1)] - produced
+            1, counts.values[min(position, len(counts.values) - 1)] - produced
         )
 
     def _window(self, model: str, profile: str, now: float) -> _Window:
-        name = (model, profile)
-        if name not in self._windows:
-            self._windows[name] = _Window(now)
-        return self._windows[name]
+        key = (model, profile)
+        if key not in self._windows:
+            self._windows[key] = _Window(now)
+        return self._windows[key]
 
 
 def _new_histogram() -> histogram.HdrHistogram:
     return histogram.HdrHistogram(1, MAX_TOKENS, SIGNIFICANT_FIGURES)
 
 
-def _curve(hist: histogram.HdrHistogram) -> _Curve:
+def _cumulative_counts(hist: histogram.HdrHistogram) -> _CumulativeCounts:
     items = [
         (item.value_iterated_to, item.count_added_in_this_iter_step)
         for item in hist.get_recorded_iterator()
     ]
     values = [value for value, _ in items]
     totals = list(itertools.accumulate(count for _, count in items))
-    return _Curve(values, totals)
+    return _CumulativeCounts(values, totals)
 
 
-def _prior_curve() -> _Curve:
-    return _Curve(list(PRIOR), list(range(1, len(PRIOR) + 1)))
+def _prior_counts() -> _CumulativeCounts:
+    return _CumulativeCounts(list(PRIOR), list(range(1, len(PRIOR) + 1)))
 
 
-_PRIOR_CURVE = _prior_curve()
+_PRIOR_COUNTS = _prior_counts()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_fifo.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_fifo.py
@@ -16,20 +16,20 @@
     """One line for all accounts and profiles."""
 
     def __init__(self) -> None:
-        self._line: dict[str, policy.Demand] = {}
+        self._demands: dict[str, policy.Demand] = {}
 
     def __len__(self) -> int:
-        return len(self._line)
+        return len(self._demands)
 
     def push(self, demand: policy.Demand) -> None:
         """Takes a demand to the end of the line."""
-        self._line[demand.attempt] = demand
+        self._demands[demand.attempt] = demand
 
     def heads(self, now: float) -> Iterator[policy.Demand]:
         """Yields the oldest demand only."""
         del now
-        if self._line:
-            yield next(iter(self._line.values()))
+        if self._demands:
+            yield next(iter(self._demands.values()))
 
     def take(self, demand: policy.Demand) -> None:
         """Removes the demand."""
@@ -37,4 +37,4 @@
 
     def remove(self, demand: policy.Demand) -> None:
         """Removes the demand if it waits."""
-        self._line.pop(demand.attempt, None)
+        self._demands.pop(demand.attempt, None)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_weighted.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_weighted.py
@@ -26,12 +26,12 @@
     """Demands of one account in one profile, oldest first."""
 
     account: str
-    line: collections.OrderedDict[str, policy.Demand]
+    demands: collections.OrderedDict[str, policy.Demand]
 
     @property
     def head(self) -> policy.Demand:
         """The oldest demand."""
-        return next(iter(self.line.values()))
+        return next(iter(self.demands.values()))
 
 
 class WeightedOrder:
@@ -39,8 +39,8 @@
 
     def __init__(self) -> None:
         self._flows: dict[tuple[str, str], _Flow] = {}
-        self._virtual = 0.0
-        self._served: dict[str, float] = {}
+        self._virtual_time = 0.0
+        self._account_times: dict[str, float] = {}
         self._length = 0
 
     def __len__(self) -> int:
@@ -48,12 +48,12 @@
 
     def push(self, demand: policy.Demand) -> None:
         """Takes a demand to the end of its flow."""
-        name = (demand.account, demand.profile)
-        flow = self._flows.get(name)
+        key = (demand.account, demand.profile)
+        flow = self._flows.get(key)
         if flow is None:
             flow = _Flow(demand.account, collections.OrderedDict())
-            self._flows[name] = flow
-        flow.line[demand.attempt] = demand
+            self._flows[key] = flow
+        flow.demands[demand.attempt] = demand
         self._length += 1
 
     def heads(self, now: float) -> Iterator[policy.Demand]:
@@ -66,27 +66,29 @@
 
     def take(self, demand: policy.Demand) -> None:
         """Removes the demand and moves its account on by its cost."""
-        self._virtual = min(
+        self._virtual_time = min(
             self._start(f.account) for f in self._flows.values()
         )
         start = self._start(demand.account)
-        self._served[demand.account] = start + demand.cost / demand.weight
+        self._account_times[demand.account] = (
+            start + demand.cost / demand.weight
+        )
         self.remove(demand)
 
     def remove(self, demand: policy.Demand) -> None:
         """Removes the demand if it waits."""
-        name = (demand.account, demand.profile)
-        flow = self._flows.get(name)
-        if flow is None or flow.line.pop(demand.attempt, None) is None:
+        key = (demand.account, demand.profile)
+        flow = self._flows.get(key)
+        if flow is None or flow.demands.pop(demand.attempt, None) is None:
             return
         self._length -= 1
-        if not flow.line:
-            del self._flows[name]
+        if not flow.demands:
+            del self._flows[key]
         if not self._flows:
             # Without contention there is nothing to share out; this also
             # keeps the table from holding every account ever seen.
-            self._served.clear()
-            self._virtual = 0.0
+            self._account_times.clear()
+            self._virtual_time = 0.0
 
     def _start(self, account: str) -> float:
-        return max(self._virtual, self._served.get(account, 0.0))
+        return max(self._virtual_time, self._account_times.get(account, 0.0))
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Sequence
 
-__all__ = ['Admit', 'Demand', 'RunningAttempt', 'Order', 'EngineState']
+__all__ = ['Admit', 'Demand', 'EngineState', 'Order', 'RunningAttempt']
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
@@ -14,7 +14,7 @@
 
 __all__ = ['Schedule']
 
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 MEDIAN = 0.5
 
 
@@ -50,7 +50,7 @@
         self._running: dict[str, policy.RunningAttempt] = {}
         self._service_s = 0.0
         self._blocked = False
-        self._prompt_work = headroom_lib.Headroom()
+        self._prompt_headroom = headroom_lib.Headroom()
 
     @property
     def queued(self) -> int:
@@ -87,8 +87,10 @@
         for attempt, demand in self._waiting.items():
             self._waiting[attempt] = demand_of(attempt) or demand
             order.push(self._waiting[attempt])
-        for attempt, occupant in self._running.items():
-            occupant.demand = demand_of(attempt) or occupant.demand
+        for attempt, running_attempt in self._running.items():
+            running_attempt.demand = (
+                demand_of(attempt) or running_attempt.demand
+            )
 
     def push(self, demand: policy.Demand) -> None:
         """Queues a demand."""
@@ -106,7 +108,7 @@
 
     def start_admitted(self) -> Iterator[str]:
         """Yields, one by one, the attempts that may start now."""
-        while (demand := self._next()) is not None:
+        while (demand := self._next_admissible()) is not None:
             self._order.take(demand)
             del self._waiting[demand.attempt]
             self.mark_running(demand)
@@ -114,14 +116,14 @@
 
     def mark_running(self, demand: policy.Demand) -> None:
         """Notes an attempt on the upstream."""
-        occupant = policy.RunningAttempt(demand, self._clock())
-        self._running[demand.attempt] = occupant
+        running_attempt = policy.RunningAttempt(demand, self._clock())
+        self._running[demand.attempt] = running_attempt
 
     def produce(self, attempt: str, tokens: int) -> None:
         """Counts tokens that an attempt received."""
-        occupant = self._running.get(attempt)
-        if occupant is not None:
-            occupant.produced += tokens
+        running_attempt = self._running.get(attempt)
+        if running_attempt is not None:
+            running_attempt.produced += tokens
 
     def release(self, attempt: str, *, whole: bool) -> None:
         """Notes that an attempt left the upstream.
@@ -130,18 +132,18 @@
           attempt: Its id; one that does not run is ignored.
           whole: It gave its whole answer, so that its length is known.
         """
-        occupant = self._running.pop(attempt, None)
-        if occupant is None:
+        running_attempt = self._running.pop(attempt, None)
+        if running_attempt is None:
             return
         now = self._clock()
-        took = now - occupant.started
-        self._service_s += (took - self._service_s) * (
-            SMOOTHING if self._service_s else 1.0
+        service_s = now - running_attempt.started
+        self._service_s += (service_s - self._service_s) * (
+            SMOOTHING_FACTOR if self._service_s else 1.0
         )
         if whole:
-            demand = occupant.demand
+            demand = running_attempt.demand
             self.lengths.record(
-                demand.model, demand.profile, occupant.produced, now
+                demand.model, demand.profile, running_attempt.produced, now
             )
 
     def expected_wait_s(self, rank: int) -> float:
@@ -159,9 +161,9 @@
             return 0.0
         return ahead * self._service_s / max(1, len(self._running))
 
-    def _next(self) -> policy.Demand | None:
+    def _next_admissible(self) -> policy.Demand | None:
         now = self._clock()
-        view = self._view(now)
+        engine_state = self._engine_state(now)
         self._blocked = False
         blocked = False
         for demand in self._order.heads(now):
@@ -170,7 +172,7 @@
             # may pass.
             if blocked and not demand.uses_headroom:
                 continue
-            if self._admit(view, demand):
+            if self._admit(engine_state, demand):
                 return demand
             blocked = True
         self._blocked = blocked
@@ -183,19 +185,21 @@
         )
         return demand.prompt_tokens + min(expected, demand.max_tokens)
 
-    def _view(self, now: float) -> policy.EngineState:
+    def _engine_state(self, now: float) -> policy.EngineState:
         held = sum(
             o.held_tokens
             for o in self._running.values()
             if o.demand.uses_headroom
         )
-        self._prompt_work.note(held, now)
-        least = self.headroom * self.capacity_tokens
+        self._prompt_headroom.note(held, now)
+        minimum = self.headroom * self.capacity_tokens
         return policy.EngineState(
             now=now,
             capacity_tokens=self.capacity_tokens,
             foreign_tokens=self.foreign_tokens,
-            reserved_tokens=max(least, self._prompt_work.reserve() - held),
+            reserved_tokens=max(
+                minimum, self._prompt_headroom.reserve() - held
+            ),
             max_running=self._max_running,
             running=list(self._running.values()),
             remaining=self.lengths.remaining,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -63,19 +63,19 @@
     request_headers = _request_headers(attempt.dispatch)
     method, path = attempt.dispatch.method, attempt.dispatch.path
     async with http.exchange(origin, connect_s) as conn:
-        head = conn.request(method, path, request_headers)
+        head = conn.build_head(method, path, request_headers)
         start()
-        writing = asyncio.create_task(_write(attempt, conn, head))
+        write_task = asyncio.create_task(_write(attempt, conn, head))
         try:
             return await _read(attempt, conn)
         finally:
-            writing.cancel()
+            write_task.cancel()
             with contextlib.suppress(
                 asyncio.CancelledError,
                 error.AnswerLostError,
                 error.RequestMalformedError,
             ):
-                await writing
+                await write_task
 
 
 async def _write(
@@ -102,7 +102,7 @@
 async def _read(
     attempt: state.Attempt, conn: http.Connection
 ) -> message.Message:
-    again = attempt.dispatch.idempotent
+    is_idempotent = attempt.dispatch.idempotent
     try:
         head = await conn.read_head()
     except error.AnswerLostError as exc:
@@ -111,19 +111,19 @@
             request_error.OutcomeUnknownError.code,
             exc.detail,
             base.Ran.UNKNOWN,
-            gone=again,
+            gone=is_idempotent,
         )
     attempt.set_head(_head_message(attempt.id, head))
     try:
         while data := await conn.read_data():
-            attempt.deliver(_cut(data))
+            attempt.deliver(_split_items(data))
             await attempt.tail.wait_for_room()
     except error.AnswerLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
             exc.detail,
-            gone=again,
+            gone=is_idempotent,
         )
     return message.Finished(attempt.id, attempt.tail.end)
 
@@ -151,5 +151,5 @@
     return message.Head(attempt, head.status, [list(pair) for pair in kept])
 
 
-def _cut(data: bytes) -> list[bytes]:
+def _split_items(data: bytes) -> list[bytes]:
     return [data[i : i + ITEM_BYTES] for i in range(0, len(data), ITEM_BYTES)]
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/canceller.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/canceller.py
@@ -14,8 +14,8 @@
 
 __all__ = ['Canceller']
 
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 5.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
 GIVE_UP_S = 600.0
 
 
@@ -31,12 +31,12 @@
         self._engine = target
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def cancel(self, attempt: str, then: Callable[[], None]) -> None:
+    def cancel(self, attempt: str, on_settled: Callable[[], None]) -> None:
         """Cancels in the background, and calls `then` once it is settled."""
         task = asyncio.create_task(self._cancel(attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(lambda _: then())
+        task.add_done_callback(lambda _: on_settled())
 
     async def stop(self) -> None:
         """Drops what is still unsettled."""
@@ -47,15 +47,15 @@
 
     async def _cancel(self, attempt: str) -> None:
         loop = asyncio.get_running_loop()
-        limit = loop.time() + GIVE_UP_S
-        pause = FIRST_PAUSE_S
-        while loop.time() < limit:
+        deadline = loop.time() + GIVE_UP_S
+        backoff_s = INITIAL_BACKOFF_S
+        while loop.time() < deadline:
             try:
-                found = await self._engine.cancel(attempt)
+                state = await self._engine.cancel(attempt)
             except error.ExchangeError:
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, MAX_PAUSE_S)
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
             else:
-                event.note(event.EngineCancelled(attempt=attempt, state=found))
+                event.note(event.EngineCancelled(attempt=attempt, state=state))
                 return
         event.note(event.EngineCancelGivenUp(attempt=attempt))
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -31,7 +31,7 @@
     wire_kind.COMPLETION: '/v1/completions',
     wire_kind.CHAT: '/v1/chat/completions',
 }
-MAX_ANSWER_BYTES = 1_048_576
+MAX_RESPONSE_BYTES = 1_048_576
 JSON_HEADERS: http.Headers = [(b'content-type', b'application/json')]
 
 
@@ -72,18 +72,22 @@
     """Exchanges with one engine, each on its own connection."""
 
     def __init__(
-        self, origin: http.Origin, connect_s: float, answer_s: float
+        self,
+        origin: http.Origin,
+        connect_timeout_s: float,
+        response_timeout_s: float,
     ) -> None:
         """Names the engine.
 
         Args:
           origin: Where it listens.
-          connect_s: Bound on opening a connection, in seconds.
-          answer_s: Bound on a short exchange (cancel, report), in seconds.
+          connect_timeout_s: Bound on opening a connection, in seconds.
+          response_timeout_s: Bound on a short exchange (cancel, report), in
+            seconds.
         """
         self._origin = origin
-        self._connect_s = connect_s
-        self._answer_s = answer_s
+        self._connect_timeout_s = connect_timeout_s
+        self._response_timeout_s = response_timeout_s
 
     def exchange(self) -> AbstractAsyncContextManager[http.Connection]:
         """Opens a connection for a stream, for a `with` block.
@@ -91,7 +95,7 @@
         Raises:
           UpstreamConnectError: nothing was written.
         """
-        return http.exchange(self._origin, self._connect_s)
+        return http.exchange(self._origin, self._connect_timeout_s)
 
     async def cancel(self, attempt: str) -> str:
         """Cancels the work, or forbids that it ever start.
@@ -104,14 +108,16 @@
           AnswerLostError: no whole answer came.
           AnswerRejectedError: the engine would not.
         """
-        answer = await self._ask('POST', f'{_request_path(attempt)}/cancel')
-        return str(answer.get('state', ''))
+        response = await self._request(
+            'POST', f'{_request_path(attempt)}/cancel'
+        )
+        return str(response.get('state', ''))
 
     async def report(self) -> EngineReport:
         """Fetches the load report; raises as `cancel` does."""
-        answer = await self._ask('GET', '/load')
+        response = await self._request('GET', '/load')
         known = {field.name for field in dataclasses.fields(EngineReport)}
-        return EngineReport(**{k: v for k, v in answer.items() if k in known})
+        return EngineReport(**{k: v for k, v in response.items() if k in known})
 
     async def send_command(
         self,
@@ -135,9 +141,9 @@
           ExchangeError: As of `cancel`; or what `check` raises.
         """
         body = json.dumps({'kind': kind, 'name': name, 'fence': fence})
-        await self._ask('POST', '/orders', body.encode(), timeout_s, check)
+        await self._request('POST', '/orders', body.encode(), timeout_s, check)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         target: str,
@@ -148,13 +154,13 @@
         headers = JSON_HEADERS if content else []
         try:
             async with (
-                deadline.timeout(timeout_s or self._answer_s),
-                http.exchange(self._origin, self._connect_s) as conn,
+                deadline.timeout(timeout_s or self._response_timeout_s),
+                http.exchange(self._origin, self._connect_timeout_s) as conn,
             ):
                 check()
                 await conn.send_request(method, target, headers, content)
                 head = await conn.read_head()
-                body = await conn.read_all(MAX_ANSWER_BYTES)
+                body = await conn.read_all(MAX_RESPONSE_BYTES)
         except TimeoutError as exc:
             raise error.AnswerLostError(f'{target}: no answer in time') from exc
         if head.status != 200:
@@ -207,9 +213,9 @@
 
 def _parse_object(body: bytes) -> dict[str, object]:
     try:
-        answer = json.loads(body)
+        response = json.loads(body)
     except ValueError as exc:
         raise error.AnswerLostError(f'answer is no JSON: {exc}') from exc
-    if not isinstance(answer, dict):
+    if not isinstance(response, dict):
         raise error.AnswerLostError('answer is no JSON object')
-    return answer
+    return response
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -50,7 +50,9 @@
     try:
         async with engine.exchange() as conn:
             start()
-            if await _read_first(conn, attempt.dispatch.kind, body, progress):
+            if await _start_and_read(
+                conn, attempt.dispatch.kind, body, progress
+            ):
                 return message.Finished(attempt.id, attempt.tail.end)
         await progress.resume()
     except error.AnswerRejectedError as exc:
@@ -58,7 +60,7 @@
     except error.GenerationGoneError as exc:
         # The request may still be on its way to an engine that does not
         # know it yet; the loss is proved once its start is forbidden.
-        gone = bool(await _settle(attempt.id, engine))
+        gone = bool(await _cancel(attempt.id, engine))
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
@@ -85,13 +87,13 @@
     try:
         await progress.resume()
     except error.GenerationGoneError as exc:
-        return await _settle_lost(attempt, engine, exc.detail)
+        return await _resolve_missing(attempt, engine, exc.detail)
     except error.GenerationUnreachableError as exc:
         return _unknown(attempt, exc.detail)
     return message.Finished(attempt.id, attempt.tail.end)
 
 
-async def _settle_lost(
+async def _resolve_missing(
     attempt: state.Attempt, engine: engine_lib.Engine, detail: str
 ) -> message.Message:
     """Terminal of a recovery for which the engine has no generation.
@@ -101,17 +103,17 @@
     engine that has restarted since the Dispatch was made may have run it
     before, and knows nothing of that.
     """
-    found = await _settle(attempt.id, engine)
-    if not found:
+    cancel_state = await _cancel(attempt.id, engine)
+    if not cancel_state:
         return _unknown(attempt, detail)
-    if found != FORBIDDEN or attempt.started or attempt.has_run:
+    if cancel_state != FORBIDDEN or attempt.started or attempt.has_run:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
             detail,
             gone=True,
         )
-    if not await _is_same_start(engine, attempt.dispatch.engine):
+    if not await _is_same_incarnation(engine, attempt.dispatch.engine):
         return _unknown(attempt, 'the engine was restarted', gone=True)
     return message.Refused(
         attempt.id, request_error.NotFoundError.code, detail, 0
@@ -130,7 +132,7 @@
     )
 
 
-async def _read_first(
+async def _start_and_read(
     conn: http.Connection,
     kind: str,
     body: bytes,
@@ -145,7 +147,7 @@
     return True
 
 
-async def _settle(attempt: str, engine: engine_lib.Engine) -> str:
+async def _cancel(attempt: str, engine: engine_lib.Engine) -> str:
     """Cancels or forbids the generation; empty if that stays unsettled."""
     try:
         return await engine.cancel(attempt)
@@ -153,7 +155,7 @@
         return ''
 
 
-async def _is_same_start(engine: engine_lib.Engine, known: int) -> bool:
+async def _is_same_incarnation(engine: engine_lib.Engine, known: int) -> bool:
     """Whether an engine has surely not started anew.
 
     One that tells no start looks the same after it.
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -17,10 +17,10 @@
 
     from quetzalsill_sidecar.upstream import http
 
-__all__ = ['Timeouts', 'Generation']
+__all__ = ['Generation', 'Timeouts']
 
-BACKOFF_FIRST_S = 0.05
-BACKOFF_MAX_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 ERROR_BODY_BYTES = 4096
 OK = 200
 NOT_FOUND = 404
@@ -46,7 +46,7 @@
     """Progress of one generation on the engine.
 
     Attributes:
-      count: Events received so far.
+      received: Events received so far.
       generation: The engine's mark of the generation; None before the
         first event. An event of another mark would splice two answers.
     """
@@ -55,7 +55,7 @@
         self,
         engine: engine_lib.Engine,
         attempt: str,
-        bounds: Timeouts,
+        timeouts: Timeouts,
         deliver: Callable[[list[bytes]], Awaitable[None]],
     ) -> None:
         """Prepares to read.
@@ -63,19 +63,19 @@
         Args:
           engine: The engine.
           attempt: Id under which the engine knows the generation.
-          bounds: Waits allowed.
+          timeouts: Waits allowed.
           deliver: Takes the payloads of events, in order and once each;
             may wait to slow the reading down.
         """
-        self.count = 0
+        self.received = 0
         self.generation: object = None
         self._engine = engine
         self._attempt = attempt
-        self._bounds = bounds
+        self._timeouts = timeouts
         self._deliver = deliver
-        self._last_answer = 0.0
-        self._last_reached = 0.0
-        self._pause_s = BACKOFF_FIRST_S
+        self._last_response = 0.0
+        self._last_contact = 0.0
+        self._backoff_s = INITIAL_BACKOFF_S
 
     async def resume(self) -> None:
         """Reads from the next event to the end, over new connections.
@@ -85,17 +85,19 @@
           GenerationUnreachableError: no answer within `resume_s`, or every
             connection refused for `refused_s`.
         """
-        self._note_answer()
+        self._record_response()
         while not await self._try_resume():
-            self._check_reach()
-            await asyncio.sleep(self._pause_s)
-            self._pause_s = min(self._pause_s * 2, BACKOFF_MAX_S)
+            self._check_timeouts()
+            await asyncio.sleep(self._backoff_s)
+            self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
 
     async def _try_resume(self) -> bool:
         """Reads on over one new connection; False if that broke again."""
         try:
             async with self._engine.exchange() as conn:
-                await engine_lib.write_resume(conn, self._attempt, self.count)
+                await engine_lib.write_resume(
+                    conn, self._attempt, self.received
+                )
                 await self.read(conn)
         except error.AnswerRejectedError as exc:
             if exc.status == NOT_FOUND:
@@ -103,24 +105,24 @@
             return False
         except error.UpstreamConnectError as exc:
             if not exc.refused:
-                self._note_reached()
+                self._record_contact()
             return False
         except (error.AnswerLostError, TimeoutError):
-            self._note_reached()
+            self._record_contact()
             return False
         return True
 
-    def _check_reach(self) -> None:
+    def _check_timeouts(self) -> None:
         # A dead process is told from a lost path: its host refuses at once.
         # Waiting as long as for a path would leave the caller stalled.
         now = asyncio.get_running_loop().time()
-        if now - self._last_answer >= self._bounds.resume_s:
-            bound_s = self._bounds.resume_s
-        elif now - self._last_reached >= self._bounds.refused_s:
-            bound_s = self._bounds.refused_s
+        if now - self._last_response >= self._timeouts.resume_s:
+            timeout_s = self._timeouts.resume_s
+        elif now - self._last_contact >= self._timeouts.refused_s:
+            timeout_s = self._timeouts.refused_s
         else:
             return
-        raise error.GenerationUnreachableError(f'no answer in {bound_s} s')
+        raise error.GenerationUnreachableError(f'no answer in {timeout_s} s')
 
     async def read(self, conn: http.Connection) -> None:
         """Reads from a connection on which the request was written.
@@ -132,40 +134,40 @@
             with another one.
           TimeoutError: the stream fell silent; `resume` may carry on.
         """
-        async with deadline.timeout(self._bounds.stall_s):
+        async with deadline.timeout(self._timeouts.stall_s):
             head = await conn.read_head()
             if head.status != OK:
                 body = await conn.read_all(ERROR_BODY_BYTES)
                 raise error.AnswerRejectedError(head.status, body)
-        self._note_answer()
+        self._record_response()
         parser = sse.EventParser()
         checked = False
         while True:
             # A connection that something on the way has lost track of looks
             # like a slow engine: no data, no error. Silence beyond the bound
             # ends this one, and the next carries on at the same event.
-            async with deadline.timeout(self._bounds.stall_s):
+            async with deadline.timeout(self._timeouts.stall_s):
                 data = await conn.read_data()
             if not data:
                 raise error.AnswerLostError('stream ended before its mark')
-            self._note_answer()
+            self._record_response()
             events = parser.feed(data)
             last = events[-1] if events else b''
             done = last == sse.DONE
             failed = last.startswith(ERROR_EVENT)
             items = events[:-1] if done or failed else events
             if items and not checked:
-                self._check_seam(items[0])
+                self._check_continuity(items[0])
                 checked = True
             if items:
-                self.count += len(items)
+                self.received += len(items)
                 await self._deliver(items)
             if failed:
                 raise error.GenerationGoneError(last.decode('utf-8', 'replace'))
             if done:
                 return
 
-    def _check_seam(self, event: bytes) -> None:
+    def _check_continuity(self, event: bytes) -> None:
         """Checks that a new connection goes on where the last one ended.
 
         Raises:
@@ -181,17 +183,17 @@
                 f'generation {self.generation} was replaced by {generation}'
             )
         index = fields.get('index')
-        if index is not None and index != self.count:
-            raise error.AnswerLostError(f'event {index}, not {self.count}')
+        if index is not None and index != self.received:
+            raise error.AnswerLostError(f'event {index}, not {self.received}')
 
-    def _note_answer(self) -> None:
-        self._note_reached()
-        self._last_answer = self._last_reached
-        self._pause_s = BACKOFF_FIRST_S
+    def _record_response(self) -> None:
+        self._record_contact()
+        self._last_response = self._last_contact
+        self._backoff_s = INITIAL_BACKOFF_S
 
-    def _note_reached(self) -> None:
+    def _record_contact(self) -> None:
         """Notes that connections are not simply refused."""
-        self._last_reached = asyncio.get_running_loop().time()
+        self._last_contact = asyncio.get_running_loop().time()
 
 
 def _fields(event: bytes) -> dict[str, object]:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -82,15 +82,15 @@
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
-        self._answer = parser.AnswerParser('GET')
+        self._response = parser.AnswerParser('GET')
 
-    def request(self, method: str, target: str, headers: Headers) -> bytes:
+    def build_head(self, method: str, target: str, headers: Headers) -> bytes:
         """Returns the head of the request, to be written next.
 
         Raises:
           RequestMalformedError: the head can't be put as HTTP.
         """
-        self._answer = parser.AnswerParser(method)
+        self._response = parser.AnswerParser(method)
         lines = [
             (b'host', self.origin.authority.encode()),
             *headers,
@@ -139,7 +139,7 @@
         """Writes a whole request; raises as its parts do."""
         length = [(b'content-length', str(len(body)).encode())]
         framing = length if body or method == 'POST' else []
-        head = self.request(method, target, headers + framing)
+        head = self.build_head(method, target, headers + framing)
         await self.write(head)
         await self.write_body(body)
         await self.write_end()
@@ -150,9 +150,9 @@
         Raises:
           AnswerLostError: the connection broke before they came.
         """
-        while self._answer.head is None:
+        while self._response.head is None:
             await self._receive()
-        return self._answer.head
+        return self._response.head
 
     async def read_data(self) -> bytes:
         """Reads what has come of the body; empty at its proper end.
@@ -160,10 +160,10 @@
         Raises:
           AnswerLostError: the connection broke before the end.
         """
-        data = self._answer.take()
-        while not data and not self._answer.is_whole:
+        data = self._response.take()
+        while not data and not self._response.is_whole:
             await self._receive()
-            data = self._answer.take()
+            data = self._response.take()
         return data
 
     async def read_all(self, limit: int) -> bytes:
@@ -188,7 +188,7 @@
 
     async def _receive(self) -> None:
         try:
-            self._answer.feed(await self._reader.read(READ_BYTES))
+            self._response.feed(await self._reader.read(READ_BYTES))
         except OSError as exc:
             raise error.AnswerLostError(f'read failed: {exc}') from exc
         except net_error.AnswerLostError as exc:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -13,7 +13,7 @@
 
 __all__ = ['failed', 'from_status']
 
-REFUSING = {
+REFUSAL_CODES = {
     429: request_error.OverloadedError.code,
     503: request_error.OverloadedError.code,
     404: request_error.NoUpstreamError.code,
@@ -40,8 +40,8 @@
         return failed(
             attempt, request_error.CancelledError.code, exc.detail, base.Ran.NO
         )
-    if status in REFUSING:
-        return failed(attempt, REFUSING[status], exc.detail, base.Ran.NO)
+    if status in REFUSAL_CODES:
+        return failed(attempt, REFUSAL_CODES[status], exc.detail, base.Ran.NO)
     if status in (400, 413, 422):
         return failed(
             attempt, request_error.BadRequestError.code, exc.detail, base.Ran.NO
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
@@ -14,7 +14,7 @@
     """Cuts a byte stream into events, whatever the cuts of the reads."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._buffer = b''
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the payloads of all events that are now whole.
@@ -22,9 +22,9 @@
         Raises:
           AnswerLostError: an event is larger than `MAX_EVENT_BYTES`.
         """
-        text = (self._rest + data).replace(b'\r\n', b'\n')
-        *blocks, self._rest = text.split(b'\n\n')
-        if len(self._rest) > MAX_EVENT_BYTES:
+        text = (self._buffer + data).replace(b'\r\n', b'\n')
+        *blocks, self._buffer = text.split(b'\n\n')
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise error.AnswerLostError('event too large')
         payloads = (_payload(block) for block in blocks)
         return [payload for payload in payloads if payload]
--- a/tests/quetzalsill_sidecar/attempt/test_tombstone.py
+++ b/tests/quetzalsill_sidecar/attempt/test_tombstone.py
@@ -20,15 +20,15 @@
         for drop in ('time', 'space'):
             with self.subTest(drop):
                 now = [0.0]
-                stones = tombstone.Tombstones(2, lambda now=now: now[0])
+                tombstones = tombstone.Tombstones(2, lambda now=now: now[0])
                 for number in (3, 4, 5) if drop == 'space' else (3,):
                     name = f'entry-1/7/{number}'
-                    stones.add(name, message.Withdrawn(name), 60.0)
+                    tombstones.add(name, message.Withdrawn(name), 60.0)
                 now[0] = 61.0 if drop == 'time' else 0.0
-                stones.expire()
-                self.assertEqual(stones.find('entry-1/7/3').ran, 'unknown')
-                self.assertIsNone(stones.find('entry-1/7/6'))
-                self.assertIsNone(stones.find('entry-2/7/3'))
+                tombstones.expire()
+                self.assertEqual(tombstones.find('entry-1/7/3').ran, 'unknown')
+                self.assertIsNone(tombstones.find('entry-1/7/6'))
+                self.assertIsNone(tombstones.find('entry-2/7/3'))
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_sidecar/upstream/test_generation.py
+++ b/tests/quetzalsill_sidecar/upstream/test_generation.py
@@ -9,7 +9,7 @@
 from quetzalsill_dev.testing import pause
 from quetzalsill_sidecar.upstream import engine, generation, http
 
-BOUNDS = generation.Timeouts(stall_s=0.3, resume_s=0.2, refused_s=0.1)
+TIMEOUTS = generation.Timeouts(stall_s=0.3, resume_s=0.2, refused_s=0.1)
 EVENT = {'generation': 'g', 'index': 0}
 ANSWER = (
     'HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n'
@@ -22,7 +22,7 @@
     """An engine that answers as its client is paused."""
 
     async def asyncSetUp(self):
-        self.asked = asyncio.get_running_loop().create_future()
+        self.request_writer = asyncio.get_running_loop().create_future()
         server = await asyncio.start_server(self.serve, '127.0.0.1', 0)
         await self.enterAsyncContext(server)
         host, port = server.sockets[0].getsockname()
@@ -30,8 +30,8 @@
 
     async def serve(self, reader, writer):
         await reader.readuntil(b'\r\n\r\n')
-        if not self.asked.done():
-            self.asked.set_result(writer)
+        if not self.request_writer.done():
+            self.request_writer.set_result(writer)
 
     async def test_events_that_came_during_a_pause_are_delivered(self):
         """A plan is given up as lost although its engine goes on with it."""
@@ -40,12 +40,12 @@
         async def deliver(events):
             delivered.extend(events)
 
-        run = generation.Generation(self.engine, 'a', BOUNDS, deliver)
+        run = generation.Generation(self.engine, 'a', TIMEOUTS, deliver)
         resumed = asyncio.create_task(run.resume())
-        writer = await self.asked
+        writer = await self.request_writer
         writer.write(ANSWER.encode())
         writer.write_eof()
-        pause.pause(2 * BOUNDS.stall_s)
+        pause.pause(2 * TIMEOUTS.stall_s)
         await resumed
         self.assertEqual([json.loads(one) for one in delivered], [EVENT])
 
