--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/__init__.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/__init__.py
@@ -1,1 +1,1 @@
-"""State of attempts, from Dispatch to acknowledged terminal."""
+"""State of attempts, from the Dispatch to the acknowledged terminal."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/body.py
@@ -1,4 +1,4 @@
-"""Request body of a call, arriving in pieces."""
+"""Request body of a call, received from the router in pieces."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RequestBody:
-    """Pieces that came and are not yet written to the upstream.
+    """Pieces that are received but not yet written to the upstream.
 
     Attributes:
-      taken: Pieces handed on so far, the one in the Dispatch among them.
-      broken: The router sent more than was bounded.
+      consumed: Pieces passed on so far, including the one in the Dispatch.
+      overflowed: Whether the unwritten pieces exceeded `max_bytes`.
     """
 
     def __init__(self, first: bytes, *, is_open: bool, max_bytes: int) -> None:
-        """Begins with the piece in the Dispatch.
+        """Starts with the piece in the Dispatch.
 
         Args:
           first: That piece.
-          is_open: More will come.
-          max_bytes: Bytes that may wait.
+          is_open: Whether more pieces follow.
+          max_bytes: Limit on the bytes held in memory.
         """
         self.consumed = 0
         self.overflowed = False
@@ -38,14 +38,14 @@
 
     @property
     def is_open(self) -> bool:
-        """More pieces may come."""
+        """Whether more pieces may follow."""
         return self._open
 
     def feed(self, data: bytes, *, last: bool) -> None:
-        """Takes a piece from the router.
+        """Adds a piece received from the router.
 
-        A router that runs ahead of its credit would fill this process's
-        memory; beyond the bound the body is broken and the call fails.
+        A router that exceeds its credit could exhaust this process's memory,
+        so a body beyond the limit is marked as overflowed and the call fails.
         """
         if not self._open:
             return
@@ -59,7 +59,7 @@
         self._changed.set()
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """Yields the pieces as they come, until the last."""
+        """Yields the pieces as they arrive, up to the last."""
         while True:
             while self._pieces:
                 data = self._pieces.popleft()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/dispatch_check.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/dispatch_check.py
@@ -1,4 +1,7 @@
-"""Whether a Dispatch may run here; every refusal means not run."""
+"""Checks whether a Dispatch may run here.
+
+A refused Dispatch has not run.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +34,8 @@
 
     Attributes:
       code: Code of an `error.request` class.
-      detail: Text for the reader.
-      retry_after_ms: When coming back may help; 0 if unknown.
+      detail: Explanation for a human reader.
+      retry_after_ms: Delay after which a retry may succeed; 0 if unknown.
     """
 
     code: str
@@ -42,17 +45,17 @@
 
 @dataclasses.dataclass(slots=True)
 class SidecarState:
-    """What the sidecar knows while it judges.
+    """State of the sidecar that a Dispatch is checked against.
 
     Attributes:
-      incarnation: Of this process.
-      revision: Configuration in force.
-      leaving: Why nothing new is taken; empty if it is.
+      incarnation: Incarnation of this process.
+      revision: Revision of the active configuration.
+      leaving: Why new work is refused; empty if it is accepted.
       kinds: Kinds of Dispatch that the upstream serves.
       fences: Highest ownership epochs seen.
-      queued: Attempts waiting.
-      max_queued: Bound on them.
-      expected_wait_ms: Wait that this Dispatch would see.
+      queued: Number of queued attempts.
+      max_queued: Limit on queued attempts.
+      expected_wait_ms: Expected queue wait of this Dispatch.
     """
 
     incarnation: int
@@ -70,8 +73,8 @@
 ) -> Refusal | None:
     """Returns why the Dispatch is refused, or None if it may be queued.
 
-    A recovery only attaches to work that the engine already has, so nothing
-    that guards new work applies to it.
+    A recovery only attaches to work that the engine already has, so the
+    checks for new work don't apply to it.
     """
     for check in RECOVER_CHECKS if dispatch.recover else ALL_CHECKS:
         refusal = check(dispatch, sidecar)
@@ -105,8 +108,8 @@
 def _check_numbers(
     dispatch: message.Dispatch, sidecar: SidecarState
 ) -> Refusal | None:
-    # With a credit below 0 an attempt runs, never delivers and never ends;
-    # lengths below 0 would be planned as memory that it gives back.
+    # With a negative credit an attempt would run without ever delivering or
+    # ending; negative lengths would count as freed memory in admission.
     del sidecar
     for name in NON_NEGATIVE_FIELDS:
         value = getattr(dispatch, name)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/fence.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/fence.py
@@ -8,17 +8,20 @@
 
 
 class Fences:
-    """Refuses the paused owner of a request that another has taken over."""
+    """Rejects owners of a request that a newer owner has taken over.
+
+    Such an owner may have been paused and not know of its successor.
+    """
 
     def __init__(self, limit: int) -> None:
-        """Remembers at most `limit` requests, the latest used."""
+        """Remembers the `limit` most recently used requests."""
         self._limit = limit
         self._highest: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     def admit(self, request: str, fence: int) -> bool:
-        """Notes `fence`; False if a higher one was seen for `request`."""
+        """Records `fence`; False if a higher one was seen for `request`."""
         highest = max(fence, self._highest.pop(request, 0))
         if highest:
             self._highest[request] = highest
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/state.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/state.py
@@ -1,4 +1,4 @@
-"""One attempt: what was asked, how far it is, and who listens."""
+"""State of one attempt: its Dispatch, its progress and its link."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Stage(enum.Enum):
-    """How far an attempt is."""
+    """Progress of an attempt."""
 
     RECEIVED = 'judged'
     QUEUED = 'queued'
@@ -30,28 +30,29 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """State of an attempt that this incarnation knows.
+    """State of an attempt that this incarnation has received.
 
     Attributes:
-      dispatch: What the router asked.
-      arrived: When it came (monotonic seconds).
-      deadline: When its answer must be whole (monotonic seconds).
-      queue_deadline: Until when it may wait in the queue.
-      tail: Its answer so far.
+      dispatch: The router's request.
+      arrived: Time of arrival (monotonic seconds).
+      deadline: Time by which the response must be complete (monotonic
+        seconds).
+      queue_deadline: Time until which it may wait in the queue.
+      tail: Unacknowledged part of its response.
       body: Further pieces of a call's request body.
-      orphan_s: How long it runs on without a link.
-      stage: How far it is.
-      started: When it was handed to the upstream; 0 if it was not.
-      has_run: A generation of this id is known to have run, whatever the
-        engine remembers of it.
+      orphan_s: How long it keeps running without a link.
+      stage: Its progress.
+      started: Time at which it was sent to the upstream; 0 if it was not.
+      has_run: Whether a generation of this id is known to have run, even if
+        the engine no longer has it.
       link: Identity of the link of its router; None while there is none.
-      put: Sends to that link.
-      detached: When the link was lost.
-      head: Status and headers of a call's answer, once they came.
-      terminal: How it ended.
-      ended: When it ended.
-      task: Runs it on the upstream.
-      stopping: Code of the failure for which `task` is being cancelled.
+      put: Sends a message over that link.
+      detached: Time at which the link was lost.
+      head: Status and headers of a call's response, once received.
+      terminal: Terminal message, once it has ended.
+      ended: Time at which it ended.
+      task: Task that runs it on the upstream.
+      stop_code: Code of the failure for which `task` is being cancelled.
     """
 
     dispatch: message.Dispatch
@@ -83,7 +84,7 @@
     def attach(
         self, link: object, put: Callable[[message.Message], None]
     ) -> None:
-        """Sends to `link` from now on, beginning with what it must know."""
+        """Sends over `link` from now on, starting with the current state."""
         self.link = link
         self.put = put
         self._terminal_sent = False
@@ -94,15 +95,15 @@
         self.flush()
 
     def detach(self, now: float) -> None:
-        """Notes that the link is lost."""
+        """Records that the link is lost."""
         self.link = None
         self.put = None
         self.detached = now
 
     def start(self, now: float) -> None:
-        """Notes that the request is about to be written to the upstream.
+        """Records that the request is about to be written to the upstream.
 
-        From here on it counts as run, whatever becomes of the write.
+        From here on the attempt counts as run, even if the write fails.
         """
         self.stage = Stage.STARTED
         self.started = now
@@ -110,23 +111,23 @@
             self.put(self._started_message())
 
     def set_head(self, head: message.Head) -> None:
-        """Takes and sends the head of a call's answer."""
+        """Stores and sends the head of a call's response."""
         self.head = head
         if self.put is not None:
             self.put(head)
 
     def deliver(self, items: list[bytes]) -> None:
-        """Takes items of the answer; those of one loop tick share a chunk."""
+        """Adds items of the response; those of one loop tick share a chunk."""
         self.tail.append(items)
         if not self._flush_due:
             self._flush_due = True
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Sends what credit allows, and the terminal behind the last item.
+        """Sends what credit allows, and the terminal after the last item.
 
-        A failure does not wait for credit: a slow reader learns at once that
-        the answer will not be whole.
+        A failure does not wait for credit, so that a slow reader learns at
+        once that the response will be incomplete.
         """
         self._flush_due = False
         if self.put is None or self._terminal_sent:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
@@ -1,4 +1,4 @@
-"""All attempts that this incarnation knows."""
+"""All attempts that this incarnation has received."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 
 class Attempts:
-    """Live attempts, and tombstones of those that are over.
+    """Live attempts, and tombstones of those that have ended.
 
     Attributes:
-      stones: What is remembered of attempts that are over.
+      tombstones: Terminals of attempts that have ended.
       fences: Highest ownership epoch of each durable request.
     """
 
@@ -64,11 +64,11 @@
         return len(self._live)
 
     def add(self, attempt: state.Attempt) -> None:
-        """Takes a new attempt."""
+        """Adds a new attempt."""
         self._live[attempt.id] = attempt
 
     def get(self, attempt: str) -> state.Attempt | None:
-        """Returns a live attempt, or one whose terminal waits for its Ack."""
+        """Returns an attempt that runs or whose terminal awaits its Ack."""
         return self._live.get(attempt)
 
     def of_link(self, link: object) -> list[state.Attempt]:
@@ -82,7 +82,7 @@
         detail: str,
         retry_after_ms: int = 0,
     ) -> None:
-        """Ends an attempt that has not started as not run."""
+        """Ends an attempt that has not started; it counts as not run."""
         self.end(
             attempt, message.Refused(attempt.id, code, detail, retry_after_ms)
         )
@@ -90,8 +90,8 @@
     def end(self, attempt: state.Attempt, terminal: message.Message) -> None:
         """Ends an attempt once; a later terminal is ignored.
 
-        Proofs that it did not run are remembered by a tombstone alone. An
-        answer is kept until its Ack, so that a new link can take it up.
+        Of an attempt that did not run, only a tombstone is kept. A response
+        is kept until its Ack, so that a new link can resume it.
         """
         if attempt.terminal is not None:
             return
@@ -104,19 +104,19 @@
             self.forget(attempt)
 
     def drop(self, attempt_id: str) -> None:
-        """Forgets an ended attempt without a trace, to run it anew."""
+        """Removes an ended attempt without a tombstone, to run it again."""
         self._live.pop(attempt_id, None)
         self.tombstones.remove(attempt_id)
 
     def forget(self, attempt: state.Attempt) -> None:
-        """Drops an ended attempt and leaves a tombstone."""
+        """Replaces an ended attempt by a tombstone."""
         self._live.pop(attempt.id, None)
         keep_s = max(0.0, attempt.deadline - self._clock()) + TOMBSTONE_MARGIN_S
         self.tombstones.add(attempt.id, _terminal_to_keep(attempt), keep_s)
 
 
 def _terminal_to_keep(attempt: state.Attempt) -> message.Message:
-    """What a router is told that asks after the answer was dropped."""
+    """Returns the terminal for routers that ask once the response is gone."""
     if not isinstance(attempt.terminal, message.Finished):
         return attempt.terminal
     return message.Failed(
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tail.py
@@ -1,4 +1,4 @@
-"""The unacknowledged end of an answer, sent as credit allows."""
+"""Unacknowledged items of a response, sent as credit allows."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Tail:
-    """Items of one answer that the router has not acknowledged.
+    """Items of one response that the router has not acknowledged.
 
     Items are numbered from 0. Those below `start` were acknowledged and
-    dropped; those from `start` on can be sent again to a new link. Items
+    dropped; those from `start` on can be sent again over a new link. Items
     below `limit` are covered by credit.
 
     Attributes:
-      start: Number of the first item kept.
+      start: Number of the first item still held.
       sent: Number of the next item to send.
-      limit: First item not covered by credit.
-      end: Number of items received in all.
+      limit: Number of the first item not covered by credit.
+      end: Total number of items received.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
 
         Args:
           attempt: Id of the attempt, for the chunks.
-          credit: Items that may be sent at first.
-          max_bytes: Bytes kept beyond which `room` waits.
+          credit: Items that may be sent initially.
+          max_bytes: Held bytes from which on `wait_for_room` blocks.
           keep_all: Keep acknowledged items too, so that another router can
-            take up the answer from its first item.
+            take over the response from its first item.
         """
         self.start = 0
         self.sent = 0
@@ -60,34 +60,34 @@
 
     @property
     def end(self) -> int:
-        """Number of items received in all."""
+        """Total number of items received."""
         return self.start + len(self._items)
 
     @property
     def all_sent(self) -> bool:
-        """Every item was sent to the present link."""
+        """Whether every item was sent over the current link."""
         return self.sent >= self.end
 
     def append(self, items: list[bytes]) -> None:
-        """Takes further items of the answer."""
+        """Adds further items of the response."""
         self._items += items
         self._bytes += sum(map(len, items))
         self._update_room()
 
     async def wait_for_room(self) -> None:
-        """Waits until less than `max_bytes` are kept."""
+        """Waits until fewer than `max_bytes` are held."""
         await self._has_room.wait()
 
     def grant(self, seq: int, items: int) -> None:
-        """Permits `items` more and acknowledges all below `seq`."""
+        """Adds credit for `items` and acknowledges all items below `seq`."""
         self.limit += items
         self._drop_below(seq)
 
     def rewind(self, seq: int, credit: int) -> bool:
-        """Goes back to item `seq` for a new link.
+        """Rewinds to item `seq` for a new link.
 
         Returns:
-          False if items from `seq` on were dropped or never came.
+          False if items from `seq` on were dropped or not yet received.
         """
         if not self.start <= seq <= self.end:
             return False
@@ -97,12 +97,12 @@
         return True
 
     def restart(self, credit: int) -> None:
-        """Goes back to the first item kept; `credit` counts from there."""
+        """Rewinds to the first item held; `credit` counts from there."""
         self.sent = self.start
         self.limit = self.start + credit
 
     def send(self, put: Callable[[message.Message], None]) -> None:
-        """Sends what credit allows as chunks of bounded size."""
+        """Sends the items that credit allows, in chunks of limited size."""
         stop = min(self.end, self.limit)
         while self.sent < stop:
             items = self._next_chunk(self.sent - self.start, stop - self.start)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/tombstone.py
@@ -1,7 +1,7 @@
-"""What is remembered of attempts that are over.
+"""Terminals of attempts that have ended.
 
 A Dispatch, Withdraw or Resume may arrive long after the attempt it names was
-refused, withdrawn or finished: links stall and routers retry. Without a
+refused, withdrawn or finished, as links stall and routers retry. Without a
 record, a late Dispatch of a withdrawn attempt would run it.
 """
 
@@ -31,13 +31,13 @@
 
 
 class Tombstones:
-    """Terminals of attempts that are over, bounded by number and time.
+    """Terminals of ended attempts, limited in number and age.
 
-    An attempt whose stone was dropped must not look like one never seen: a
-    router that asks for it late, perhaps long after the one that sent it
-    died, would be told that it did not run. Attempt ids of one router
-    incarnation count upwards, so one number per incarnation remembers all
-    that were dropped.
+    An attempt whose tombstone was dropped must not look like one that was
+    never seen: a router that asks for it late, perhaps long after the one
+    that sent it died, would be told that it did not run. Attempt ids of one
+    router incarnation increase, so the highest dropped number of each
+    incarnation covers all its dropped tombstones.
     """
 
     def __init__(
@@ -46,12 +46,13 @@
         clock: Callable[[], float],
         max_sources: int = MAX_SOURCES,
     ) -> None:
-        """Makes an empty record of at most `limit` stones.
+        """Makes an empty table.
 
         Args:
-          limit: Stones kept.
-          clock: Gives the time in seconds.
-          max_sources: Router incarnations whose numbers are remembered.
+          limit: Maximum number of tombstones.
+          clock: Returns the time in seconds.
+          max_sources: Maximum number of router incarnations whose highest
+            dropped number is kept.
         """
         self._limit = limit
         self._clock = clock
@@ -69,17 +70,17 @@
     def add(
         self, attempt: str, terminal: message.Message, keep_s: float
     ) -> None:
-        """Remembers how an attempt ended, for `keep_s` seconds."""
+        """Keeps the terminal of an attempt for `keep_s` seconds."""
         self._tombstones[attempt] = _Tombstone(terminal, self._clock() + keep_s)
         while len(self._tombstones) > self._limit:
             dropped, _ = self._tombstones.popitem(last=False)
             self._mark_dropped(dropped)
 
     def find(self, attempt: str) -> message.Message | None:
-        """Returns the terminal of an attempt that is over, if known.
+        """Returns the terminal of an ended attempt, or None if never seen.
 
-        For one that may have been dropped it is a failure of unknown
-        outcome.
+        For an attempt whose tombstone may have been dropped, that is a
+        failure of unknown outcome.
         """
         tombstone = self._tombstones.get(attempt)
         if tombstone is not None:
@@ -96,11 +97,11 @@
         )
 
     def remove(self, attempt: str) -> None:
-        """Forgets how an attempt ended."""
+        """Removes the tombstone of an attempt."""
         self._tombstones.pop(attempt, None)
 
     def expire(self) -> None:
-        """Drops what is past its time."""
+        """Drops expired tombstones."""
         now = self._clock()
         expired = [k for k, s in self._tombstones.items() if s.expires <= now]
         for attempt in expired:
--- a/tests/quetzalsill_sidecar/attempt/test_tombstone.py
+++ b/tests/quetzalsill_sidecar/attempt/test_tombstone.py
@@ -1,4 +1,4 @@
-"""What is over never looks like what was never seen."""
+"""Ended attempts stay distinguishable from attempts never seen."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class TombstonesTest(unittest.TestCase):
-    """Bounded by number and time."""
+    """Tombstones dropped by age or number still count as seen."""
 
     def test_dropped_attempt_is_not_taken_for_one_never_seen(self):
-        """An order is called "not run" hours after it was taken.
+        """An attempt that ran is reported as "not run" hours later.
 
-        Its router died with the answer, and no other was there to ask before
-        the sidecar had dropped what it knew.
+        Its router died with the response, and another router asked only
+        after the sidecar had dropped the tombstone.
         """
         for drop in ('time', 'space'):
             with self.subTest(drop):
