--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/__init__.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/__init__.py
@@ -1,1 +1,1 @@
-"""Order and admission of what waits for the upstream."""
+"""Order and admission of attempts that wait for the upstream."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_baseline.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_baseline.py
@@ -1,4 +1,4 @@
-"""Baseline admission policies, to compare with."""
+"""Baseline admission policies, for comparison."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def admit_all(state: policy.EngineState, demand: policy.Demand) -> bool:
-    """Starts whatever comes; the engine queues and preempts."""
+    """Starts up to `max_running` attempts; the engine queues and preempts."""
     del demand
     return len(state.running) < state.max_running
 
 
 def fixed_batch(state: policy.EngineState, demand: policy.Demand) -> bool:
-    """Keeps a fixed number of attempts on the engine."""
+    """Runs at most `BATCH_SIZE` attempts on the engine."""
     del demand
     return len(state.running) < min(BATCH_SIZE, state.max_running)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/admission_predicted.py
@@ -1,10 +1,10 @@
-"""Admission by predicted key-value memory.
+"""Admission by predicted KV cache use.
 
-Each attempt holds its prompt and what it made so far, grows by a token a
-step, and gives all of it back at its end. With a guess of what each has still
-to make, the memory at each coming end is known, and its peak must fit. That
-is less than the sum of all final sizes, since the short ones are gone before
-the long ones are large.
+Each attempt holds its prompt and the tokens generated so far, grows by one
+token a step, and releases everything when it ends. Given an estimate of the
+remaining tokens of each attempt, the memory in use at each end is known, and
+its peak must fit. The peak is lower than the sum of all final sizes, since
+short attempts end before long ones reach their full size.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 def admit(state: policy.EngineState, demand: policy.Demand) -> bool:
-    """Starts a demand if the predicted peak of memory stays under capacity.
+    """Starts a demand if the predicted peak of memory fits the capacity.
 
-    Each attempt is planned at its profile's quantile of the length still to
-    come. Demands that may not use the headroom leave it free.
+    Each attempt is planned at its profile's quantile of the remaining
+    length. Demands that may not use the headroom leave it free.
     """
 
     def remaining(planned: policy.Demand, produced: int) -> int:
@@ -38,10 +38,11 @@
 
 
 def admit_declared(state: policy.EngineState, demand: policy.Demand) -> bool:
-    """Starts a demand if all answers may grow to their declared bound.
+    """Starts a demand if all responses could reach their declared limit.
 
-    Never overcommits, and wastes what bounds exceed lengths by. Where callers
-    declare true lengths it is the best that admission by memory can do.
+    It never overcommits, and wastes the difference between limits and actual
+    lengths. Where callers declare the actual lengths, no other admission by
+    memory does better.
     """
 
     def remaining(planned: policy.Demand, produced: int) -> int:
@@ -53,19 +54,20 @@
 def peak_tokens(
     sizes: Iterable[tuple[int, int]], candidate: tuple[int, int]
 ) -> int:
-    """Highest memory while a newcomer is on the engine.
+    """Returns the peak of memory while a candidate is on the engine.
 
-    Later peaks come with or without the newcomer, so they don't speak against
-    it: a short answer fits in beside long ones that will be large later.
+    Later peaks occur with or without the candidate, so they are left out: a
+    short response fits in beside long ones that will be large later.
 
     Args:
-      sizes: For each running attempt the tokens held and those to come.
+      sizes: Tokens held and tokens remaining of each running attempt.
       candidate: The same for the attempt that may start.
     """
     peak = 0
     held = 0
-    # From the last to end to the first: at an end, those that end later (or
-    # then) hold what they have now and as many tokens as steps went by.
+    # In order from the last attempt to end to the first. When one ends, it
+    # and those that end later each hold their current tokens plus one for
+    # each step until then.
     ordered = sorted([*sizes, candidate], key=_remaining_of, reverse=True)
     for count, (held_now, remaining) in enumerate(ordered, start=1):
         held += held_now
@@ -86,15 +88,16 @@
     if state.capacity_tokens <= 0:
         return True
     if not state.running:
-        # Alone on the engine: waiting would not make more memory free.
+        # On an idle engine, waiting would not free any memory.
         return True
     others = state.running
     budget = state.capacity_tokens - state.foreign_tokens
     if demand.uses_headroom:
-        # Patient work can outgrow its plan, and the engine then pushes it off
-        # unseen; counted here it would hold prompt work back for as long as
-        # it lasts. Prompt work goes by the memory of prompt work alone, and
-        # the engine's preemption by priority is the last relief.
+        # Batch work can outgrow its plan, and the engine then preempts it
+        # without the sidecar noticing; counted here, it would hold back
+        # latency-sensitive work for as long as it runs. Only the memory of
+        # other latency-sensitive work counts, and the engine's preemption by
+        # priority is the last resort.
         others = [o for o in others if o.demand.uses_headroom]
     else:
         budget -= state.reserved_tokens
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/headroom.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/headroom.py
@@ -1,8 +1,9 @@
-"""Memory to keep free for prompt work, learnt from what it held lately.
+"""Memory to keep free for latency-sensitive work, from its recent use.
 
-A fixed part of the memory is too small when handsets are busy and wasted when
-they are not. What prompt work will take next is near what it took on the
-average of the last seconds, and seldom beyond twice the deviation above.
+Latency-sensitive work is that of profiles with `uses_headroom`. A fixed share
+of the memory is too small while there is much of it, and wasted while there is
+little. Its next use is close to its average over the last seconds, and seldom
+more than two standard deviations above.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Headroom:
-    """Mean and deviation of the memory that prompt work holds, by time."""
+    """Moving mean and deviation of the memory held by such work."""
 
     def __init__(self) -> None:
         self._mean = 0.0
@@ -25,7 +26,7 @@
         self._updated_at: float | None = None
 
     def note(self, held_tokens: int, now: float) -> None:
-        """Notes what prompt work holds from `now` (monotonic seconds) on."""
+        """Records the tokens held from `now` (monotonic seconds) on."""
         if self._updated_at is not None:
             weight = 1.0 - math.exp((self._updated_at - now) / TIME_CONSTANT_S)
             self._mean += weight * (self._held - self._mean)
@@ -34,6 +35,6 @@
         self._held = held_tokens
 
     def reserve(self) -> float:
-        """Tokens that prompt work will hardly hold more than, soon."""
+        """Returns the tokens that the next use is unlikely to exceed."""
         variance = max(0.0, self._mean_square - self._mean**2)
         return self._mean + DEVIATIONS * math.sqrt(variance)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
@@ -1,8 +1,9 @@
 """Observed output lengths by model and profile.
 
-The length of an answer is not known before it ends. What is known is how long
-others of its kind were, and how much of it has come already: an answer that
-has reached 2,000 tokens is drawn from those that reach 2,000.
+The length of a response is not known before it ends. It is estimated from the
+lengths of others of the same model and profile, given the tokens produced so
+far: a response that has reached 2,000 tokens is compared only with those that
+reach 2,000.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 
 MAX_TOKENS = 1_000_000
 SIGNIFICANT_FIGURES = 2
-# Building a curve takes milliseconds, so it is built anew only once this
-# part of its observations is newer than it.
+# Building the cumulative counts takes milliseconds, so they are rebuilt only
+# once the observations since the last build exceed this fraction of theirs.
 MAX_STALE_FRACTION = 0.05
 ROTATE_COUNT = 512
 ROTATE_S = 900.0
-# Stands in until lengths were observed; each counts as one observation, so
-# that a few dozen real ones outweigh it.
+# Prior lengths used until lengths are observed; each counts as one
+# observation, so that a few dozen real ones outweigh them.
 PRIOR = (16, 32, 64, 128, 256, 512, 1024, 2048, 4096)
-# Tail beyond the longest answer seen: as many tokens again as were made, as
-# in a heavy-tailed (Pareto) distribution.
+# A response longer than any observed is expected to produce as many tokens
+# again as it has, as in a heavy-tailed (Pareto) distribution.
 TAIL_FACTOR = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class _CumulativeCounts:
-    """Lengths in ascending order with the number of answers up to each."""
+    """Lengths in ascending order, and how many responses are that short."""
 
     values: list[int]
     totals: list[int]
 
 
 class _Window:
-    """The latest lengths of one kind: this period and the one before."""
+    """Latest lengths of one kind: the current period and the previous one."""
 
     def __init__(self, now: float) -> None:
         self.recent = _new_histogram()
@@ -51,8 +52,8 @@
         self.counts: _CumulativeCounts | None = None
 
     def record(self, tokens: int, now: float) -> None:
-        # A shift of the distribution must show soon, and one that went by
-        # must be forgotten; a period ends by number or by time.
+        # A period ends by count or by time, so that a shift of the
+        # distribution shows soon and old lengths are dropped.
         full = self.recent.get_total_count() >= ROTATE_COUNT
         old = now - self.started >= ROTATE_S
         if full or (old and self.recent.get_total_count()):
@@ -82,13 +83,13 @@
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def record(self, model: str, profile: str, tokens: int, now: float) -> None:
-        """Notes the length of a whole answer, at `now` monotonic seconds."""
+        """Records the length of a complete response at `now` (monotonic)."""
         self._window(model, profile, now).record(tokens, now)
 
     def remaining(
         self, model: str, profile: str, produced: int, quantile: float
     ) -> int:
-        """Tokens still to come at a quantile, given those produced."""
+        """Returns a quantile of the remaining tokens, given those produced."""
         window = self._windows.get((model, profile))
         counts = window.current_counts() if window else _PRIOR_COUNTS
         index = bisect.bisect_right(counts.values, produced)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_fifo.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_fifo.py
@@ -13,7 +13,7 @@
 
 
 class FifoOrder:
-    """One line for all accounts and profiles."""
+    """A single queue for all accounts and profiles."""
 
     def __init__(self) -> None:
         self._demands: dict[str, policy.Demand] = {}
@@ -22,7 +22,7 @@
         return len(self._demands)
 
     def push(self, demand: policy.Demand) -> None:
-        """Takes a demand to the end of the line."""
+        """Appends a demand to the queue."""
         self._demands[demand.attempt] = demand
 
     def heads(self, now: float) -> Iterator[policy.Demand]:
@@ -36,5 +36,5 @@
         self.remove(demand)
 
     def remove(self, demand: policy.Demand) -> None:
-        """Removes the demand if it waits."""
+        """Removes the demand if it is queued."""
         self._demands.pop(demand.attempt, None)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_weighted.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/order_weighted.py
@@ -1,10 +1,10 @@
-"""Weighted fair order by client account, prompt profiles first.
+"""Weighted fair queueing by client account, urgent profiles first.
 
-Start-time fair queueing: each account has a virtual time that its served
-work moves on by cost over weight, and of accounts in the same rank the one
-behind goes first. An account that was idle starts at the present virtual
-time, so that it can't save up its share. A large account thus waits for its
-own backlog only.
+Start-time fair queueing: each account has a virtual time, which each served
+demand advances by cost over weight. Among accounts of the same rank, the one
+with the lowest virtual time goes first. An account that was idle starts at the
+current virtual time, so that it can't accumulate unused share. An account thus
+waits behind its own backlog, not behind that of a larger one.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Flow:
-    """Demands of one account in one profile, oldest first."""
+    """Queued demands of one account and profile, oldest first."""
 
     account: str
     demands: collections.OrderedDict[str, policy.Demand]
@@ -35,7 +35,7 @@
 
 
 class WeightedOrder:
-    """Queue of flows, chosen by rank and then by virtual time."""
+    """Queue of flows, ordered by rank and then by virtual time."""
 
     def __init__(self) -> None:
         self._flows: dict[tuple[str, str], _Flow] = {}
@@ -47,7 +47,7 @@
         return self._length
 
     def push(self, demand: policy.Demand) -> None:
-        """Takes a demand to the end of its flow."""
+        """Appends a demand to its flow."""
         key = (demand.account, demand.profile)
         flow = self._flows.get(key)
         if flow is None:
@@ -57,7 +57,7 @@
         self._length += 1
 
     def heads(self, now: float) -> Iterator[policy.Demand]:
-        """Yields the oldest of each flow, the first in turn first."""
+        """Yields the oldest demand of each flow, in order of service."""
         heads = [flow.head for flow in self._flows.values()]
         heads.sort(
             key=lambda d: (d.rank(now), self._start(d.account), d.arrived)
@@ -65,7 +65,7 @@
         yield from heads
 
     def take(self, demand: policy.Demand) -> None:
-        """Removes the demand and moves its account on by its cost."""
+        """Removes the demand and charges its cost to its account."""
         self._virtual_time = min(
             self._start(f.account) for f in self._flows.values()
         )
@@ -76,7 +76,7 @@
         self.remove(demand)
 
     def remove(self, demand: policy.Demand) -> None:
-        """Removes the demand if it waits."""
+        """Removes the demand if it is queued."""
         key = (demand.account, demand.profile)
         flow = self._flows.get(key)
         if flow is None or flow.demands.pop(demand.attempt, None) is None:
@@ -85,8 +85,8 @@
         if not flow.demands:
             del self._flows[key]
         if not self._flows:
-            # Without contention there is nothing to share out; this also
-            # keeps the table from holding every account ever seen.
+            # An empty queue has no contention to arbitrate; clearing also
+            # keeps the table from growing with every account ever seen.
             self._account_times.clear()
             self._virtual_time = 0.0
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/policy.py
@@ -1,4 +1,4 @@
-"""What the policy plug-ins of the queue are given and give back."""
+"""Interfaces and data types of the queue's policy plug-ins."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Demand:
-    """What a waiting attempt asks of the upstream.
+    """Resources that an attempt requests, and its place in the order.
 
     Attributes:
       attempt: Id of the attempt.
       account: Client account.
       profile: Profile name.
       model: Model name.
-      arrived: When it came (monotonic seconds).
-      weight: Share of its account.
+      arrived: Time of arrival (monotonic seconds).
+      weight: Weight of its account.
       priority: Priority of its profile; 0 is served first.
       ageing_s: Wait after which it is ordered as if of priority 0.
-      uses_headroom: It may use the memory kept free for prompt work.
-      quantile: Quantile of the length that memory is planned for.
-      prompt_tokens: Tokens of its prompt.
-      max_tokens: Bound on its generated tokens.
-      cost: Tokens that its account is charged; set when it is queued.
+      uses_headroom: Whether it may use the memory kept free for
+        latency-sensitive work.
+      quantile: Quantile of the output length that memory is planned for.
+      prompt_tokens: Number of tokens of its prompt.
+      max_tokens: Limit on its generated tokens.
+      cost: Tokens charged to its account; set when it is queued.
     """
 
     attempt: str
@@ -46,18 +47,18 @@
     cost: int = 1
 
     def rank(self, now: float) -> int:
-        """Priority once ageing is counted in."""
+        """Returns its priority after ageing."""
         aged = now - self.arrived >= self.ageing_s
         return 0 if aged else self.priority
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class RunningAttempt:
-    """An attempt on the upstream.
+    """An attempt that runs on the upstream.
 
     Attributes:
-      demand: What it asked.
-      started: When it was handed over (monotonic seconds).
+      demand: Its demand.
+      started: Time at which it was admitted (monotonic seconds).
       produced: Tokens received so far.
     """
 
@@ -67,23 +68,23 @@
 
     @property
     def held_tokens(self) -> int:
-        """Key-value memory that it holds now, in tokens."""
+        """KV cache that it currently holds, in tokens."""
         return self.demand.prompt_tokens + self.produced
 
 
 @dataclasses.dataclass(slots=True)
 class EngineState:
-    """What an admission policy may look at.
+    """State of the upstream that is passed to an admission policy.
 
     Attributes:
-      now: Monotonic seconds.
-      capacity_tokens: Key-value memory in all; 0 if unknown.
-      foreign_tokens: Memory in use that the sidecar can't account for.
-      kept_tokens: Memory to be left free for prompt work.
-      max_running: Bound on attempts at once.
-      running: What is on the upstream.
-      remaining: Quantile of the tokens still to come, given model, profile,
-        tokens produced and quantile.
+      now: Current time (monotonic seconds).
+      capacity_tokens: Total KV cache; 0 if unknown.
+      foreign_tokens: KV cache in use that no attempt of this sidecar holds.
+      reserved_tokens: KV cache to keep free for latency-sensitive work.
+      max_running: Limit on concurrent attempts.
+      running: Attempts on the upstream.
+      remaining: Returns a quantile of the remaining tokens, given model,
+        profile, tokens produced and quantile.
     """
 
     now: float
@@ -96,26 +97,26 @@
 
 
 class Order(Protocol):
-    """Order of a queue; a fairness plug-in is a function that makes one."""
+    """Order of a queue; a fairness plug-in is a function that returns one."""
 
     def push(self, demand: Demand) -> None:
-        """Takes a demand."""
+        """Queues a demand."""
 
     def heads(self, now: float) -> Iterator[Demand]:
-        """Yields the demands that may be next, the first in turn first."""
+        """Yields the demands that may start next, in order of service."""
 
     def take(self, demand: Demand) -> None:
-        """Removes a head that starts, and charges its account."""
+        """Removes a head that starts and charges its account."""
 
     def remove(self, demand: Demand) -> None:
-        """Removes a demand that was withdrawn."""
+        """Removes a withdrawn demand."""
 
     def __len__(self) -> int:
-        """Number of waiting demands."""
+        """Returns the number of queued demands."""
 
 
 if TYPE_CHECKING:
-    # An admission plug-in: whether the demand may start now.
+    # An admission plug-in returns whether the demand may start now.
     Admit = Callable[[EngineState, Demand], bool]
 else:
     Admit = object
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/schedule.py
@@ -1,4 +1,4 @@
-"""What waits and what runs on the upstream."""
+"""Queued and running attempts of the upstream."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 
 class Schedule:
-    """Queue and occupancy of one upstream.
+    """Queue and running attempts of one upstream.
 
-    What the sidecar itself started and ended is the truth here; the engine's
-    report, which lags, only adds memory that others hold there.
+    The attempts that this sidecar started and ended are authoritative. The
+    engine's report lags, so it only adds the memory that others hold there.
 
     Attributes:
-      capacity_tokens: Key-value memory in all; 0 if unknown.
-      foreign_tokens: Memory in use that is not of our attempts.
-      headroom: Least part of the memory that is kept free for prompt work.
+      capacity_tokens: Total KV cache; 0 if unknown.
+      foreign_tokens: KV cache in use that no attempt of this sidecar holds.
+      headroom: Minimum fraction of the memory that is kept free for
+        latency-sensitive work.
       lengths: Observed output lengths.
     """
 
@@ -54,17 +55,17 @@
 
     @property
     def queued(self) -> int:
-        """Number of waiting demands."""
+        """Number of queued demands."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Number of attempts on the upstream."""
+        """Number of running attempts."""
         return len(self._running)
 
     @property
     def used_tokens(self) -> int:
-        """Memory that is held on the engine, in tokens."""
+        """KV cache in use on the engine, in tokens."""
         own = sum(o.held_tokens for o in self._running.values())
         return own + self.foreign_tokens
 
@@ -74,13 +75,13 @@
         admit: policy.Admit,
         demand_of: Callable[[str], policy.Demand | None],
     ) -> None:
-        """Replaces the policies and what each attempt asks.
+        """Replaces the policies, and the demand of each attempt.
 
         Args:
-          order: Empty order; takes over what waits.
+          order: An empty order, to which all queued demands are added.
           admit: Admission policy.
-          demand_of: Gives the demand of an attempt under the configuration
-            in force; None if that is no longer known.
+          demand_of: Returns the demand of an attempt under the active
+            configuration, or None if the attempt is no longer known.
         """
         self._order = order
         self._admit = admit
@@ -99,7 +100,7 @@
         self._order.push(demand)
 
     def remove(self, attempt: str) -> bool:
-        """Takes a waiting demand out; False if it does not wait."""
+        """Removes a queued demand; False if it is not queued."""
         demand = self._waiting.pop(attempt, None)
         if demand is None:
             return False
@@ -107,7 +108,7 @@
         return True
 
     def start_admitted(self) -> Iterator[str]:
-        """Yields, one by one, the attempts that may start now."""
+        """Yields the attempts that may start now, and marks each as running."""
         while (demand := self._next_admissible()) is not None:
             self._order.take(demand)
             del self._waiting[demand.attempt]
@@ -115,22 +116,22 @@
             yield demand.attempt
 
     def mark_running(self, demand: policy.Demand) -> None:
-        """Notes an attempt on the upstream."""
+        """Records an attempt as running."""
         running_attempt = policy.RunningAttempt(demand, self._clock())
         self._running[demand.attempt] = running_attempt
 
     def produce(self, attempt: str, tokens: int) -> None:
-        """Counts tokens that an attempt received."""
+        """Adds to the tokens produced by an attempt."""
         running_attempt = self._running.get(attempt)
         if running_attempt is not None:
             running_attempt.produced += tokens
 
     def release(self, attempt: str, *, whole: bool) -> None:
-        """Notes that an attempt left the upstream.
+        """Records that an attempt has left the upstream.
 
         Args:
-          attempt: Its id; one that does not run is ignored.
-          whole: It gave its whole answer, so that its length is known.
+          attempt: Its id; an attempt that is not running is ignored.
+          whole: Whether its response is complete, so that the length counts.
         """
         running_attempt = self._running.pop(attempt, None)
         if running_attempt is None:
@@ -147,11 +148,12 @@
             )
 
     def expected_wait_s(self, rank: int) -> float:
-        """Wait that a demand arriving now at this rank would see.
+        """Returns the expected wait of a demand arriving now at this rank.
 
-        By Little's law places come free at running / service time. That is
-        no measure of a burst which hasn't been tried on the engine yet: with
-        one answer running it would promise a long wait where none is.
+        By Little's law, attempts end at a rate of running / service time.
+        That doesn't hold for a burst that hasn't been offered to the engine
+        yet: with a single attempt running, it would predict a long wait where
+        there is none. So the wait is 0 unless admission held something back.
         """
         if not self._blocked:
             return 0.0
@@ -167,9 +169,9 @@
         self._blocked = False
         blocked = False
         for demand in self._order.heads(now):
-            # A head that doesn't fit holds back what is behind it, lest
-            # small work starve it; only work that has memory kept for it
-            # may pass.
+            # A head that doesn't fit blocks those behind it, so that small
+            # demands can't starve it; only demands that may use the headroom
+            # can pass.
             if blocked and not demand.uses_headroom:
                 continue
             if self._admit(engine_state, demand):
@@ -179,7 +181,7 @@
         return None
 
     def _cost(self, demand: policy.Demand) -> int:
-        """Tokens that the demand is expected to hold at its end."""
+        """Returns the tokens that the demand is expected to hold at its end."""
         expected = self.lengths.remaining(
             demand.model, demand.profile, 0, MEDIAN
         )
--- a/tests/quetzalsill_sidecar/queue/__init__.py
+++ b/tests/quetzalsill_sidecar/queue/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of queue order, admission and lengths."""
+"""Tests of queue order, admission and output lengths."""
--- a/tests/quetzalsill_sidecar/queue/test_admission.py
+++ b/tests/quetzalsill_sidecar/queue/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission keeps the planned memory under the engine's capacity."""
+"""Admission keeps the planned memory within the engine's capacity."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None)
 CAPACITY = 20_000
 HEADROOM = 0.1
-# What the engine itself keeps free before a sequence may join.
+# Tokens that the engine keeps free before a sequence may join the batch.
 RESERVE = 400
 PATIENT = 8
 DEMANDS = strategies.lists(
@@ -66,7 +66,7 @@
 
 
 def draw(seed: int, prompt_share: float) -> list[tuple[int, int, bool]]:
-    """More work than memory holds at once, the same for the same seed."""
+    """Returns more work than fits the memory at once, fixed by the seed."""
     rng = random.Random(seed)
     return [
         (
@@ -79,7 +79,7 @@
 
 
 def play(run: list[tuple[int, int, bool]]) -> Iterator[model.Sequence]:
-    """Yields what an engine preempts, with all lengths declared truly."""
+    """Yields the sequences that an engine preempts, given true lengths."""
     batch = model.Batch(CAPACITY, 1000, model.Costs())
     queue = queue_of([], admission_predicted.admit_declared)
     queue.capacity_tokens = CAPACITY - RESERVE
@@ -106,20 +106,20 @@
 
 
 class PredictedTest(unittest.TestCase):
-    """Plans hold, and something always runs."""
+    """Admission by plan neither preempts nor stalls."""
 
     def test_true_lengths_of_patient_work_are_never_preempted(self):
-        """With lengths known, an engine's memory never fills in mid-decode.
+        """With known lengths, an engine's memory never fills during decode.
 
-        So every preemption that is seen comes from a wrong guess of a length
-        or from prompt work, not from the arithmetic of the plan.
+        Any preemption thus comes from a wrong estimate of a length or from
+        latency-sensitive work, not from the arithmetic of the plan.
         """
         for seed in SEEDS:
             run = draw(seed, prompt_share=0.0)
             self.assertEqual(list(play(run)), [], seed)
 
     def test_only_patient_work_is_preempted(self):
-        """Prompt work starts beside full memory and is never pushed off."""
+        """Latency-sensitive work starts beside full memory, not preempted."""
         preempted = [
             seq for seed in SEEDS for seq in play(draw(seed, prompt_share=0.5))
         ]
@@ -136,11 +136,12 @@
         self.assertTrue(held <= allowed or len(started) <= 1)
 
     def test_prompt_work_starts_beside_patient_work_that_outgrew_its_plan(self):
-        """Handsets wait for seconds beside an engine that serves the rest.
+        """Latency-sensitive requests wait for seconds for no reason.
 
-        A plan runs longer than guessed until memory is full. The engine then
-        pushes it off for prompt work, but the sidecar, which sees no
-        preemption, still counts its memory and lets no prompt work start.
+        A batch attempt runs longer than estimated until memory is full. The
+        engine preempts it for latency-sensitive work, but the sidecar, which
+        sees no preemption, still counts its memory and starts none of that
+        work.
         """
         queue = queue_of([(100, 8000, False)])
         self.assertEqual(list(queue.start_admitted()), ['0'])
--- a/tests/quetzalsill_sidecar/queue/test_headroom.py
+++ b/tests/quetzalsill_sidecar/queue/test_headroom.py
@@ -1,4 +1,4 @@
-"""The memory kept for prompt work follows what prompt work holds."""
+"""The headroom follows the memory that latency-sensitive work holds."""
 
 from __future__ import annotations
 
--- a/tests/quetzalsill_sidecar/queue/test_lengths.py
+++ b/tests/quetzalsill_sidecar/queue/test_lengths.py
@@ -1,4 +1,4 @@
-"""Knowledge of output lengths."""
+"""Estimates of output lengths."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=30)
 TOKENS = strategies.integers(1, 20_000)
-# Of the histogram's two significant figures, with room for rounding.
+# Accuracy of the histogram's two significant figures, plus rounding.
 ACCURACY = 0.02
 
 
@@ -27,7 +27,7 @@
 
 
 class LengthsTest(unittest.TestCase):
-    """Quantiles of what is still to come."""
+    """Quantiles of the remaining length."""
 
     @SETTINGS
     @hypothesis.given(
--- a/tests/quetzalsill_sidecar/queue/test_order.py
+++ b/tests/quetzalsill_sidecar/queue/test_order.py
@@ -22,7 +22,7 @@
 
 
 def serve(order: policy.Order, now: float = 0.0) -> policy.Demand:
-    """Takes the first in turn."""
+    """Takes the first demand in order."""
     first = next(order.heads(now))
     order.take(first)
     return first
--- a/tests/quetzalsill_sidecar/queue/test_schedule.py
+++ b/tests/quetzalsill_sidecar/queue/test_schedule.py
@@ -1,4 +1,4 @@
-"""What the queue tells of waits."""
+"""Expected wait of the queue."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExpectedWaitTest(unittest.TestCase):
-    """A wait is told where something was held back, and only there."""
+    """A wait is expected only if admission held something back."""
 
     def setUp(self):
         self.now = 0.0
@@ -38,11 +38,11 @@
         self.queue.release('first', whole=True)
 
     def test_burst_on_an_idle_engine_is_told_no_wait(self):
-        """Requests are refused as too late although the engine is idle.
+        """Requests are refused for a long wait although the engine is idle.
 
-        One answer has taken 5 s. Four requests arrive within one tick, before
-        any was tried on the engine, and the last is judged by a queue of
-        three that nothing holds back.
+        One response has taken 5 s. Four requests arrive within one tick,
+        before any was offered to the engine, and the wait of the last is
+        computed from a queue of three that nothing holds back.
         """
         self.serve_one()
         self.push('a', 'b', 'c', 'd')
