--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/__init__.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Orders that bring the engine to what the configuration wants."""
+"""Commands that bring the engine to its configured state."""
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
@@ -1,4 +1,4 @@
-"""Which upstream has which models loaded, by one row for each."""
+"""Table of the models that each upstream has loaded, one row for each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _OwnRow:
-    """The own row as it was last written or read."""
+    """The own row as last written or read."""
 
     version: int
     models: list[str]
@@ -25,10 +25,11 @@
 
 
 class LoadedRows:
-    """Tells others what is loaded here, and asks what is loaded there.
+    """Publishes the models loaded here, and reads those of other upstreams.
 
-    The own row is written on each change and every `confirm_s`, so that its
-    version tells others that this sidecar lives and still reads it back.
+    The own row is written on each change and every `confirm_s`. Its version
+    thus shows other sidecars that this one is alive and that the row is
+    current.
     """
 
     def __init__(
@@ -46,10 +47,10 @@
         self._seen_versions: dict[str, int] = {}
 
     async def confirm(self, models: list[str]) -> None:
-        """Writes what is loaded here if it has changed or is due.
+        """Writes the own row if the models have changed or a write is due.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store fails to answer properly.
         """
         if self._own is None:
             row = await self._rows.get(TABLE, self._upstream)
@@ -60,19 +61,19 @@
             await self._write(models, [])
 
     async def take_out(self, model: str, others: Iterable[str]) -> bool:
-        """Takes a model off the own row if another upstream has it loaded.
+        """Removes a model from the own row if another upstream has it loaded.
 
         Two sidecars that unload the same model at once would each see it
-        loaded at the other. The write is therefore conditional on the very
-        row that was seen, and the table lets one of the two through. A row
-        counts only once its version has changed under our eyes: that of a
-        dead upstream stands still.
+        loaded at the other. The write is therefore conditional on the version
+        of the row that was read, so that only one of the two succeeds. A row
+        counts only after its version has been seen to change, since the row
+        of a dead upstream no longer changes.
 
         Returns:
           Whether the model may be unloaded now.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store fails to answer properly.
         """
         if self._own is None:
             return False
@@ -92,7 +93,7 @@
     async def _write(
         self, models: list[str], observed: list[table.Condition]
     ) -> bool:
-        """Writes the own row; False if it or a row that was seen changed."""
+        """Writes the own row; False if it or an observed row has changed."""
         own, self._own = self._own, None
         own_condition = table.Condition(TABLE, self._upstream, own.version)
         write = table.Write(TABLE, self._upstream, {'models': models})
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
@@ -1,4 +1,4 @@
-"""Drives the engine to its desired state, again and again."""
+"""Reconciles the engine with its configured state."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 __all__ = ['Placer']
 
-# Upstreams asked, one read each, before a model is unloaded.
+# Upstreams whose rows are read, one read each, before a model is unloaded.
 MAX_UPSTREAMS_READ = 8
-# Time for an order to reach the engine once the lease was looked at.
+# Time for a command to reach the engine after the lease was checked.
 MIN_LEASE_LEFT_S = 1.0
 RENEWALS_PER_TTL = 3
-# Intervals over which the first looks of a fleet are spread.
+# Intervals over which the first reconciliations of a fleet are spread.
 START_SPREAD_INTERVALS = 5
 
 orders_total = metric.counter(
@@ -38,18 +38,18 @@
 
 
 class Placer:
-    """Gives the orders of one upstream.
+    """Reconciles one upstream.
 
-    There is no controller: what is wanted is configuration, and each sidecar
-    alone orders from its own engine, one order at a time, reading back after
-    each. While there is nothing to order it writes one row every `confirm_s`
-    and reads nothing.
+    There is no central controller: the wanted state is configuration, and
+    each sidecar alone sends commands to its own engine, one at a time, and
+    reads the state back after each. While nothing differs, it writes one row
+    every `confirm_s` and reads nothing.
     """
 
     def __init__(
         self, sidecar: sidecar_lib.Sidecar, platform: clients.Clients
     ) -> None:
-        """Prepares; `run` does the work."""
+        """Prepares the reconciliation, which `run` performs."""
         settings = sidecar.settings
         self._sidecar = sidecar
         self._timing = settings.placement
@@ -74,9 +74,9 @@
         self._unloaded: set[str] = set()
 
     async def run(self) -> None:
-        """Works until cancelled."""
-        # A whole fleet that starts at once, as after a cut of power, would
-        # read and write all its rows within one interval.
+        """Reconciles until cancelled."""
+        # A fleet that starts at once, as after a power failure, would
+        # otherwise read and write all its rows within one interval.
         spread_s = START_SPREAD_INTERVALS * self._timing.interval_s
         await asyncio.sleep(spread_s * random.random())
         while True:
@@ -94,17 +94,17 @@
             await asyncio.sleep(wait_s)
 
     def _record_state(self, code: str, detail: str) -> None:
-        """Logs when placement begins to fail and when it works again."""
+        """Logs when reconciliation starts to fail and when it recovers."""
         if code != self._failure_code:
             event.note(event.PlacementState(failing=code, detail=detail))
         self._failure_code = code
 
     async def _step(self) -> None:
-        """Reads the engine back and gives the first order that is due."""
+        """Reads the engine's state and sends the first command that is due."""
         report = await self._sidecar.runs.engine.report()
         leaving = report.leaving or bool(self._sidecar.leaving.refusal())
-        # The report lags: what was just unloaded may still be in it, and
-        # another upstream that relied on it would unload the last one.
+        # The report lags and may still show a model that was just unloaded;
+        # an upstream that relied on it would unload the last copy.
         self._unloaded &= set(report.models)
         models = sorted(set(report.models) - self._unloaded)
         await self._loaded.confirm([] if leaving else models)
@@ -121,10 +121,11 @@
                     return
 
     async def _may_command(self, cfg: model.Configuration) -> bool:
-        """Takes the lease, and looks whether the configuration is current.
+        """Acquires the lease and checks that the configuration is current.
 
-        A sidecar that was paused may find the lease free again, its successor
-        being done: it would undo that under its old configuration.
+        A sidecar that was paused may find the lease free again after its
+        successor has finished, and would undo the successor's changes under
+        its old configuration.
         """
         await self._check_revision(cfg)
         if self._lease.valid() and await self._lease.renew():
@@ -135,21 +136,25 @@
         return True
 
     async def _check_revision(self, cfg: model.Configuration) -> None:
-        """Gives the lease back under an old configuration.
+        """Checks that `cfg` is the published configuration.
+
+        Otherwise the lease is released.
 
         Raises:
-          OrderWithheldError: A newer one is published.
-          PlatformError: The store does not answer as it should.
+          OrderWithheldError: Another revision is published.
+          PlatformError: The store fails to answer properly.
         """
         newest = (await self._store.head()).revision
         if newest != cfg.revision:
             await self._lease.release()
-            raise error.OrderWithheldError(f'revision {newest} is published')
+            raise error.OrderWithheldError(
+                f'the published revision is {newest}'
+            )
 
     async def _execute(
         self, command: plan.Command, cfg: model.Configuration
     ) -> bool:
-        """Gives an order; False if it has to wait for others."""
+        """Executes a command; False if it has to wait for other sidecars."""
         if command.unloads_model:
             return await self._unload(command, cfg)
         if not command.loads:
@@ -193,24 +198,27 @@
         cfg: model.Configuration,
         load_slot: lease.Lease | None = None,
     ) -> None:
-        """Sends an order and waits until the engine shows it.
+        """Sends a command and waits until the engine reports its effect.
 
         Raises:
-          ExchangeError: It was not sent, or was refused, or its answer was
-            lost. What it did is read back in the next step.
+          ExchangeError: It was not sent, or was refused, or its response was
+            lost. Its effect is read back in the next step.
         """
 
         def check() -> None:
-            # A process that was paused anywhere before this wakes here with
-            # a lease that others have seen lapse; an engine that ignores
-            # fences would take its order. Only a pause between here and the
-            # write, a few instructions on, gets by: what it did differs from
-            # what is wanted, so that the successor's read-back undoes it.
+            # A process that was paused at any point before this may hold a
+            # lease that has expired for others, and an engine that ignores
+            # fences would execute its command. Only a pause between this
+            # check and the write, a few instructions later, goes undetected;
+            # its effect differs from the wanted state, so the successor
+            # reverts it.
             is_expiring = self._lease.remaining_s() < MIN_LEASE_LEFT_S
             if is_expiring or (load_slot is not None and not load_slot.valid()):
-                raise error.OrderWithheldError('the lease has lapsed')
+                raise error.OrderWithheldError('the lease has expired')
             if self._sidecar.configuration.revision != cfg.revision:
-                raise error.OrderWithheldError('the configuration is old')
+                raise error.OrderWithheldError(
+                    'the configuration is no longer current'
+                )
 
         engine = self._sidecar.runs.engine
         outcome = 'failed'
@@ -239,7 +247,7 @@
             )
 
     async def _read_back(self, command: plan.Command) -> None:
-        """Waits until the engine's report, which lags, shows the order."""
+        """Waits until the engine's report, which lags, shows the effect."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timing.read_back_s):
                 while True:
@@ -250,7 +258,7 @@
 
     @contextlib.asynccontextmanager
     async def _renewing(self, leases: list[lease.Lease]) -> AsyncIterator[None]:
-        """Renews leases meanwhile: a load may last longer than their TTL."""
+        """Renews leases in the background, as a load may outlast their TTL."""
         task = asyncio.create_task(self._renew(leases))
         try:
             yield
@@ -269,7 +277,7 @@
 def _other_upstreams(
     cfg: model.Configuration, own: str, name: str
 ) -> Iterator[str]:
-    """Yields other model servers, first those that are to have the model."""
+    """Yields other model servers, first those configured for the model."""
     others = [
         (name not in spec.models, upstream)
         for upstream, spec in cfg.upstreams.items()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/plan.py
@@ -1,4 +1,4 @@
-"""What to order next so that an engine becomes as it is wanted."""
+"""Commands that take an engine from its reported to its wanted state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Command:
-    """One order to the engine.
+    """A command to the engine.
 
     Attributes:
       kind: `load_model`, `unload_model`, `load_adapter`, `unload_adapter` or
@@ -40,7 +40,7 @@
 def commands(
     wanted: model.Upstream, report: engine.EngineReport
 ) -> Iterator[Command]:
-    """Yields what differs, loads first, by the engine's own word."""
+    """Yields the commands still needed, loads first."""
     yield from _commands_for('load_model', wanted.models, report.models)
     yield from _commands_for('load_adapter', wanted.adapters, report.adapters)
     if report.role and report.role != wanted.role:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/slot.py
@@ -1,4 +1,4 @@
-"""Slots of the weight store: so many engines may load at once."""
+"""Load slots, which limit how many engines load weights at once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Slots:
-    """Leases of which each permits one load."""
+    """Leases, each of which permits one load."""
 
     def __init__(self, rows: table.Table, owner: str, ttl_s: float) -> None:
         self._rows = rows
@@ -24,13 +24,13 @@
         self._leases: dict[int, lease.Lease] = {}
 
     async def acquire(self, count: int) -> lease.Lease | None:
-        """Takes a free slot of `count`; None if there is none.
+        """Acquires a free slot out of `count`; None if there is none.
 
-        Each sidecar begins at another slot, so that a start of many does
-        not race for the first one.
+        Sidecars start their search at different slots, so that many that
+        start at once do not all compete for the first one.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store fails to answer properly.
         """
         for offset in range(count):
             number = (self._first_slot + offset) % count
--- a/tests/quetzalsill_sidecar/placement/test_placement.py
+++ b/tests/quetzalsill_sidecar/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of orders, and of the rows and slots that hold them back."""
+"""Tests of commands, and of the rows and slots that hold them back."""
 
 from __future__ import annotations
 
@@ -114,13 +114,13 @@
 
 
 class PlacementTest(unittest.IsolatedAsyncioTestCase):
-    """Plans, slots, and the guards of one order."""
+    """Plans, slots, and the checks before a command is sent."""
 
     async def asyncSetUp(self):
         self.rows = gated.GatedTable(OpenGate())
 
     def test_plan(self):
-        """Loads come first: a model moves only once it is there."""
+        """Loads come first, so that a model is unloaded only after its load."""
         wanted = model.Upstream('model', 'x:1', 'z', models=['a', 'b'])
         wanted.adapters = ['x']
         report = engine.EngineReport(
@@ -137,7 +137,7 @@
         self.assertEqual(found, expected)
 
     async def test_slots_bound_the_loads(self):
-        """A start of many engines floods the weight store."""
+        """Many engines that start at once overload the weight store."""
         loading = []
 
         async def load(name):
@@ -155,7 +155,7 @@
             await asyncio.gather(*(load(f'm-{n}') for n in range(9)))
 
     async def test_row_of_a_dead_upstream_does_not_count(self):
-        """The last engine of a model is unloaded for one that is dead."""
+        """The last copy of a model is unloaded as a dead upstream lists it."""
         here, there = (
             loaded.LoadedRows(self.rows, name, 0.0, lambda: 0.0)
             for name in NAMES[:2]
@@ -168,7 +168,7 @@
         self.assertTrue(await here.take_out(MODEL, NAMES[1:]))
 
     async def order_after(self, happen):
-        """Lets something happen while a connection is opened for an order."""
+        """Calls `happen` while a connection is opened for a command."""
         given = []
 
         class Engine:
@@ -191,7 +191,7 @@
         return given, caught.exception
 
     def placer(self, served):
-        """A placer of an engine that is to change its role."""
+        """Returns a placer whose engine is configured for another role."""
         cfg = model.Configuration(revision=4)
         cfg.upstreams[NAMES[0]] = model.Upstream(
             'model', 'x:1', 'z', role='decode'
@@ -215,7 +215,7 @@
         return self.rows.rows.get('lease', 'load-slot/0').version
 
     async def test_a_long_load_keeps_its_slot(self):
-        """Loads that outlast the slots' TTL flood the weight store."""
+        """Loads that outlast the slots' TTL overload the weight store."""
         slots = slot.Slots(self.rows, NAMES[0], TTL_S)
         taken = await slots.acquire(1)
         async with (
@@ -227,10 +227,11 @@
         self.assertTrue(taken.valid())
 
     async def test_order_after_a_pause_is_withheld(self):
-        """An engine takes the role that a sidecar wanted before its pause.
+        """An engine gets a role that was configured before a pause.
 
-        It is paused right before the order, past its lease, and its
-        successor has ordered otherwise; or a newer revision came meanwhile.
+        The sidecar is paused right before it sends the command, until its
+        lease has expired and its successor has sent another one; or a newer
+        revision arrives during the pause.
         """
         given, exc = await self.order_after(lambda: None)
         self.assertEqual(given, [('set_role', 'decode', 4)])
