--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -1,4 +1,4 @@
-"""One call of an app server, with streamed bodies."""
+"""One call to an app server, with streamed bodies."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def not_found(attempt: str) -> message.Failed:
-    """Terminal of a recovery that found no call of this process.
+    """Returns the terminal of a recovery whose call this process never made.
 
-    No app server can be asked what became of a call, and to make it would
-    double one that an earlier sidecar had made. Only the router knows whether
-    it was this sidecar that it sent the call to.
+    An app server can't be asked for the outcome of a call, and making the call
+    could repeat one that an earlier sidecar made. Only the router knows
+    whether it sent the call to this sidecar.
     """
     return outcome.failed(
         attempt,
@@ -48,9 +48,9 @@
     """Makes the call, streaming both bodies; never sends it twice.
 
     Args:
-      attempt: What to call; takes the answer.
-      origin: The app server.
-      connect_s: Bound on opening the connection, in seconds.
+      attempt: The attempt, which receives the response.
+      origin: Address of the app server.
+      connect_s: Timeout for opening the connection, in seconds.
       start: Called just before the first byte is written.
 
     Returns:
@@ -58,7 +58,7 @@
 
     Raises:
       UpstreamConnectError: Nothing was written.
-      RequestMalformedError: A header cannot be written; nothing was.
+      RequestMalformedError: A header is malformed; nothing was written.
     """
     request_headers = _request_headers(attempt.dispatch)
     method, path = attempt.dispatch.method, attempt.dispatch.path
@@ -81,8 +81,8 @@
 async def _write(
     attempt: state.Attempt, conn: http.Connection, head: bytes
 ) -> None:
-    # A write that fails is no verdict on the call: the server may have
-    # answered early and closed. What can be read decides.
+    # A failed write doesn't decide the outcome: the server may have responded
+    # early and closed the connection. The outcome depends on what is read.
     await conn.write(head)
     async for data in attempt.body.pieces():
         await conn.write_body(data)
@@ -94,7 +94,7 @@
 
 
 def _acknowledge_body(attempt: state.Attempt) -> None:
-    """Lets the router send further pieces of the body."""
+    """Grants the router credit for further pieces of the body."""
     if attempt.put is not None and attempt.body.is_open:
         attempt.put(message.Credit(attempt.id, attempt.body.consumed, 1))
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/canceller.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/canceller.py
@@ -1,4 +1,4 @@
-"""Cancels work on the engine, again and again until it is confirmed."""
+"""Cancels work on the engine, with retries until it is confirmed."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 class Canceller:
     """Runs cancellations in the background.
 
-    A task that stops reading proves nothing about the engine, which goes on
-    generating and holding memory until it has confirmed the cancel.
+    When a task stops reading, the engine may keep generating and holding
+    memory until it has confirmed the cancellation.
     """
 
     def __init__(self, target: engine.Engine) -> None:
-        """Names the engine."""
+        """Makes a canceller for an engine."""
         self._engine = target
         self._tasks: set[asyncio.Task[None]] = set()
 
     def cancel(self, attempt: str, on_settled: Callable[[], None]) -> None:
-        """Cancels in the background, and calls `then` once it is settled."""
+        """Cancels in the background; calls `on_settled` at the end."""
         task = asyncio.create_task(self._cancel(attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(lambda _: on_settled())
 
     async def stop(self) -> None:
-        """Drops what is still unsettled."""
+        """Drops all pending cancellations."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -37,20 +37,20 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineReport:
-    """The engine's own, lagging, word on its state.
+    """State that the engine reports, with a lag.
 
     Attributes:
-      incarnation: Grows or changes with each start of the engine.
+      incarnation: Changes with each start of the engine.
       running: Requests in the batch.
       waiting: Requests queued inside the engine.
-      used_tokens: Key-value memory in use.
-      capacity_tokens: Key-value memory in all.
-      preemptions: Requests pushed off since its start.
+      used_tokens: KV cache in use.
+      capacity_tokens: Total KV cache.
+      preemptions: Requests preempted since its start.
       token_ms: Mean time between tokens, in milliseconds.
-      leaving: It takes no new work.
+      leaving: Whether it refuses new work.
       models: Models loaded.
       adapters: Adapters loaded.
-      role: Role in force.
+      role: Active role.
       fence: Highest fencing number it has seen.
     """
 
@@ -77,12 +77,12 @@
         connect_timeout_s: float,
         response_timeout_s: float,
     ) -> None:
-        """Names the engine.
+        """Makes a client of an engine.
 
         Args:
-          origin: Where it listens.
-          connect_timeout_s: Bound on opening a connection, in seconds.
-          response_timeout_s: Bound on a short exchange (cancel, report), in
+          origin: Address at which it listens.
+          connect_timeout_s: Timeout for opening a connection, in seconds.
+          response_timeout_s: Timeout for a short exchange (cancel, report), in
             seconds.
         """
         self._origin = origin
@@ -90,7 +90,7 @@
         self._response_timeout_s = response_timeout_s
 
     def exchange(self) -> AbstractAsyncContextManager[http.Connection]:
-        """Opens a connection for a stream, for a `with` block.
+        """Returns a context manager that opens a connection for a stream.
 
         Raises:
           UpstreamConnectError: nothing was written.
@@ -98,15 +98,15 @@
         return http.exchange(self._origin, self._connect_timeout_s)
 
     async def cancel(self, attempt: str) -> str:
-        """Cancels the work, or forbids that it ever start.
+        """Cancels the work, or forbids it from ever starting.
 
         Returns:
           `cancelled`, `forbidden` or `finished`.
 
         Raises:
           UpstreamConnectError: not reached.
-          AnswerLostError: no whole answer came.
-          AnswerRejectedError: the engine would not.
+          AnswerLostError: no complete response was received.
+          AnswerRejectedError: the engine refused.
         """
         response = await self._request(
             'POST', f'{_request_path(attempt)}/cancel'
@@ -127,15 +127,15 @@
         timeout_s: float,
         check: Callable[[], None],
     ) -> None:
-        """Gives an order and waits until it is carried out.
+        """Sends a command and waits until it is executed.
 
         Args:
           kind: Such as `load_model`.
           name: Model, adapter or role.
           fence: Fencing number.
-          timeout_s: Longest time that it may take.
-          check: Called when the connection is open, right before the order
-            is written; what it raises keeps the order back.
+          timeout_s: Timeout of the whole exchange, in seconds.
+          check: Called once the connection is open, right before the command
+            is written; the command is not sent if it raises.
 
         Raises:
           ExchangeError: As of `cancel`; or what `check` raises.
@@ -172,7 +172,7 @@
     """Writes the request that starts a generation.
 
     Raises:
-      AnswerLostError: the connection broke; the engine may have it.
+      AnswerLostError: the connection broke; the engine may have the request.
     """
     await conn.send_request('POST', PATHS[kind], JSON_HEADERS, body)
 
@@ -188,10 +188,10 @@
 
 
 def generation_body(dispatch: message.Dispatch, priority: int) -> bytes:
-    """Returns the caller's JSON with what the engine needs added.
+    """Returns the caller's JSON with the fields that the engine needs.
 
     Raises:
-      RequestMalformedError: the payload is no JSON object.
+      RequestMalformedError: the payload is not a JSON object.
     """
     try:
         request = json.loads(dispatch.payload)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -1,4 +1,4 @@
-"""One attempt's generation: start or recover, then read it whole."""
+"""Starts or recovers the generation of an attempt and reads it to its end."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     """Starts the generation and reads it to its end.
 
     Args:
-      attempt: What to generate.
-      engine: Where.
+      attempt: The attempt to run.
+      engine: The engine to run it on.
       progress: Reads the stream and delivers its events.
-      priority: Priority for the engine.
+      priority: Priority on the engine.
       start: Called just before the first byte is written.
 
     Returns:
@@ -43,7 +43,7 @@
 
     Raises:
       UpstreamConnectError: Nothing was written.
-      RequestMalformedError: The payload is no JSON object; nothing was
+      RequestMalformedError: The payload is not a JSON object; nothing was
         written.
     """
     body = engine_lib.generation_body(attempt.dispatch, priority)
@@ -58,8 +58,8 @@
     except error.AnswerRejectedError as exc:
         return outcome.from_status(attempt.id, exc)
     except error.GenerationGoneError as exc:
-        # The request may still be on its way to an engine that does not
-        # know it yet; the loss is proved once its start is forbidden.
+        # The request may still be in transit to an engine that does not know
+        # it yet; the loss is certain only once its start is forbidden.
         gone = bool(await _cancel(attempt.id, engine))
         return outcome.failed(
             attempt.id,
@@ -82,7 +82,7 @@
     """Attaches to a generation that an earlier sidecar started.
 
     Returns:
-      The terminal message; `Refused` once it is proved that it did not run.
+      The terminal message; `Refused` only if it certainly did not run.
     """
     try:
         await progress.resume()
@@ -96,12 +96,12 @@
 async def _resolve_missing(
     attempt: state.Attempt, engine: engine_lib.Engine, detail: str
 ) -> message.Message:
-    """Terminal of a recovery for which the engine has no generation.
+    """Returns the terminal of a recovery whose generation the engine lacks.
 
     The engine is first told never to start it: the request of the earlier
-    sidecar may still be on the way, and "not run" would become untrue. An
+    sidecar may still be in transit, and "not run" would become false. An
     engine that has restarted since the Dispatch was made may have run it
-    before, and knows nothing of that.
+    before, without a record of it.
     """
     cancel_state = await _cancel(attempt.id, engine)
     if not cancel_state:
@@ -138,7 +138,7 @@
     body: bytes,
     progress: generation.Generation,
 ) -> bool:
-    """Reads over the starting connection; False if it broke or fell silent."""
+    """Starts and reads over one connection; False if it broke or stalled."""
     try:
         await engine_lib.write_start(conn, kind, body)
         await progress.read(conn)
@@ -148,7 +148,7 @@
 
 
 async def _cancel(attempt: str, engine: engine_lib.Engine) -> str:
-    """Cancels or forbids the generation; empty if that stays unsettled."""
+    """Cancels or forbids the generation; empty if that was not confirmed."""
     try:
         return await engine.cancel(attempt)
     except error.ExchangeError:
@@ -156,15 +156,15 @@
 
 
 async def _is_same_incarnation(engine: engine_lib.Engine, known: int) -> bool:
-    """Whether an engine has surely not started anew.
+    """Returns whether the engine has certainly not restarted.
 
-    One that tells no start looks the same after it.
+    An engine that reports no incarnation looks the same after a restart.
     """
     return known > 0 and await _incarnation(engine) == known
 
 
 async def _incarnation(engine: engine_lib.Engine) -> int:
-    """Incarnation of the engine; -1 if it can't be learnt."""
+    """Returns the incarnation of the engine, or -1 if it doesn't respond."""
     try:
         report = await engine.report()
     except error.ExchangeError:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -1,4 +1,4 @@
-"""One generation, read whole though connections break or fall silent."""
+"""Reads one generation to its end across broken or stalled connections."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Timeouts:
-    """Waits allowed while a generation is read.
+    """Timeouts while a generation is read, in seconds.
 
     Attributes:
-      stall_s: Silence on a connection after which another is tried.
-      resume_s: Time without any answer after which the engine is given up.
-      refused_s: The same if every connection is refused meanwhile.
+      stall_s: Time without data on a connection before a new one is opened.
+      resume_s: Time without any response before the engine is given up.
+      refused_s: The same while every connection is refused.
     """
 
     stall_s: float
@@ -47,8 +47,8 @@
 
     Attributes:
       received: Events received so far.
-      generation: The engine's mark of the generation; None before the
-        first event. An event of another mark would splice two answers.
+      generation: The engine's id of the generation; None before the first
+        event. Events of two generations must not be joined into one response.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         timeouts: Timeouts,
         deliver: Callable[[list[bytes]], Awaitable[None]],
     ) -> None:
-        """Prepares to read.
+        """Prepares to read a generation.
 
         Args:
           engine: The engine.
           attempt: Id under which the engine knows the generation.
-          timeouts: Waits allowed.
-          deliver: Takes the payloads of events, in order and once each;
-            may wait to slow the reading down.
+          timeouts: Timeouts while reading.
+          deliver: Called with the payloads of events, in order and once
+            each; may block to slow down the reading.
         """
         self.received = 0
         self.generation: object = None
@@ -81,8 +81,8 @@
         """Reads from the next event to the end, over new connections.
 
         Raises:
-          GenerationGoneError: the engine does not know it and never will.
-          GenerationUnreachableError: no answer within `resume_s`, or every
+          GenerationGoneError: the engine does not have it and never will.
+          GenerationUnreachableError: no response within `resume_s`, or every
             connection refused for `refused_s`.
         """
         self._record_response()
@@ -92,7 +92,7 @@
             self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
 
     async def _try_resume(self) -> bool:
-        """Reads on over one new connection; False if that broke again."""
+        """Resumes over one new connection; False if that broke too."""
         try:
             async with self._engine.exchange() as conn:
                 await engine_lib.write_resume(
@@ -113,8 +113,9 @@
         return True
 
     def _check_timeouts(self) -> None:
-        # A dead process is told from a lost path: its host refuses at once.
-        # Waiting as long as for a path would leave the caller stalled.
+        # The host of a dead process refuses connections at once, unlike a
+        # broken network path. Waiting as long as for a path would stall the
+        # caller for no reason.
         now = asyncio.get_running_loop().time()
         if now - self._last_response >= self._timeouts.resume_s:
             timeout_s = self._timeouts.resume_s
@@ -128,11 +129,11 @@
         """Reads from a connection on which the request was written.
 
         Raises:
-          AnswerLostError: the stream broke; `resume` may carry on.
-          AnswerRejectedError: the engine would not.
-          GenerationGoneError: the engine gave the generation up, or goes on
+          AnswerLostError: the stream broke; `resume` may continue.
+          AnswerRejectedError: the engine refused.
+          GenerationGoneError: the engine gave up the generation, or continues
             with another one.
-          TimeoutError: the stream fell silent; `resume` may carry on.
+          TimeoutError: the stream stalled; `resume` may continue.
         """
         async with deadline.timeout(self._timeouts.stall_s):
             head = await conn.read_head()
@@ -143,9 +144,9 @@
         parser = sse.EventParser()
         checked = False
         while True:
-            # A connection that something on the way has lost track of looks
-            # like a slow engine: no data, no error. Silence beyond the bound
-            # ends this one, and the next carries on at the same event.
+            # If a device on the path drops the state of a connection, it looks
+            # like a slow engine: no data and no error. After `stall_s` it is
+            # given up, and the next one resumes at the same event.
             async with deadline.timeout(self._timeouts.stall_s):
                 data = await conn.read_data()
             if not data:
@@ -168,7 +169,7 @@
                 return
 
     def _check_continuity(self, event: bytes) -> None:
-        """Checks that a new connection goes on where the last one ended.
+        """Checks that a new connection continues where the last one ended.
 
         Raises:
           AnswerLostError: the event is not the next one.
@@ -192,7 +193,7 @@
         self._backoff_s = INITIAL_BACKOFF_S
 
     def _record_contact(self) -> None:
-        """Notes that connections are not simply refused."""
+        """Records that the engine's host does not refuse connections."""
         self._last_contact = asyncio.get_running_loop().time()
 
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/headers.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/headers.py
@@ -1,4 +1,4 @@
-"""Headers that pass between caller and app server."""
+"""Headers forwarded between caller and app server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def end_to_end(
     pairs: Sequence[Sequence[str]], *, request: bool
 ) -> list[tuple[str, str]]:
-    """Drops the headers that concern one connection only."""
+    """Returns the headers without those that apply to one connection only."""
     named = {
         token.strip().lower()
         for name, value in pairs
@@ -40,13 +40,13 @@
     *,
     is_open: bool,
 ) -> list[tuple[str, str]]:
-    """Headers that tell the length of a request body.
+    """Returns the headers that give the length of a request body.
 
     Args:
       method: HTTP method.
       pairs: The caller's headers.
       first: First piece of the body.
-      is_open: More pieces will come.
+      is_open: Whether more pieces follow.
     """
     if not is_open:
         if first or method.upper() in WITH_BODY:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -1,12 +1,12 @@
 """One HTTP exchange on a connection of its own.
 
-The sidecar must know whether a byte of a request left it: before that a
-failure means "not run", after it the outcome is open. A pooled client blurs
-the line (a kept-alive connection may be closed under a request, and the
-client may send it again), so each exchange opens its own connection. Request
-and answer are independent, so that a server may answer while it still reads.
-The protocol itself is left to `h11` for the request and to the kernel's
-parser for the answer.
+The sidecar must know whether any byte of a request was written: before that, a
+failure means "not run"; afterwards the outcome is unknown. A pooled client
+hides this point (a kept-alive connection may be closed during a request, and
+the client may send the request again), so each exchange opens its own
+connection. Request and response are independent, so that a server may respond
+while it still reads. `h11` writes the request, and the parser of the kernel
+package reads the response.
 """
 
 from __future__ import annotations
@@ -41,12 +41,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Origin:
-    """Where an upstream listens.
+    """Address of an upstream.
 
     Attributes:
       host: IP address.
       port: TCP port.
-      prefix: Path put before every target; empty or without slash at end.
+      prefix: Path prepended to every target; empty, or without a trailing
+        slash.
     """
 
     host: str
@@ -55,7 +56,7 @@
 
     @classmethod
     def parse(cls, url: str) -> Origin:
-        """Reads `http://HOST:PORT[/PREFIX]`."""
+        """Parses `http://HOST:PORT[/PREFIX]`."""
         parts = urllib.parse.urlsplit(url)
         return cls(
             host=parts.hostname or '127.0.0.1',
@@ -70,7 +71,7 @@
 
 
 class Connection:
-    """A connection that carries one request and its answer."""
+    """A connection that carries one request and its response."""
 
     def __init__(
         self,
@@ -85,10 +86,10 @@
         self._response = parser.AnswerParser('GET')
 
     def build_head(self, method: str, target: str, headers: Headers) -> bytes:
-        """Returns the head of the request, to be written next.
+        """Returns the encoded head of the request, to be written next.
 
         Raises:
-          RequestMalformedError: the head can't be put as HTTP.
+          RequestMalformedError: the head can't be encoded as HTTP.
         """
         self._response = parser.AnswerParser(method)
         lines = [
@@ -108,7 +109,7 @@
             raise error.RequestMalformedError(str(exc)) from exc
 
     async def write(self, data: bytes) -> None:
-        """Writes bytes, waiting while the upstream is slow.
+        """Writes bytes, waiting while the send buffer is full.
 
         Raises:
           AnswerLostError: the connection broke.
@@ -124,19 +125,19 @@
 
         Raises:
           AnswerLostError: the connection broke.
-          RequestMalformedError: the body is longer than was announced.
+          RequestMalformedError: the body is longer than declared.
         """
         if data:
             await self.write(self._send(h11.Data(data=data)))
 
     async def write_end(self) -> None:
-        """Ends the request; raises as `write_body` does."""
+        """Ends the request; raises the same errors as `write_body`."""
         await self.write(self._send(h11.EndOfMessage()))
 
     async def send_request(
         self, method: str, target: str, headers: Headers, body: bytes = b''
     ) -> None:
-        """Writes a whole request; raises as its parts do."""
+        """Writes a complete request; raises the errors of its parts."""
         length = [(b'content-length', str(len(body)).encode())]
         framing = length if body or method == 'POST' else []
         head = self.build_head(method, target, headers + framing)
@@ -148,14 +149,14 @@
         """Reads the final status and headers.
 
         Raises:
-          AnswerLostError: the connection broke before they came.
+          AnswerLostError: the connection broke before they were received.
         """
         while self._response.head is None:
             await self._receive()
         return self._response.head
 
     async def read_data(self) -> bytes:
-        """Reads what has come of the body; empty at its proper end.
+        """Reads the next data of the body; empty at its proper end.
 
         Raises:
           AnswerLostError: the connection broke before the end.
@@ -177,7 +178,7 @@
         return bytes(body[:limit])
 
     def close(self) -> None:
-        """Closes at once; what is in flight is dropped."""
+        """Closes at once and drops any data in flight."""
         self._writer.transport.abort()
 
     def _send(self, event: h11.Event) -> bytes:
@@ -219,7 +220,7 @@
 async def exchange(
     origin: Origin, timeout_s: float
 ) -> AsyncIterator[Connection]:
-    """Opens a connection for a `with` block and closes it after.
+    """Opens a connection for a `with` block and closes it afterwards.
 
     Raises:
       UpstreamConnectError: refused, unreachable or not open in `timeout_s`.
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -1,4 +1,4 @@
-"""Which terminal message a failure on the upstream becomes."""
+"""Terminal messages for failures on the upstream."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     *,
     gone: bool = False,
 ) -> message.Failed:
-    """Makes the terminal of an attempt that was started."""
+    """Returns the terminal of a started attempt that failed."""
     return message.Failed(attempt, code, detail, ran.value, gone)
 
 
 def from_status(attempt: str, exc: error.AnswerRejectedError) -> message.Failed:
-    """Terminal for an engine that answered a start with an error status."""
+    """Returns the terminal for an error status in response to a start."""
     status = exc.status
     if status == 409 and FORBIDDEN in exc.body:
         return failed(
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: bytes in, payloads of `data` fields out."""
+"""Parser of server-sent events: from bytes to payloads of `data` fields."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class EventParser:
-    """Cuts a byte stream into events, whatever the cuts of the reads."""
+    """Splits a byte stream into events, however the reads divide it."""
 
     def __init__(self) -> None:
         self._buffer = b''
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the payloads of all events that are now whole.
+        """Returns the payloads of all events that are now complete.
 
         Raises:
           AnswerLostError: an event is larger than `MAX_EVENT_BYTES`.
--- a/tests/quetzalsill_sidecar/upstream/__init__.py
+++ b/tests/quetzalsill_sidecar/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the calls of an upstream."""
+"""Tests of the clients of the upstream."""
--- a/tests/quetzalsill_sidecar/upstream/test_generation.py
+++ b/tests/quetzalsill_sidecar/upstream/test_generation.py
@@ -1,4 +1,4 @@
-"""A generation whose process is paused while its events come."""
+"""Generations whose reader is paused while events arrive."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class GenerationTest(unittest.IsolatedAsyncioTestCase):
-    """An engine that answers as its client is paused."""
+    """The engine responds while its client is paused."""
 
     async def asyncSetUp(self):
         self.request_writer = asyncio.get_running_loop().create_future()
@@ -34,7 +34,11 @@
             self.request_writer.set_result(writer)
 
     async def test_events_that_came_during_a_pause_are_delivered(self):
-        """A plan is given up as lost although its engine goes on with it."""
+        """A generation is given up as lost although the engine continues it.
+
+        The pause exceeds the stall timeout, but the events are already
+        in the socket's buffer.
+        """
         delivered = []
 
         async def deliver(events):
