--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -42,7 +42,7 @@
 async def run(
     attempt: state.Attempt,
     origin: http.Origin,
-    connect_s: float,
+    connect_timeout_s: float,
     start: Callable[[], None],
 ) -> message.Message:
     """Makes the call, streaming both bodies; never sends it twice.
@@ -50,7 +50,7 @@
     Args:
       attempt: The attempt, which receives the response.
       origin: Address of the app server.
-      connect_s: Timeout for opening the connection, in seconds.
+      connect_timeout_s: Timeout for opening the connection, in seconds.
       start: Called just before the first byte is written.
 
     Returns:
@@ -62,7 +62,7 @@
     """
     request_headers = _request_headers(attempt.dispatch)
     method, path = attempt.dispatch.method, attempt.dispatch.path
-    async with http.exchange(origin, connect_s) as conn:
+    async with http.exchange(origin, connect_timeout_s) as conn:
         head = conn.build_head(method, path, request_headers)
         start()
         write_task = asyncio.create_task(_write(attempt, conn, head))
--- a/tests/quetzalsill_sidecar/placement/test_placement.py
+++ b/tests/quetzalsill_sidecar/placement/test_placement.py
@@ -167,18 +167,18 @@
         await there.confirm([MODEL])
         self.assertTrue(await here.take_out(MODEL, NAMES[1:]))
 
-    async def order_after(self, happen):
-        """Calls `happen` while a connection is opened for a command."""
-        given = []
+    async def send_after(self, interrupt):
+        """Calls `interrupt` while a connection is opened for a command."""
+        sent = []
 
         class Engine:
             async def report(self):
                 return engine.EngineReport(role='mixed')
 
             async def send_command(self, kind, name, fence, timeout_s, check):
-                happen()
+                interrupt()
                 check()
-                given.append((kind, name, fence))
+                sent.append((kind, name, fence))
                 raise error.AnswerLostError('not read back here')
 
         tested = self.placer(Engine())
@@ -188,7 +188,7 @@
         )
         with self.assertRaises(error.ExchangeError) as caught:
             await tested._step()
-        return given, caught.exception
+        return sent, caught.exception
 
     def placer(self, served):
         """Returns a placer whose engine is configured for another role."""
@@ -233,23 +233,23 @@
         lease has expired and its successor has sent another one; or a newer
         revision arrives during the pause.
         """
-        given, exc = await self.order_after(lambda: None)
-        self.assertEqual(given, [('set_role', 'decode', 4)])
+        sent, exc = await self.send_after(lambda: None)
+        self.assertEqual(sent, [('set_role', 'decode', 4)])
         self.assertIsInstance(exc, error.AnswerLostError)
         now = lease.suspend_aware_clock()
-        late = unittest.mock.patch.object(
+        expired_clock = unittest.mock.patch.object(
             lease.time, 'clock_gettime', lambda _: now + 60
         )
         self.addCleanup(unittest.mock.patch.stopall)
 
-        def newer():
+        def install_newer_revision():
             self.holder.revision = 5
 
-        for happen in (newer, late.start):
-            with self.subTest(happen):
+        for interrupt in (install_newer_revision, expired_clock.start):
+            with self.subTest(interrupt):
                 self.rows = gated.GatedTable(OpenGate())
-                given, exc = await self.order_after(happen)
-                self.assertEqual(given, [])
+                sent, exc = await self.send_after(interrupt)
+                self.assertEqual(sent, [])
                 self.assertIsInstance(exc, error.OrderWithheldError)
 
 
--- a/tests/quetzalsill_sidecar/queue/test_admission.py
+++ b/tests/quetzalsill_sidecar/queue/test_admission.py
@@ -22,7 +22,7 @@
 HEADROOM = 0.1
 # Tokens that the engine keeps free before a sequence may join the batch.
 RESERVE = 400
-PATIENT = 8
+BATCH_PRIORITY = 8
 DEMANDS = strategies.lists(
     strategies.tuples(
         strategies.integers(1, 4000),
@@ -53,19 +53,21 @@
 
 
 def demand(
-    number: int, prompt: int, tokens: int, prompt_work: bool
+    number: int, prompt: int, tokens: int, is_urgent: bool
 ) -> policy.Demand:
     return policy.Demand(
         attempt=str(number),
-        profile='prompt' if prompt_work else 'patient',
-        priority=0 if prompt_work else PATIENT,
-        uses_headroom=prompt_work,
+        profile='prompt' if is_urgent else 'patient',
+        priority=0 if is_urgent else BATCH_PRIORITY,
+        uses_headroom=is_urgent,
         prompt_tokens=prompt,
         max_tokens=tokens,
     )
 
 
-def draw(seed: int, prompt_share: float) -> list[tuple[int, int, bool]]:
+def generate_work(
+    seed: int, prompt_share: float
+) -> list[tuple[int, int, bool]]:
     """Returns more work than fits the memory at once, fixed by the seed."""
     rng = random.Random(seed)
     return [
@@ -78,22 +80,24 @@
     ]
 
 
-def play(run: list[tuple[int, int, bool]]) -> Iterator[model.Sequence]:
+def find_preemptions(
+    work: list[tuple[int, int, bool]],
+) -> Iterator[model.Sequence]:
     """Yields the sequences that an engine preempts, given true lengths."""
     batch = model.Batch(CAPACITY, 1000, model.Costs())
     queue = queue_of([], admission_predicted.admit_declared)
     queue.capacity_tokens = CAPACITY - RESERVE
-    arriving = list(enumerate(run))
+    arriving = list(enumerate(work))
     sequences: dict[model.Sequence, str] = {}
     ended = 0
-    while ended < len(run):
+    while ended < len(work):
         if arriving:
             number, asked = arriving.pop(0)
             queue.push(demand(number, *asked))
         for attempt in queue.start_admitted():
-            prompt, tokens, prompt_work = run[int(attempt)]
+            prompt, tokens, is_urgent = work[int(attempt)]
             text = f'{attempt:>8}'.ljust(4 * prompt)
-            priority = 0 if prompt_work else PATIENT
+            priority = 0 if is_urgent else BATCH_PRIORITY
             sequences[batch.submit(text, tokens, priority)] = attempt
         step = batch.step()
         yield from step.preempted if step else ()
@@ -106,7 +110,7 @@
 
 
 class PredictedTest(unittest.TestCase):
-    """Admission by plan neither preempts nor stalls."""
+    """Admission keeps to its plan and serves every demand."""
 
     def test_true_lengths_of_patient_work_are_never_preempted(self):
         """With known lengths, an engine's memory never fills during decode.
@@ -115,15 +119,17 @@
         latency-sensitive work, not from the arithmetic of the plan.
         """
         for seed in SEEDS:
-            run = draw(seed, prompt_share=0.0)
-            self.assertEqual(list(play(run)), [], seed)
+            work = generate_work(seed, prompt_share=0.0)
+            self.assertEqual(list(find_preemptions(work)), [], seed)
 
     def test_only_patient_work_is_preempted(self):
-        """Latency-sensitive work starts beside full memory, not preempted."""
+        """Latency-sensitive work starts though memory is full."""
         preempted = [
-            seq for seed in SEEDS for seq in play(draw(seed, prompt_share=0.5))
+            seq
+            for seed in SEEDS
+            for seq in find_preemptions(generate_work(seed, prompt_share=0.5))
         ]
-        self.assertEqual({seq.priority for seq in preempted}, {PATIENT})
+        self.assertEqual({seq.priority for seq in preempted}, {BATCH_PRIORITY})
 
     @SETTINGS
     @hypothesis.given(DEMANDS)
