--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/attempt/table.py
@@ -1,4 +1,4 @@
-"""All attempts that this incarnation knows."""
+"""All attempts that this incarnation has received."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ['Attempts']
 
-MARGIN_S = 60.0
+TOMBSTONE_MARGIN_S = 60.0
 MAX_FENCES = 65536
 OUTCOMES = {
     message.Refused: 'refused',
@@ -24,7 +24,7 @@
     message.Finished: 'finished',
     message.Failed: 'failed',
 }
-ENDED = {
+END_EVENTS = {
     message.Refused: event.AttemptRefused,
     message.Withdrawn: event.AttemptWithdrawn,
     message.Finished: event.AttemptFinished,
@@ -34,7 +34,7 @@
 items_total = metric.counter(
     'quetzalsill_sidecar_items_total', 'Tokens and body pieces received.'
 )
-waits = metric.histogram(
+queue_wait = metric.histogram(
     'quetzalsill_sidecar_queue_wait_seconds', 'Wait before the start.'
 )
 ended_total = metric.counter(
@@ -43,16 +43,16 @@
 
 
 class Attempts:
-    """Live attempts, and tombstones of those that are over.
+    """Live attempts, and tombstones of those that have ended.
 
     Attributes:
-      stones: What is remembered of attempts that are over.
+      tombstones: Terminals of attempts that have ended.
       fences: Highest ownership epoch of each durable request.
     """
 
-    def __init__(self, max_stones: int, clock: Callable[[], float]) -> None:
-        """Makes an empty table that remembers at most `max_stones` ended."""
-        self.tombstones = tombstone.Tombstones(max_stones, clock)
+    def __init__(self, max_tombstones: int, clock: Callable[[], float]) -> None:
+        """Makes an empty table with at most `max_tombstones` tombstones."""
+        self.tombstones = tombstone.Tombstones(max_tombstones, clock)
         self.fences = fence.Fences(MAX_FENCES)
         self._clock = clock
         self._live: dict[str, state.Attempt] = {}
@@ -64,11 +64,11 @@
         return len(self._live)
 
     def add(self, attempt: state.Attempt) -> None:
-        """Takes a new attempt."""
+        """Adds a new attempt."""
         self._live[attempt.id] = attempt
 
     def get(self, attempt: str) -> state.Attempt | None:
-        """Returns a live attempt, or one whose terminal waits for its Ack."""
+        """Returns an attempt that runs or whose terminal awaits its Ack."""
         return self._live.get(attempt)
 
     def of_link(self, link: object) -> list[state.Attempt]:
@@ -82,7 +82,7 @@
         detail: str,
         retry_after_ms: int = 0,
     ) -> None:
-        """Ends an attempt that has not started as not run."""
+        """Ends an attempt that has not started; it counts as not run."""
         self.end(
             attempt, message.Refused(attempt.id, code, detail, retry_after_ms)
         )
@@ -90,8 +90,8 @@
     def end(self, attempt: state.Attempt, terminal: message.Message) -> None:
         """Ends an attempt once; a later terminal is ignored.
 
-        Proofs that it did not run are remembered by a tombstone alone. An
-        answer is kept until its Ack, so that a new link can take it up.
+        Of an attempt that did not run, only a tombstone is kept. A response
+        is kept until its Ack, so that a new link can resume it.
         """
         if attempt.terminal is not None:
             return
@@ -104,19 +104,19 @@
             self.forget(attempt)
 
     def drop(self, attempt_id: str) -> None:
-        """Forgets an ended attempt without a trace, to run it anew."""
+        """Removes an ended attempt without a tombstone, to run it again."""
         self._live.pop(attempt_id, None)
         self.tombstones.remove(attempt_id)
 
     def forget(self, attempt: state.Attempt) -> None:
-        """Drops an ended attempt and leaves a tombstone."""
+        """Replaces an ended attempt by a tombstone."""
         self._live.pop(attempt.id, None)
-        keep_s = max(0.0, attempt.deadline - self._clock()) + MARGIN_S
-        self.tombstones.add(attempt.id, _epitaph(attempt), keep_s)
+        keep_s = max(0.0, attempt.deadline - self._clock()) + TOMBSTONE_MARGIN_S
+        self.tombstones.add(attempt.id, _terminal_to_keep(attempt), keep_s)
 
 
-def _epitaph(attempt: state.Attempt) -> message.Message:
-    """What a router is told that asks after the answer was dropped."""
+def _terminal_to_keep(attempt: state.Attempt) -> message.Message:
+    """Returns the terminal for routers that ask once the response is gone."""
     if not isinstance(attempt.terminal, message.Finished):
         return attempt.terminal
     return message.Failed(
@@ -135,9 +135,9 @@
     profile = {'profile': attempt.dispatch.profile}
     items_total.add(profile, attempt.tail.end)
     if attempt.started:
-        waits.observe(profile, attempt.started - attempt.arrived)
+        queue_wait.observe(profile, attempt.started - attempt.arrived)
     event.note(
-        ENDED[type(terminal)](
+        END_EVENTS[type(terminal)](
             attempt=attempt.id,
             request=attempt.dispatch.request,
             account=attempt.dispatch.account,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/loaded.py
@@ -1,4 +1,4 @@
-"""Which upstream has which models loaded, by one row for each."""
+"""Table of the models that each upstream has loaded, one row for each."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Own:
-    """The own row as it was last written or read."""
+class _OwnRow:
+    """The own row as last written or read."""
 
     version: int
     models: list[str]
@@ -25,10 +25,11 @@
 
 
 class LoadedRows:
-    """Tells others what is loaded here, and asks what is loaded there.
+    """Publishes the models loaded here, and reads those of other upstreams.
 
-    The own row is written on each change and every `confirm_s`, so that its
-    version tells others that this sidecar lives and still reads it back.
+    The own row is written on each change and every `confirm_s`. Its version
+    thus shows other sidecars that this one is alive and that the row is
+    current.
     """
 
     def __init__(
@@ -42,37 +43,37 @@
         self._upstream = upstream
         self._confirm_s = confirm_s
         self._clock = clock
-        self._own: _Own | None = None
-        self._seen: dict[str, int] = {}
+        self._own: _OwnRow | None = None
+        self._seen_versions: dict[str, int] = {}
 
     async def confirm(self, models: list[str]) -> None:
-        """Writes what is loaded here if it has changed or is due.
+        """Writes the own row if the models have changed or a write is due.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store fails to answer properly.
         """
         if self._own is None:
             row = await self._rows.get(TABLE, self._upstream)
             version = row.version if row else 0
-            self._own = _Own(version, _models(row), float('-inf'))
+            self._own = _OwnRow(version, _models(row), float('-inf'))
         due = self._own.written_at + self._confirm_s
         if models != self._own.models or self._clock() >= due:
             await self._write(models, [])
 
     async def take_out(self, model: str, others: Iterable[str]) -> bool:
-        """Takes a model off the own row if another upstream has it loaded.
+        """Removes a model from the own row if another upstream has it loaded.
 
         Two sidecars that unload the same model at once would each see it
-        loaded at the other. The write is therefore conditional on the very
-        row that was seen, and the table lets one of the two through. A row
-        counts only once its version has changed under our eyes: that of a
-        dead upstream stands still.
+        loaded at the other. The write is therefore conditional on the version
+        of the row that was read, so that only one of the two succeeds. A row
+        counts only after its version has been seen to change, since the row
+        of a dead upstream no longer changes.
 
         Returns:
           Whether the model may be unloaded now.
 
         Raises:
-          PlatformError: The store does not answer as it should.
+          PlatformError: The store fails to answer properly.
         """
         if self._own is None:
             return False
@@ -80,25 +81,29 @@
         for name in others:
             row = await self._rows.get(TABLE, name)
             if row is None or model not in _models(row):
-                self._seen.pop(name, None)
-            elif self._seen.setdefault(name, row.version) != row.version:
-                seen = table.Condition(TABLE, name, row.version)
-                self._seen.clear()
-                return await self._write(models, [seen])
+                self._seen_versions.pop(name, None)
+            elif (
+                self._seen_versions.setdefault(name, row.version) != row.version
+            ):
+                observed = table.Condition(TABLE, name, row.version)
+                self._seen_versions.clear()
+                return await self._write(models, [observed])
         return False
 
     async def _write(
-        self, models: list[str], seen: list[table.Condition]
+        self, models: list[str], observed: list[table.Condition]
     ) -> bool:
-        """Writes the own row; False if it or a row that was seen changed."""
+        """Writes the own row; False if it or an observed row has changed."""
         own, self._own = self._own, None
-        mine = table.Condition(TABLE, self._upstream, own.version)
+        own_condition = table.Condition(TABLE, self._upstream, own.version)
         write = table.Write(TABLE, self._upstream, {'models': models})
         try:
-            versions = await self._rows.transact([mine, *seen], [write])
+            versions = await self._rows.transact(
+                [own_condition, *observed], [write]
+            )
         except error.ConditionFailedError:
             return False
-        self._own = _Own(versions[0], models, self._clock())
+        self._own = _OwnRow(versions[0], models, self._clock())
         return True
 
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
@@ -1,8 +1,9 @@
 """Observed output lengths by model and profile.
 
-The length of an answer is not known before it ends. What is known is how long
-others of its kind were, and how much of it has come already: an answer that
-has reached 2,000 tokens is drawn from those that reach 2,000.
+The length of a response is not known before it ends. It is estimated from the
+lengths of others of the same model and profile, given the tokens produced so
+far: a response that has reached 2,000 tokens is compared only with those that
+reach 2,000.
 """
 
 from __future__ import annotations
@@ -17,62 +18,62 @@
 
 MAX_TOKENS = 1_000_000
 SIGNIFICANT_FIGURES = 2
-# Building a curve takes milliseconds, so it is built anew only once this
-# part of its observations is newer than it.
-STALE_PART = 0.05
+# Building the cumulative counts takes milliseconds, so they are rebuilt only
+# once the observations since the last build exceed this fraction of theirs.
+MAX_STALE_FRACTION = 0.05
 ROTATE_COUNT = 512
 ROTATE_S = 900.0
-# Stands in until lengths were observed; each counts as one observation, so
-# that a few dozen real ones outweigh it.
+# Prior lengths used until lengths are observed; each counts as one
+# observation, so that a few dozen real ones outweigh them.
 PRIOR = (16, 32, 64, 128, 256, 512, 1024, 2048, 4096)
-# Tail beyond the longest answer seen: as many tokens again as were made, as
-# in a heavy-tailed (Pareto) distribution.
+# A response longer than any observed is expected to produce as many tokens
+# again as it has, as in a heavy-tailed (Pareto) distribution.
 TAIL_FACTOR = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Curve:
-    """Lengths in ascending order with the number of answers up to each."""
+class _CumulativeCounts:
+    """Lengths in ascending order, and how many responses are that short."""
 
     values: list[int]
     totals: list[int]
 
 
 class _Window:
-    """The latest lengths of one kind: this period and the one before."""
+    """Latest lengths of one kind: the current period and the previous one."""
 
     def __init__(self, now: float) -> None:
         self.recent = _new_histogram()
-        self.earlier = _new_histogram()
+        self.previous = _new_histogram()
         for tokens in PRIOR:
-            self.earlier.record_value(tokens)
-        self.began = now
-        self.unseen = 0
-        self.curve: _Curve | None = None
+            self.previous.record_value(tokens)
+        self.started = now
+        self.unmerged = 0
+        self.counts: _CumulativeCounts | None = None
 
     def record(self, tokens: int, now: float) -> None:
-        # A shift of the distribution must show soon, and one that went by
-        # must be forgotten; a period ends by number or by time.
+        # A period ends by count or by time, so that a shift of the
+        # distribution shows soon and old lengths are dropped.
         full = self.recent.get_total_count() >= ROTATE_COUNT
-        old = now - self.began >= ROTATE_S
+        old = now - self.started >= ROTATE_S
         if full or (old and self.recent.get_total_count()):
-            self.earlier, self.recent = self.recent, _new_histogram()
-            self.began = now
-            self.curve = None
+            self.previous, self.recent = self.recent, _new_histogram()
+            self.started = now
+            self.counts = None
         self.recent.record_value(min(max(tokens, 1), MAX_TOKENS))
-        self.unseen += 1
+        self.unmerged += 1
 
-    def curve_now(self) -> _Curve:
+    def current_counts(self) -> _CumulativeCounts:
         if (
-            self.curve is None
-            or self.unseen > STALE_PART * self.curve.totals[-1]
+            self.counts is None
+            or self.unmerged > MAX_STALE_FRACTION * self.counts.totals[-1]
         ):
-            self.unseen = 0
-            both = _new_histogram()
-            both.add(self.recent)
-            both.add(self.earlier)
-            self.curve = _curve(both)
-        return self.curve
+            self.unmerged = 0
+            merged = _new_histogram()
+            merged.add(self.recent)
+            merged.add(self.previous)
+            self.counts = _cumulative_counts(merged)
+        return self.counts
 
 
 class Lengths:
@@ -82,49 +83,49 @@
         self._windows: dict[tuple[str, str], _Window] = {}
 
     def record(self, model: str, profile: str, tokens: int, now: float) -> None:
-        """Notes the length of a whole answer, at `now` monotonic seconds."""
+        """Records the length of a complete response at `now` (monotonic)."""
         self._window(model, profile, now).record(tokens, now)
 
     def remaining(
         self, model: str, profile: str, produced: int, quantile: float
     ) -> int:
-        """Tokens still to come at a quantile, given those produced."""
+        """Returns a quantile of the remaining tokens, given those produced."""
         window = self._windows.get((model, profile))
-        curve = window.curve_now() if window else _PRIOR_CURVE
-        index = bisect.bisect_right(curve.values, produced)
-        before = curve.totals[index - 1] if index else 0
-        longer = curve.totals[-1] - before
+        counts = window.current_counts() if window else _PRIOR_COUNTS
+        index = bisect.bisect_right(counts.values, produced)
+        before = counts.totals[index - 1] if index else 0
+        longer = counts.totals[-1] - before
         if longer <= 0:
             return max(1, round(produced * TAIL_FACTOR))
         rank = before + quantile * longer
-        found = bisect.bisect_left(curve.totals, rank)
+        position = bisect.bisect_left(counts.totals, rank)
         return max(
-            1, curve.values[min(found, len(curve.values) - 1)] - produced
+            1, counts.values[min(position, len(counts.values) - 1)] - produced
         )
 
     def _window(self, model: str, profile: str, now: float) -> _Window:
-        name = (model, profile)
-        if name not in self._windows:
-            self._windows[name] = _Window(now)
-        return self._windows[name]
+        key = (model, profile)
+        if key not in self._windows:
+            self._windows[key] = _Window(now)
+        return self._windows[key]
 
 
 def _new_histogram() -> histogram.HdrHistogram:
     return histogram.HdrHistogram(1, MAX_TOKENS, SIGNIFICANT_FIGURES)
 
 
-def _curve(hist: histogram.HdrHistogram) -> _Curve:
+def _cumulative_counts(hist: histogram.HdrHistogram) -> _CumulativeCounts:
     items = [
         (item.value_iterated_to, item.count_added_in_this_iter_step)
         for item in hist.get_recorded_iterator()
     ]
     values = [value for value, _ in items]
     totals = list(itertools.accumulate(count for _, count in items))
-    return _Curve(values, totals)
+    return _CumulativeCounts(values, totals)
 
 
-def _prior_curve() -> _Curve:
-    return _Curve(list(PRIOR), list(range(1, len(PRIOR) + 1)))
+def _prior_counts() -> _CumulativeCounts:
+    return _CumulativeCounts(list(PRIOR), list(range(1, len(PRIOR) + 1)))
 
 
-_PRIOR_CURVE = _prior_curve()
+_PRIOR_COUNTS = _prior_counts()
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -1,4 +1,4 @@
-"""One call of an app server, with streamed bodies."""
+"""One call to an app server, with streamed bodies."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def not_found(attempt: str) -> message.Failed:
-    """Terminal of a recovery that found no call of this process.
+    """Returns the terminal of a recovery whose call this process never made.
 
-    No app server can be asked what became of a call, and to make it would
-    double one that an earlier sidecar had made. Only the router knows whether
-    it was this sidecar that it sent the call to.
+    An app server can't be asked for the outcome of a call, and making the call
+    could repeat one that an earlier sidecar made. Only the router knows
+    whether it sent the call to this sidecar.
     """
     return outcome.failed(
         attempt,
@@ -42,15 +42,15 @@
 async def run(
     attempt: state.Attempt,
     origin: http.Origin,
-    connect_s: float,
+    connect_timeout_s: float,
     start: Callable[[], None],
 ) -> message.Message:
     """Makes the call, streaming both bodies; never sends it twice.
 
     Args:
-      attempt: What to call; takes the answer.
-      origin: The app server.
-      connect_s: Bound on opening the connection, in seconds.
+      attempt: The attempt, which receives the response.
+      origin: Address of the app server.
+      connect_timeout_s: Timeout for opening the connection, in seconds.
       start: Called just before the first byte is written.
 
     Returns:
@@ -58,31 +58,31 @@
 
     Raises:
       UpstreamConnectError: Nothing was written.
-      RequestMalformedError: A header cannot be written; nothing was.
+      RequestMalformedError: A header is malformed; nothing was written.
     """
     request_headers = _request_headers(attempt.dispatch)
     method, path = attempt.dispatch.method, attempt.dispatch.path
-    async with http.exchange(origin, connect_s) as conn:
-        head = conn.request(method, path, request_headers)
+    async with http.exchange(origin, connect_timeout_s) as conn:
+        head = conn.build_head(method, path, request_headers)
         start()
-        writing = asyncio.create_task(_write(attempt, conn, head))
+        write_task = asyncio.create_task(_write(attempt, conn, head))
         try:
             return await _read(attempt, conn)
         finally:
-            writing.cancel()
+            write_task.cancel()
             with contextlib.suppress(
                 asyncio.CancelledError,
                 error.ResponseLostError,
                 error.RequestMalformedError,
             ):
-                await writing
+                await write_task
 
 
 async def _write(
     attempt: state.Attempt, conn: http.Connection, head: bytes
 ) -> None:
-    # A write that fails is no verdict on the call: the server may have
-    # answered early and closed. What can be read decides.
+    # A failed write doesn't decide the outcome: the server may have responded
+    # early and closed the connection. The outcome depends on what is read.
     await conn.write(head)
     async for data in attempt.body.pieces():
         await conn.write_body(data)
@@ -94,7 +94,7 @@
 
 
 def _acknowledge_body(attempt: state.Attempt) -> None:
-    """Lets the router send further pieces of the body."""
+    """Grants the router credit for further pieces of the body."""
     if attempt.put is not None and attempt.body.is_open:
         attempt.put(message.Credit(attempt.id, attempt.body.consumed, 1))
 
@@ -102,7 +102,7 @@
 async def _read(
     attempt: state.Attempt, conn: http.Connection
 ) -> message.Message:
-    again = attempt.dispatch.idempotent
+    is_idempotent = attempt.dispatch.idempotent
     try:
         head = await conn.read_head()
     except error.ResponseLostError as exc:
@@ -111,19 +111,19 @@
             request_error.OutcomeUnknownError.code,
             exc.detail,
             base.Ran.UNKNOWN,
-            gone=again,
+            gone=is_idempotent,
         )
     attempt.set_head(_head_message(attempt.id, head))
     try:
         while data := await conn.read_data():
-            attempt.deliver(_cut(data))
+            attempt.deliver(_split_items(data))
             await attempt.tail.wait_for_room()
     except error.ResponseLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
             exc.detail,
-            gone=again,
+            gone=is_idempotent,
         )
     return message.Finished(attempt.id, attempt.tail.end)
 
@@ -151,5 +151,5 @@
     return message.Head(attempt, head.status, [list(pair) for pair in kept])
 
 
-def _cut(data: bytes) -> list[bytes]:
+def _split_items(data: bytes) -> list[bytes]:
     return [data[i : i + ITEM_BYTES] for i in range(0, len(data), ITEM_BYTES)]
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -31,26 +31,26 @@
     wire_kind.COMPLETION: '/v1/completions',
     wire_kind.CHAT: '/v1/chat/completions',
 }
-MAX_ANSWER_BYTES = 1_048_576
+MAX_RESPONSE_BYTES = 1_048_576
 JSON_HEADERS: http.Headers = [(b'content-type', b'application/json')]
 
 
 @dataclasses.dataclass(slots=True)
 class EngineReport:
-    """The engine's own, lagging, word on its state.
+    """State that the engine reports, with a lag.
 
     Attributes:
-      incarnation: Grows or changes with each start of the engine.
+      incarnation: Changes with each start of the engine.
       running: Requests in the batch.
       waiting: Requests queued inside the engine.
-      used_tokens: Key-value memory in use.
-      capacity_tokens: Key-value memory in all.
-      preemptions: Requests pushed off since its start.
+      used_tokens: KV cache in use.
+      capacity_tokens: Total KV cache.
+      preemptions: Requests preempted since its start.
       token_ms: Mean time between tokens, in milliseconds.
-      leaving: It takes no new work.
+      leaving: Whether it refuses new work.
       models: Models loaded.
       adapters: Adapters loaded.
-      role: Role in force.
+      role: Active role.
       fence: Highest fencing number it has seen.
     """
 
@@ -72,46 +72,52 @@
     """Exchanges with one engine, each on its own connection."""
 
     def __init__(
-        self, origin: http.Origin, connect_s: float, answer_s: float
+        self,
+        origin: http.Origin,
+        connect_timeout_s: float,
+        response_timeout_s: float,
     ) -> None:
-        """Names the engine.
+        """Makes a client of an engine.
 
         Args:
-          origin: Where it listens.
-          connect_s: Bound on opening a connection, in seconds.
-          answer_s: Bound on a short exchange (cancel, report), in seconds.
+          origin: Address at which it listens.
+          connect_timeout_s: Timeout for opening a connection, in seconds.
+          response_timeout_s: Timeout for a short exchange (cancel, report), in
+            seconds.
         """
         self._origin = origin
-        self._connect_s = connect_s
-        self._answer_s = answer_s
+        self._connect_timeout_s = connect_timeout_s
+        self._response_timeout_s = response_timeout_s
 
     def exchange(self) -> AbstractAsyncContextManager[http.Connection]:
-        """Opens a connection for a stream, for a `with` block.
+        """Returns a context manager that opens a connection for a stream.
 
         Raises:
           UpstreamConnectError: nothing was written.
         """
-        return http.exchange(self._origin, self._connect_s)
+        return http.exchange(self._origin, self._connect_timeout_s)
 
     async def cancel(self, attempt: str) -> str:
-        """Cancels the work, or forbids that it ever start.
+        """Cancels the work, or forbids it from ever starting.
 
         Returns:
           `cancelled`, `forbidden` or `finished`.
 
         Raises:
           UpstreamConnectError: not reached.
-          ResponseLostError: no whole answer came.
-          UpstreamStatusError: the engine would not.
+          ResponseLostError: no complete response was received.
+          UpstreamStatusError: the engine refused.
         """
-        answer = await self._ask('POST', f'{_request_path(attempt)}/cancel')
-        return str(answer.get('state', ''))
+        response = await self._request(
+            'POST', f'{_request_path(attempt)}/cancel'
+        )
+        return str(response.get('state', ''))
 
     async def report(self) -> EngineReport:
         """Fetches the load report; raises as `cancel` does."""
-        answer = await self._ask('GET', '/load')
+        response = await self._request('GET', '/load')
         known = {field.name for field in dataclasses.fields(EngineReport)}
-        return EngineReport(**{k: v for k, v in answer.items() if k in known})
+        return EngineReport(**{k: v for k, v in response.items() if k in known})
 
     async def send_command(
         self,
@@ -121,23 +127,23 @@
         timeout_s: float,
         check: Callable[[], None],
     ) -> None:
-        """Gives an order and waits until it is carried out.
+        """Sends a command and waits until it is executed.
 
         Args:
           kind: Such as `load_model`.
           name: Model, adapter or role.
           fence: Fencing number.
-          timeout_s: Longest time that it may take.
-          check: Called when the connection is open, right before the order
-            is written; what it raises keeps the order back.
+          timeout_s: Timeout of the whole exchange, in seconds.
+          check: Called once the connection is open, right before the command
+            is written; the command is not sent if it raises.
 
         Raises:
           ExchangeError: As of `cancel`; or what `check` raises.
         """
         body = json.dumps({'kind': kind, 'name': name, 'fence': fence})
-        await self._ask('POST', '/orders', body.encode(), timeout_s, check)
+        await self._request('POST', '/orders', body.encode(), timeout_s, check)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         target: str,
@@ -148,13 +154,13 @@
         headers = JSON_HEADERS if content else []
         try:
             async with (
-                deadline.timeout(timeout_s or self._answer_s),
-                http.exchange(self._origin, self._connect_s) as conn,
+                deadline.timeout(timeout_s or self._response_timeout_s),
+                http.exchange(self._origin, self._connect_timeout_s) as conn,
             ):
                 check()
                 await conn.send_request(method, target, headers, content)
                 head = await conn.read_head()
-                body = await conn.read_all(MAX_ANSWER_BYTES)
+                body = await conn.read_all(MAX_RESPONSE_BYTES)
         except TimeoutError as exc:
             raise error.ResponseLostError(
                 f'{target}: no answer in time'
@@ -168,7 +174,7 @@
     """Writes the request that starts a generation.
 
     Raises:
-      ResponseLostError: the connection broke; the engine may have it.
+      ResponseLostError: the connection broke; the engine may have the request.
     """
     await conn.send_request('POST', PATHS[kind], JSON_HEADERS, body)
 
@@ -184,10 +190,10 @@
 
 
 def generation_body(dispatch: message.Dispatch, priority: int) -> bytes:
-    """Returns the caller's JSON with what the engine needs added.
+    """Returns the caller's JSON with the fields that the engine needs.
 
     Raises:
-      RequestMalformedError: the payload is no JSON object.
+      RequestMalformedError: the payload is not a JSON object.
     """
     try:
         request = json.loads(dispatch.payload)
@@ -209,9 +215,9 @@
 
 def _parse_object(body: bytes) -> dict[str, object]:
     try:
-        answer = json.loads(body)
+        response = json.loads(body)
     except ValueError as exc:
         raise error.ResponseLostError(f'answer is no JSON: {exc}') from exc
-    if not isinstance(answer, dict):
+    if not isinstance(response, dict):
         raise error.ResponseLostError('answer is no JSON object')
-    return answer
+    return response
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -1,4 +1,4 @@
-"""One attempt's generation: start or recover, then read it whole."""
+"""Starts or recovers the generation of an attempt and reads it to its end."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     """Starts the generation and reads it to its end.
 
     Args:
-      attempt: What to generate.
-      engine: Where.
+      attempt: The attempt to run.
+      engine: The engine to run it on.
       progress: Reads the stream and delivers its events.
-      priority: Priority for the engine.
+      priority: Priority on the engine.
       start: Called just before the first byte is written.
 
     Returns:
@@ -43,22 +43,24 @@
 
     Raises:
       UpstreamConnectError: Nothing was written.
-      RequestMalformedError: The payload is no JSON object; nothing was
+      RequestMalformedError: The payload is not a JSON object; nothing was
         written.
     """
     body = engine_lib.generation_body(attempt.dispatch, priority)
     try:
         async with engine.exchange() as conn:
             start()
-            if await _read_first(conn, attempt.dispatch.kind, body, progress):
+            if await _start_and_read(
+                conn, attempt.dispatch.kind, body, progress
+            ):
                 return message.Finished(attempt.id, attempt.tail.end)
         await progress.resume()
     except error.UpstreamStatusError as exc:
         return outcome.from_status(attempt.id, exc)
     except error.GenerationGoneError as exc:
-        # The request may still be on its way to an engine that does not
-        # know it yet; the loss is proved once its start is forbidden.
-        gone = bool(await _settle(attempt.id, engine))
+        # The request may still be in transit to an engine that does not know
+        # it yet; the loss is certain only once its start is forbidden.
+        gone = bool(await _cancel(attempt.id, engine))
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
@@ -80,38 +82,38 @@
     """Attaches to a generation that an earlier sidecar started.
 
     Returns:
-      The terminal message; `Refused` once it is proved that it did not run.
+      The terminal message; `Refused` only if it certainly did not run.
     """
     try:
         await progress.resume()
     except error.GenerationGoneError as exc:
-        return await _settle_lost(attempt, engine, exc.detail)
+        return await _resolve_missing(attempt, engine, exc.detail)
     except error.GenerationUnreachableError as exc:
         return _unknown(attempt, exc.detail)
     return message.Finished(attempt.id, attempt.tail.end)
 
 
-async def _settle_lost(
+async def _resolve_missing(
     attempt: state.Attempt, engine: engine_lib.Engine, detail: str
 ) -> message.Message:
-    """Terminal of a recovery for which the engine has no generation.
+    """Returns the terminal of a recovery whose generation the engine lacks.
 
     The engine is first told never to start it: the request of the earlier
-    sidecar may still be on the way, and "not run" would become untrue. An
+    sidecar may still be in transit, and "not run" would become false. An
     engine that has restarted since the Dispatch was made may have run it
-    before, and knows nothing of that.
+    before, without a record of it.
     """
-    found = await _settle(attempt.id, engine)
-    if not found:
+    cancel_state = await _cancel(attempt.id, engine)
+    if not cancel_state:
         return _unknown(attempt, detail)
-    if found != FORBIDDEN or attempt.started or attempt.has_run:
+    if cancel_state != FORBIDDEN or attempt.started or attempt.has_run:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
             detail,
             gone=True,
         )
-    if not await _is_same_start(engine, attempt.dispatch.engine):
+    if not await _is_same_incarnation(engine, attempt.dispatch.engine):
         return _unknown(attempt, 'the engine was restarted', gone=True)
     return message.Refused(
         attempt.id, request_error.NotFoundError.code, detail, 0
@@ -130,13 +132,13 @@
     )
 
 
-async def _read_first(
+async def _start_and_read(
     conn: http.Connection,
     kind: str,
     body: bytes,
     progress: generation.Generation,
 ) -> bool:
-    """Reads over the starting connection; False if it broke or fell silent."""
+    """Starts and reads over one connection; False if it broke or stalled."""
     try:
         await engine_lib.write_start(conn, kind, body)
         await progress.read(conn)
@@ -145,24 +147,24 @@
     return True
 
 
-async def _settle(attempt: str, engine: engine_lib.Engine) -> str:
-    """Cancels or forbids the generation; empty if that stays unsettled."""
+async def _cancel(attempt: str, engine: engine_lib.Engine) -> str:
+    """Cancels or forbids the generation; empty if that was not confirmed."""
     try:
         return await engine.cancel(attempt)
     except error.ExchangeError:
         return ''
 
 
-async def _is_same_start(engine: engine_lib.Engine, known: int) -> bool:
-    """Whether an engine has surely not started anew.
+async def _is_same_incarnation(engine: engine_lib.Engine, known: int) -> bool:
+    """Returns whether the engine has certainly not restarted.
 
-    One that tells no start looks the same after it.
+    An engine that reports no incarnation looks the same after a restart.
     """
     return known > 0 and await _incarnation(engine) == known
 
 
 async def _incarnation(engine: engine_lib.Engine) -> int:
-    """Incarnation of the engine; -1 if it can't be learnt."""
+    """Returns the incarnation of the engine, or -1 if it doesn't respond."""
     try:
         report = await engine.report()
     except error.ExchangeError:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -1,4 +1,4 @@
-"""One generation, read whole though connections break or fall silent."""
+"""Reads one generation to its end across broken or stalled connections."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     from quetzalsill_sidecar.upstream import http
 
-__all__ = ['Timeouts', 'Generation']
+__all__ = ['Generation', 'Timeouts']
 
-BACKOFF_FIRST_S = 0.05
-BACKOFF_MAX_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 ERROR_BODY_BYTES = 4096
 OK = 200
 NOT_FOUND = 404
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Timeouts:
-    """Waits allowed while a generation is read.
+    """Timeouts while a generation is read, in seconds.
 
     Attributes:
-      stall_s: Silence on a connection after which another is tried.
-      resume_s: Time without any answer after which the engine is given up.
-      refused_s: The same if every connection is refused meanwhile.
+      stall_s: Time without data on a connection before a new one is opened.
+      resume_s: Time without any response before the engine is given up.
+      refused_s: The same while every connection is refused.
     """
 
     stall_s: float
@@ -46,56 +46,58 @@
     """Progress of one generation on the engine.
 
     Attributes:
-      count: Events received so far.
-      generation: The engine's mark of the generation; None before the
-        first event. An event of another mark would splice two answers.
+      received: Events received so far.
+      generation: The engine's id of the generation; None before the first
+        event. Events of two generations must not be joined into one response.
     """
 
     def __init__(
         self,
         engine: engine_lib.Engine,
         attempt: str,
-        bounds: Timeouts,
+        timeouts: Timeouts,
         deliver: Callable[[list[bytes]], Awaitable[None]],
     ) -> None:
-        """Prepares to read.
+        """Prepares to read a generation.
 
         Args:
           engine: The engine.
           attempt: Id under which the engine knows the generation.
-          bounds: Waits allowed.
-          deliver: Takes the payloads of events, in order and once each;
-            may wait to slow the reading down.
+          timeouts: Timeouts while reading.
+          deliver: Called with the payloads of events, in order and once
+            each; may block to slow down the reading.
         """
-        self.count = 0
+        self.received = 0
         self.generation: object = None
         self._engine = engine
         self._attempt = attempt
-        self._bounds = bounds
+        self._timeouts = timeouts
         self._deliver = deliver
-        self._last_answer = 0.0
-        self._last_reached = 0.0
-        self._pause_s = BACKOFF_FIRST_S
+        self._last_response = 0.0
+        self._last_contact = 0.0
+        self._backoff_s = INITIAL_BACKOFF_S
 
     async def resume(self) -> None:
         """Reads from the next event to the end, over new connections.
 
         Raises:
-          GenerationGoneError: the engine does not know it and never will.
-          GenerationUnreachableError: no answer within `resume_s`, or every
+          GenerationGoneError: the engine does not have it and never will.
+          GenerationUnreachableError: no response within `resume_s`, or every
             connection refused for `refused_s`.
         """
-        self._note_answer()
+        self._record_response()
         while not await self._try_resume():
-            self._check_reach()
-            await asyncio.sleep(self._pause_s)
-            self._pause_s = min(self._pause_s * 2, BACKOFF_MAX_S)
+            self._check_timeouts()
+            await asyncio.sleep(self._backoff_s)
+            self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
 
     async def _try_resume(self) -> bool:
-        """Reads on over one new connection; False if that broke again."""
+        """Resumes over one new connection; False if that broke too."""
         try:
             async with self._engine.exchange() as conn:
-                await engine_lib.write_resume(conn, self._attempt, self.count)
+                await engine_lib.write_resume(
+                    conn, self._attempt, self.received
+                )
                 await self.read(conn)
         except error.UpstreamStatusError as exc:
             if exc.status == NOT_FOUND:
@@ -103,70 +105,71 @@
             return False
         except error.UpstreamConnectError as exc:
             if not exc.refused:
-                self._note_reached()
+                self._record_contact()
             return False
         except (error.ResponseLostError, TimeoutError):
-            self._note_reached()
+            self._record_contact()
             return False
         return True
 
-    def _check_reach(self) -> None:
-        # A dead process is told from a lost path: its host refuses at once.
-        # Waiting as long as for a path would leave the caller stalled.
+    def _check_timeouts(self) -> None:
+        # The host of a dead process refuses connections at once, unlike a
+        # broken network path. Waiting as long as for a path would stall the
+        # caller for no reason.
         now = asyncio.get_running_loop().time()
-        if now - self._last_answer >= self._bounds.resume_s:
-            bound_s = self._bounds.resume_s
-        elif now - self._last_reached >= self._bounds.refused_s:
-            bound_s = self._bounds.refused_s
+        if now - self._last_response >= self._timeouts.resume_s:
+            timeout_s = self._timeouts.resume_s
+        elif now - self._last_contact >= self._timeouts.refused_s:
+            timeout_s = self._timeouts.refused_s
         else:
             return
-        raise error.GenerationUnreachableError(f'no answer in {bound_s} s')
+        raise error.GenerationUnreachableError(f'no answer in {timeout_s} s')
 
     async def read(self, conn: http.Connection) -> None:
         """Reads from a connection on which the request was written.
 
         Raises:
-          ResponseLostError: the stream broke; `resume` may carry on.
-          UpstreamStatusError: the engine would not.
-          GenerationGoneError: the engine gave the generation up, or goes on
+          ResponseLostError: the stream broke; `resume` may continue.
+          UpstreamStatusError: the engine refused.
+          GenerationGoneError: the engine gave up the generation, or continues
             with another one.
-          TimeoutError: the stream fell silent; `resume` may carry on.
+          TimeoutError: the stream stalled; `resume` may continue.
         """
-        async with deadline.timeout(self._bounds.stall_s):
+        async with deadline.timeout(self._timeouts.stall_s):
             head = await conn.read_head()
             if head.status != OK:
                 body = await conn.read_all(ERROR_BODY_BYTES)
                 raise error.UpstreamStatusError(head.status, body)
-        self._note_answer()
+        self._record_response()
         parser = sse.EventParser()
         checked = False
         while True:
-            # A connection that something on the way has lost track of looks
-            # like a slow engine: no data, no error. Silence beyond the bound
-            # ends this one, and the next carries on at the same event.
-            async with deadline.timeout(self._bounds.stall_s):
+            # If a device on the path drops the state of a connection, it looks
+            # like a slow engine: no data and no error. After `stall_s` it is
+            # given up, and the next one resumes at the same event.
+            async with deadline.timeout(self._timeouts.stall_s):
                 data = await conn.read_data()
             if not data:
                 raise error.ResponseLostError('stream ended before its mark')
-            self._note_answer()
+            self._record_response()
             events = parser.feed(data)
             last = events[-1] if events else b''
             done = last == sse.DONE
             failed = last.startswith(ERROR_EVENT)
             items = events[:-1] if done or failed else events
             if items and not checked:
-                self._check_seam(items[0])
+                self._check_continuity(items[0])
                 checked = True
             if items:
-                self.count += len(items)
+                self.received += len(items)
                 await self._deliver(items)
             if failed:
                 raise error.GenerationGoneError(last.decode('utf-8', 'replace'))
             if done:
                 return
 
-    def _check_seam(self, event: bytes) -> None:
-        """Checks that a new connection goes on where the last one ended.
+    def _check_continuity(self, event: bytes) -> None:
+        """Checks that a new connection continues where the last one ended.
 
         Raises:
           ResponseLostError: the event is not the next one.
@@ -181,17 +184,17 @@
                 f'generation {self.generation} was replaced by {generation}'
             )
         index = fields.get('index')
-        if index is not None and index != self.count:
-            raise error.ResponseLostError(f'event {index}, not {self.count}')
+        if index is not None and index != self.received:
+            raise error.ResponseLostError(f'event {index}, not {self.received}')
 
-    def _note_answer(self) -> None:
-        self._note_reached()
-        self._last_answer = self._last_reached
-        self._pause_s = BACKOFF_FIRST_S
+    def _record_response(self) -> None:
+        self._record_contact()
+        self._last_response = self._last_contact
+        self._backoff_s = INITIAL_BACKOFF_S
 
-    def _note_reached(self) -> None:
-        """Notes that connections are not simply refused."""
-        self._last_reached = asyncio.get_running_loop().time()
+    def _record_contact(self) -> None:
+        """Records that the engine's host does not refuse connections."""
+        self._last_contact = asyncio.get_running_loop().time()
 
 
 def _fields(event: bytes) -> dict[str, object]:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -1,4 +1,4 @@
-"""Which terminal message a failure on the upstream becomes."""
+"""Terminal messages for failures on the upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 __all__ = ['failed', 'from_status']
 
-REFUSING = {
+REFUSAL_CODES = {
     429: request_error.OverloadedError.code,
     503: request_error.OverloadedError.code,
     404: request_error.NoUpstreamError.code,
@@ -29,19 +29,19 @@
     *,
     gone: bool = False,
 ) -> message.Failed:
-    """Makes the terminal of an attempt that was started."""
+    """Returns the terminal of a started attempt that failed."""
     return message.Failed(attempt, code, detail, ran.value, gone)
 
 
 def from_status(attempt: str, exc: error.UpstreamStatusError) -> message.Failed:
-    """Terminal for an engine that answered a start with an error status."""
+    """Returns the terminal for an error status in response to a start."""
     status = exc.status
     if status == 409 and FORBIDDEN in exc.body:
         return failed(
             attempt, request_error.CancelledError.code, exc.detail, base.Ran.NO
         )
-    if status in REFUSING:
-        return failed(attempt, REFUSING[status], exc.detail, base.Ran.NO)
+    if status in REFUSAL_CODES:
+        return failed(attempt, REFUSAL_CODES[status], exc.detail, base.Ran.NO)
     if status in (400, 413, 422):
         return failed(
             attempt, request_error.BadRequestError.code, exc.detail, base.Ran.NO
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: bytes in, payloads of `data` fields out."""
+"""Parser of server-sent events: from bytes to payloads of `data` fields."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class EventParser:
-    """Cuts a byte stream into events, whatever the cuts of the reads."""
+    """Splits a byte stream into events, however the reads divide it."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._buffer = b''
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the payloads of all events that are now whole.
+        """Returns the payloads of all events that are now complete.
 
         Raises:
           ResponseLostError: an event is larger than `MAX_EVENT_BYTES`.
         """
-        text = (self._rest + data).replace(b'\r\n', b'\n')
-        *blocks, self._rest = text.split(b'\n\n')
-        if len(self._rest) > MAX_EVENT_BYTES:
+        text = (self._buffer + data).replace(b'\r\n', b'\n')
+        *blocks, self._buffer = text.split(b'\n\n')
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise error.ResponseLostError('event too large')
         payloads = (_payload(block) for block in blocks)
         return [payload for payload in payloads if payload]
