--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/links.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/links.py
@@ -15,7 +15,7 @@
 
 from quetzalsill.settings import section
 from quetzalsill.telemetry import log
-from quetzalsill.wire import dial, message, pace
+from quetzalsill.wire import dial, heartbeat, message
 from quetzalsill_dev import board, cluster, launch, layout, process_settings
 from quetzalsill_dev.bench.capacity import engine, series, sidecars, window
 from quetzalsill_dev.bench.capacity import size as size_lib
@@ -161,7 +161,9 @@
         port,
         hello,
         section.LinkTiming(),
-        stretch=lambda: pace.dialled(size_lib.ROUTER_LINKS),
+        heartbeat_factor=lambda: heartbeat.dialling_factor(
+            size_lib.ROUTER_LINKS
+        ),
     )
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/peers.py
@@ -7,7 +7,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from quetzalsill.wire import dial, message, pace
+from quetzalsill.wire import dial, heartbeat, message
 from quetzalsill_router import event
 from quetzalsill_router.peer import peer as peer_module
 from quetzalsill_router.peer import subset
@@ -261,9 +261,13 @@
             self._tls() if callable(self._tls) else self._tls,
             revision=lambda: self._holder.revision,
             on_revision=peer.record_revision,
-            stretch=lambda: self._heartbeat_factor(peer),
+            heartbeat_factor=lambda: self._heartbeat_factor(peer),
         )
 
     def _heartbeat_factor(self, peer: peer_module.Peer) -> float:
         """Returns the heartbeat interval factor; 1 while work is open."""
-        return 1.0 if peer.outstanding else pace.dialled(len(self._peers))
+        return (
+            1.0
+            if peer.outstanding
+            else heartbeat.dialling_factor(len(self._peers))
+        )
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -79,7 +79,7 @@
         asgi.wrap(app),
         settings.listen,
         settings.tls,
-        protocol.Bounds(write_s=settings.requests.write_stall_s),
+        protocol.Limits(write_timeout_s=settings.requests.write_stall_s),
     )
     await listener.start()
     state.registration.router.address = (
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -9,7 +9,7 @@
 
 from quetzalsill.config import holder
 from quetzalsill.net import tls as net_tls
-from quetzalsill.wire import listen, message, pace
+from quetzalsill.wire import heartbeat, listen, message
 from quetzalsill_sidecar import (
     config_fetcher,
     event,
@@ -111,7 +111,9 @@
             settings.link,
             net_tls.server_context(settings.tls),
             revision=lambda: self.configuration.revision,
-            stretch=lambda: pace.listened(self.link_count),
+            heartbeat_factor=lambda: heartbeat.listening_factor(
+                self.link_count
+            ),
         )
         self.configuration.on_change(self.intake.apply_configuration)
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -82,7 +82,7 @@
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
-        self._answer = parser.AnswerParser('GET')
+        self._response = parser.ResponseParser('GET')
 
     def request(self, method: str, target: str, headers: Headers) -> bytes:
         """Returns the head of the request, to be written next.
@@ -90,7 +90,7 @@
         Raises:
           RequestMalformedError: the head can't be put as HTTP.
         """
-        self._answer = parser.AnswerParser(method)
+        self._response = parser.ResponseParser(method)
         lines = [
             (b'host', self.origin.authority.encode()),
             *headers,
@@ -150,9 +150,9 @@
         Raises:
           ResponseLostError: the connection broke before they came.
         """
-        while self._answer.head is None:
+        while self._response.head is None:
             await self._receive()
-        return self._answer.head
+        return self._response.head
 
     async def read_data(self) -> bytes:
         """Reads what has come of the body; empty at its proper end.
@@ -160,10 +160,10 @@
         Raises:
           ResponseLostError: the connection broke before the end.
         """
-        data = self._answer.take()
-        while not data and not self._answer.is_whole:
+        data = self._response.take_body()
+        while not data and not self._response.is_complete:
             await self._receive()
-            data = self._answer.take()
+            data = self._response.take_body()
         return data
 
     async def read_all(self, limit: int) -> bytes:
@@ -188,10 +188,10 @@
 
     async def _receive(self) -> None:
         try:
-            self._answer.feed(await self._reader.read(READ_BYTES))
+            self._response.feed(await self._reader.read(READ_BYTES))
         except OSError as exc:
             raise error.ResponseLostError(f'read failed: {exc}') from exc
-        except net_error.AnswerLostError as exc:
+        except net_error.ResponseLostError as exc:
             raise error.ResponseLostError(exc.detail) from exc
 
 
@@ -211,7 +211,7 @@
             f'{origin.authority}: {exc or "connect timed out"}',
             refused=isinstance(exc, ConnectionRefusedError),
         ) from exc
-    keepalive.tune(writer.transport)
+    keepalive.enable(writer.transport)
     return Connection(origin, reader, writer)
 
 
--- a/packages/quetzalsill/src/quetzalsill/net/client.py
+++ b/packages/quetzalsill/src/quetzalsill/net/client.py
@@ -16,11 +16,11 @@
 
 __all__ = ['Session', 'session']
 
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 
 # Below the keep-alive bound of any server in use, so that a connection is
 # dropped here before the server closes it under a request.
-IDLE_S = 3.0
+IDLE_TIMEOUT_S = 3.0
 MAX_IDLE = 64
 
 
@@ -41,13 +41,13 @@
         Raises:
           ConnectFailedError: If none came about; nothing was sent.
         """
-        kept = self.pools.get_pool(url.schema, url.host, url.port)
+        target = self.pools.get_pool(url.schema, url.host, url.port)
         try:
             async with deadline.timeout(self.connection_timeout):
-                return await kept.get_connection()
+                return await target.get_connection()
         except OSError as exc:
             raise error.ConnectFailedError(
-                f'{kept.host}:{kept.port}: {str(exc) or type(exc).__name__}'
+                f'{target.host}:{target.port}: {str(exc) or type(exc).__name__}'
             ) from exc
 
     async def _send_using_connection(
@@ -58,8 +58,8 @@
             async with deadline.timeout(self.request_timeout):
                 return await conn.send(request)
         except TimeoutError as exc:
-            conn.note_silence()
-            raise error.AnswerTimeoutError(
+            conn.report_timeout()
+            raise error.ResponseTimeoutError(
                 f'no answer within {self.request_timeout} s'
             ) from exc
 
@@ -69,16 +69,16 @@
     timeout_s: float | None = 10.0,
     tls: section.Tls | None = None,
     *,
-    silence_s: float | None = None,
-    connect_s: float = CONNECT_S,
-    idle_s: float = IDLE_S,
+    read_timeout_s: float | None = None,
+    connect_timeout_s: float = CONNECT_TIMEOUT_S,
+    idle_timeout_s: float = IDLE_TIMEOUT_S,
     max_idle: int = MAX_IDLE,
 ) -> Session:
     """Makes a client without resends, redirects and cookies.
 
     Its requests raise `net.error.ConnectFailedError` or
-    `RequestInvalidError` if nothing was sent, and `AnswerLostError` or its
-    `AnswerTimeoutError` if the request may have run. A body that is longer
+    `RequestInvalidError` if nothing was sent, and `ResponseLostError` or its
+    `ResponseTimeoutError` if the request may have run. A body that is longer
     than 64 KiB or of unknown length is read as `response.stream()` is
     iterated; closing that iterator, or dropping the response, closes the
     connection. A URL given as `str` is escaped by the library; give `bytes`
@@ -89,22 +89,24 @@
       timeout_s: Longest wait for the head of an answer, and for the whole of
         a short one; None for no bound.
       tls: Certificates for `https` URLs; the system's authorities if None.
-      silence_s: Longest wait between two pieces of a body; None for none.
-      connect_s: Longest wait for a connection.
-      idle_s: How long an idle connection may be used again; 0 opens one for
-        each request.
+      read_timeout_s: Longest wait between two pieces of a body; None for none.
+      connect_timeout_s: Longest wait for a connection.
+      idle_timeout_s: How long an idle connection may be used again; 0 opens
+        one for each request.
       max_idle: Idle connections kept for one address.
     """
-    pools = pool.Pools(tls or section.Tls(), silence_s, idle_s, max_idle)
-    made = Session(
+    pools = pool.Pools(
+        tls or section.Tls(), read_timeout_s, idle_timeout_s, max_idle
+    )
+    new_session = Session(
         base_url=base_url or None,
         pools=pools,
         follow_redirects=False,
-        connection_timeout=connect_s,
+        connection_timeout=connect_timeout_s,
         request_timeout=timeout_s,
         cookie_jar=False,
         http2=False,
         max_connection_retries=0,
     )
-    made.owns_pools = True
-    return made
+    new_session.owns_pools = True
+    return new_session
--- a/packages/quetzalsill/src/quetzalsill/net/connection.py
+++ b/packages/quetzalsill/src/quetzalsill/net/connection.py
@@ -2,7 +2,7 @@
 
 blacksheep's own connection reads the whole answer ahead without a bound, and
 takes an answer that is cut off for a whole one. This one reads when its
-reader asks, and an answer that is cut off raises `AnswerLostError`.
+reader asks, and an answer that is cut off raises `ResponseLostError`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 __all__ = ['Connection']
 
-EAGER_BYTES = 65536
+MAX_BUFFERED_BODY_BYTES = 65536
 NO_BODY_STATUSES = (204, 304)
 
 
@@ -36,7 +36,7 @@
         return self.body if self.body is not None else await super().read()
 
 
-class _Answer:
+class _ResponseBody:
     """The answer that a connection is receiving.
 
     A connection goes on to other requests, so what still refers to an
@@ -46,27 +46,27 @@
     def __init__(
         self,
         conn: Connection,
-        answer_parser: parser.AnswerParser,
-        silence_s: float | None,
+        response_parser: parser.ResponseParser,
+        read_timeout_s: float | None,
     ) -> None:
         self._conn = conn
-        self._parser = answer_parser
-        self._silence_s = silence_s
+        self._parser = response_parser
+        self._read_timeout_s = read_timeout_s
         self._ended = False
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the body piece by piece as it comes, once."""
         if self._ended:
             raise error.NetError('the body of this answer was read already')
         try:
             while True:
-                piece = self._parser.take()
-                if piece:
-                    yield piece
-                elif self._parser.is_whole:
+                chunk = self._parser.take_body()
+                if chunk:
+                    yield chunk
+                elif self._parser.is_complete:
                     break
                 else:
-                    await self._more()
+                    await self._read_more()
             self._ended = True
             self._conn.release()
         finally:
@@ -78,17 +78,17 @@
             self._ended = True
             self._conn.abort()
 
-    async def _more(self) -> None:
+    async def _read_more(self) -> None:
         try:
-            async with deadline.timeout(self._silence_s):
+            async with deadline.timeout(self._read_timeout_s):
                 await self._conn.feed_parser()
         except TimeoutError as exc:
-            self._conn.note_silence()
-            raise error.AnswerTimeoutError(
-                f'nothing came for {self._silence_s} s'
+            self._conn.report_timeout()
+            raise error.ResponseTimeoutError(
+                f'nothing came for {self._read_timeout_s} s'
             ) from exc
         except OSError as exc:
-            raise error.AnswerLostError(_reason(exc)) from exc
+            raise error.ResponseLostError(_describe(exc)) from exc
 
 
 class Connection(library_connection.HTTP11Connection):
@@ -98,17 +98,17 @@
         self,
         pool: library_pool.ConnectionPool,
         context: ssl.SSLContext | None,
-        silence_s: float | None,
+        read_timeout_s: float | None,
         on_released: Callable[[Connection], None],
-        on_silence: Callable[[], None],
+        on_timeout: Callable[[], None],
     ) -> None:
         is_secure = context is not None
         super().__init__(pool, pool.host, pool.port, context, is_secure)
-        self._silence_s = silence_s
+        self._read_timeout_s = read_timeout_s
         self._on_released = on_released
-        self._on_silence = on_silence
-        self._has_answer = False
-        self._parser: parser.AnswerParser | None = None
+        self._on_timeout = on_timeout
+        self._has_response = False
+        self._parser: parser.ResponseParser | None = None
 
     @property
     def is_open(self) -> bool:
@@ -119,54 +119,56 @@
         be lost with its outcome unknown. Some servers write an answer
         before they close, which a further request would take for its own.
         """
-        is_clean = not self.reader.at_eof() and not self.reader._buffer
-        return super().is_open and is_clean
+        has_no_pending_data = (
+            not self.reader.at_eof() and not self.reader._buffer
+        )
+        return super().is_open and has_no_pending_data
 
     async def connect(self) -> None:
         """Opens the connection."""
         await super().connect()
-        keepalive.tune(self.writer.transport)
+        keepalive.enable(self.writer.transport)
 
     async def send(self, request: blacksheep.Request) -> blacksheep.Response:
         """Sends a request once and returns the head of its answer.
 
         Raises:
           RequestInvalidError: If it cannot be written; nothing was sent.
-          AnswerLostError: If no answer came; the request may have run.
+          ResponseLostError: If no answer came; the request may have run.
         """
-        self._has_answer = False
+        self._has_response = False
         try:
             return await super().send(request)
         except TimeoutError:
             raise
         except (OSError, h11.ProtocolError) as exc:
-            raise error.AnswerLostError(_reason(exc)) from exc
+            raise error.ResponseLostError(_describe(exc)) from exc
         finally:
             # Also on cancellation: the other end must see that its answer
             # is not waited for, and the connection must not be used again.
-            if not self._has_answer:
+            if not self._has_response:
                 self.abort()
 
     async def feed_parser(self) -> None:
         """Waits for bytes and gives them to the parser of the answer.
 
         Raises:
-          AnswerLostError: If they are no HTTP, or end within the answer.
+          ResponseLostError: If they are no HTTP, or end within the answer.
         """
         self._parser.feed(await self.reader.read(self.buffer_size))
 
     def release(self) -> None:
         """Gives the connection back after a whole answer."""
         is_sent = self._h11_conn.our_state is h11.DONE
-        if is_sent and self._parser.keeps_connection:
+        if is_sent and self._parser.can_reuse_connection:
             self._h11_conn = h11.Connection(our_role=h11.CLIENT)
             self._on_released(self)
         else:
             self.abort()
 
-    def note_silence(self) -> None:
+    def report_timeout(self) -> None:
         """Distrusts the idle connections to the same address too."""
-        self._on_silence()
+        self._on_timeout()
 
     def abort(self) -> None:
         """Closes the connection at once, whatever it carries."""
@@ -181,13 +183,13 @@
     def _convert_request_to_h11(
         self, request: blacksheep.Request
     ) -> tuple[h11.Request, bytes | None]:
-        self._parser = parser.AnswerParser(request.method)
+        self._parser = parser.ResponseParser(request.method)
         # The library answers an expectation on a path that reads ahead.
         request.remove_header(b'expect')
         try:
             return super()._convert_request_to_h11(request)
         except h11.LocalProtocolError as exc:
-            raise error.RequestInvalidError(_reason(exc)) from exc
+            raise error.RequestInvalidError(_describe(exc)) from exc
 
     async def _receive_response(
         self, timeout: float | None = None
@@ -198,27 +200,31 @@
         head = self._parser.head
         response = blacksheep.Response(head.status, head.headers)
         response.content = await self._content(head)
-        self._has_answer = True
+        self._has_response = True
         return response
 
     async def _content(self, head: parser.Head) -> blacksheep.Content:
-        answer = _Answer(self, self._parser, self._silence_s)
+        response_body = _ResponseBody(self, self._parser, self._read_timeout_s)
         length = head.first(b'content-length')
-        kind = head.first(b'content-type') or b'application/octet-stream'
-        if _is_short(head.status, length) or self._parser.is_whole:
-            pieces = [piece async for piece in answer.pieces()]
-            return blacksheep.Content(kind, b''.join(pieces))
-        body = _StreamedBody(kind, answer.pieces, int(length or -1))
+        content_type = (
+            head.first(b'content-type') or b'application/octet-stream'
+        )
+        if _is_buffered(head.status, length) or self._parser.is_complete:
+            chunks = [chunk async for chunk in response_body.chunks()]
+            return blacksheep.Content(content_type, b''.join(chunks))
+        body = _StreamedBody(
+            content_type, response_body.chunks, int(length or -1)
+        )
         # An answer that is dropped unread would hold the connection.
-        weakref.finalize(body, answer.abort).atexit = False
+        weakref.finalize(body, response_body.abort).atexit = False
         return body
 
 
-def _is_short(status: int, length: bytes | None) -> bool:
+def _is_buffered(status: int, length: bytes | None) -> bool:
     if status in NO_BODY_STATUSES:
         return True
-    return length is not None and int(length) <= EAGER_BYTES
+    return length is not None and int(length) <= MAX_BUFFERED_BODY_BYTES
 
 
-def _reason(exc: Exception) -> str:
+def _describe(exc: Exception) -> str:
     return str(exc) or type(exc).__name__
--- a/packages/quetzalsill/src/quetzalsill/net/deadline.py
+++ b/packages/quetzalsill/src/quetzalsill/net/deadline.py
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     import types
 
-__all__ = ['LATE_S', 'Deadline', 'timeout', 'timeout_at']
+__all__ = ['LATE_THRESHOLD_S', 'Deadline', 'timeout', 'timeout_at']
 
 # Turns of the loop from received bytes to the task that waits for them: through
 # a reader, a task of its own and a shield around that.
-TURNS = 4
+GRACE_ITERATIONS = 4
 # A timer that is this late tells of a pause; a loaded event loop is less so.
-LATE_S = 0.02
+LATE_THRESHOLD_S = 0.02
 # How long what came during a pause may take to arrive.
 GRACE_S = 0.05
 
@@ -34,7 +34,7 @@
     Raises `TimeoutError` at its end if it has cancelled the block.
     """
 
-    __slots__ = ('_bound', '_handle', '_loop', '_when_s')
+    __slots__ = ('_handle', '_loop', '_timeout', '_when_s')
 
     def __init__(self, when_s: float | None) -> None:
         """Prepares a deadline.
@@ -43,12 +43,12 @@
           when_s: Time of the event loop, in seconds; None for no bound.
         """
         self._when_s = when_s
-        self._bound = asyncio.timeout(None)
+        self._timeout = asyncio.timeout(None)
         self._handle: asyncio.Handle | None = None
 
     async def __aenter__(self) -> Self:
         self._loop = asyncio.get_running_loop()
-        await self._bound.__aenter__()
+        await self._timeout.__aenter__()
         self.reschedule(self._when_s)
         return self
 
@@ -59,7 +59,7 @@
         trace: types.TracebackType | None,
     ) -> bool | None:
         self._cancel_timer()
-        return await self._bound.__aexit__(kind, exc, trace)
+        return await self._timeout.__aexit__(kind, exc, trace)
 
     def when(self) -> float | None:
         """Returns the time at which the block is cancelled."""
@@ -70,23 +70,25 @@
         self._cancel_timer()
         self._when_s = when_s
         if when_s is not None:
-            self._handle = self._loop.call_at(when_s, self._due)
+            self._handle = self._loop.call_at(when_s, self._on_timer)
 
     def _cancel_timer(self) -> None:
         if self._handle is not None:
             self._handle.cancel()
 
-    def _due(self) -> None:
-        if self._loop.time() - self._when_s > LATE_S:
-            self._handle = self._loop.call_later(GRACE_S, self._expire, TURNS)
+    def _on_timer(self) -> None:
+        if self._loop.time() - self._when_s > LATE_THRESHOLD_S:
+            self._handle = self._loop.call_later(
+                GRACE_S, self._expire, GRACE_ITERATIONS
+            )
         else:
-            self._expire(TURNS)
+            self._expire(GRACE_ITERATIONS)
 
-    def _expire(self, turns: int) -> None:
-        if turns:
-            self._handle = self._loop.call_soon(self._expire, turns - 1)
+    def _expire(self, iterations: int) -> None:
+        if iterations:
+            self._handle = self._loop.call_soon(self._expire, iterations - 1)
         else:
-            self._bound.reschedule(self._loop.time())
+            self._timeout.reschedule(self._loop.time())
 
 
 def timeout_at(when_s: float | None) -> Deadline:
--- a/packages/quetzalsill/src/quetzalsill/net/error.py
+++ b/packages/quetzalsill/src/quetzalsill/net/error.py
@@ -5,8 +5,8 @@
 from quetzalsill.error import base
 
 __all__ = [
-    'AnswerLostError',
-    'AnswerTimeoutError',
+    'ResponseLostError',
+    'ResponseTimeoutError',
     'CertificateError',
     'ConnectFailedError',
     'ListenError',
@@ -50,14 +50,14 @@
     code = 'request_invalid'
 
 
-class AnswerLostError(NetError):
+class ResponseLostError(NetError):
     """The request was sent, at least in part, and no whole answer came."""
 
     code = 'answer_lost'
     ran = base.Ran.UNKNOWN
 
 
-class AnswerTimeoutError(AnswerLostError):
+class ResponseTimeoutError(ResponseLostError):
     """The request was sent and its answer did not come in time."""
 
     code = 'answer_timeout'
--- a/packages/quetzalsill/src/quetzalsill/net/keepalive.py
+++ b/packages/quetzalsill/src/quetzalsill/net/keepalive.py
@@ -5,23 +5,23 @@
 import asyncio
 import socket
 
-__all__ = ['IDLE_S', 'LOST_S', 'tune']
+__all__ = ['IDLE_S', 'USER_TIMEOUT_S', 'enable']
 
 IDLE_S = 10
 INTERVAL_S = 5
 PROBES = 3
-LOST_S = 30
+USER_TIMEOUT_S = 30
 MS_PER_S = 1000
 
 
-def tune(transport: asyncio.BaseTransport) -> None:
+def enable(transport: asyncio.BaseTransport) -> None:
     """Lets the kernel close a connection whose other end is lost.
 
     Something between the two ends may lose track of an open connection: no
     reset comes, writes vanish and reads wait for good. Keepalive probes find
     this on an idle connection after `IDLE_S + PROBES * INTERVAL_S`, the user
-    timeout on one with unacknowledged data after `LOST_S`; both then raise
-    an error on the transport, as a reset would.
+    timeout on one with unacknowledged data after `USER_TIMEOUT_S`; both then
+    raise an error on the transport, as a reset would.
     """
     sock = transport.get_extra_info('socket')
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
@@ -31,7 +31,7 @@
         (socket.TCP_KEEPIDLE, IDLE_S),
         (socket.TCP_KEEPINTVL, INTERVAL_S),
         (socket.TCP_KEEPCNT, PROBES),
-        (socket.TCP_USER_TIMEOUT, LOST_S * MS_PER_S),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_S * MS_PER_S),
     )
     for option, value in tcp_options:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/packages/quetzalsill/src/quetzalsill/net/parser.py
+++ b/packages/quetzalsill/src/quetzalsill/net/parser.py
@@ -8,7 +8,7 @@
 
 from quetzalsill.net import error
 
-__all__ = ['MAX_HEAD_BYTES', 'AnswerParser', 'Head']
+__all__ = ['MAX_HEAD_BYTES', 'ResponseParser', 'Head']
 
 MAX_HEAD_BYTES = 65536
 FIRST_FINAL_STATUS = 200
@@ -29,50 +29,50 @@
         return next(values, None)
 
 
-class AnswerParser:
+class ResponseParser:
     """Takes the bytes of a connection as they come.
 
     Attributes:
       head: Head of the final answer, once it is there.
-      is_whole: Whether the answer has ended as its head announced.
+      is_complete: Whether the answer has ended as its head announced.
     """
 
     def __init__(self, method: str) -> None:
         self.head: Head | None = None
-        self.is_whole = False
+        self.is_complete = False
         self._has_body = method != 'HEAD'
         self._headers: Headers = []
         self._head_bytes = 0
-        self._pieces: list[bytes] = []
-        self._keeps_connection = False
+        self._chunks: list[bytes] = []
+        self._keep_alive = False
         self._parser = httptools.HttpResponseParser(self)
 
     @property
-    def keeps_connection(self) -> bool:
+    def can_reuse_connection(self) -> bool:
         """Whether another request may follow on the connection."""
-        return self.is_whole and self._keeps_connection
+        return self.is_complete and self._keep_alive
 
     def feed(self, data: bytes) -> None:
         """Takes bytes; none at all stand for the end of the stream.
 
         Raises:
-          AnswerLostError: If they are no HTTP, or end within the answer.
+          ResponseLostError: If they are no HTTP, or end within the answer.
         """
         if not data:
-            self._feed_end()
+            self._feed_eof()
             return
         if self.head is None:
-            self._count_head(len(data))
+            self._count_head_bytes(len(data))
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            raise error.AnswerLostError(f'malformed answer: {exc}') from exc
+            raise error.ResponseLostError(f'malformed answer: {exc}') from exc
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Returns what has come of the body since the last time."""
-        taken = b''.join(self._pieces)
-        self._pieces.clear()
-        return taken
+        body = b''.join(self._chunks)
+        self._chunks.clear()
+        return body
 
     # Callbacks of httptools.
 
@@ -83,7 +83,7 @@
         connection is given up.
         """
         if self.head is not None:
-            self._keeps_connection = False
+            self._keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header."""
@@ -98,32 +98,32 @@
         if self.head is not None:
             return
         self.head = Head(status, self._headers)
-        self._keeps_connection = self._parser.should_keep_alive()
+        self._keep_alive = self._parser.should_keep_alive()
         if not self._has_body:
             # The parser does not know of HEAD and would wait for the body
             # that the head describes, so the connection is given up.
-            self._keeps_connection = False
-            self.is_whole = True
+            self._keep_alive = False
+            self.is_complete = True
 
     def on_body(self, body: bytes) -> None:
         """Takes a piece of the body."""
-        if not self.is_whole:
-            self._pieces.append(body)
+        if not self.is_complete:
+            self._chunks.append(body)
 
     def on_message_complete(self) -> None:
         """Ends the answer, unless it was an interim one."""
         if self.head is not None:
-            self.is_whole = True
+            self.is_complete = True
 
-    def _feed_end(self) -> None:
+    def _feed_eof(self) -> None:
         if self.head is None:
-            raise error.AnswerLostError('closed before an answer')
-        framed = (b'content-length', b'transfer-encoding')
-        if any(self.head.first(name) is not None for name in framed):
-            raise error.AnswerLostError('closed within an answer')
-        self.is_whole = True
+            raise error.ResponseLostError('closed before an answer')
+        framing_headers = (b'content-length', b'transfer-encoding')
+        if any(self.head.first(name) is not None for name in framing_headers):
+            raise error.ResponseLostError('closed within an answer')
+        self.is_complete = True
 
-    def _count_head(self, received: int) -> None:
+    def _count_head_bytes(self, received: int) -> None:
         self._head_bytes += received
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise error.AnswerLostError('the head of the answer is too large')
+            raise error.ResponseLostError('the head of the answer is too large')
--- a/packages/quetzalsill/src/quetzalsill/net/pool.py
+++ b/packages/quetzalsill/src/quetzalsill/net/pool.py
@@ -42,10 +42,10 @@
         """Opens a connection."""
         conn = connection.Connection(
             self,
-            self._context(),
-            self._pools.silence_s,
+            self._ssl_context(),
+            self._pools.read_timeout_s,
             self.try_return_connection,
-            self.drop_idle,
+            self.close_idle,
         )
         await conn.connect()
         self._open.add(conn)
@@ -59,7 +59,7 @@
         conn.last_used = time.time()
         self._idle_connections.put_nowait(conn)
 
-    def drop_idle(self) -> None:
+    def close_idle(self) -> None:
         """Closes the idle connections after one of them went silent.
 
         What lost track of one connection between the ends has mostly lost
@@ -82,7 +82,7 @@
                 return conn
             conn.abort()
 
-    def _context(self) -> ssl.SSLContext | None:
+    def _ssl_context(self) -> ssl.SSLContext | None:
         if self.ssl is None:
             return None
         return tls.client_context(self._pools.tls) or self.ssl
@@ -93,20 +93,20 @@
 
     Attributes:
       tls: Certificates for `https` addresses.
-      silence_s: Longest wait between two pieces of a body; None for none.
+      read_timeout_s: Longest wait between two pieces of a body; None for none.
       max_idle: Idle connections kept for one address.
     """
 
     def __init__(
         self,
         tls: section.Tls,
-        silence_s: float | None,
-        idle_s: float,
+        read_timeout_s: float | None,
+        idle_timeout_s: float,
         max_idle: int,
     ) -> None:
-        super().__init__(http2=False, idle_timeout=idle_s)
+        super().__init__(http2=False, idle_timeout=idle_timeout_s)
         self.tls = tls
-        self.silence_s = silence_s
+        self.read_timeout_s = read_timeout_s
         self.max_idle = max_idle
 
     def get_pool(
--- a/packages/quetzalsill/src/quetzalsill/net/server.py
+++ b/packages/quetzalsill/src/quetzalsill/net/server.py
@@ -19,7 +19,7 @@
 
 BACKLOG = 1024
 DATE_INTERVAL_S = 1.0
-CLOSE_S = 1.0
+CANCEL_TIMEOUT_S = 1.0
 
 
 class HttpServer:
@@ -33,7 +33,7 @@
         app: Any,
         listen: section.Listen,
         tls: section.Tls | None = None,
-        bounds: protocol.Bounds | None = None,
+        limits: protocol.Limits | None = None,
     ) -> None:
         """Prepares the listener; `start` opens it.
 
@@ -41,24 +41,26 @@
           app: ASGI application.
           listen: Address; port 0 lets the kernel choose.
           tls: Certificates; none or empty serves in the clear.
-          bounds: What one client may hold up.
+          limits: What one client may hold up.
         """
-        bounds = bounds or protocol.Bounds()
+        limits = limits or protocol.Limits()
         self._listen = listen
         self._tls = tls
-        self._head_s = bounds.head_s
-        self._lost = asyncio.Event()
+        self._handshake_timeout_s = limits.head_timeout_s
+        self._connection_closed = asyncio.Event()
         config = uvicorn.Config(
             app,
             loop='asyncio',
-            http=protocol.bounded(bounds, self._lost.set),
+            http=protocol.make_protocol_class(
+                limits, self._connection_closed.set
+            ),
             ws='none',
             lifespan='auto',
             log_config=None,
             access_log=False,
             proxy_headers=False,
             server_header=False,
-            timeout_keep_alive=bounds.idle_s,
+            timeout_keep_alive=limits.idle_timeout_s,
             reset_contextvars=True,
         )
         config.load()
@@ -89,9 +91,11 @@
             sock=sock,
             ssl=context,
             backlog=BACKLOG,
-            ssl_handshake_timeout=self._head_s if context else None,
+            ssl_handshake_timeout=self._handshake_timeout_s
+            if context
+            else None,
         )
-        self._date_task = asyncio.create_task(self._keep_date())
+        self._date_task = asyncio.create_task(self._refresh_date())
 
     async def stop(self, grace_s: float) -> int:
         """Stops listening and lets the requests in flight end.
@@ -110,12 +114,12 @@
         self._server = None
         for conn in list(self._connections):
             conn.shutdown()
-        await self._wait_until_empty(grace_s)
-        cut = await self._cut_rest()
+        await self._drain(grace_s)
+        aborted = await self._abort_remaining()
         self._date_task.cancel()
         await asyncio.gather(self._date_task, return_exceptions=True)
         await self._lifespan.shutdown()
-        return cut
+        return aborted
 
     @property
     def running(self) -> int:
@@ -131,7 +135,7 @@
     def _connections(self) -> set[Any]:
         return self._uvicorn.server_state.connections
 
-    def _make_protocol(self) -> protocol.BoundedProtocol:
+    def _make_protocol(self) -> protocol.LimitedProtocol:
         return self._config.http_protocol_class(
             config=self._config,
             server_state=self._uvicorn.server_state,
@@ -152,21 +156,21 @@
             raise error.ListenError(f'{host}:{port}: {exc}') from exc
         return sock
 
-    async def _keep_date(self) -> None:
+    async def _refresh_date(self) -> None:
         """Renews the Date header of answers."""
         while True:
             await self._uvicorn.on_tick(0)
             await asyncio.sleep(DATE_INTERVAL_S)
 
-    async def _wait_until_empty(self, bound_s: float) -> None:
+    async def _drain(self, timeout_s: float) -> None:
         # A request's task ends when its last bytes are buffered, not when
         # they are sent, so the wait is for the connections too: leaving
         # earlier would cut the end of an answer to a slow reader.
         try:
-            async with asyncio.timeout(bound_s):
+            async with asyncio.timeout(timeout_s):
                 while self._connections or self.running:
-                    self._lost.clear()
-                    await self._wait_for_one()
+                    self._connection_closed.clear()
+                    await self._wait_for_change()
         except TimeoutError:
             event.note(
                 event.HttpStopBound(
@@ -174,19 +178,19 @@
                 )
             )
 
-    async def _wait_for_one(self) -> None:
+    async def _wait_for_change(self) -> None:
         if self._connections:
-            await self._lost.wait()
+            await self._connection_closed.wait()
         else:
             await asyncio.wait(list(self._uvicorn.server_state.tasks))
 
-    async def _cut_rest(self) -> int:
+    async def _abort_remaining(self) -> int:
         tasks = list(self._uvicorn.server_state.tasks)
-        unsent = list(self._connections)
-        for conn in unsent:
+        open_connections = list(self._connections)
+        for conn in open_connections:
             conn.transport.abort()
         for task in tasks:
             task.cancel()
         if tasks:
-            await asyncio.wait(tasks, timeout=CLOSE_S)
-        return max(len(tasks), len(unsent))
+            await asyncio.wait(tasks, timeout=CANCEL_TIMEOUT_S)
+        return max(len(tasks), len(open_connections))
--- a/packages/quetzalsill/src/quetzalsill/net/tls.py
+++ b/packages/quetzalsill/src/quetzalsill/net/tls.py
@@ -16,19 +16,19 @@
 
 __all__ = ['client_context', 'server_context']
 
-Stamp = tuple[tuple[int, int, int], ...]
-Build = Callable[['section.Tls'], ssl.SSLContext]
+FileState = tuple[tuple[int, int, int], ...]
+ContextBuilder = Callable[['section.Tls'], ssl.SSLContext]
 
 
 @dataclasses.dataclass(slots=True)
 class _Loaded:
     """A context and the state of the files that it was built from."""
 
-    stamp: Stamp
+    file_state: FileState
     context: ssl.SSLContext
 
 
-class _Reloading:
+class _ReloadingContext:
     """Gives the newest context that its files make.
 
     Files are replaced one after the other, so a certificate may stand
@@ -36,19 +36,19 @@
     load; the context before it then stays in use until they change again.
     """
 
-    def __init__(self, tls: section.Tls, build: Build) -> None:
+    def __init__(self, tls: section.Tls, build: ContextBuilder) -> None:
         self._tls = tls
         self._build = build
-        self._loaded = _Loaded(_stamp(tls), build(tls))
-        self._tried = self._loaded.stamp
+        self._loaded = _Loaded(_read_file_state(tls), build(tls))
+        self._last_attempt = self._loaded.file_state
 
-    def newest(self) -> ssl.SSLContext:
+    def current(self) -> ssl.SSLContext:
         """Returns the context of the files as they are now."""
         try:
-            stamp = _stamp(self._tls)
-            if stamp != self._tried:
-                self._tried = stamp
-                self._loaded = _Loaded(stamp, self._build(self._tls))
+            file_state = _read_file_state(self._tls)
+            if file_state != self._last_attempt:
+                self._last_attempt = file_state
+                self._loaded = _Loaded(file_state, self._build(self._tls))
                 event.note(
                     event.CertificateReloaded(file=self._tls.certificate)
                 )
@@ -57,7 +57,7 @@
         return self._loaded.context
 
 
-class _Logged(ssl.SSLObject):
+class _LoggingSSLObject(ssl.SSLObject):
     """A listener's end of a connection that tells of a refused handshake.
 
     The event loop drops such a connection without a word, so that a router
@@ -75,7 +75,7 @@
             raise
 
 
-_clients: dict[tuple[str, str, str], _Reloading] = {}
+_client_contexts: dict[tuple[str, str, str], _ReloadingContext] = {}
 
 
 def server_context(tls: section.Tls) -> ssl.SSLContext | None:
@@ -88,17 +88,17 @@
       CertificateError: If the files cannot be used.
     """
     if not tls.certificate:
-        _refuse_half(tls)
+        _reject_incomplete(tls)
         return None
-    reloading = _Reloading(tls, _build_server)
-    context = reloading.newest()
+    reloading = _ReloadingContext(tls, _build_server)
+    context = reloading.current()
 
-    def choose(
+    def select_context(
         connection: ssl.SSLObject, _name: str | None, _context: ssl.SSLContext
     ) -> None:
-        connection.context = reloading.newest()
+        connection.context = reloading.current()
 
-    context.sni_callback = choose
+    context.sni_callback = select_context
     return context
 
 
@@ -113,15 +113,17 @@
     files = (tls.certificate, tls.key, tls.authority)
     if not any(files):
         return None
-    reloading = _clients.get(files)
+    reloading = _client_contexts.get(files)
     if reloading is None:
-        reloading = _clients[files] = _Reloading(tls, _build_client)
-    return reloading.newest()
+        reloading = _client_contexts[files] = _ReloadingContext(
+            tls, _build_client
+        )
+    return reloading.current()
 
 
 def _build_server(tls: section.Tls) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.sslobject_class = _Logged
+    context.sslobject_class = _LoggingSSLObject
     # A resumed session skips the check of the client's certificate, so that
     # one that has expired since would still be let in.
     context.num_tickets = 0
@@ -148,22 +150,22 @@
         if tls.authority:
             context.load_verify_locations(cafile=tls.authority)
     except (OSError, ValueError) as exc:
-        raise _invalid(tls, exc) from exc
+        raise _certificate_error(tls, exc) from exc
 
 
-def _stamp(tls: section.Tls) -> Stamp:
+def _read_file_state(tls: section.Tls) -> FileState:
     """Returns what changes when one of the files is replaced."""
     files = filter(None, (tls.certificate, tls.key, tls.authority))
     try:
         stats = [os.stat(file) for file in files]
     except OSError as exc:
-        raise _invalid(tls, exc) from exc
+        raise _certificate_error(tls, exc) from exc
     return tuple(
         (stat.st_mtime_ns, stat.st_ino, stat.st_size) for stat in stats
     )
 
 
-def _refuse_half(tls: section.Tls) -> None:
+def _reject_incomplete(tls: section.Tls) -> None:
     # A listener that was meant to be protected must not come up in the clear
     # because one of its keys was forgotten.
     if tls.key or tls.authority:
@@ -172,6 +174,8 @@
         )
 
 
-def _invalid(tls: section.Tls, exc: Exception) -> error.CertificateError:
+def _certificate_error(
+    tls: section.Tls, exc: Exception
+) -> error.CertificateError:
     files = ', '.join(filter(None, (tls.certificate, tls.key, tls.authority)))
     return error.CertificateError(f'{files}: {exc}')
--- a/packages/quetzalsill/src/quetzalsill/platform/clients.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/clients.py
@@ -48,7 +48,7 @@
     ) -> exchange.Exchange:
         # No bound of its own: the exchange bounds each attempt as a whole.
         session = client.session(
-            url, None, self._tls, connect_s=self._timeout_s
+            url, None, self._tls, connect_timeout_s=self._timeout_s
         )
         self._sessions.append(session)
         return exchange.Exchange(session, self._timeout_s, store_health)
--- a/packages/quetzalsill/src/quetzalsill/platform/exchange.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/exchange.py
@@ -194,5 +194,5 @@
     length = response.get_first_header(b'content-length')
     if length and int(length) > LARGEST_ANSWER:
         conn.abort()
-        raise net_error.AnswerLostError(f'answer of {int(length)} bytes')
+        raise net_error.ResponseLostError(f'answer of {int(length)} bytes')
     return Reply(response.status, await response.read() or b'')
--- a/packages/quetzalsill/src/quetzalsill/telemetry/event.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/event.py
@@ -17,16 +17,16 @@
 
 __all__ = ['EVENTS', 'Event', 'define', 'name_of', 'note']
 
-WORD = re.compile(r'(?<!^)(?=[A-Z])')
+WORD_BOUNDARY = re.compile(r'(?<!^)(?=[A-Z])')
 # By package, then by name.
 EVENTS: dict[str, dict[str, type[Event]]] = {}
 
 
-Defined = TypeVar('Defined', bound=type)
+EventClass = TypeVar('EventClass', bound=type)
 
 
 @dataclass_transform()
-def define(cls: Defined) -> Defined:
+def define(cls: EventClass) -> EventClass:
     """Makes a class of events; a decorator.
 
     What compares and prints them stands once, in `Event`. Made anew for each
@@ -64,7 +64,7 @@
 @functools.cache
 def name_of(cls: type[Event]) -> str:
     """Returns the name of an event in the log."""
-    return WORD.sub('_', cls.__name__).lower()
+    return WORD_BOUNDARY.sub('_', cls.__name__).lower()
 
 
 def note(event: Event, exc: BaseException | None = None) -> None:
--- a/packages/quetzalsill/src/quetzalsill/telemetry/export.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/export.py
@@ -32,7 +32,7 @@
     ) -> None:
         self._file = open(path, 'a', encoding='utf-8')  # noqa: SIM115
         self._node = node
-        self._left = max_bytes - self._file.tell()
+        self._bytes_left = max_bytes - self._file.tell()
         self._lock = threading.Lock()
 
     def export(
@@ -41,9 +41,9 @@
         """Writes spans; drops them if the file is full or closed."""
         text = ''.join(self._line(span) for span in spans)
         with self._lock:
-            if self._file.closed or len(text) > self._left:
+            if self._file.closed or len(text) > self._bytes_left:
                 return export.SpanExportResult.FAILURE
-            self._left -= len(text)
+            self._bytes_left -= len(text)
             self._file.write(text)
             self._file.flush()
         return export.SpanExportResult.SUCCESS
@@ -54,9 +54,9 @@
             self._file.close()
 
     def _line(self, span: sdk_trace.ReadableSpan) -> str:
-        return json.dumps(self._plain(span)) + '\n'
+        return json.dumps(self._to_dict(span)) + '\n'
 
-    def _plain(self, span: sdk_trace.ReadableSpan) -> dict[str, Any]:
+    def _to_dict(self, span: sdk_trace.ReadableSpan) -> dict[str, Any]:
         context = span.get_span_context()
         parent = span.parent.span_id if span.parent else 0
         start_ns = span.start_time or 0
--- a/packages/quetzalsill/src/quetzalsill/telemetry/log.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/log.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from quetzalsill.telemetry import outlet
+from quetzalsill.telemetry import log_output
 
 __all__ = ['LEVELS', 'configure', 'get', 'render']
 
@@ -19,7 +19,7 @@
     'error': logging.ERROR,
 }
 # Takes a part of a start; loaded only by processes that open spans.
-TRACES = 'opentelemetry.trace'
+TRACE_MODULE = 'opentelemetry.trace'
 KEY_ORDER = ('timestamp', 'level', 'event', 'node', 'role', 'module', 'trace')
 
 EventDict = dict[str, Any]
@@ -36,8 +36,8 @@
       node: Name of the node, put on each line.
       role: Role of the process, put on each line.
     """
-    limiter = outlet.Limiter()
-    lines = outlet.Outlet(sys.stdout, limiter)
+    limiter = log_output.RateLimiter()
+    output = log_output.LogOutput(sys.stdout, limiter)
     shared = [
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
@@ -45,15 +45,15 @@
         _process_keys(node, role),
         _add_trace,
         structlog.processors.format_exc_info,
-        _one_line,
+        _escape_values,
     ]
     structlog.configure(
         processors=[limiter, *shared, render],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=structlog.WriteLoggerFactory(lines),
+        logger_factory=structlog.WriteLoggerFactory(output),
         cache_logger_on_first_use=True,
     )
-    _configure_libraries(level, lines, [_library_keys, *shared])
+    _configure_libraries(level, output, [_library_keys, *shared])
 
 
 def get(name: str) -> Any:
@@ -71,15 +71,17 @@
     That one looks at each character of each key in Python, by which a line of
     a dozen keys takes about twice as long; keys are names in our code.
     """
-    first = [
-        _pair(key, value)
+    leading = [
+        _format_pair(key, value)
         for key in KEY_ORDER
         if (value := event.pop(key, None)) is not None
     ]
-    return ' '.join([*first, *(_pair(*item) for item in event.items())])
+    return ' '.join(
+        [*leading, *(_format_pair(*item) for item in event.items())]
+    )
 
 
-def _pair(key: str, value: Any) -> str:
+def _format_pair(key: str, value: Any) -> str:
     if value is None:
         return f'{key}='
     if isinstance(value, bool):
@@ -92,10 +94,10 @@
 
 
 def _configure_libraries(
-    level: str, lines: outlet.Outlet, processors: list[Any]
+    level: str, output: log_output.LogOutput, processors: list[Any]
 ) -> None:
     """Gives lines of libraries, logged by `logging`, the same form."""
-    handler = logging.StreamHandler(lines)
+    handler = logging.StreamHandler(output)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
             foreign_pre_chain=processors,
@@ -134,7 +136,7 @@
 
 
 def _add_trace(_logger: Any, _method: str, event: EventDict) -> EventDict:
-    otel_trace = sys.modules.get(TRACES)
+    otel_trace = sys.modules.get(TRACE_MODULE)
     if otel_trace is None:
         return event
     context = otel_trace.get_current_span().get_span_context()
@@ -143,13 +145,13 @@
     return event
 
 
-def _one_line(_logger: Any, _method: str, event: EventDict) -> EventDict:
+def _escape_values(_logger: Any, _method: str, event: EventDict) -> EventDict:
     # A value from outside may hold line ends or terminal controls, which
     # would forge further log lines; escaped, they stay within their value.
-    return {name: _printable(value) for name, value in event.items()}
+    return {name: _escape(value) for name, value in event.items()}
 
 
-def _printable(value: Any) -> Any:
+def _escape(value: Any) -> Any:
     if value is None or isinstance(value, (bool, int, float)):
         return value
     text = str(value)
--- a/packages/quetzalsill/src/quetzalsill/telemetry/outlet.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/log_output.py
@@ -17,31 +17,33 @@
 
 import structlog
 
-__all__ = ['Limiter', 'Outlet']
+__all__ = ['RateLimiter', 'LogOutput']
 
 # A pipe that polls as writable has room for this much (POSIX PIPE_BUF), so a
 # write no longer than this does not block.
-MOST_BYTES = 4096
+MAX_LINE_BYTES = 4096
 # Lines of one event per second, and in one burst. A node at the size to design
 # for serves 35 requests a second with about four lines each.
-PER_S = 150.0
-BURST = 450.0
-REPORT_S = 1.0
-DROPPED = 'level=warning event=lines_dropped of={} count={}\n'
-UNREAD = 'level=warning event=lines_unread count={}\n'
-DROPPED = 'level=warning event=lines_dropped of={} count={}\n'
-UNREAD = 'level=warning event=lines_unread count={}\n'
+LINES_PER_S = 150.0
+BURST_LINES = 450.0
+REPORT_INTERVAL_S = 1.0
+DROPPED_LINE = 'level=warning event=lines_dropped of={} count={}\n'
+UNREAD_LINE = 'level=warning event=lines_unread count={}\n'
+DROPPED_LINE = 'level=warning event=lines_dropped of={} count={}\n'
+UNREAD_LINE = 'level=warning event=lines_unread count={}\n'
 
 EventDict = dict[str, Any]
 
 
-class Limiter:
+class RateLimiter:
     """Lets through so many lines of each event."""
 
-    def __init__(self, per_s: float = PER_S, burst: float = BURST) -> None:
+    def __init__(
+        self, per_s: float = LINES_PER_S, burst: float = BURST_LINES
+    ) -> None:
         self._per_s = per_s
         self._burst = burst
-        self._left: dict[str, tuple[float, float]] = {}
+        self._tokens: dict[str, tuple[float, float]] = {}
         self.dropped: dict[str, int] = {}
 
     def __call__(
@@ -54,13 +56,13 @@
         """
         event = str(line.get('event'))
         now = time.monotonic()
-        left, at_s = self._left.get(event, (self._burst, now))
-        left = min(self._burst, left + (now - at_s) * self._per_s)
-        if left < 1.0:
-            self._left[event] = (left, now)
+        tokens, updated_s = self._tokens.get(event, (self._burst, now))
+        tokens = min(self._burst, tokens + (now - updated_s) * self._per_s)
+        if tokens < 1.0:
+            self._tokens[event] = (tokens, now)
             self.dropped[event] = self.dropped.get(event, 0) + 1
             raise structlog.DropEvent
-        self._left[event] = (left - 1.0, now)
+        self._tokens[event] = (tokens - 1.0, now)
         return line
 
     def take_dropped(self) -> dict[str, int]:
@@ -69,7 +71,7 @@
         return dropped
 
 
-class Outlet:
+class LogOutput:
     """Writes lines to a stream as long as its reader takes them.
 
     Attributes:
@@ -77,7 +79,7 @@
         did not take them.
     """
 
-    def __init__(self, stream: Any, limiter: Limiter) -> None:
+    def __init__(self, stream: Any, limiter: RateLimiter) -> None:
         self._stream = stream
         self._limiter = limiter
         self._reported_s = time.monotonic()
@@ -98,38 +100,41 @@
             self.unread += 1
             return
         if self.unread:
-            told = UNREAD.format(self.unread)
+            report = UNREAD_LINE.format(self.unread)
             self.unread = 0
-            self._put(told)
+            self._write(report)
             self.write(text)
             return
-        self._put(text)
-        self._report()
+        self._write(text)
+        self._report_dropped()
 
     def flush(self) -> None:
         """Does nothing: each line is written at once."""
 
-    def _report(self) -> None:
+    def _report_dropped(self) -> None:
         now = time.monotonic()
-        if now - self._reported_s < REPORT_S or not self._limiter.dropped:
+        if (
+            now - self._reported_s < REPORT_INTERVAL_S
+            or not self._limiter.dropped
+        ):
             return
         self._reported_s = now
         for event, count in self._limiter.take_dropped().items():
             if self._is_writable():
-                self._put(DROPPED.format(event, count))
+                self._write(DROPPED_LINE.format(event, count))
 
     def _is_writable(self) -> bool:
         if self._poll is None:
             return True
-        return any(what & select.POLLOUT for _, what in self._poll.poll(0))
+        return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
-    def _put(self, text: str) -> None:
+    def _write(self, text: str) -> None:
         if self._poll is None:
             self._stream.write(text)
             return
         data = text.encode(errors='backslashreplace')
-        if len(data) > MOST_BYTES:
-            data = data[: MOST_BYTES - 1] + b'\n'
+        if len(data) > MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES - 1] + b'\n'
         try:
             os.write(self._fd, data)
         except OSError:
--- a/packages/quetzalsill/src/quetzalsill/telemetry/trace.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/trace.py
@@ -29,7 +29,7 @@
 EXPORT_INTERVAL_MS = 1000
 
 _propagator = tracecontext.TraceContextTextMapPropagator()
-_ids = id_generator.RandomIdGenerator()
+_id_generator = id_generator.RandomIdGenerator()
 _provider: sdk_trace.TracerProvider | None = None
 
 
@@ -81,8 +81,8 @@
       The span; `set_attribute` adds what is known later.
     """
     context = _propagator.extract({HEADER: parent}) if parent else None
-    started = _start(name, context, attributes)
-    with otel_trace.use_span(started, end_on_exit=True) as current:
+    new_span = _start_span(name, context, attributes)
+    with otel_trace.use_span(new_span, end_on_exit=True) as current:
         yield current
 
 
@@ -93,7 +93,7 @@
     return carrier.get(HEADER, '')
 
 
-def _start(
+def _start_span(
     name: str,
     context: otel_context.Context | None,
     attributes: dict[str, str | int | float | bool],
@@ -102,11 +102,15 @@
         tracer = _provider.get_tracer(__name__)
         return tracer.start_span(name, context, attributes=attributes)
     parent = otel_trace.get_current_span(context).get_span_context()
-    trace_id = parent.trace_id if parent.is_valid else _ids.generate_trace_id()
-    identity = otel_trace.SpanContext(
+    trace_id = (
+        parent.trace_id
+        if parent.is_valid
+        else _id_generator.generate_trace_id()
+    )
+    span_context = otel_trace.SpanContext(
         trace_id,
-        _ids.generate_span_id(),
+        _id_generator.generate_span_id(),
         is_remote=False,
         trace_flags=otel_trace.TraceFlags(otel_trace.TraceFlags.SAMPLED),
     )
-    return otel_trace.NonRecordingSpan(identity)
+    return otel_trace.NonRecordingSpan(span_context)
--- a/packages/quetzalsill/src/quetzalsill/wire/codec.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/codec.py
@@ -49,7 +49,7 @@
     return lambda parts: math.isfinite(parts[index])
 
 
-CHECKS: dict[Any, Callable[[int], Check]] = {
+CHECK_FACTORIES: dict[Any, Callable[[int], Check]] = {
     list[bytes]: _bytes_check,
     list[str]: _strings_check,
     list[list[str]]: _pairs_check,
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Plan:
+class Schema:
     """How messages of one class are packed and checked.
 
     Attributes:
@@ -85,25 +85,26 @@
     return getter
 
 
-def _plan(number: int, cls: type[message.Message]) -> Plan:
+def _make_schema(number: int, cls: type[message.Message]) -> Schema:
     hints = typing.get_type_hints(cls)
     names = tuple(field.name for field in dataclasses.fields(cls))
     annotations = [hints[name] for name in names]
     checks = tuple(
-        (index, CHECKS[annotation](index))
+        (index, CHECK_FACTORIES[annotation](index))
         for index, annotation in enumerate(annotations, start=1)
-        if annotation in CHECKS
+        if annotation in CHECK_FACTORIES
     )
     types = [typing.get_origin(each) or each for each in annotations]
-    return Plan(
+    return Schema(
         number, cls, names, [int, *types], checks, _fields_getter(names)
     )
 
 
-PLANS = {
-    number: _plan(number, cls) for number, cls in message.BY_NUMBER.items()
+SCHEMAS = {
+    number: _make_schema(number, cls)
+    for number, cls in message.BY_NUMBER.items()
 }
-BY_CLASS = {plan.cls: plan for plan in PLANS.values()}
+SCHEMA_BY_CLASS = {schema.cls: schema for schema in SCHEMAS.values()}
 PACK = msgpack.Packer().pack
 
 
@@ -113,12 +114,12 @@
     Raises:
       error.MalformedFrameError: A field cannot be encoded.
     """
-    plan = BY_CLASS[type(msg)]
+    schema = SCHEMA_BY_CLASS[type(msg)]
     try:
-        return PACK((plan.number, *plan.fields(msg)))
+        return PACK((schema.number, *schema.fields(msg)))
     except (TypeError, ValueError, OverflowError) as exc:
         raise error.MalformedFrameError(
-            f'{plan.cls.__name__} cannot be encoded: {exc}'
+            f'{schema.cls.__name__} cannot be encoded: {exc}'
         ) from exc
 
 
@@ -131,15 +132,15 @@
       error.UnknownMessageError: No message has the type number.
     """
     parts = _unpack(body)
-    plan = PLANS.get(parts[0])
-    if plan is None:
+    schema = SCHEMAS.get(parts[0])
+    if schema is None:
         raise error.UnknownMessageError(f'type number {parts[0]}')
-    if list(map(type, parts)) != plan.types:
-        _widen(plan, parts)
-    for index, check in plan.checks:
+    if list(map(type, parts)) != schema.types:
+        _coerce_ints(schema, parts)
+    for index, check in schema.checks:
         if not check(parts):
-            raise _misfit(plan, index)
-    return plan.cls(*parts[1:])
+            raise _type_error(schema, index)
+    return schema.cls(*parts[1:])
 
 
 def _unpack(body: bytes) -> list[Any]:
@@ -163,22 +164,24 @@
     return parts
 
 
-def _widen(plan: Plan, parts: list[Any]) -> None:
+def _coerce_ints(schema: Schema, parts: list[Any]) -> None:
     """Takes whole numbers where floats stand; refuses any other misfit."""
-    if len(parts) != len(plan.types):
+    if len(parts) != len(schema.types):
         raise error.MalformedFrameError(
-            f'{plan.cls.__name__} has {len(plan.types) - 1} fields, '
+            f'{schema.cls.__name__} has {len(schema.types) - 1} fields, '
             f'found {len(parts) - 1}'
         )
-    for index, (part, wanted) in enumerate(zip(parts, plan.types, strict=True)):
+    for index, (part, wanted) in enumerate(
+        zip(parts, schema.types, strict=True)
+    ):
         if type(part) is wanted:
             continue
         if wanted is not float or type(part) is not int:
-            raise _misfit(plan, index)
+            raise _type_error(schema, index)
         parts[index] = float(part)
 
 
-def _misfit(plan: Plan, index: int) -> error.MalformedFrameError:
+def _type_error(schema: Schema, index: int) -> error.MalformedFrameError:
     return error.MalformedFrameError(
-        f'{plan.cls.__name__}.{plan.names[index - 1]} does not fit its type'
+        f'{schema.cls.__name__}.{schema.names[index - 1]} does not fit its type'
     )
--- a/packages/quetzalsill/src/quetzalsill/wire/dial.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/dial.py
@@ -27,7 +27,7 @@
     *,
     revision: Callable[[], int] | None = None,
     on_revision: Callable[[int], None] | None = None,
-    stretch: Callable[[], float] | None = None,
+    heartbeat_factor: Callable[[], float] | None = None,
 ) -> link.Link:
     """Connects and completes the handshake within `timing.connect_s`.
 
@@ -40,7 +40,8 @@
       revision: Gives the revision in force here, for heartbeats; that of
         the Hello if there is none.
       on_revision: Called with each revision that heartbeats bring.
-      stretch: Factor of the time to the first heartbeat; see `link.Link`.
+      heartbeat_factor: Factor of the time to the first heartbeat; see
+        `link.Link`.
 
     Raises:
       error.DialError: No connection could be made.
@@ -52,14 +53,14 @@
         async with deadline.timeout(timing.connect_s):
             reader, writer = await asyncio.open_connection(host, port, ssl=tls)
             try:
-                return await _shake_hands(
+                return await _perform_handshake(
                     reader,
                     writer,
                     hello,
                     timing,
                     revision,
                     on_revision,
-                    stretch,
+                    heartbeat_factor,
                 )
             except BaseException:
                 writer.transport.abort()
@@ -72,17 +73,17 @@
         raise error.DialError(f'{host}:{port}: {exc}') from exc
 
 
-async def _shake_hands(
+async def _perform_handshake(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     hello: message.Hello,
     timing: section.LinkTiming,
     revision: Callable[[], int] | None,
     on_revision: Callable[[int], None] | None,
-    stretch: Callable[[], float] | None,
+    heartbeat_factor: Callable[[], float] | None,
 ) -> link.Link:
     handshake.write_first(writer, hello)
-    splitter = frame.Splitter(frame.MAX_HANDSHAKE_BODY)
+    splitter = frame.Splitter(frame.MAX_HANDSHAKE_BODY_BYTES)
     first = await handshake.read_first(reader, splitter)
     return link.Link(
         reader,
@@ -92,5 +93,5 @@
         timing,
         revision or (lambda: hello.revision),
         on_revision,
-        stretch,
+        heartbeat_factor,
     )
--- a/packages/quetzalsill/src/quetzalsill/wire/frame.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/frame.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ['MAX_BODY', 'MAX_HANDSHAKE_BODY', 'Splitter', 'pack']
+__all__ = ['MAX_BODY_BYTES', 'MAX_HANDSHAKE_BODY_BYTES', 'Splitter', 'pack']
 
-MAX_BODY = 4 * 1024 * 1024
-MAX_HANDSHAKE_BODY = 4096
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_HANDSHAKE_BODY_BYTES = 4096
 LENGTH = struct.Struct('>I')
 
 
@@ -21,11 +21,11 @@
     """Puts the length in front of a body.
 
     Raises:
-      error.OversizeFrameError: The body is longer than `MAX_BODY` bytes.
+      error.OversizeFrameError: The body is longer than `MAX_BODY_BYTES` bytes.
     """
-    if len(body) > MAX_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise error.OversizeFrameError(
-            f'{len(body)} bytes, {MAX_BODY} are allowed'
+            f'{len(body)} bytes, {MAX_BODY_BYTES} are allowed'
         )
     return LENGTH.pack(len(body)) + body
 
@@ -39,7 +39,7 @@
 
     __slots__ = ('_buffer', 'limit')
 
-    def __init__(self, limit: int = MAX_BODY) -> None:
+    def __init__(self, limit: int = MAX_BODY_BYTES) -> None:
         self.limit = limit
         self._buffer = bytearray()
 
--- a/packages/quetzalsill/src/quetzalsill/wire/handshake.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/handshake.py
@@ -32,7 +32,7 @@
         if not data:
             raise error.LinkClosedError('closed in the handshake')
         for body in splitter.feed(data):
-            splitter.limit = frame.MAX_BODY
+            splitter.limit = frame.MAX_BODY_BYTES
             return codec.decode(body)
 
 
--- a/packages/quetzalsill/src/quetzalsill/wire/pace.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/heartbeat.py
@@ -8,19 +8,19 @@
 
 from __future__ import annotations
 
-__all__ = ['FULL_RATE_LINKS', 'dialled', 'listened']
+__all__ = ['FULL_RATE_LINKS', 'dialling_factor', 'listening_factor']
 
 FULL_RATE_LINKS = 8
-MOST = 20.0
+MAX_DIALLING_FACTOR = 20.0
 # Longer than any dialling end waits, which so is always the one that asks.
-LISTENED = 25.0
+LISTENING_FACTOR = 25.0
 
 
-def dialled(links: int) -> float:
+def dialling_factor(links: int) -> float:
     """Factor for a node that dials so many links."""
-    return min(MOST, max(1.0, links / FULL_RATE_LINKS))
+    return min(MAX_DIALLING_FACTOR, max(1.0, links / FULL_RATE_LINKS))
 
 
-def listened(links: int) -> float:
+def listening_factor(links: int) -> float:
     """Factor for a node that is dialled on so many links."""
-    return 1.0 if links <= FULL_RATE_LINKS else LISTENED
+    return 1.0 if links <= FULL_RATE_LINKS else LISTENING_FACTOR
--- a/packages/quetzalsill/src/quetzalsill/wire/link.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/link.py
@@ -13,9 +13,9 @@
 
     from quetzalsill.settings import section
 
-__all__ = ['MAX_UNSENT', 'Link']
+__all__ = ['MAX_UNSENT_BYTES', 'Link']
 
-MAX_UNSENT = 2 * frame.MAX_BODY
+MAX_UNSENT_BYTES = 2 * frame.MAX_BODY_BYTES
 READ_BYTES = 65536
 CLOSE_GRACE_S = 2.0
 
@@ -24,8 +24,8 @@
     """Default of `Link.on_revision`."""
 
 
-def _unstretched() -> float:
-    """Default of `stretch`."""
+def _default_factor() -> float:
+    """Default of `heartbeat_factor`."""
     return 1.0
 
 
@@ -53,7 +53,7 @@
         timing: section.LinkTiming,
         revision: Callable[[], int],
         on_revision: Callable[[int], None] | None = None,
-        stretch: Callable[[], float] | None = None,
+        heartbeat_factor: Callable[[], float] | None = None,
     ) -> None:
         """Takes over a connection whose handshake is done.
 
@@ -65,8 +65,8 @@
           timing: Bounds of idleness and silence.
           revision: Gives the revision in force here, for heartbeats.
           on_revision: See the attribute.
-          stretch: Gives the factor by which the first heartbeat on an idle
-            link comes later than `idle_s`; 1 if there is none.
+          heartbeat_factor: Gives the factor by which the first heartbeat on an
+            idle link comes later than `idle_s`; 1 if there is none.
         """
         self.peer = peer
         self.remote = remote_address(writer)
@@ -78,7 +78,7 @@
         self._splitter = splitter
         self._timing = timing
         self._revision = revision
-        self._stretch = stretch or _unstretched
+        self._heartbeat_factor = heartbeat_factor or _default_factor
         self._loop = asyncio.get_running_loop()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
@@ -87,7 +87,7 @@
         self._nonce = 0
         self._sent_at = self._pinged_at = self._loop.time()
         self._reading_since: float | None = None
-        self._timer = self._loop.call_later(timing.idle_s, self._beat)
+        self._timer = self._loop.call_later(timing.idle_s, self._on_timer)
 
     @property
     def closed(self) -> bool:
@@ -110,7 +110,7 @@
         if self._failure is not None:
             raise error.LinkClosedError(str(self._failure))
         data = frame.pack(codec.encode(msg))
-        self._check_room(len(data))
+        self._check_unsent(len(data))
         if not self._unsent:
             self._loop.call_soon(self._flush)
         self._unsent.append(data)
@@ -129,7 +129,7 @@
         try:
             await self._writer.drain()
         except OSError as exc:
-            raise self._drop(error.LinkClosedError(str(exc))) from exc
+            raise self._fail(error.LinkClosedError(str(exc))) from exc
 
     async def messages(self) -> AsyncIterator[message.Message]:
         """Yields messages as they come; heartbeats are dealt with here.
@@ -145,7 +145,7 @@
             try:
                 for body in self._splitter.feed(data):
                     msg = codec.decode(body)
-                    if not self._handle(msg):
+                    if not self._handle_control(msg):
                         yield msg
             except error.WireError as exc:
                 self.reject(exc)
@@ -184,7 +184,9 @@
             self._ping()
         if not self.closed:
             self._timer.cancel()
-            self._timer = self._loop.call_at(self._next_beat(), self._beat)
+            self._timer = self._loop.call_at(
+                self._next_timer_at(), self._on_timer
+            )
 
     def close(self, exc: error.WireError | None = None) -> None:
         """Closes the link after what is buffered has left."""
@@ -198,7 +200,7 @@
         # connection with its buffer would stay for good.
         self._loop.call_later(CLOSE_GRACE_S, self._writer.transport.abort)
 
-    def _handle(self, msg: message.Message) -> bool:
+    def _handle_control(self, msg: message.Message) -> bool:
         """Deals with messages that concern the link alone."""
         cls = type(msg)
         if cls is message.Ping:
@@ -221,15 +223,15 @@
         try:
             data = await self._reader.read(READ_BYTES)
         except OSError as exc:
-            raise self._drop(error.LinkClosedError(str(exc))) from exc
+            raise self._fail(error.LinkClosedError(str(exc))) from exc
         finally:
             self._reading_since = None
         if not data:
-            raise self._drop(error.LinkClosedError('closed by the other end'))
+            raise self._fail(error.LinkClosedError('closed by the other end'))
         self.received_bytes += len(data)
         return data
 
-    def _drop(self, exc: error.WireError) -> error.WireError:
+    def _fail(self, exc: error.WireError) -> error.WireError:
         """Ends the connection at once; gives the failure to be raised."""
         if self._failure is None:
             self._failure = exc
@@ -238,13 +240,15 @@
             self._writer.transport.abort()
         return self._failure
 
-    def _check_room(self, size: int) -> None:
+    def _check_unsent(self, size: int) -> None:
         # A peer that stops reading while its connection stays open would
         # let the buffer grow until this process has no memory left.
         waiting = self._writer.transport.get_write_buffer_size()
-        if waiting + self._unsent_bytes + size > MAX_UNSENT:
-            raise self._drop(
-                error.LinkOverflowError(f'more than {MAX_UNSENT} bytes unsent')
+        if waiting + self._unsent_bytes + size > MAX_UNSENT_BYTES:
+            raise self._fail(
+                error.LinkOverflowError(
+                    f'more than {MAX_UNSENT_BYTES} bytes unsent'
+                )
             )
 
     def _flush(self) -> None:
@@ -257,20 +261,22 @@
         self.sent_bytes += len(data)
         self._writer.write(data)
 
-    def _beat(self) -> None:
+    def _on_timer(self) -> None:
         """Sends a heartbeat when one is due and drops a silent link."""
         now = self._loop.time()
         if self._is_silent(now):
-            self._drop(
+            self._fail(
                 error.LinkSilentError(
-                    f'nothing for {self._silence_s()} s from {self.remote}'
+                    f'nothing for {self._max_silence_s()} s from {self.remote}'
                 )
             )
             return
-        if now >= self._next_ping():
+        if now >= self._next_ping_at():
             self._ping()
         if self._failure is None:
-            self._timer = self._loop.call_at(self._next_beat(), self._beat)
+            self._timer = self._loop.call_at(
+                self._next_timer_at(), self._on_timer
+            )
 
     def _ping(self) -> None:
         self._nonce += 1
@@ -291,30 +297,30 @@
         # waits unread; that silence was its own, so it starts anew.
         if now - self._timer.when() > self._timing.idle_s:
             self._reading_since = now
-        return now >= self._reading_since + self._silence_s()
+        return now >= self._reading_since + self._max_silence_s()
 
-    def _silence_s(self) -> float:
+    def _max_silence_s(self) -> float:
         timing = self._timing
-        return self._first_beat_s() - timing.idle_s + timing.silence_s
+        return self._first_heartbeat_s() - timing.idle_s + timing.silence_s
 
-    def _first_beat_s(self) -> float:
-        return self._timing.idle_s * self._stretch()
+    def _first_heartbeat_s(self) -> float:
+        return self._timing.idle_s * self._heartbeat_factor()
 
-    def _next_ping(self) -> float:
+    def _next_ping_at(self) -> float:
         # While nothing is read, nothing can be heard; the other end must
         # still hear of this one.
         if self._reading_since is None:
             return self._sent_at + self._timing.idle_s
         return max(
-            self._reading_since + self._first_beat_s(),
+            self._reading_since + self._first_heartbeat_s(),
             self._pinged_at + self._timing.idle_s,
         )
 
-    def _next_beat(self) -> float:
-        due = self._next_ping()
+    def _next_timer_at(self) -> float:
+        due = self._next_ping_at()
         if self._reading_since is None:
             return due
-        return min(due, self._reading_since + self._silence_s())
+        return min(due, self._reading_since + self._max_silence_s())
 
 
 def remote_address(writer: asyncio.StreamWriter) -> str:
--- a/packages/quetzalsill/src/quetzalsill/wire/listen.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/listen.py
@@ -33,7 +33,7 @@
         tls: ssl.SSLContext | None = None,
         *,
         revision: Callable[[], int] | None = None,
-        stretch: Callable[[], float] | None = None,
+        heartbeat_factor: Callable[[], float] | None = None,
     ) -> None:
         """Prepares a server; `start` opens it.
 
@@ -48,7 +48,7 @@
           tls: Context of encrypted links; None for plain ones.
           revision: Gives the revision in force here, for heartbeats; that
             of the Welcome if there is none.
-          stretch: Factor of the time to the first heartbeat; see
+          heartbeat_factor: Factor of the time to the first heartbeat; see
             `link.Link`.
         """
         self._listen = listen
@@ -58,7 +58,7 @@
         self._timing = timing
         self._tls = tls
         self._revision = revision
-        self._stretch = stretch
+        self._heartbeat_factor = heartbeat_factor
         self._tasks: set[asyncio.Task[None]] = set()
         self._handshakes = 0
         self._server: asyncio.Server | None = None
@@ -74,13 +74,13 @@
         Raises:
           OSError: The address cannot be used.
         """
-        bound = {'ssl_handshake_timeout': self._timing.connect_s}
+        tls_options = {'ssl_handshake_timeout': self._timing.connect_s}
         self._server = await asyncio.start_server(
             self._accept,
             self._listen.host,
             self._listen.port,
             ssl=self._tls,
-            **(bound if self._tls else {}),
+            **(tls_options if self._tls else {}),
         )
 
     async def stop(self) -> None:
@@ -103,9 +103,9 @@
             self._serve(reader, writer)
         )
         self._tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._on_task_done)
 
-    def _end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             event.note(event.LinkTaskFailed(), exc=task.exception())
@@ -114,9 +114,9 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            conn = await self._shake_hands(reader, writer)
+            conn = await self._perform_handshake(reader, writer)
         except error.WireError as exc:
-            _refuse(writer, exc)
+            _reject(writer, exc)
             return
         except OSError:
             writer.transport.abort()
@@ -127,15 +127,15 @@
         try:
             await self._on_link(conn)
         except error.WireError as exc:
-            _log_end(conn, exc)
+            _log_link_ended(conn, exc)
             conn.reject(exc)
         finally:
             conn.close()
 
-    async def _shake_hands(
+    async def _perform_handshake(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> link.Link:
-        splitter = frame.Splitter(frame.MAX_HANDSHAKE_BODY)
+        splitter = frame.Splitter(frame.MAX_HANDSHAKE_BODY_BYTES)
         self._handshakes += 1
         try:
             # A client that sends its Hello byte by byte, or none, would
@@ -158,11 +158,11 @@
             splitter,
             self._timing,
             self._revision or (lambda: welcome.revision),
-            stretch=self._stretch,
+            heartbeat_factor=self._heartbeat_factor,
         )
 
 
-def _refuse(writer: asyncio.StreamWriter, exc: error.WireError) -> None:
+def _reject(writer: asyncio.StreamWriter, exc: error.WireError) -> None:
     event.note(
         event.LinkRefused(
             remote=link.remote_address(writer), code=exc.code, detail=exc.detail
@@ -176,7 +176,7 @@
     )
 
 
-def _log_end(conn: link.Link, exc: error.WireError) -> None:
+def _log_link_ended(conn: link.Link, exc: error.WireError) -> None:
     event.note(
         event.LinkEnded(
             remote=conn.remote,
--- a/tests/quetzalsill/net/peer.py
+++ b/tests/quetzalsill/net/scripted_server.py
@@ -5,19 +5,25 @@
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
 
-__all__ = ['BOUND_S', 'HEAD_END', 'Scripted', 'answer', 'scripted']
+__all__ = [
+    'HEAD_END',
+    'TIMEOUT_S',
+    'ScriptedServer',
+    'make_response',
+    'serve_script',
+]
 
-BOUND_S = 10
+TIMEOUT_S = 10
 HEAD_END = b'\r\n\r\n'
 
 
-def answer(body: bytes) -> bytes:
+def make_response(body: bytes) -> bytes:
     """Returns a whole answer that keeps the connection."""
     head = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n' % len(body)
     return head + body
 
 
-class Scripted:
+class ScriptedServer:
     """A server that plays a script on each connection.
 
     Attributes:
@@ -39,27 +45,28 @@
 
 
 Script = Callable[
-    [Scripted, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
+    [ScriptedServer, asyncio.StreamReader, asyncio.StreamWriter],
+    Awaitable[None],
 ]
 
 
-async def scripted(script: Script) -> AsyncIterator[Scripted]:
+async def serve_script(script: Script) -> AsyncIterator[ScriptedServer]:
     """Serves a script; use it as an asynchronous context manager."""
-    served = Scripted()
+    server = ScriptedServer()
 
     async def on_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            await script(served, reader, writer)
+            await script(server, reader, writer)
         except (OSError, asyncio.IncompleteReadError):
-            served.lost.set()
+            server.lost.set()
         finally:
             writer.close()
 
-    server = await asyncio.start_server(on_connection, '127.0.0.1', 0)
-    served.url = f'http://127.0.0.1:{server.sockets[0].getsockname()[1]}'
+    listener = await asyncio.start_server(on_connection, '127.0.0.1', 0)
+    server.url = f'http://127.0.0.1:{listener.sockets[0].getsockname()[1]}'
     try:
-        yield served
+        yield server
     finally:
-        server.close()
+        listener.close()
--- a/tests/quetzalsill/net/test_client.py
+++ b/tests/quetzalsill/net/test_client.py
@@ -11,31 +11,33 @@
 
 from quetzalsill.error import base
 from quetzalsill.net import client, error
-from tests.quetzalsill.net import peer
+from tests.quetzalsill.net import scripted_server
 
-ORDER = blacksheep.Content(b'text/plain', b'')
+EMPTY_BODY = blacksheep.Content(b'text/plain', b'')
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
     """Base: a scripted server and a client of it."""
 
     async def serve(self, script, **options):
-        served = await self.enterAsyncContext(
-            contextlib.asynccontextmanager(peer.scripted)(script)
+        server = await self.enterAsyncContext(
+            contextlib.asynccontextmanager(scripted_server.serve_script)(script)
+        )
+        self.client = client.session(
+            server.url, scripted_server.TIMEOUT_S, **options
         )
-        self.client = client.session(served.url, peer.BOUND_S, **options)
         self.addAsyncCleanup(self.client.close)
-        return served
+        return server
 
 
 class ResendTest(ClientTest):
     """No request reaches the other end twice."""
 
-    async def close_second(self, served, reader, writer):
+    async def close_second(self, server, reader, writer):
         """Answers the first request; closes in the middle of the second."""
-        await served.head(reader)
-        writer.write(peer.answer(b'ok'))
-        await served.head(reader)
+        await server.head(reader)
+        writer.write(scripted_server.make_response(b'ok'))
+        await server.head(reader)
 
     async def test_order_is_not_sent_again(self):
         """A second truck brings the same order to the same door.
@@ -44,25 +46,25 @@
         before it answers; the HTTP client sees the closed connection and
         silently sends the order again on a new one.
         """
-        served = await self.serve(self.close_second)
+        server = await self.serve(self.close_second)
         await self.client.get('/slots')
-        with self.assertRaises(error.AnswerLostError) as caught:
-            await self.client.post('/orders', ORDER)
+        with self.assertRaises(error.ResponseLostError) as caught:
+            await self.client.post('/orders', EMPTY_BODY)
         self.assertEqual(caught.exception.ran, base.Ran.UNKNOWN)
-        self.assertEqual(len(served.heads), 2)
+        self.assertEqual(len(server.heads), 2)
 
     async def test_library_would_send_it_again(self):
         """Why `net.client` exists; if this fails, the library has changed.
 
         The same order as above through the library's own session.
         """
-        served = await self.serve(self.close_second)
-        session = library.ClientSession(base_url=served.url)
+        server = await self.serve(self.close_second)
+        session = library.ClientSession(base_url=server.url)
         session.delay_before_retry = 0
         self.addAsyncCleanup(session.close)
         await session.get('/slots')
-        await session.post('/orders', ORDER)
-        self.assertEqual(len(served.heads), 3)
+        await session.post('/orders', EMPTY_BODY)
+        self.assertEqual(len(server.heads), 3)
 
     async def test_connection_closed_while_idle_is_not_used(self):
         """A caller is told that the outcome of an order is unknown.
@@ -73,19 +75,19 @@
         """
         closed = asyncio.Event()
 
-        async def close_idle(served, reader, writer):
-            await served.head(reader)
-            writer.write(peer.answer(b'ok'))
+        async def close_idle(server, reader, writer):
+            await server.head(reader)
+            writer.write(scripted_server.make_response(b'ok'))
             writer.close()
             await writer.wait_closed()
             closed.set()
 
-        served = await self.serve(close_idle)
+        server = await self.serve(close_idle)
         await self.client.get('/slots')
         await closed.wait()
         await asyncio.sleep(0)
-        response = await self.client.post('/orders', ORDER)
-        self.assertEqual((response.status, len(served.heads)), (200, 2))
+        response = await self.client.post('/orders', EMPTY_BODY)
+        self.assertEqual((response.status, len(server.heads)), (200, 2))
 
     async def test_unasked_answer_is_not_taken_for_the_next(self):
         """A caller gets an answer that is not to its own request.
@@ -93,59 +95,61 @@
         The server says 408 on an idle connection before it closes it, and
         the next request on that connection takes this for its answer.
         """
-        said = asyncio.Event()
+        sent = asyncio.Event()
 
-        async def say_more(served, reader, writer):
-            await served.head(reader)
-            writer.write(peer.answer(b'own'))
+        async def send_more(server, reader, writer):
+            await server.head(reader)
+            writer.write(scripted_server.make_response(b'own'))
             await writer.drain()
-            await asyncio.wait_for(self.answered.wait(), peer.BOUND_S)
-            writer.write(peer.answer(b'unasked'))
+            await asyncio.wait_for(
+                self.answered.wait(), scripted_server.TIMEOUT_S
+            )
+            writer.write(scripted_server.make_response(b'unasked'))
             await writer.drain()
-            said.set()
-            await served.head(reader)
+            sent.set()
+            await server.head(reader)
 
         self.answered = asyncio.Event()
-        served = await self.serve(say_more)
+        server = await self.serve(send_more)
         await self.client.get('/slots')
         self.answered.set()
-        await said.wait()
+        await sent.wait()
         await asyncio.sleep(0)
         response = await self.client.get('/slots')
         self.assertEqual(await response.read(), b'own')
-        self.assertEqual(len(served.heads), 2)
+        self.assertEqual(len(server.heads), 2)
 
     async def test_redirect_is_not_followed(self):
-        async def redirect(served, reader, writer):
-            await served.head(reader)
+        async def redirect(server, reader, writer):
+            await server.head(reader)
             writer.write(
                 b'HTTP/1.1 307 X\r\nlocation: /x\r\ncontent-length: 0\r\n\r\n'
             )
 
-        served = await self.serve(redirect)
-        response = await self.client.post('/orders', ORDER)
-        self.assertEqual((response.status, len(served.heads)), (307, 1))
+        server = await self.serve(redirect)
+        response = await self.client.post('/orders', EMPTY_BODY)
+        self.assertEqual((response.status, len(server.heads)), (307, 1))
 
     async def test_refused_connection_is_known_not_to_have_run(self):
-        served = await self.serve(self.close_second)
-        unused = client.session(served.url.rsplit(':', 1)[0] + ':1')
+        server = await self.serve(self.close_second)
+        unused = client.session(server.url.rsplit(':', 1)[0] + ':1')
         with self.assertRaises(error.ConnectFailedError) as caught:
-            await unused.post('/orders', ORDER)
+            await unused.post('/orders', EMPTY_BODY)
         self.assertEqual(caught.exception.ran, base.Ran.NO)
 
     async def test_injected_header_is_not_sent(self):
-        served = await self.serve(self.close_second)
+        server = await self.serve(self.close_second)
         with self.assertRaises(error.RequestInvalidError):
             await self.client.get('/', [(b'x', b'a\r\nhost: evil')])
-        self.assertEqual(served.heads, [])
+        self.assertEqual(server.heads, [])
 
 
 class BodyTest(ClientTest):
     """A body is whole or its reader is told."""
 
     async def serve_bytes(self, data, **options):
-        async def write(served, reader, writer):
-            await served.head(reader)
+        async def write(server, reader, writer):
+            await server.head(reader)
             writer.write(data)
 
         return await self.serve(write, **options)
@@ -161,35 +165,35 @@
         cut_chunks = head + b'transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n'
         for data in (cut_length, cut_chunks):
             await self.serve_bytes(data)
-            with self.assertRaises(error.AnswerLostError):
+            with self.assertRaises(error.ResponseLostError):
                 response = await self.client.get('/plan')
                 await response.read()
 
     async def test_stream_gives_pieces_as_they_come(self):
-        go_on = asyncio.Event()
+        proceed = asyncio.Event()
 
-        async def two_pieces(served, reader, writer):
-            await served.head(reader)
+        async def two_chunks(server, reader, writer):
+            await server.head(reader)
             writer.write(b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n')
             writer.write(b'\r\n1\r\na\r\n')
-            await go_on.wait()
+            await proceed.wait()
             writer.write(b'1\r\nb\r\n0\r\n\r\n')
-            await served.head(reader)
-            writer.write(peer.answer(b'next'))
+            await server.head(reader)
+            writer.write(scripted_server.make_response(b'next'))
 
-        served = await self.serve(two_pieces)
+        server = await self.serve(two_chunks)
         response = await self.client.get('/')
-        pieces = []
-        async for piece in response.stream():
-            pieces.append(piece)
-            go_on.set()
-        self.assertEqual(pieces, [b'a', b'b'])
+        chunks = []
+        async for chunk in response.stream():
+            chunks.append(chunk)
+            proceed.set()
+        self.assertEqual(chunks, [b'a', b'b'])
         response = await self.client.get('/')
         self.assertEqual(await response.read(), b'next')
-        self.assertEqual(len(served.heads), 2)
+        self.assertEqual(len(server.heads), 2)
 
     async def test_body_may_be_read_again(self):
-        await self.serve_bytes(peer.answer(b'{}'))
+        await self.serve_bytes(scripted_server.make_response(b'{}'))
         response = await self.client.get('/')
         self.assertEqual(await response.read(), await response.read())
 
@@ -200,17 +204,17 @@
         reset.
         """
 
-        async def stall(served, reader, writer):
-            await served.head(reader)
+        async def stall(server, reader, writer):
+            await server.head(reader)
             writer.write(b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n')
             writer.write(b'\r\n1\r\na\r\n')
-            await served.head(reader)
+            await server.head(reader)
 
-        served = await self.serve(stall, silence_s=0.1)
+        server = await self.serve(stall, read_timeout_s=0.1)
         response = await self.client.get('/')
-        with self.assertRaises(error.AnswerTimeoutError):
+        with self.assertRaises(error.ResponseTimeoutError):
             await response.read()
-        await asyncio.wait_for(served.lost.wait(), peer.BOUND_S)
+        await asyncio.wait_for(server.lost.wait(), scripted_server.TIMEOUT_S)
 
     async def test_upstream_sees_that_nobody_waits(self):
         """An engine goes on decoding an answer that nobody will read.
@@ -219,10 +223,10 @@
         the response is dropped unread; the connection stayed open.
         """
 
-        async def endless(served, reader, writer):
-            await served.head(reader)
-            if b'/hang' in served.heads[-1]:
-                await served.head(reader)
+        async def endless(server, reader, writer):
+            await server.head(reader)
+            if b'/hang' in server.heads[-1]:
+                await server.head(reader)
             writer.write(b'HTTP/1.1 200 OK\r\n')
             writer.write(b'transfer-encoding: chunked\r\n\r\n')
             while not reader.at_eof():
@@ -232,7 +236,9 @@
 
         async def cancel():
             call = asyncio.create_task(self.client.get('/hang'))
-            await asyncio.wait_for(served.reached.wait(), peer.BOUND_S)
+            await asyncio.wait_for(
+                server.reached.wait(), scripted_server.TIMEOUT_S
+            )
             call.cancel()
             try:
                 await call
@@ -251,9 +257,11 @@
 
         for abandon in (cancel, leave, drop):
             with self.subTest(abandon.__name__):
-                served = await self.serve(endless)
+                server = await self.serve(endless)
                 await abandon()
-                await asyncio.wait_for(served.lost.wait(), peer.BOUND_S)
+                await asyncio.wait_for(
+                    server.lost.wait(), scripted_server.TIMEOUT_S
+                )
 
     async def test_late_iterator_does_not_touch_the_next_answer(self):
         """A caller gets pieces of another caller's answer.
@@ -263,10 +271,10 @@
         """
         body = b'x' * 100_000
 
-        async def keep(served, reader, writer):
+        async def keep(server, reader, writer):
             while True:
-                await served.head(reader)
-                writer.write(peer.answer(body))
+                await server.head(reader)
+                writer.write(scripted_server.make_response(body))
                 await writer.drain()
 
         await self.serve(keep)
--- a/tests/quetzalsill/net/test_deadline.py
+++ b/tests/quetzalsill/net/test_deadline.py
@@ -10,7 +10,7 @@
 from quetzalsill_dev.testing import pause
 
 SHORT_S = 0.02
-MANY_TURNS = 20
+MANY_ITERATIONS = 20
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
@@ -23,10 +23,10 @@
         self.addCleanup(writer.close)
         self.far = far
 
-    def answer_and_pause(self):
+    def respond_and_pause(self):
         """An answer arrives, and the process is paused past the deadline."""
         self.far.sendall(b'answer\n')
-        pause.pause(2 * SHORT_S + deadline.LATE_S)
+        pause.pause(2 * SHORT_S + deadline.LATE_THRESHOLD_S)
 
     async def read_shielded(self):
         reading = asyncio.create_task(self.reader.readline())
@@ -36,7 +36,7 @@
         """An answer is discarded as the process wakes from a pause."""
         for read in (self.reader.readline, self.read_shielded):
             with self.subTest(read.__name__):
-                asyncio.get_running_loop().call_soon(self.answer_and_pause)
+                asyncio.get_running_loop().call_soon(self.respond_and_pause)
                 async with deadline.timeout(SHORT_S):
                     found = await read()
                 self.assertEqual(found, b'answer\n')
@@ -45,11 +45,11 @@
         """An answer goes through more parts than a moment has turns."""
 
         async def read():
-            for _ in range(MANY_TURNS):
+            for _ in range(MANY_ITERATIONS):
                 await asyncio.sleep(0)
             return await self.reader.readline()
 
-        asyncio.get_running_loop().call_soon(self.answer_and_pause)
+        asyncio.get_running_loop().call_soon(self.respond_and_pause)
         async with deadline.timeout(SHORT_S):
             found = await read()
         self.assertEqual(found, b'answer\n')
@@ -69,12 +69,12 @@
                 await work()
 
     async def test_a_deadline_can_be_moved(self):
-        async with deadline.timeout(SHORT_S) as bound:
-            bound.reschedule(None)
+        async with deadline.timeout(SHORT_S) as limit:
+            limit.reschedule(None)
             await asyncio.sleep(2 * SHORT_S)
         with self.assertRaises(TimeoutError):
-            async with deadline.timeout(None) as bound:
-                bound.reschedule(asyncio.get_running_loop().time() + SHORT_S)
+            async with deadline.timeout(None) as limit:
+                limit.reschedule(asyncio.get_running_loop().time() + SHORT_S)
                 await asyncio.Event().wait()
 
     async def test_nothing_is_cancelled_behind_the_block(self):
--- a/tests/quetzalsill/net/test_parser.py
+++ b/tests/quetzalsill/net/test_parser.py
@@ -15,14 +15,14 @@
 )
 
 
-class AnswerParserTest(unittest.TestCase):
+class ResponseParserTest(unittest.TestCase):
     """An answer is whole only when its head says so."""
 
     def parse(self, *pieces, method='GET'):
-        made = parser.AnswerParser(method)
+        parsed = parser.ResponseParser(method)
         for piece in pieces:
-            made.feed(piece)
-        return made
+            parsed.feed(piece)
+        return parsed
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(strategies.lists(strategies.integers(1, len(CHUNKED))))
@@ -32,19 +32,19 @@
             CHUNKED[start:end]
             for start, end in zip(marks, marks[1:], strict=False)
         ]
-        made = self.parse(*pieces)
-        self.assertEqual(made.head.status, 200)
-        self.assertEqual(made.head.first(b'x-a'), b'b')
-        self.assertEqual(made.take(), b'abcde')
-        self.assertTrue(made.keeps_connection)
+        parsed = self.parse(*pieces)
+        self.assertEqual(parsed.head.status, 200)
+        self.assertEqual(parsed.head.first(b'x-a'), b'b')
+        self.assertEqual(parsed.take_body(), b'abcde')
+        self.assertTrue(parsed.can_reuse_connection)
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(strategies.integers(0, len(CHUNKED) - 1))
     def test_cut_short_is_lost(self, end):
-        made = self.parse(*filter(None, [CHUNKED[:end]]))
-        self.assertFalse(made.is_whole)
-        with self.assertRaises(error.AnswerLostError):
-            made.feed(b'')
+        parsed = self.parse(*filter(None, [CHUNKED[:end]]))
+        self.assertFalse(parsed.is_complete)
+        with self.assertRaises(error.ResponseLostError):
+            parsed.feed(b'')
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(strategies.binary(min_size=1))
@@ -52,22 +52,24 @@
         for start in (b'', b'HTTP/1.1 200 OK\r\n', CHUNKED[:-5]):
             try:
                 self.parse(start + data)
-            except error.AnswerLostError:
+            except error.ResponseLostError:
                 continue
 
     def test_body_until_the_end_of_the_stream(self):
-        made = self.parse(b'HTTP/1.1 200 OK\r\n\r\nall', b'')
-        self.assertEqual((made.take(), made.is_whole), (b'all', True))
-        self.assertFalse(made.keeps_connection)
+        parsed = self.parse(b'HTTP/1.1 200 OK\r\n\r\nall', b'')
+        self.assertEqual(
+            (parsed.take_body(), parsed.is_complete), (b'all', True)
+        )
+        self.assertFalse(parsed.can_reuse_connection)
 
     def test_head_request_has_no_body(self):
         head = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n'
-        self.assertTrue(self.parse(head, method='HEAD').is_whole)
-        self.assertFalse(self.parse(head).is_whole)
+        self.assertTrue(self.parse(head, method='HEAD').is_complete)
+        self.assertFalse(self.parse(head).is_complete)
 
     def test_connection_with_more_than_asked_is_not_kept(self):
-        self.assertFalse(self.parse(CHUNKED + b'HTTP').keeps_connection)
+        self.assertFalse(self.parse(CHUNKED + b'HTTP').can_reuse_connection)
 
     def test_head_is_bounded(self):
-        with self.assertRaises(error.AnswerLostError):
+        with self.assertRaises(error.ResponseLostError):
             self.parse(b'HTTP/1.1 200 OK\r\n', b'x: ' + b'y' * 70_000)
--- a/tests/quetzalsill/net/test_server.py
+++ b/tests/quetzalsill/net/test_server.py
@@ -8,7 +8,7 @@
 
 from quetzalsill.net import error, protocol, server
 from quetzalsill.settings import section
-from tests.quetzalsill.net import peer
+from tests.quetzalsill.net import scripted_server
 
 LARGE = b'x' * 4_000_000
 
@@ -18,7 +18,7 @@
 
     def __init__(self):
         self.entered = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.proceed = asyncio.Event()
         self.disconnected = asyncio.Event()
         self.sent = asyncio.Event()
 
@@ -34,9 +34,9 @@
             if not message['more_body']:
                 break
         if scope['path'] == '/wait':
-            await self.go_on.wait()
+            await self.proceed.wait()
         if scope['path'] == '/rest':
-            await self.leave_rest(send)
+            await self.leave_unsent(send)
             return
         body = LARGE if scope['path'] == '/large' else b'ok'
         length = b'%d' % len(body)
@@ -47,7 +47,7 @@
         await send({'type': 'http.response.body', 'body': body})
         self.sent.set()
 
-    async def leave_rest(self, send):
+    async def leave_unsent(self, send):
         """Answers until a little is left that the kernel does not take."""
         await send(
             {'type': 'http.response.start', 'status': 200, 'headers': []}
@@ -64,9 +64,9 @@
     async def asyncSetUp(self):
         self.app = _App()
 
-    async def serve(self, **bounds):
+    async def serve(self, **limits):
         self.server = server.HttpServer(
-            self.app, section.Listen(), bounds=protocol.Bounds(**bounds)
+            self.app, section.Listen(), limits=protocol.Limits(**limits)
         )
         await self.server.start()
         self.addAsyncCleanup(self.server.stop, 0)
@@ -84,7 +84,7 @@
         sock = conn.transport.get_extra_info('socket')
         option = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.assertNotEqual(option, 0)
-        self.app.go_on.set()
+        self.app.proceed.set()
 
     async def connect(self, data=b''):
         reader, writer = await asyncio.open_connection(
@@ -97,15 +97,15 @@
     async def exchange(self, data):
         """Returns all that the server says until it closes."""
         reader, _ = await self.connect(data)
-        async with asyncio.timeout(peer.BOUND_S):
+        async with asyncio.timeout(scripted_server.TIMEOUT_S):
             try:
                 return await reader.read()
             except ConnectionResetError:
                 return b''
 
     async def assert_serves(self):
-        said = await self.exchange(b'GET / HTTP/1.0\r\n\r\n')
-        self.assertTrue(said.startswith(b'HTTP/1.1 200'), said)
+        response = await self.exchange(b'GET / HTTP/1.0\r\n\r\n')
+        self.assertTrue(response.startswith(b'HTTP/1.1 200'), response)
 
     async def test_slow_head_is_cut(self):
         """Callers find no free connection although the system is idle.
@@ -113,36 +113,42 @@
         One client opens connections and sends its heads byte by byte, or
         line ends only, and each holds its connection for good.
         """
-        await self.serve(head_s=0.1)
+        await self.serve(head_timeout_s=0.1)
         for data in (b'', b'GET / HT', b'\r\n', b'GET / HTTP/1.1\r\nx: y\r\n'):
-            said = await self.exchange(data)
-            self.assertTrue(said.startswith(b'HTTP/1.1 408'), said)
+            response = await self.exchange(data)
+            self.assertTrue(response.startswith(b'HTTP/1.1 408'), response)
         await self.assert_serves()
 
     async def test_line_ends_do_not_hold_an_idle_connection(self):
         """As above, between two requests of one connection."""
-        await self.serve(head_s=0.1)
+        await self.serve(head_timeout_s=0.1)
         reader, writer = await self.connect(b'GET / HTTP/1.1\r\n\r\n')
         await reader.readuntil(b'ok')
         writer.write(b'\r\n')
-        said = await asyncio.wait_for(reader.read(), peer.BOUND_S)
-        self.assertTrue(said.startswith(b'HTTP/1.1 408'), said)
+        response = await asyncio.wait_for(
+            reader.read(), scripted_server.TIMEOUT_S
+        )
+        self.assertTrue(response.startswith(b'HTTP/1.1 408'), response)
 
     async def test_stalled_body_is_cut(self):
         """A request that never comes whole holds a place in the limits."""
-        await self.serve(body_s=0.1)
+        await self.serve(body_timeout_s=0.1)
         await self.exchange(b'POST / HTTP/1.1\r\ncontent-length: 9\r\n\r\nhalf')
-        await asyncio.wait_for(self.app.disconnected.wait(), peer.BOUND_S)
+        await asyncio.wait_for(
+            self.app.disconnected.wait(), scripted_server.TIMEOUT_S
+        )
         await self.assert_serves()
 
     async def test_reader_that_stops_is_cut(self):
         """Answers pile up in memory for a client that reads none."""
-        await self.serve(write_s=0.1)
+        await self.serve(write_timeout_s=0.1)
         _, writer = await self.connect()
         writer.transport.pause_reading()
         writer.write(b'GET /large HTTP/1.1\r\n\r\n')
-        await asyncio.wait_for(self.app.entered.wait(), peer.BOUND_S)
-        self.assertEqual(await self.server.stop(peer.BOUND_S), 0)
+        await asyncio.wait_for(
+            self.app.entered.wait(), scripted_server.TIMEOUT_S
+        )
+        self.assertEqual(await self.server.stop(scripted_server.TIMEOUT_S), 0)
 
     async def test_reader_that_leaves_a_little_is_cut(self):
         """Connections stay for good after clients stopped reading.
@@ -150,7 +156,7 @@
         What is left is less than the buffer that stops the sender, so that
         nothing was waited for and no bound ran.
         """
-        await self.serve(write_s=0.1)
+        await self.serve(write_timeout_s=0.1)
         self.app.unsent = lambda: any(
             conn.transport.get_write_buffer_size()
             for conn in self.server._connections
@@ -158,21 +164,25 @@
         _, writer = await self.connect()
         writer.transport.pause_reading()
         writer.write(b'GET /rest HTTP/1.1\r\nhost: a\r\n\r\n')
-        await asyncio.wait_for(self.app.entered.wait(), peer.BOUND_S)
-        self.assertEqual(await self.server.stop(peer.BOUND_S), 0)
+        await asyncio.wait_for(
+            self.app.entered.wait(), scripted_server.TIMEOUT_S
+        )
+        self.assertEqual(await self.server.stop(scripted_server.TIMEOUT_S), 0)
 
     async def test_malformed_and_large_heads_are_refused(self):
-        await self.serve(head_bytes=1000)
+        await self.serve(max_head_bytes=1000)
         for head, status in (
             (b'nonsense', b'400'),
             (b'GET / HTTP/1.1\r\na b: c', b'400'),
             (b'GET / HTTP/1.1\r\nx: ' + b'y' * 2000, b'431'),
             (b'GET /' + b'y' * 2000 + b' HTTP/1.1', b'414'),
         ):
-            said = await self.exchange(head + peer.HEAD_END)
-            self.assertTrue(said.startswith(b'HTTP/1.1 ' + status), said)
-        said = await self.exchange(b'GET / HTTP/1.1\r\nx: ' + b'y' * 2000)
-        self.assertTrue(said.startswith(b'HTTP/1.1 431'), said)
+            response = await self.exchange(head + scripted_server.HEAD_END)
+            self.assertTrue(
+                response.startswith(b'HTTP/1.1 ' + status), response
+            )
+        response = await self.exchange(b'GET / HTTP/1.1\r\nx: ' + b'y' * 2000)
+        self.assertTrue(response.startswith(b'HTTP/1.1 431'), response)
         await self.assert_serves()
 
     async def test_refusal_is_not_spliced_into_an_answer(self):
@@ -182,25 +192,31 @@
         answer is on its way.
         """
         await self.serve()
-        said = await self.exchange(b'GET /wait HTTP/1.1\r\n\r\nnonsense\r\n')
-        self.assertEqual(said, b'')
+        response = await self.exchange(
+            b'GET /wait HTTP/1.1\r\n\r\nnonsense\r\n'
+        )
+        self.assertEqual(response, b'')
 
     async def test_body_before_a_next_head_counts_for_no_head(self):
-        await self.serve(head_bytes=1000)
+        await self.serve(max_head_bytes=1000)
         reader, _ = await self.connect(
             b'POST / HTTP/1.1\r\ncontent-length: 2000\r\n\r\n'
             + b'x' * 2000
             + b'GET / HT'
         )
-        said = await asyncio.wait_for(reader.readuntil(b'ok'), peer.BOUND_S)
-        self.assertTrue(said.startswith(b'HTTP/1.1 200'), said)
+        response = await asyncio.wait_for(
+            reader.readuntil(b'ok'), scripted_server.TIMEOUT_S
+        )
+        self.assertTrue(response.startswith(b'HTTP/1.1 200'), response)
 
     async def test_connections_are_bounded(self):
-        await self.serve(connections=1)
+        await self.serve(max_connections=1)
         await self.connect(b'GET /wait HTTP/1.1\r\n\r\n')
-        await asyncio.wait_for(self.app.entered.wait(), peer.BOUND_S)
-        said = await self.exchange(b'GET / HTTP/1.1\r\n\r\n')
-        self.assertTrue(said.startswith(b'HTTP/1.1 503'), said)
+        await asyncio.wait_for(
+            self.app.entered.wait(), scripted_server.TIMEOUT_S
+        )
+        response = await self.exchange(b'GET / HTTP/1.1\r\n\r\n')
+        self.assertTrue(response.startswith(b'HTTP/1.1 503'), response)
 
     async def test_stop_cuts_no_request_and_closes_idle_connections(self):
         """A retailer's order shows an error at each deployment."""
@@ -209,13 +225,15 @@
         await idle.readuntil(b'ok')
         self.app.entered.clear()
         busy, _ = await self.connect(b'GET /wait HTTP/1.1\r\n\r\n')
-        await asyncio.wait_for(self.app.entered.wait(), peer.BOUND_S)
-        stop = asyncio.create_task(self.server.stop(peer.BOUND_S))
-        await asyncio.wait_for(idle.read(), peer.BOUND_S)
+        await asyncio.wait_for(
+            self.app.entered.wait(), scripted_server.TIMEOUT_S
+        )
+        stop = asyncio.create_task(self.server.stop(scripted_server.TIMEOUT_S))
+        await asyncio.wait_for(idle.read(), scripted_server.TIMEOUT_S)
         self.assertFalse(stop.done())
         with self.assertRaises(OSError):
             await self.connect()
-        self.app.go_on.set()
+        self.app.proceed.set()
         self.assertTrue((await busy.read()).endswith(b'ok'))
         self.assertEqual(await stop, 0)
 
@@ -229,18 +247,20 @@
         reader, writer = await self.connect()
         writer.transport.pause_reading()
         writer.write(b'GET /large HTTP/1.1\r\n\r\n')
-        await asyncio.wait_for(self.app.sent.wait(), peer.BOUND_S)
-        stop = asyncio.create_task(self.server.stop(peer.BOUND_S))
+        await asyncio.wait_for(self.app.sent.wait(), scripted_server.TIMEOUT_S)
+        stop = asyncio.create_task(self.server.stop(scripted_server.TIMEOUT_S))
         await asyncio.sleep(0)
         writer.transport.resume_reading()
-        said = await reader.read()
-        self.assertTrue(said.endswith(LARGE))
+        response = await reader.read()
+        self.assertTrue(response.endswith(LARGE))
         self.assertEqual(await stop, 0)
 
     async def test_stop_tells_what_still_ran_at_its_bound(self):
         await self.serve()
         await self.connect(b'GET /wait HTTP/1.1\r\n\r\n')
-        await asyncio.wait_for(self.app.entered.wait(), peer.BOUND_S)
+        await asyncio.wait_for(
+            self.app.entered.wait(), scripted_server.TIMEOUT_S
+        )
         self.assertEqual(await self.server.stop(0.05), 1)
 
     async def test_taken_port_is_a_typed_failure(self):
--- a/tests/quetzalsill/net/test_tls.py
+++ b/tests/quetzalsill/net/test_tls.py
@@ -11,7 +11,7 @@
 from quetzalsill import event
 from quetzalsill.net import client, error, server, tls
 from quetzalsill.settings import section
-from tests.quetzalsill.net import certificate, peer
+from tests.quetzalsill.net import certificate, scripted_server
 
 
 async def app(scope, receive, send):
@@ -41,7 +41,9 @@
 
     async def call(self, settings):
         session = client.session(
-            f'https://127.0.0.1:{self.server.port}', peer.BOUND_S, settings
+            f'https://127.0.0.1:{self.server.port}',
+            scripted_server.TIMEOUT_S,
+            settings,
         )
         try:
             return (await session.get('/')).status
--- a/tests/quetzalsill/telemetry/test_outlet.py
+++ b/tests/quetzalsill/telemetry/test_log_output.py
@@ -10,19 +10,19 @@
 
 import structlog
 
-from quetzalsill.telemetry import outlet
+from quetzalsill.telemetry import log_output
 
 LINE = 'event=something_happened detail=' + 'x' * 150 + '\n'
 
 
-class OutletTest(unittest.TestCase):
+class LogOutputTest(unittest.TestCase):
     """A pipe whose reader stops, and goes on."""
 
     def setUp(self):
         self.read_fd, write_fd = os.pipe()
         self.stream = os.fdopen(write_fd, 'w')
-        self.limiter = outlet.Limiter()
-        self.outlet = outlet.Outlet(self.stream, self.limiter)
+        self.limiter = log_output.RateLimiter()
+        self.log_output = log_output.LogOutput(self.stream, self.limiter)
         self.addCleanup(self.stream.close)
 
     def write(self, count):
@@ -30,7 +30,7 @@
 
         def work():
             for _ in range(count):
-                self.outlet.write(LINE)
+                self.log_output.write(LINE)
 
         writing = threading.Thread(target=work, daemon=True)
         writing.start()
@@ -44,12 +44,12 @@
         dropped and counted, and the count is told once it reads again.
         """
         self.write(20_000)
-        self.assertGreater(self.outlet.unread, 0)
-        dropped = self.outlet.unread
-        got = b''
-        while not got.endswith(b'\n') or len(got) < 60_000:
-            got += os.read(self.read_fd, 65536)
-        self.outlet.write('event=regained\n')
+        self.assertGreater(self.log_output.unread, 0)
+        dropped = self.log_output.unread
+        received = b''
+        while not received.endswith(b'\n') or len(received) < 60_000:
+            received += os.read(self.read_fd, 65536)
+        self.log_output.write('event=regained\n')
         tail = os.read(self.read_fd, 65536).decode()
         self.assertIn(f'event=lines_unread count={dropped}\n', tail)
         self.assertTrue(tail.endswith('event=regained\n'))
@@ -58,35 +58,37 @@
     def test_a_reader_that_has_gone_holds_nobody_up(self):
         os.close(self.read_fd)
         self.write(10)
-        self.assertGreater(self.outlet.unread, 0)
+        self.assertGreater(self.log_output.unread, 0)
 
     def test_a_long_line_is_cut(self):
-        self.outlet.write('event=long detail=' + 'y' * 10_000 + '\n')
-        got = os.read(self.read_fd, 65536)
-        self.assertEqual(len(got), outlet.MOST_BYTES)
-        self.assertTrue(got.endswith(b'\n'))
+        self.log_output.write('event=long detail=' + 'y' * 10_000 + '\n')
+        received = os.read(self.read_fd, 65536)
+        self.assertEqual(len(received), log_output.MAX_LINE_BYTES)
+        self.assertTrue(received.endswith(b'\n'))
         os.close(self.read_fd)
 
 
-class LimiterTest(unittest.TestCase):
+class RateLimiterTest(unittest.TestCase):
     """A burst of failures, each with its line."""
 
     def setUp(self):
         self.clock = 0.0
-        patch = mock.patch.object(outlet.time, 'monotonic', lambda: self.clock)
+        patch = mock.patch.object(
+            log_output.time, 'monotonic', lambda: self.clock
+        )
         patch.start()
         self.addCleanup(patch.stop)
-        self.limiter = outlet.Limiter(per_s=10, burst=20)
+        self.limiter = log_output.RateLimiter(per_s=10, burst=20)
 
     def passed(self, event, count):
-        got = 0
+        passed_count = 0
         for _ in range(count):
             try:
                 self.limiter(None, 'info', {'event': event})
             except structlog.DropEvent:
                 continue
-            got += 1
-        return got
+            passed_count += 1
+        return passed_count
 
     def test_each_event_has_its_own_bound(self):
         self.assertEqual(self.passed('a', 100), 20)
@@ -97,7 +99,7 @@
 
     def test_what_was_dropped_is_told(self):
         stream = io.StringIO()
-        lines = outlet.Outlet(stream, self.limiter)
+        lines = log_output.LogOutput(stream, self.limiter)
         self.passed('a', 25)
         lines.write('event=b\n')
         self.clock += 2.0
--- a/tests/quetzalsill/wire/test_codec.py
+++ b/tests/quetzalsill/wire/test_codec.py
@@ -111,9 +111,9 @@
     def test_oversize_is_refused_at_its_length(self):
         splitter = frame.Splitter()
         with self.assertRaises(error.OversizeFrameError):
-            list(splitter.feed((frame.MAX_BODY + 1).to_bytes(4, 'big')))
+            list(splitter.feed((frame.MAX_BODY_BYTES + 1).to_bytes(4, 'big')))
         with self.assertRaises(error.OversizeFrameError):
-            frame.pack(bytes(frame.MAX_BODY + 1))
+            frame.pack(bytes(frame.MAX_BODY_BYTES + 1))
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill/wire/test_link.py
+++ b/tests/quetzalsill/wire/test_link.py
@@ -17,15 +17,15 @@
     dial,
     error,
     frame,
+    heartbeat,
     link,
     listen,
     message,
-    pace,
 )
 from quetzalsill_dev import relay
 from tests.quetzalsill.net import certificate
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -97,41 +97,41 @@
         return reader, writer
 
     async def relay(self):
-        middle = relay.Relay('127.0.0.1', self.server.port)
-        await middle.start()
-        self.addAsyncCleanup(middle.stop)
-        return middle
+        proxy = relay.Relay('127.0.0.1', self.server.port)
+        await proxy.start()
+        self.addAsyncCleanup(proxy.stop)
+        return proxy
 
     async def test_a_delayed_link_keeps_its_order_and_a_cut_one_ends(self):
-        middle = await self.relay()
-        middle.delay(0.05)
-        conn = await self.dial(port=middle.port)
-        far = await self.next_of(self.accepted)
+        proxy = await self.relay()
+        proxy.delay(0.05)
+        conn = await self.dial(port=proxy.port)
+        remote_end = await self.next_of(self.accepted)
         for number in range(20):
             await conn.send(message.Ack(str(number)))
             await asyncio.sleep(0)
         found = [await self.next_of(self.received) for _ in range(20)]
         self.assertEqual([int(msg.attempt) for msg in found], [*range(20)])
-        middle.cut()
+        proxy.cut()
         with self.assertRaises(error.LinkClosedError):
             await self.drain(conn)
-        await self.until_ended(far)
+        await self.wait_until_ended(remote_end)
 
     async def next_of(self, queue):
-        return await asyncio.wait_for(queue.get(), BOUND_S)
+        return await asyncio.wait_for(queue.get(), TIMEOUT_S)
 
     async def test_messages_pass_both_ways_in_order(self):
         conn = await self.dial()
-        far = await self.next_of(self.accepted)
+        remote_end = await self.next_of(self.accepted)
         self.assertEqual(conn.peer.upstream, 'engine-1')
-        self.assertEqual(far.peer.node, 'router-1')
+        self.assertEqual(remote_end.peer.node, 'router-1')
         sent = [message.Chunk('a', n, [b'x' * 50_000]) for n in range(40)]
         for msg in sent:
-            far.send_nowait(msg)
+            remote_end.send_nowait(msg)
         await conn.send(message.Ack('a'))
         self.assertEqual(await self.next_of(self.received), message.Ack('a'))
         found = []
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             async for msg in conn.messages():
                 found.append(msg)
                 if len(found) == len(sent):
@@ -168,13 +168,16 @@
         """
         conn = await self.dial()
         for data, code in (
-            ((frame.MAX_HANDSHAKE_BODY + 1).to_bytes(4, 'big'), 'oversize'),
+            (
+                (frame.MAX_HANDSHAKE_BODY_BYTES + 1).to_bytes(4, 'big'),
+                'oversize',
+            ),
             (frame.pack(b'GET / HTTP/1.1'), 'malformed'),
             (frame.pack(b'\x91\xcc\xfa'), 'unknown'),
         ):
             reader, writer = await self.raw()
             writer.write(data)
-            answer = await asyncio.wait_for(reader.read(), BOUND_S)
+            answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
             reject = codec.decode(answer[4:])
             self.assertIn(code, reject.code)
         await conn.send(message.Ack('still there'))
@@ -201,15 +204,15 @@
         self.server = await self.serve(Timing(connect_s=0.2))
         reader, writer = await self.raw()
         writer.write(b'\x00')
-        answer = await asyncio.wait_for(reader.read(), BOUND_S)
+        answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         self.assertEqual(codec.decode(answer[4:]).code, 'handshake_timeout')
 
     async def test_a_listener_that_never_answers_is_given_up(self):
-        async def mute(reader, writer):
+        async def never_answer(reader, writer):
             await reader.read()
             writer.close()
 
-        server = await asyncio.start_server(mute, '127.0.0.1', 0)
+        server = await asyncio.start_server(never_answer, '127.0.0.1', 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         with self.assertRaises(error.HandshakeTimeoutError):
@@ -250,19 +253,19 @@
         see it open, nothing arrives. The link ends by LinkSilentError, and
         a dial anew works.
         """
-        middle = await self.relay()
-        for ways in ({}, {'up': False}, {'down': False}):
-            conn = await self.dial(port=middle.port)
-            far = await self.next_of(self.accepted)
-            middle.silence(**ways)
+        proxy = await self.relay()
+        for directions in ({}, {'up': False}, {'down': False}):
+            conn = await self.dial(port=proxy.port)
+            remote_end = await self.next_of(self.accepted)
+            proxy.silence(**directions)
             with self.assertRaises(error.LinkClosedError) as caught:
                 await self.drain(conn)
-            if ways != {'down': False}:
+            if directions != {'down': False}:
                 self.assertIsInstance(caught.exception, error.LinkSilentError)
             with self.assertRaises(error.LinkClosedError):
                 conn.send_nowait(message.Ack('a'))
-            await self.until_ended(far)
-        again = await self.dial(port=middle.port)
+            await self.wait_until_ended(remote_end)
+        again = await self.dial(port=proxy.port)
         await again.send(message.Ack('b'))
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
@@ -273,21 +276,25 @@
         unnoticed when a request is put on it; from then on it has to be
         asked as often as any link that carries work.
         """
-        stretch = mock.Mock(return_value=10_000.0)
-        self.server = await self.serve(Timing(), stretch=stretch)
-        middle = await self.relay()
-        for hears_before in (False, True):
-            stretch.return_value = 10_000.0
-            conn = await self.dial(port=middle.port, stretch=stretch)
+        heartbeat_factor = mock.Mock(return_value=10_000.0)
+        self.server = await self.serve(
+            Timing(), heartbeat_factor=heartbeat_factor
+        )
+        proxy = await self.relay()
+        for receives_first in (False, True):
+            heartbeat_factor.return_value = 10_000.0
+            conn = await self.dial(
+                port=proxy.port, heartbeat_factor=heartbeat_factor
+            )
             heard = asyncio.Event()
             reading = asyncio.create_task(self.drain(conn, heard.set))
-            far = await self.next_of(self.accepted)
+            remote_end = await self.next_of(self.accepted)
             await asyncio.sleep(4 * Timing().idle_s)
-            if hears_before:
-                far.send_nowait(message.Ack('a'))
-                await asyncio.wait_for(heard.wait(), BOUND_S)
-            middle.silence()
-            stretch.return_value = 1.0
+            if receives_first:
+                remote_end.send_nowait(message.Ack('a'))
+                await asyncio.wait_for(heard.wait(), TIMEOUT_S)
+            proxy.silence()
+            heartbeat_factor.return_value = 1.0
             conn.send_nowait(message.Ack('work'))
             conn.probe()
             with self.assertRaises(error.LinkSilentError):
@@ -295,11 +302,14 @@
 
     async def test_idle_links_of_many_are_asked_by_the_dialling_end(self):
         for links in (1, 8, 9, 100, 1000):
-            dialled, listened = pace.dialled(links), pace.listened(links)
-            if links <= pace.FULL_RATE_LINKS:
+            dialled, listened = (
+                heartbeat.dialling_factor(links),
+                heartbeat.listening_factor(links),
+            )
+            if links <= heartbeat.FULL_RATE_LINKS:
                 self.assertEqual((dialled, listened), (1.0, 1.0))
             else:
-                self.assertLess(pace.dialled(100_000), listened)
+                self.assertLess(heartbeat.dialling_factor(100_000), listened)
                 self.assertAlmostEqual(dialled, min(20.0, links / 8))
 
     async def test_a_peer_that_stops_reading_costs_bounded_memory(self):
@@ -309,11 +319,11 @@
         sent to it piles up. The link is dropped at its bound instead.
         """
         conn = await self.dial()
-        far = await self.next_of(self.accepted)
-        far._reader._transport.pause_reading()
+        remote_end = await self.next_of(self.accepted)
+        remote_end._reader._transport.pause_reading()
         body = message.Body('a', bytes(1024 * 1024), False)
         with self.assertRaises(error.LinkOverflowError):
-            for _ in range(link.MAX_UNSENT // len(body.data) + 64):
+            for _ in range(link.MAX_UNSENT_BYTES // len(body.data) + 64):
                 conn.send_nowait(body)
                 await asyncio.sleep(0)
         self.assertTrue(conn.closed)
@@ -339,24 +349,24 @@
         await conn.send(message.Ack('a'))
         self.assertEqual(await self.next_of(self.received), message.Ack('a'))
         for one in bad:
-            for far, near in ((good, one), (one, good)):
+            for remote_end, near in ((good, one), (one, good)):
                 with self.assertRaises(error.WireError):
-                    await self.dial_tls(far, near)
+                    await self.dial_tls(remote_end, near)
 
-    async def dial_tls(self, far, near):
+    async def dial_tls(self, remote_end, near):
         near = dataclasses.replace(near, authority=self.authority)
         server = await self.serve(
-            Timing(connect_s=1.0), net_tls.server_context(far)
+            Timing(connect_s=1.0), net_tls.server_context(remote_end)
         )
         tls = net_tls.client_context(near)
         return await self.dial(port=server.port, tls=tls)
 
-    async def until_ended(self, conn):
+    async def wait_until_ended(self, conn):
         while await self.next_of(self.ended) is not conn:
             pass
 
     async def drain(self, conn, heard=lambda: None):
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             async for _ in conn.messages():
                 heard()
 
