--- a/packages/quetzalsill/src/quetzalsill/platform/clients.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/clients.py
@@ -51,7 +51,7 @@
     ) -> exchange.Exchange:
         # The session has no total timeout: the exchange limits each attempt.
         session = client.session(
-            url, None, self._tls, connect_s=self._timeout_s
+            url, None, self._tls, connect_timeout_s=self._timeout_s
         )
         self._sessions.append(session)
         return exchange.Exchange(session, self._timeout_s, store_health)
