--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
@@ -185,7 +185,7 @@
                 await near.hosts.fetch()
             used_s = time.process_time() - began
             core.add(count, used_s / READS_OF_HOSTS)
-            often.add(count, membership.list_interval_s(LEAST_S, count))
+            often.add(count, membership.poll_interval_s(LEAST_S, count))
             async with caller.open_client(url) as client:
                 sent.add(count, len((await client.get('/hosts')).content))
     return [sent, core, often]
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
@@ -43,7 +43,7 @@
     Raises:
       TooLargeError: The body is larger than a document may be.
       BadRequestError: It is not JSON, or not an object.
-      CallerLeftError: The connection closed within the body.
+      CallerDisconnectedError: The connection closed within the body.
     """
     data = await http_body.read(req, document.MAX_DOCUMENT_BYTES)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
@@ -139,7 +139,7 @@
             )
         except schema_error.InvalidDocumentError as exc:
             failed = error.InvalidConfigurationError(list(check.faults(exc)))
-        except http_body.CallerLeftError:
+        except http_body.CallerDisconnectedError:
             raise
         except Exception:
             # A fault of our own must cost one answer, not the connection,
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/inquiry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/inquiry.py
@@ -32,15 +32,15 @@
     """
     if found is not None:
         return answer.Reply(dataclasses.asdict(found))
-    elsewhere = forward.Elsewhere()
+    elsewhere = forward.ForwardResult()
     if ident.is_request_id(request) and not forward.was_forwarded(call.req):
         elsewhere = await call.context.elsewhere(call.req, request)
     if elsewhere.body is not None:
         return answer.Reply(json.loads(elsewhere.body))
-    if elsewhere.silent:
+    if elsewhere.unreachable:
         raise request_error.OutcomeUnknownError(
             f'no router that answers runs request {request}; silent: '
-            f'{", ".join(elsewhere.silent)}',
+            f'{", ".join(elsewhere.unreachable)}',
             advice='Repeat the call; a request is cancelled once at most.',
         )
     raise request_error.NotFoundError(f'no router runs a request {request}')
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
@@ -10,7 +10,7 @@
 import blacksheep
 
 from quetzalsill.error import request as request_error
-from quetzalsill_router.http import asgi, error, label
+from quetzalsill_router.http import asgi, error, event_id
 from quetzalsill_router.request import piece, spec
 
 if TYPE_CHECKING:
@@ -19,27 +19,27 @@
 __all__ = [
     'DONE',
     'SSE_TYPE',
-    'document',
-    'events',
-    'join',
-    'sse',
-    'stream',
-    'whole',
+    'build_document',
+    'complete_response',
+    'encode_events',
+    'event_stream',
+    'event_stream_response',
+    'join_events',
 ]
 
 JSON_TYPE = b'application/json'
 SSE_TYPE = b'text/event-stream; charset=utf-8'
-KEEP_ALIVE = b': keep-alive\n\n'
-SMALL_BYTES = 16_384
+KEEP_ALIVE_COMMENT = b': keep-alive\n\n'
+MAX_UNDRAINED_BYTES = 16_384
 DONE = b'data: [DONE]\n\n'
 
 
-def sse(items: Iterable[bytes]) -> bytes:
+def encode_events(items: Iterable[bytes]) -> bytes:
     """Renders JSON items as server-sent events."""
     return b''.join([b'data: %b\n\n' % item for item in items])
 
 
-async def whole(
+async def complete_response(
     running: active.ActiveRequest,
 ) -> blacksheep.Response:
     """Waits for the whole answer and renders it as one document.
@@ -59,11 +59,11 @@
             break
     if delivery.error is not None:
         raise delivery.error
-    content = blacksheep.Content(JSON_TYPE, document(running.work, items))
+    content = blacksheep.Content(JSON_TYPE, build_document(running.work, items))
     return blacksheep.Response(200, None, content)
 
 
-async def stream(
+async def event_stream_response(
     running: active.ActiveRequest,
     drained: asgi.Drain,
     keep_alive_s: float,
@@ -84,7 +84,7 @@
         raise delivery.error
 
     async def produce() -> AsyncIterator[bytes]:
-        async for data in events(running, drained, usage):
+        async for data in event_stream(running, drained, usage):
             yield data
 
     content = blacksheep.StreamedContent(SSE_TYPE, produce)
@@ -92,7 +92,7 @@
     return blacksheep.Response(200, headers, content)
 
 
-async def events(
+async def event_stream(
     running: active.ActiveRequest,
     drained: asgi.Drain,
     usage: bool,
@@ -104,7 +104,7 @@
     wait of their own: the server waits before the next one.
     """
     delivery = running.delivery
-    labelled = label.labeller(running.work.request)
+    labelled = event_id.make_id_replacer(running.work.request)
     count = 0
     last = b''
     while not delivery.disconnected:
@@ -117,36 +117,40 @@
             items = [item for part in parts for item in part.items]
             count += len(items)
             last = items[-1]
-            data = sse(labelled(items))
+            data = encode_events(labelled(items))
             yield data
-            if len(data) > SMALL_BYTES:
+            if len(data) > MAX_UNDRAINED_BYTES:
                 await drained()
             for part in parts:
                 part.release()
         elif delivery.ended:
             break
         elif silent:
-            yield KEEP_ALIVE
+            yield KEEP_ALIVE_COMMENT
     if delivery.disconnected:
         return
     if delivery.error is not None:
-        yield sse([error.document(delivery.error, running.work.request)])
+        yield encode_events(
+            [error.document(delivery.error, running.work.request)]
+        )
         return
     if usage:
-        yield sse(_usage_event(running.work, last, count))
+        yield encode_events(_usage_event(running.work, last, count))
     yield DONE
 
 
-def document(work: spec.Work, items: list[bytes]) -> bytes:
+def build_document(work: spec.Work, items: list[bytes]) -> bytes:
     """Joins the events of a generation into one document.
 
     Raises:
       UpstreamFailedError: An event is not what the protocol says.
     """
-    return join(work.request, work.target, work.kind, items)
+    return join_events(work.request, work.target, work.kind, items)
 
 
-def join(request: str, model: str, kind: str, items: list[bytes]) -> bytes:
+def join_events(
+    request: str, model: str, kind: str, items: list[bytes]
+) -> bytes:
     """Joins events into the document of one answer.
 
     Args:
@@ -239,10 +243,10 @@
     """Returns the usage that the upstream reported, else our own count."""
     if parsed and isinstance(parsed[-1].get('usage'), dict):
         return parsed[-1]['usage']
-    return _counted(0, len(parsed))
+    return _usage_from_counts(0, len(parsed))
 
 
-def _counted(prompt_tokens: int, count: int) -> dict[str, int]:
+def _usage_from_counts(prompt_tokens: int, count: int) -> dict[str, int]:
     """Returns a usage from our own count of tokens."""
     return {
         'prompt_tokens': prompt_tokens,
@@ -262,6 +266,6 @@
         'created': int(time.time()),
         'model': work.target,
         'choices': [],
-        'usage': _counted(work.prompt_tokens, count),
+        'usage': _usage_from_counts(work.prompt_tokens, count),
     }
     return [json.dumps(event).encode()]
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/app.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/app.py
@@ -28,10 +28,10 @@
 def build(ctx: context.Context) -> blacksheep.Application:
     """Builds the application with the callers' API."""
     app = blacksheep.Application(router=routing.Router())
-    callers = auth.Callers(ctx.holder)
-    completions.mount(app, ctx, callers)
-    requests.mount(app, ctx, callers)
-    services.mount(app, ctx, callers)
+    authenticator = auth.Authenticator(ctx.holder)
+    completions.mount(app, ctx, authenticator)
+    requests.mount(app, ctx, authenticator)
+    services.mount(app, ctx, authenticator)
     health.mount(app, ctx)
     _handle_failures(app, ctx)
     return app
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/asgi.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/asgi.py
@@ -7,16 +7,16 @@
 
 from quetzalsill.error import request as request_error
 
-__all__ = ['AnswerCutError', 'Drain', 'drained', 'wrap']
+__all__ = ['Drain', 'TruncatedAnswerError', 'drain_of', 'wrap']
 
-KEY = 'quetzalsill.drain'
-NOTHING = {'type': 'http.response.body', 'body': b'', 'more_body': True}
+DRAIN_KEY = 'quetzalsill.drain'
+EMPTY_CHUNK = {'type': 'http.response.body', 'body': b'', 'more_body': True}
 
 App = Callable[..., Awaitable[None]]
 Drain = Callable[[], Awaitable[None]]
 
 
-class AnswerCutError(request_error.RequestError):
+class TruncatedAnswerError(request_error.RequestError):
     """The answer of a call broke off after its head was delivered."""
 
     code = 'answer_cut'
@@ -35,15 +35,15 @@
 
     async def serve(scope: dict[str, Any], receive: Any, send: Any) -> None:
         if scope['type'] == 'http':
-            scope[KEY] = lambda: send(NOTHING)
+            scope[DRAIN_KEY] = lambda: send(EMPTY_CHUNK)
         try:
             await app(scope, receive, send)
-        except AnswerCutError:
+        except TruncatedAnswerError:
             return
 
     return serve
 
 
-def drained(scope: dict[str, Any]) -> Drain:
+def drain_of(scope: dict[str, Any]) -> Drain:
     """Returns the function that waits; only for an answer that has begun."""
-    return scope[KEY]
+    return scope[DRAIN_KEY]
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/auth.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/auth.py
@@ -14,10 +14,10 @@
 
     from quetzalsill.config import holder, model
 
-__all__ = ['Caller', 'Callers']
+__all__ = ['Authenticator', 'Caller']
 
 SCHEME = 'bearer '
-MAX_TOKEN = 512
+MAX_AUTHORIZATION_CHARS = 512
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0
 
 
@@ -29,7 +29,7 @@
     account: model.Account
 
 
-class Callers:
+class Authenticator:
     """Index of token digests, rebuilt with each configuration."""
 
     def __init__(self, holder: holder.Holder) -> None:
@@ -55,7 +55,10 @@
             )
         raw = request.get_first_header(b'authorization') or b''
         text = raw.decode('latin-1')
-        if not text.lower().startswith(SCHEME) or len(text) > MAX_TOKEN:
+        if (
+            not text.lower().startswith(SCHEME)
+            or len(text) > MAX_AUTHORIZATION_CHARS
+        ):
             raise request_error.UnauthorizedError('no bearer token')
         token = text[len(SCHEME) :].strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/body.py
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     import blacksheep
 
-__all__ = ['CallerLeftError', 'chunks', 'read', 'read_object']
+__all__ = ['CallerDisconnectedError', 'chunks', 'read', 'read_object']
 
 READ_TIMEOUT_S = 60.0
 
 
-class CallerLeftError(request_error.CancelledError):
+class CallerDisconnectedError(request_error.CancelledError):
     """The caller closed its connection before its request was whole."""
 
 
@@ -30,7 +30,7 @@
     Raises:
       TooLargeError: It is over `max_bytes`.
       BadRequestError: A piece was not there within `READ_TIMEOUT_S`.
-      CallerLeftError: The connection was closed.
+      CallerDisconnectedError: The connection was closed.
     """
     length = request.get_first_header(b'content-length')
     if length is not None and int(length) > max_bytes:
@@ -47,7 +47,9 @@
                 f'the body stopped for {READ_TIMEOUT_S:.0f} s'
             ) from exc
         if event['type'] == 'http.disconnect':
-            raise CallerLeftError('the caller left before its body ended')
+            raise CallerDisconnectedError(
+                'the caller left before its body ended'
+            )
         data = event.get('body', b'')
         more = event.get('more_body', False)
         seen += len(data)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
@@ -14,16 +14,16 @@
     from quetzalsill_router.request import active
 
 __all__ = [
-    'KEY',
-    'accepts_later',
+    'IDEMPOTENCY_KEY',
     'idempotency_key',
+    'prefers_async',
     'profile_name',
     'traceparent',
-    'watch',
+    'watch_disconnect',
 ]
 
-KEY = re.compile(r'[!-~]{1,255}')
-NAME = re.compile(r'[a-z0-9][a-z0-9._-]{0,62}')
+IDEMPOTENCY_KEY = re.compile(r'[!-~]{1,255}')
+PROFILE_NAME = re.compile(r'[a-z0-9][a-z0-9._-]{0,62}')
 TRACEPARENT = re.compile(r'[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}')
 
 
@@ -33,7 +33,9 @@
     Raises:
       FieldError: It is not 1 to 255 printable ASCII characters.
     """
-    return _header(request, 'Idempotency-Key', KEY, '1 to 255 of ! to ~')
+    return _header(
+        request, 'Idempotency-Key', IDEMPOTENCY_KEY, '1 to 255 of ! to ~'
+    )
 
 
 def profile_name(request: blacksheep.Request) -> str:
@@ -45,7 +47,7 @@
     return _header(
         request,
         'X-Quetzalsill-Profile',
-        NAME,
+        PROFILE_NAME,
         'lower-case letters, digits, dots, dashes',
     )
 
@@ -57,14 +59,16 @@
     return text if TRACEPARENT.fullmatch(text) else ''
 
 
-def accepts_later(request: blacksheep.Request) -> bool:
+def prefers_async(request: blacksheep.Request) -> bool:
     """Whether the caller prefers an id now and the answer later."""
     raw = request.get_first_header(b'prefer') or b''
     parts = raw.decode('latin-1').lower().split(',')
     return 'respond-async' in [part.strip() for part in parts]
 
 
-def watch(request: blacksheep.Request, running: active.ActiveRequest) -> None:
+def watch_disconnect(
+    request: blacksheep.Request, running: active.ActiveRequest
+) -> None:
     """Tells the request when its caller is gone.
 
     To be called once the body is read. The server reports a closed
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
@@ -35,21 +35,27 @@
 
 
 def mount(
-    app: blacksheep.Application, ctx: context.Context, callers: auth.Callers
+    app: blacksheep.Application,
+    ctx: context.Context,
+    authenticator: auth.Authenticator,
 ) -> None:
     """Adds the routes of generations to the application."""
     add = app.router.add
-    add('POST', '/v1/completions', _handler(ctx, callers, spec.COMPLETION))
-    add('POST', '/v1/chat/completions', _handler(ctx, callers, spec.CHAT))
-    add('GET', '/v1/models', _models(ctx, callers))
+    add(
+        'POST', '/v1/completions', _handler(ctx, authenticator, spec.COMPLETION)
+    )
+    add('POST', '/v1/chat/completions', _handler(ctx, authenticator, spec.CHAT))
+    add('GET', '/v1/models', _models(ctx, authenticator))
 
 
-def _handler(ctx: context.Context, callers: auth.Callers, kind: str) -> Handler:
+def _handler(
+    ctx: context.Context, authenticator: auth.Authenticator, kind: str
+) -> Handler:
     """Makes the handler of one kind of generation."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
         accept.check_accepting(ctx)
-        identity = callers.identify(request)
+        identity = authenticator.identify(request)
         plain = await body.read_object(
             request, ctx.settings.requests.max_body_bytes
         )
@@ -62,14 +68,14 @@
             caller.idempotency_key(request),
         )
         work.trace = caller.traceparent(request)
-        later = work.durable and caller.accepts_later(request)
+        later = work.durable and caller.prefers_async(request)
         accepted = await submit.submit(ctx, identity, work, not later)
-        if isinstance(accepted, submit.Repeated):
+        if isinstance(accepted, submit.Duplicate):
             return await submit.replay(ctx, accepted, asked.stream)
         if later:
             return stored.pending(work.request)
-        caller.watch(request, accepted)
-        drained = asgi.drained(request.scope)
+        caller.watch_disconnect(request, accepted)
+        drained = asgi.drain_of(request.scope)
         return await _respond(ctx, accepted, asked, drained)
 
     return handle
@@ -86,22 +92,22 @@
     keep_alive_s = ctx.settings.requests.keep_alive_s
     try:
         if asked.stream:
-            response = await answer.stream(
-                running, drained, keep_alive_s, asked.usage
+            response = await answer.event_stream_response(
+                running, drained, keep_alive_s, asked.include_usage
             )
         else:
-            response = await answer.whole(running)
+            response = await answer.complete_response(running)
     except request_error.RequestError as exc:
         return error.response(exc, request)
     response.add_header(b'x-request-id', request.encode())
     return response
 
 
-def _models(ctx: context.Context, callers: auth.Callers) -> Handler:
+def _models(ctx: context.Context, authenticator: auth.Authenticator) -> Handler:
     """Makes the handler that lists the models."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        callers.identify(request)
+        authenticator.identify(request)
         listed = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': OWNER}
             for name in sorted(ctx.holder.current.models)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/label.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/event_id.py
@@ -8,10 +8,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-__all__ = ['labeller']
+__all__ = ['make_id_replacer']
 
 
-def labeller(request: str) -> Callable[[Iterable[bytes]], list[bytes]]:
+def make_id_replacer(request: str) -> Callable[[Iterable[bytes]], list[bytes]]:
     """Makes the function that puts the request's id into JSON events.
 
     The engine knows the attempt, and its events carry an id made of that; a
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/forward.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/forward.py
@@ -16,41 +16,46 @@
     from quetzalsill_router import context
     from quetzalsill_router.durable import registration
 
-__all__ = ['Elsewhere', 'ask', 'fetch', 'was_forwarded']
-
-HEADER = b'x-quetzalsill-forwarded'
+__all__ = [
+    'ForwardResult',
+    'fetch_from_acceptor',
+    'forward_to_owner',
+    'was_forwarded',
+]
+
+FORWARDED_HEADER = b'x-quetzalsill-forwarded'
 TIMEOUT_S = 3.0
-MAX_ASKED = 8
-COPIED = frozenset(
+MAX_ROUTERS = 8
+COPIED_HEADERS = frozenset(
     (b'x-request-id', b'x-should-retry', b'retry-after', b'location')
 )
 
 
 @dataclasses.dataclass(slots=True)
-class Elsewhere:
+class ForwardResult:
     """What other routers said of a request.
 
     Attributes:
       body: Body of the answer of the one that runs it; None if none does.
-      silent: Names of those asked that did not answer.
+      unreachable: Names of those asked that did not answer.
     """
 
     body: bytes | None = None
-    silent: list[str] = dataclasses.field(default_factory=list)
+    unreachable: list[str] = dataclasses.field(default_factory=list)
 
 
 def was_forwarded(request: blacksheep.Request) -> bool:
     """Whether another router sent this; it is not passed on again."""
-    return request.has_header(HEADER)
+    return request.has_header(FORWARDED_HEADER)
 
 
-async def ask(
+async def forward_to_owner(
     ctx: context.Context,
     request: blacksheep.Request,
     prefix: str,
     ident: str,
     accepted: int,
-) -> Elsewhere:
+) -> ForwardResult:
     """Sends a call about a request to other routers until one runs it.
 
     The id names the router that accepted it. After a takeover another one
@@ -63,8 +68,8 @@
       ident: Id of the request.
       accepted: Status by which a router says that it runs the request.
     """
-    found = Elsewhere()
-    for router in _in_order(ctx, ident)[:MAX_ASKED]:
+    found = ForwardResult()
+    for router in _other_routers(ctx, ident)[:MAX_ROUTERS]:
         try:
             answer = await _send(ctx, router, request, f'{prefix}/{ident}')
             if answer.status == accepted:
@@ -72,11 +77,11 @@
                 break
         except net_error.NetError as exc:
             event.note(event.ForwardFailed(router=router.node, detail=str(exc)))
-            found.silent.append(router.node)
+            found.unreachable.append(router.node)
     return found
 
 
-async def fetch(
+async def fetch_from_acceptor(
     ctx: context.Context, request: blacksheep.Request, prefix: str, ident: str
 ) -> blacksheep.Response | None:
     """Gives what the router that accepted a request answers to the call.
@@ -86,7 +91,7 @@
     """
     if was_forwarded(request):
         return None
-    for router in _in_order(ctx, ident)[:1]:
+    for router in _other_routers(ctx, ident)[:1]:
         if request_ident.was_accepted_by(
             ident, router.node, router.incarnation
         ):
@@ -108,12 +113,16 @@
         event.note(event.ForwardFailed(router=router.node, detail=str(exc)))
         return None
     kind = answer.get_first_header(b'content-type') or b''
-    headers = [pair for pair in answer.headers if pair[0].lower() in COPIED]
+    headers = [
+        pair for pair in answer.headers if pair[0].lower() in COPIED_HEADERS
+    ]
     content = blacksheep.Content(kind, data)
     return blacksheep.Response(answer.status, headers, content)
 
 
-def _in_order(ctx: context.Context, ident: str) -> list[registration.Router]:
+def _other_routers(
+    ctx: context.Context, ident: str
+) -> list[registration.Router]:
     """Returns the other live routers, the accepting one first."""
     others = [
         router
@@ -140,7 +149,7 @@
     scheme = 'https' if tls.certificate else 'http'
     url = f'{scheme}://{router.address}{path}'
     token = request.get_first_header(b'authorization') or b''
-    headers = [(b'authorization', token), (HEADER, b'1')]
+    headers = [(b'authorization', token), (FORWARDED_HEADER, b'1')]
     if accept := request.get_first_header(b'accept'):
         headers.append((b'accept', accept))
     async with client.session(timeout_s=TIMEOUT_S, tls=tls) as session:
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/generation.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/generation.py
@@ -16,15 +16,15 @@
 PREFIX_BYTES = 1024
 PREFIX_MIN_BYTES = 128
 MAX_MESSAGES = 10_000
-MAX_STOPS = 16
+MAX_STOP_SEQUENCES = 16
 ROLES = ('system', 'developer', 'user', 'assistant', 'tool', 'function')
-NUMBERS = {
+NUMBER_RANGES = {
     'temperature': (0, 2),
     'top_p': (0, 1),
     'presence_penalty': (-2, 2),
     'frequency_penalty': (-2, 2),
 }
-NOT_PASSED_ON = (
+ROUTER_FIELDS = (
     'n',
     'max_completion_tokens',
     'stream_options',
@@ -43,7 +43,7 @@
       model: Model name.
       adapter: Adapter asked for; empty for none.
       stream: Tokens are wanted as they come.
-      usage: A last event with the usage is wanted.
+      include_usage: A last event with the usage is wanted.
       max_tokens: Bound on generated tokens that the caller gave; 0 if none.
       prompt_tokens: Estimated tokens of the prompt.
       prefix: Digest of the prompt's beginning; empty if it is short.
@@ -55,7 +55,7 @@
     model: str
     adapter: str
     stream: bool
-    usage: bool
+    include_usage: bool
     max_tokens: int
     prompt_tokens: int
     prefix: str
@@ -67,7 +67,7 @@
         body = self.body | {'max_tokens': max_tokens, 'stream': True}
         if self.kind == spec.COMPLETION:
             body['prompt'] = self.prompt
-        for name in NOT_PASSED_ON:
+        for name in ROUTER_FIELDS:
             body.pop(name, None)
         return json.dumps(body, separators=(',', ':')).encode()
 
@@ -89,7 +89,7 @@
         model=_string(body, 'model', required=True),
         adapter=_string(body, 'adapter'),
         stream=_boolean(body, 'stream'),
-        usage=_usage(body),
+        include_usage=_include_usage(body),
         max_tokens=_max_tokens(body),
         prompt_tokens=len(text) // BYTES_PER_TOKEN + 1,
         prefix=_prefix(text),
@@ -169,7 +169,7 @@
     return found
 
 
-def _usage(body: dict[str, Any]) -> bool:
+def _include_usage(body: dict[str, Any]) -> bool:
     """Returns `stream_options.include_usage`."""
     options = body.get('stream_options')
     if options is None:
@@ -193,7 +193,7 @@
 
 def _check_numbers(body: dict[str, Any]) -> None:
     """Checks the sampling fields."""
-    for name, (low, high) in NUMBERS.items():
+    for name, (low, high) in NUMBER_RANGES.items():
         found = body.get(name)
         if found is None:
             continue
@@ -215,8 +215,9 @@
     stop = body.get('stop')
     if stop is None or isinstance(stop, str):
         return
-    fits = isinstance(stop, list) and len(stop) <= MAX_STOPS
+    fits = isinstance(stop, list) and len(stop) <= MAX_STOP_SEQUENCES
     if not fits or not all(isinstance(item, str) for item in stop):
         raise field.FieldError(
-            'stop', f'must be a string or a list of at most {MAX_STOPS}'
+            'stop',
+            f'must be a string or a list of at most {MAX_STOP_SEQUENCES}',
         )
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/relay.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/relay.py
@@ -9,11 +9,16 @@
 
 from quetzalsill.net import header
 
-__all__ = ['WITHOUT_BODY', 'content_type', 'request_headers', 'response']
+__all__ = [
+    'STATUSES_WITHOUT_BODY',
+    'content_type',
+    'request_headers',
+    'response',
+]
 
-WITHOUT_BODY = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 DEFAULT_TYPE = b'application/octet-stream'
-NOT_TO_UPSTREAM = header.HOP_BY_HOP | {
+REQUEST_HEADERS_DROPPED = header.HOP_BY_HOP | {
     'authorization',
     'expect',
     'host',
@@ -22,14 +27,14 @@
     'x-request-id',
     'x-quetzalsill-profile',
 }
-NOT_TO_CALLER = header.HOP_BY_HOP | {
+RESPONSE_HEADERS_DROPPED = header.HOP_BY_HOP | {
     'content-length',
     'content-type',
     'date',
     'server',
     'x-request-id',
 }
-NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,256}")
+HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,256}")
 UNSAFE_VALUE = re.compile(r'[\x00-\x08\x0a-\x1f\x7f]')
 
 
@@ -43,7 +48,7 @@
     return [
         [name.decode('latin-1'), value.decode('latin-1')]
         for name, value in pairs
-        if name.decode('latin-1').lower() not in NOT_TO_UPSTREAM
+        if name.decode('latin-1').lower() not in REQUEST_HEADERS_DROPPED
     ]
 
 
@@ -52,7 +57,8 @@
     headers = [
         (name.encode('latin-1'), value.encode('latin-1', 'replace'))
         for name, value in pairs
-        if name.lower() not in NOT_TO_CALLER and _is_safe(name, value)
+        if name.lower() not in RESPONSE_HEADERS_DROPPED
+        and _is_safe(name, value)
     ]
     return blacksheep.Response(status, headers)
 
@@ -67,4 +73,4 @@
 
 def _is_safe(name: str, value: str) -> bool:
     """Whether a header can be written without forging another."""
-    return bool(NAME.fullmatch(name)) and not UNSAFE_VALUE.search(value)
+    return bool(HEADER_NAME.fullmatch(name)) and not UNSAFE_VALUE.search(value)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
@@ -24,29 +24,35 @@
 PREFIX = '/v1/requests'
 PATH = f'{PREFIX}/:request'
 ACCEPTED = 202
-CANCELLED = 'cancelled by the caller'
+CANCEL_REASON = 'cancelled by the caller'
 
 
 def mount(
-    app: blacksheep.Application, ctx: context.Context, callers: auth.Callers
+    app: blacksheep.Application,
+    ctx: context.Context,
+    authenticator: auth.Authenticator,
 ) -> None:
     """Adds the routes of stored requests to the application."""
-    app.router.add('GET', PREFIX, _find(ctx, callers))
-    app.router.add('GET', PATH, _fetch(ctx, callers))
-    app.router.add('DELETE', PATH, _cancel(ctx, callers))
+    app.router.add('GET', PREFIX, _fetch_by_key(ctx, authenticator))
+    app.router.add('GET', PATH, _fetch(ctx, authenticator))
+    app.router.add('DELETE', PATH, _cancel(ctx, authenticator))
 
 
-def _fetch(ctx: context.Context, callers: auth.Callers) -> Handler:
+def _fetch(ctx: context.Context, authenticator: auth.Authenticator) -> Handler:
     """Makes the handler that fetches an answer."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        account = _account(callers, request)
-        ident_ = _ident(request)
+        account = _account(authenticator, request)
+        request_id = _request_id(request)
         try:
-            return await _answer(ctx, account, ident_, _wants_events(request))
+            return await _answer(
+                ctx, account, request_id, _wants_events(request)
+            )
         except request_error.UnknownRequestError:
             # What is not journalled only the router knows that took it.
-            answer = await forward.fetch(ctx, request, PREFIX, ident_)
+            answer = await forward.fetch_from_acceptor(
+                ctx, request, PREFIX, request_id
+            )
             if answer is None:
                 raise
             return answer
@@ -54,81 +60,87 @@
     return handle
 
 
-def _find(ctx: context.Context, callers: auth.Callers) -> Handler:
+def _fetch_by_key(
+    ctx: context.Context, authenticator: auth.Authenticator
+) -> Handler:
     """Makes the handler that fetches an answer by its idempotency key."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        account = _account(callers, request)
+        account = _account(authenticator, request)
         keys = request.query.get('idempotency_key', [])
-        if len(keys) != 1 or not caller.KEY.fullmatch(keys[0]):
+        if len(keys) != 1 or not caller.IDEMPOTENCY_KEY.fullmatch(keys[0]):
             raise field.FieldError(
                 'idempotency_key', 'must be given once, as it was sent'
             )
-        ident_ = await journaling.key_holder(ctx, account, keys[0])
-        return await _answer(ctx, account, ident_, _wants_events(request))
+        request_id = await journaling.key_holder(ctx, account, keys[0])
+        return await _answer(ctx, account, request_id, _wants_events(request))
 
     return handle
 
 
 async def _answer(
-    ctx: context.Context, account: str, ident_: str, as_events: bool
+    ctx: context.Context, account: str, request_id: str, as_events: bool
 ) -> blacksheep.Response:
     """Answers with the outcome of a request, or that it has none yet."""
-    if _runs_here(ctx, account, ident_):
-        return stored.pending(ident_)
-    answer = ctx.recent.get(account, ident_)
+    if _runs_here(ctx, account, request_id):
+        return stored.pending(request_id)
+    answer = ctx.recent.get(account, request_id)
     if answer is None:
-        answer = (await ctx.answers.get(account, ident_)).answer
+        answer = (await ctx.answers.get(account, request_id)).answer
     if answer is None:
-        return stored.pending(ident_)
-    return stored.render(ident_, answer, as_events)
+        return stored.pending(request_id)
+    return stored.render(request_id, answer, as_events)
 
 
-def _cancel(ctx: context.Context, callers: auth.Callers) -> Handler:
+def _cancel(ctx: context.Context, authenticator: auth.Authenticator) -> Handler:
     """Makes the handler that cancels a request."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
-        account = _account(callers, request)
-        ident_ = _ident(request)
-        if _runs_here(ctx, account, ident_):
-            ctx.active.get(ident_).cancel(CANCELLED)
-            return stored.pending(ident_)
-        failed = _not_running(ident_)
+        account = _account(authenticator, request)
+        request_id = _request_id(request)
+        if _runs_here(ctx, account, request_id):
+            ctx.active.get(request_id).cancel(CANCEL_REASON)
+            return stored.pending(request_id)
+        failed = _not_running(request_id)
         try:
-            found = await ctx.answers.get(account, ident_)
+            found = await ctx.answers.get(account, request_id)
         except request_error.NotFoundError as exc:
             # Nothing is stored of a request that isn't durable; only the
             # router that runs it knows it.
             failed = exc
         else:
             if found.answer is not None:
-                return stored.render(ident_, found.answer, as_events=False)
-        if await _cancel_elsewhere(ctx, request, ident_):
-            return stored.pending(ident_)
+                return stored.render(request_id, found.answer, as_events=False)
+        if await _cancel_elsewhere(ctx, request, request_id):
+            return stored.pending(request_id)
         raise failed
 
     return handle
 
 
 async def _cancel_elsewhere(
-    ctx: context.Context, request: blacksheep.Request, ident_: str
+    ctx: context.Context, request: blacksheep.Request, request_id: str
 ) -> bool:
     """Whether another router runs the request and has cancelled it."""
     if forward.was_forwarded(request):
         return False
-    found = await forward.ask(ctx, request, PREFIX, ident_, ACCEPTED)
+    found = await forward.forward_to_owner(
+        ctx, request, PREFIX, request_id, ACCEPTED
+    )
     return found.body is not None
 
 
-def _not_running(ident_: str) -> request_error.ConflictError:
+def _not_running(request_id: str) -> request_error.ConflictError:
     return request_error.ConflictError(
-        f'request {ident_} is not running at any router that answers',
+        f'request {request_id} is not running at any router that answers',
         ran=base.Ran.UNKNOWN,
         retry_after_s=1.0,
     )
 
 
-def _account(callers: auth.Callers, request: blacksheep.Request) -> str:
+def _account(
+    authenticator: auth.Authenticator, request: blacksheep.Request
+) -> str:
     """Returns the account that asks.
 
     Raises:
@@ -136,7 +148,7 @@
         that is asked after, which may have run: "not run" would be untrue.
     """
     try:
-        return callers.identify(request).name
+        return authenticator.identify(request).name
     except request_error.RequestError as exc:
         exc.ran = base.Ran.UNKNOWN
         raise
@@ -148,7 +160,7 @@
     return running is not None and running.work.account == account
 
 
-def _ident(request: blacksheep.Request) -> str:
+def _request_id(request: blacksheep.Request) -> str:
     """Returns the request id of the path.
 
     Raises:
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
@@ -30,26 +30,28 @@
 
 PREFIX = '/services/'
 METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS')
-FIRST_BYTES = 1_048_576
+MAX_FIRST_BYTES = 1_048_576
 MAX_PATH = 8192
 
 
 def mount(
-    app: blacksheep.Application, ctx: context.Context, callers: auth.Callers
+    app: blacksheep.Application,
+    ctx: context.Context,
+    authenticator: auth.Authenticator,
 ) -> None:
     """Adds the routes of plain services to the application."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
         accept.check_accepting(ctx)
-        identity = callers.identify(request)
+        identity = authenticator.identify(request)
         work = await _work(ctx, identity, request)
         accepted = await submit.submit(ctx, identity, work, attend=True)
-        if isinstance(accepted, submit.Repeated):
+        if isinstance(accepted, submit.Duplicate):
             return await submit.replay(ctx, accepted, as_events=False)
         if work.body is None:
-            caller.watch(request, accepted)
+            caller.watch_disconnect(request, accepted)
         try:
-            return await _respond(accepted, asgi.drained(request.scope))
+            return await _respond(accepted, asgi.drain_of(request.scope))
         except request_error.RequestError as exc:
             return error.response(exc, accepted.work.request)
 
@@ -99,11 +101,11 @@
         key=key,
     )
     if rest is not None:
-        work.body = _then_watch(ctx, request, work, rest)
+        work.body = _body_then_watch(ctx, request, work, rest)
     return work
 
 
-async def _then_watch(
+async def _body_then_watch(
     ctx: context.Context,
     request: blacksheep.Request,
     work: spec.Work,
@@ -117,7 +119,7 @@
         yield data
     running = ctx.active.get(work.request)
     if running is not None:
-        caller.watch(request, running)
+        caller.watch_disconnect(request, running)
 
 
 def _target(request: blacksheep.Request) -> tuple[str, str]:
@@ -149,13 +151,14 @@
     first = bytearray()
     async for data in pieces:
         first += data
-        if len(first) >= FIRST_BYTES:
+        if len(first) >= MAX_FIRST_BYTES:
             break
     else:
         return bytes(first), None
     if whole:
         raise request_error.TooLargeError(
-            f'a call with an idempotency key holds below {FIRST_BYTES} bytes'
+            'a call with an idempotency key holds below '
+            f'{MAX_FIRST_BYTES} bytes'
         )
     return bytes(first), pieces
 
@@ -178,20 +181,20 @@
     head, early = parts[0], parts[1:]
     response = relay.response(head.status, head.headers)
     response.add_header(b'x-request-id', running.work.request.encode())
-    if head.status in relay.WITHOUT_BODY:
+    if head.status in relay.STATUSES_WITHOUT_BODY:
         return response
 
     async def produce() -> AsyncIterator[bytes]:
-        async for data in _pieces(running, early, drained):
+        async for data in _body_chunks(running, early, drained):
             yield data
 
     response.content = blacksheep.StreamedContent(
-        relay.content_type(head.headers), produce, _length(head)
+        relay.content_type(head.headers), produce, _content_length(head)
     )
     return response
 
 
-def _length(head: piece.Head) -> int:
+def _content_length(head: piece.Head) -> int:
     """Returns the content length that the upstream gave; -1 for none."""
     for name, value in head.headers:
         if name.lower() == 'content-length' and value.isdecimal():
@@ -199,13 +202,13 @@
     return -1
 
 
-async def _pieces(
+async def _body_chunks(
     running: active.ActiveRequest, early: list[piece.Piece], drained: asgi.Drain
 ) -> AsyncIterator[bytes]:
     """Yields the body as it comes.
 
     Raises:
-      AnswerCutError: The call failed midway. The connection is closed
+      TruncatedAnswerError: The call failed midway. The connection is closed
         without the end of the body, so that nobody takes it for whole.
     """
     delivery = running.delivery
@@ -222,4 +225,6 @@
         await delivery.wait()
         parts = delivery.take()
     if delivery.error is not None and not delivery.disconnected:
-        raise asgi.AnswerCutError(delivery.error.detail, ran=delivery.error.ran)
+        raise asgi.TruncatedAnswerError(
+            delivery.error.detail, ran=delivery.error.ran
+        )
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
@@ -9,7 +9,7 @@
 from quetzalsill.error import base
 from quetzalsill.error import request as request_error
 from quetzalsill_router.durable import answer as durable_answer
-from quetzalsill_router.http import answer, error, label, relay
+from quetzalsill_router.http import answer, error, event_id, relay
 from quetzalsill_router.request import record
 
 __all__ = ['conflict', 'failure', 'pending', 'render']
@@ -32,14 +32,14 @@
         return error.response(failure(stored), request)
     kind = _header(stored, record.KIND_HEADER)
     if not kind:
-        return _call(request, stored)
+        return _call_response(request, stored)
     if as_events:
-        events = label.labeller(request)(stored.events)
-        data = answer.sse(events) + answer.DONE
+        events = event_id.make_id_replacer(request)(stored.events)
+        data = answer.encode_events(events) + answer.DONE
         content = blacksheep.Content(answer.SSE_TYPE, data)
     else:
         model = _header(stored, record.MODEL_HEADER)
-        document = answer.join(request, model, kind, stored.events)
+        document = answer.join_events(request, model, kind, stored.events)
         content = blacksheep.Content(JSON_TYPE, document)
     response = blacksheep.Response(200, None, content)
     response.add_header(b'x-request-id', request.encode())
@@ -77,11 +77,13 @@
     return error
 
 
-def _call(request: str, stored: durable_answer.Answer) -> blacksheep.Response:
+def _call_response(
+    request: str, stored: durable_answer.Answer
+) -> blacksheep.Response:
     """Renders the stored answer of a call."""
     body = b''.join(stored.events)
     response = relay.response(stored.status, stored.headers)
-    if response.status not in relay.WITHOUT_BODY:
+    if response.status not in relay.STATUSES_WITHOUT_BODY:
         kind = relay.content_type(stored.headers)
         response.content = blacksheep.Content(kind, body)
     response.add_header(b'x-request-id', request.encode())
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
@@ -16,11 +16,11 @@
     from quetzalsill_router.limit import shares
     from quetzalsill_router.request import active
 
-__all__ = ['Repeated', 'replay', 'submit']
+__all__ = ['Duplicate', 'replay', 'submit']
 
 
 @dataclasses.dataclass(slots=True)
-class Repeated:
+class Duplicate:
     """The request repeats another one by its idempotency key.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 async def submit(
     ctx: context.Context, identity: auth.Caller, work: spec.Work, attend: bool
-) -> active.ActiveRequest | Repeated:
+) -> active.ActiveRequest | Duplicate:
     """Takes leave of the account, accepts the work and starts it.
 
     Args:
@@ -55,7 +55,7 @@
         if not accepted:
             grant.release()
     if not accepted:
-        return Repeated(work.account, holder)
+        return Duplicate(work.account, holder)
     if work.kind == spec.CALL:
         work.headers.append(['x-request-id', work.request])
     begin = serve.start if attend else serve.start_detached
@@ -63,7 +63,7 @@
 
 
 async def replay(
-    ctx: context.Context, repeated: Repeated, as_events: bool
+    ctx: context.Context, repeated: Duplicate, as_events: bool
 ) -> blacksheep.Response:
     """Answers a repeat with the answer of the request that it repeats.
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/bucket.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/bucket.py
@@ -24,7 +24,7 @@
         self._level = capacity
         self._updated = clock()
 
-    def reshape(self, rate: float, capacity: float) -> None:
+    def resize(self, rate: float, capacity: float) -> None:
         """Changes rate and capacity; what is over the new capacity goes."""
         self.level()
         self.rate = rate
@@ -39,7 +39,7 @@
         self._updated = now
         return self._level
 
-    def spend(self, units: float) -> None:
+    def consume(self, units: float) -> None:
         """Takes units, into debt if need be; negative units come back."""
         self._level = min(self.capacity, self.level() - units)
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
@@ -6,9 +6,9 @@
 
 __all__ = ['Lengths']
 
-FIRST_GUESS = 256.0
-WEIGHT = 0.05
-MAX_KINDS = 4096
+INITIAL_MEAN_TOKENS = 256.0
+SMOOTHING = 0.05
+MAX_KEYS = 4096
 
 
 class Lengths:
@@ -22,13 +22,13 @@
     def observe(self, model: str, profile: str, tokens: int) -> None:
         """Counts an answer of `tokens` tokens."""
         kind = (model, profile)
-        mean = self._means.get(kind, FIRST_GUESS)
-        self._means[kind] = mean + WEIGHT * (tokens - mean)
+        mean = self._means.get(kind, INITIAL_MEAN_TOKENS)
+        self._means[kind] = mean + SMOOTHING * (tokens - mean)
         self._means.move_to_end(kind)
-        if len(self._means) > MAX_KINDS:
+        if len(self._means) > MAX_KEYS:
             self._means.popitem(last=False)
 
     def estimate(self, model: str, profile: str, max_tokens: int) -> int:
         """Returns the tokens that an answer will probably have."""
-        mean = self._means.get((model, profile), FIRST_GUESS)
+        mean = self._means.get((model, profile), INITIAL_MEAN_TOKENS)
         return max(1, min(max_tokens, round(mean)))
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/shares.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/shares.py
@@ -31,14 +31,14 @@
 if TYPE_CHECKING:
     from quetzalsill.config import model
 
-__all__ = ['BURST_S', 'Grant', 'Limiter', 'shares']
+__all__ = ['BURST_S', 'Grant', 'Limiter', 'make_limiter']
 
 BURST_S = 10.0
 MINUTE_S = 60.0
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 600.0
-FIRST_DURATION_S = 1.0
-DURATION_WEIGHT = 0.1
+INITIAL_DURATION_S = 1.0
+DURATION_SMOOTHING = 0.1
 
 
 @dataclasses.dataclass(slots=True)
@@ -53,7 +53,7 @@
     """
 
     running: int = 0
-    duration_s: float = FIRST_DURATION_S
+    duration_s: float = INITIAL_DURATION_S
     requests: bucket_module.Bucket | None = None
     tokens: bucket_module.Bucket | None = None
 
@@ -65,17 +65,17 @@
         self, usage: _Usage, reserved: int, clock: Callable[[], float]
     ) -> None:
         self._usage = usage
-        self._unspent = reserved
+        self._reserved = reserved
         self._clock = clock
         self._granted = clock()
         self._released = False
 
     def charge(self, tokens: int) -> None:
         """Counts generated tokens, first against what was reserved."""
-        covered = min(tokens, self._unspent)
-        self._unspent -= covered
+        covered = min(tokens, self._reserved)
+        self._reserved -= covered
         if self._usage.tokens is not None:
-            self._usage.tokens.spend(tokens - covered)
+            self._usage.tokens.consume(tokens - covered)
 
     def release(self) -> None:
         """Ends the request; gives back what it reserved and did not use."""
@@ -85,9 +85,9 @@
         usage = self._usage
         usage.running -= 1
         held_s = self._clock() - self._granted
-        usage.duration_s += DURATION_WEIGHT * (held_s - usage.duration_s)
+        usage.duration_s += DURATION_SMOOTHING * (held_s - usage.duration_s)
         if usage.tokens is not None:
-            usage.tokens.spend(-self._unspent)
+            usage.tokens.consume(-self._reserved)
 
 
 class Limiter:
@@ -115,35 +115,35 @@
         """
         usage = self._usages.setdefault(account, _Usage())
         routers = max(1, self._live_routers())
-        self._reshape(usage, limits, routers)
+        self._resize_buckets(usage, limits, routers)
         self._check_concurrency(usage, limits.concurrency, routers)
         _check_rate(usage.requests, 1, 'requests a minute')
         _check_rate(usage.tokens, estimate, 'tokens a minute')
         if usage.requests is not None:
-            usage.requests.spend(1)
+            usage.requests.consume(1)
         if usage.tokens is not None:
-            usage.tokens.spend(estimate)
+            usage.tokens.consume(estimate)
         usage.running += 1
         return Grant(usage, estimate, self._clock)
 
-    def forget(self, accounts: set[str]) -> None:
+    def retain(self, accounts: set[str]) -> None:
         """Drops idle usage of accounts that are not among `accounts`."""
         for name in list(self._usages):
             if name not in accounts and self._usages[name].running == 0:
                 del self._usages[name]
 
-    def _reshape(
+    def _resize_buckets(
         self, usage: _Usage, limits: model.Limits, routers: int
     ) -> None:
         """Fits the buckets to the limits and the number of routers."""
-        usage.requests = self._bucket(
+        usage.requests = self._make_or_resize(
             usage.requests, limits.requests_per_minute, routers
         )
-        usage.tokens = self._bucket(
+        usage.tokens = self._make_or_resize(
             usage.tokens, limits.tokens_per_minute, routers
         )
 
-    def _bucket(
+    def _make_or_resize(
         self, old: bucket_module.Bucket | None, limit: int, routers: int
     ) -> bucket_module.Bucket | None:
         """Returns this router's share of a limit as a bucket."""
@@ -154,7 +154,7 @@
         if old is None:
             return bucket_module.Bucket(rate, capacity, self._clock)
         if (old.rate, old.capacity) != (rate, capacity):
-            old.reshape(rate, capacity)
+            old.resize(rate, capacity)
         return old
 
     def _check_concurrency(
@@ -166,13 +166,13 @@
         share = math.ceil(limit / routers)
         if usage.running < share:
             return
-        raise _refusal(
+        raise _limit_error(
             f'{usage.running} requests at once; this router grants {share}',
             usage.duration_s / share,
         )
 
 
-def shares(live_routers: Callable[[], int]) -> Limiter:
+def make_limiter(live_routers: Callable[[], int]) -> Limiter:
     """Makes the limiter that the configuration names `shares`."""
     return Limiter(live_routers)
 
@@ -185,10 +185,10 @@
         return
     wait_s = bucket.wait_s(units)
     if wait_s > 0:
-        raise _refusal(f'the account is over its {what}', wait_s)
+        raise _limit_error(f'the account is over its {what}', wait_s)
 
 
-def _refusal(detail: str, wait_s: float) -> request_error.LimitError:
+def _limit_error(detail: str, wait_s: float) -> request_error.LimitError:
     """Builds the refusal with a time to come back that helps."""
     retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
     return request_error.LimitError(
--- a/packages/quetzalsill-router/src/quetzalsill_router/membership.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/membership.py
@@ -28,22 +28,22 @@
     from quetzalsill_router.peer import peers as peers_module
 
 __all__ = [
-    'Puller',
-    'follow_hosts',
-    'list_interval_s',
-    'newest_of_seeds',
-    'routers',
+    'ConfigPuller',
+    'fetch_newest_from_seeds',
+    'list_routers',
+    'poll_hosts',
+    'poll_interval_s',
 ]
 
-SEED_ANSWER_S = 3.0
+SEED_TIMEOUT_S = 3.0
 # The list is a hint: a sidecar itself says that it is leaving, and an edit
 # gives a new address within seconds. So it may cost a third of what a node
 # has for control.
-HOST_BYTES = 112
-LIST_BYTES_PER_S = 1000
+BYTES_PER_HOST = 112
+MAX_LIST_BYTES_PER_S = 1000
 
 
-async def follow_hosts(
+async def poll_hosts(
     hosts: platform_hosts.HostList,
     holder: config_holder.Holder,
     peers: peers_module.Peers,
@@ -66,17 +66,17 @@
             found = None
         else:
             down = False
-            wait_s = list_interval_s(interval_s, len(found))
+            wait_s = poll_interval_s(interval_s, len(found))
         peers.reconcile(holder.current, found)
         await asyncio.sleep(wait_s)
 
 
-def list_interval_s(least_s: float, hosts: int) -> float:
+def poll_interval_s(least_s: float, hosts: int) -> float:
     """Gives the time between two reads of a list of so many hosts, in s."""
-    return max(least_s, hosts * HOST_BYTES / LIST_BYTES_PER_S)
+    return max(least_s, hosts * BYTES_PER_HOST / MAX_LIST_BYTES_PER_S)
 
 
-class Puller:
+class ConfigPuller:
     """Fetches a newer configuration from the sidecar that named it.
 
     The store may be down while a peer has the newest revision already.
@@ -86,7 +86,7 @@
         self._holder = holder
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    def notice(self, revision: int, peer: peer_module.Peer) -> None:
+    def on_newer_revision(self, revision: int, peer: peer_module.Peer) -> None:
         """Starts one fetch from a peer that has a newer revision."""
         if peer.upstream in self._tasks:
             return
@@ -109,7 +109,7 @@
             )
 
 
-async def routers(
+async def list_routers(
     registration: durable_registration.Registration, table: platform_table.Table
 ) -> list[view.NodeView]:
     """Reads the live routers, with the revisions that their rows name now.
@@ -136,7 +136,7 @@
     ]
 
 
-async def newest_of_seeds(
+async def fetch_newest_from_seeds(
     settings: settings_module.RouterSettings,
     incarnation: int,
     tls: ssl.SSLContext | None,
@@ -159,13 +159,16 @@
         0,
     )
     replies = await asyncio.gather(
-        *(_ask(seed, hello, settings, tls) for seed in settings.seeds)
+        *(
+            _fetch_from_seed(seed, hello, settings, tls)
+            for seed in settings.seeds
+        )
     )
     known = [reply for reply in replies if reply is not None]
     return max(known, key=lambda reply: reply.revision, default=None)
 
 
-async def _ask(
+async def _fetch_from_seed(
     seed: str,
     hello: message.Hello,
     settings: settings_module.RouterSettings,
@@ -174,8 +177,8 @@
     """Returns the configuration of one seed; None if it has or says none."""
     try:
         async with (
-            asyncio.timeout(SEED_ANSWER_S),
-            _linked(seed, hello, settings, tls) as messages,
+            asyncio.timeout(SEED_TIMEOUT_S),
+            _open_link(seed, hello, settings, tls) as messages,
         ):
             async for msg in messages:
                 if isinstance(msg, message.ConfigReply):
@@ -186,7 +189,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _linked(
+async def _open_link(
     seed: str,
     hello: message.Hello,
     settings: settings_module.RouterSettings,
--- a/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
@@ -43,6 +43,6 @@
     registry.add(
         'limits',
         'shares',
-        shares.shares,
+        shares.make_limiter,
         'Even parts of each limit for the live routers.',
     )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
@@ -113,7 +113,7 @@
         if history.moves >= MAX_MOVES:
             return False
         others = history.usable(ctx.peers.candidates(work.target))
-        return routing_query.is_better_elsewhere(peer, others)
+        return routing_query.has_better_peer(peer, others)
 
     stream = _open(ctx, active, peer, ident, should_move, recover=False)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/affinity.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/affinity.py
@@ -25,7 +25,7 @@
             collections.OrderedDict()
         )
 
-    def note(self, prefix: str, upstream: str) -> None:
+    def record(self, prefix: str, upstream: str) -> None:
         """Records that `prefix` was sent to `upstream` now."""
         if not prefix:
             return
@@ -34,13 +34,13 @@
         if len(self._sent) > MAX_PREFIXES:
             self._sent.popitem(last=False)
 
-    def strength(self, prefix: str, upstream: str) -> float:
+    def cache_likelihood(self, prefix: str, upstream: str) -> float:
         """Returns the belief, from 0 to 1, that the prefix is cached."""
         sent = self._sent.get(prefix, {}).get(upstream)
         if sent is None:
             return 0.0
         return 0.5 ** ((self._clock() - sent) / HALF_LIFE_S)
 
-    def holders(self, prefix: str) -> list[str]:
+    def upstreams_of(self, prefix: str) -> list[str]:
         """Returns the upstreams that `prefix` was sent to."""
         return list(self._sent.get(prefix, ()))
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/expected_wait.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/expected_wait.py
@@ -17,19 +17,19 @@
 
 __all__ = ['expected_wait']
 
-SAMPLE = 4
-OTHER_ZONE_MS = 5.0
-UNKNOWN_LOAD_MS = 50.0
-UNHEALTHY_MS = 60_000.0
-NOT_LOADED_MS = 30_000.0
-FULL_MEMORY_MS = 400.0
-MIN_STEP_MS = 5.0
+SAMPLE_SIZE = 4
+OTHER_ZONE_PENALTY_MS = 5.0
+UNKNOWN_LOAD_WAIT_MS = 50.0
+UNHEALTHY_PENALTY_MS = 60_000.0
+MODEL_LOAD_PENALTY_MS = 30_000.0
+FULL_KV_CACHE_PENALTY_MS = 400.0
+MIN_ATTEMPT_COST_MS = 5.0
 PREFILL_MS_PER_TOKEN = 0.2
-MAX_AFFINITY_MS = 500.0
+MAX_AFFINITY_BONUS_MS = 500.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Sent:
+class _SentSinceReport:
     """Own choices of a peer since its newest load report."""
 
     load: message.Load | None
@@ -44,31 +44,35 @@
     """
     rng = rng or random.Random()
     affinity = affinity_module.Affinity()
-    sent: dict[str, _Sent] = {}
+    sent: dict[str, _SentSinceReport] = {}
 
-    def since_report(peer: peer_module.Peer) -> _Sent:
+    def since_report(peer: peer_module.Peer) -> _SentSinceReport:
         known = sent.get(peer.upstream)
         if known is None or known.load is not peer.load:
-            known = sent[peer.upstream] = _Sent(peer.load)
+            known = sent[peer.upstream] = _SentSinceReport(peer.load)
         return known
 
     def cost_ms(query: routing_query.Query, peer: peer_module.Peer) -> float:
-        cost = _reported_ms(query, peer.load)
-        cost += since_report(peer).count * _step_ms(peer.load)
+        cost = _reported_cost_ms(query, peer.load)
+        cost += since_report(peer).count * _attempt_cost_ms(peer.load)
         if peer.availability_zone != query.availability_zone:
-            cost += OTHER_ZONE_MS
-        saved = min(MAX_AFFINITY_MS, query.prompt_tokens * PREFILL_MS_PER_TOKEN)
-        return cost - saved * affinity.strength(query.prefix, peer.upstream)
+            cost += OTHER_ZONE_PENALTY_MS
+        saved = min(
+            MAX_AFFINITY_BONUS_MS, query.prompt_tokens * PREFILL_MS_PER_TOKEN
+        )
+        return cost - saved * affinity.cache_likelihood(
+            query.prefix, peer.upstream
+        )
 
     def choose(
         query: routing_query.Query, candidates: Sequence[peer_module.Peer]
     ) -> peer_module.Peer | None:
         if not candidates:
             return None
-        few = _sample(rng, candidates, affinity.holders(query.prefix))
+        few = _sample(rng, candidates, affinity.upstreams_of(query.prefix))
         best = min(few, key=lambda peer: cost_ms(query, peer))
         since_report(best).count += 1
-        affinity.note(query.prefix, best.upstream)
+        affinity.record(query.prefix, best.upstream)
         return best
 
     return choose
@@ -84,11 +88,11 @@
     Reports lag: were all routers to look at all peers, all would run to
     the one that was idle a moment ago. Samples spread them.
     """
-    if len(candidates) <= SAMPLE:
+    if len(candidates) <= SAMPLE_SIZE:
         few = list(candidates)
         rng.shuffle(few)
         return few
-    few = rng.sample(candidates, SAMPLE)
+    few = rng.sample(candidates, SAMPLE_SIZE)
     few += [
         peer
         for peer in candidates
@@ -97,27 +101,27 @@
     return few
 
 
-def _reported_ms(
+def _reported_cost_ms(
     query: routing_query.Query, load: message.Load | None
 ) -> float:
     """Returns the cost of a peer by its newest report, in milliseconds."""
     if load is None:
-        return UNKNOWN_LOAD_MS
+        return UNKNOWN_LOAD_WAIT_MS
     cost = float(load.expected_wait_ms)
     if not load.healthy:
-        cost += UNHEALTHY_MS
+        cost += UNHEALTHY_PENALTY_MS
     if not query.is_call and query.target not in load.models:
-        cost += NOT_LOADED_MS
+        cost += MODEL_LOAD_PENALTY_MS
     if load.capacity_tokens > 0:
         used = load.used_tokens / load.capacity_tokens
-        cost += FULL_MEMORY_MS * used * used
+        cost += FULL_KV_CACHE_PENALTY_MS * used * used
     return cost + load.running * max(0.0, load.token_ms) * 0.1
 
 
-def _step_ms(load: message.Load | None) -> float:
+def _attempt_cost_ms(load: message.Load | None) -> float:
     """Returns what one more attempt adds to a peer's expected wait."""
     if load is None:
-        return UNKNOWN_LOAD_MS
-    return max(MIN_STEP_MS, load.token_ms) + load.expected_wait_ms / (
+        return UNKNOWN_LOAD_WAIT_MS
+    return max(MIN_ATTEMPT_COST_MS, load.token_ms) + load.expected_wait_ms / (
         load.queued + 1
     )
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/query.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/query.py
@@ -14,10 +14,10 @@
         ['Query', Sequence[peer_module.Peer]], peer_module.Peer | None
     ]
 
-__all__ = ['Query', 'expected_wait_ms', 'is_better_elsewhere']
+__all__ = ['Query', 'expected_wait_ms', 'has_better_peer']
 
-MOVE_MIN_WAIT_MS = 500
-MOVE_RATIO = 0.25
+MIN_MOVE_WAIT_MS = 500
+MAX_MOVE_WAIT_RATIO = 0.25
 
 
 @dataclasses.dataclass(slots=True)
@@ -44,7 +44,7 @@
     return peer.load.expected_wait_ms if peer.load is not None else 0.0
 
 
-def is_better_elsewhere(
+def has_better_peer(
     peer: peer_module.Peer, others: Sequence[peer_module.Peer]
 ) -> bool:
     """Whether an attempt queued at `peer` should move to an idle peer.
@@ -53,7 +53,7 @@
     it and the other must be idle by its own report.
     """
     wait_ms = expected_wait_ms(peer)
-    if wait_ms < MOVE_MIN_WAIT_MS and peer.linked and not peer.leaving:
+    if wait_ms < MIN_MOVE_WAIT_MS and peer.linked and not peer.leaving:
         return False
     return any(
         other is not peer and _is_idle(other, wait_ms) for other in others
@@ -65,4 +65,4 @@
     load = peer.load
     if load is None or not load.healthy or load.queued > 0:
         return False
-    return load.expected_wait_ms <= wait_ms * MOVE_RATIO
+    return load.expected_wait_ms <= wait_ms * MAX_MOVE_WAIT_RATIO
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -49,9 +49,9 @@
 __all__ = ['run']
 
 CONFIG_RETRY_S = 0.5
-LAST_WORD_S = 5.0
-ADMIN_ANSWERED = 200
-UNREADABLE = (
+CLOSE_TIMEOUT_S = 5.0
+ADMIN_STATUS_OK = 200
+CONFIG_ERRORS = (
     platform_error.PlatformError,
     config_store.ConfigStoreError,
     schema_error.InvalidDocumentError,
@@ -121,7 +121,7 @@
         lambda entry: takeover.recover(ctx, entry),
         lambda: takeover.release_superseded(ctx),
     )
-    puller = membership.Puller(holder)
+    puller = membership.ConfigPuller(holder)
     peers = peers_module.Peers(
         settings.node,
         incarnation,
@@ -130,7 +130,7 @@
         settings.links,
         link_tls,
         recover_s=settings.requests.recover_s,
-        on_revision=puller.notice,
+        on_revision=puller.on_newer_revision,
     )
     ctx = context.Context(
         settings=settings,
@@ -153,7 +153,7 @@
             settings.retries.budget_ratio, settings.retries.budget_burst
         ),
     )
-    holder.on_change(lambda cfg: _reconfigure(ctx, state, cfg))
+    holder.on_change(lambda cfg: _apply_configuration(ctx, state, cfg))
     return ctx, state
 
 
@@ -167,7 +167,7 @@
     return make(state.registration.count)
 
 
-def _reconfigure(
+def _apply_configuration(
     ctx: context.Context,
     state: durable_state.DurableState,
     cfg: model.Configuration,
@@ -175,16 +175,16 @@
     """Puts a new configuration in force in the parts that keep state."""
     state.registration.router.revision = cfg.revision
     ctx.peers.reconcile(cfg, None)
-    ctx.limiter.forget(set(cfg.accounts))
+    ctx.limiter.retain(set(cfg.accounts))
     try:
-        _change_policies(ctx, state, cfg.policies)
+        _apply_policies(ctx, state, cfg.policies)
     except plugin_error.UnknownPluginError as exc:
         # Another router may have plug-ins that this one lacks; without a
         # policy no request at all could be served here.
         event.note(event.PolicyUnknown(detail=exc.detail))
 
 
-def _change_policies(
+def _apply_policies(
     ctx: context.Context,
     state: durable_state.DurableState,
     policies: model.Policies,
@@ -200,13 +200,15 @@
     """Mounts the administration API."""
 
     async def routers() -> list[view.NodeView]:
-        return await membership.routers(ctx.registration, ctx.table)
+        return await membership.list_routers(ctx.registration, ctx.table)
 
     async def elsewhere(
         req: blacksheep.Request, request: str
-    ) -> forward.Elsewhere:
+    ) -> forward.ForwardResult:
         prefix = f'{routes.PREFIX}/requests'
-        return await forward.ask(ctx, req, prefix, request, ADMIN_ANSWERED)
+        return await forward.forward_to_owner(
+            ctx, req, prefix, request, ADMIN_STATUS_OK
+        )
 
     routes.mount(
         app,
@@ -237,7 +239,7 @@
     )
 
     async def hosts() -> None:
-        await membership.follow_hosts(
+        await membership.poll_hosts(
             platform.hosts, ctx.holder, ctx.peers, settings.hosts_interval_s
         )
 
@@ -262,10 +264,10 @@
     while ctx.holder.revision == 0:
         try:
             await follower.refresh()
-        except UNREADABLE as exc:
+        except CONFIG_ERRORS as exc:
             event.note(event.ConfigurationNotLoaded(detail=str(exc)))
             tls = net_tls.client_context(ctx.settings.link_tls)
-            reply = await membership.newest_of_seeds(
+            reply = await membership.fetch_newest_from_seeds(
                 ctx.settings, incarnation, tls
             )
             if reply is not None:
@@ -292,8 +294,8 @@
     for running in ctx.active:
         running.hand_over()
     if tasks:
-        await asyncio.wait(tasks, timeout=LAST_WORD_S)
-    left_s = max(LAST_WORD_S, deadline - time.monotonic())
+        await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
+    left_s = max(CLOSE_TIMEOUT_S, deadline - time.monotonic())
     cut = await listener.stop(left_s)
     if cut:
         event.note(event.ConnectionsCut(count=cut))
--- a/tests/quetzalsill_router/admin/fake.py
+++ b/tests/quetzalsill_router/admin/fake.py
@@ -157,7 +157,7 @@
         self.holder = holder.Holder()
         self.peers = []
         self.requests = Requests()
-        self.others = forward.Elsewhere()
+        self.others = forward.ForwardResult()
         self.context = context.AdminContext(
             node=name,
             bootstrap_sha256=digest(BOOTSTRAP),
--- a/tests/quetzalsill_router/http/served.py
+++ b/tests/quetzalsill_router/http/served.py
@@ -18,7 +18,7 @@
 
     from quetzalsill_router import context
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 TOKEN = 'retailers-token'
 
 
@@ -32,7 +32,7 @@
     url = f'http://127.0.0.1:{listener.port}'
     try:
         async with (
-            asyncio.timeout(BOUND_S),
+            asyncio.timeout(TIMEOUT_S),
             caller.open_client(url, TOKEN) as client,
         ):
             yield client
@@ -42,7 +42,7 @@
         await listener.stop(0.0)
 
 
-def whole(*texts: str) -> tuple:
+def complete_attempt(*texts: str) -> tuple:
     """Script of an attempt that generates `texts`."""
     items = [fake.event(text) for text in texts]
     return (fake.started(), fake.chunk(0, *items), fake.finished(len(items)))
--- a/tests/quetzalsill_router/http/test_completions.py
+++ b/tests/quetzalsill_router/http/test_completions.py
@@ -27,7 +27,11 @@
     """The API as an unmodified client sees it."""
 
     async def test_whole_and_streamed(self):
-        peer = fake.Peer('one', served.whole('a', 'b'), served.whole('c', 'd'))
+        peer = fake.Peer(
+            'one',
+            served.complete_attempt('a', 'b'),
+            served.complete_attempt('c', 'd'),
+        )
         async with (
             served.serve(fake.make_context(peer)) as client,
             openai_client(client) as api,
@@ -104,7 +108,7 @@
         twice; the answer tells it not to. The outcome can be asked for.
         """
         lost = fake.failed('unknown', code='outcome_unknown')
-        peer = fake.Peer('one', (lost,), served.whole('done'))
+        peer = fake.Peer('one', (lost,), served.complete_attempt('done'))
         ctx = fake.make_context(peer, cfg=fake.configuration(idempotent=False))
         async with (
             served.serve(ctx) as client,
@@ -112,7 +116,7 @@
         ):
             with self.assertRaises(openai.InternalServerError) as caught:
                 await api.completions.create(**BODY)
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
             settled = await client.get(
                 f'/v1/requests/{caught.exception.body["request_id"]}'
             )
@@ -151,7 +155,7 @@
             (b'x' * 4_100_000, 413, None),
         ]
         cases = [(json.dumps(body).encode(), *rest) for body, *rest in cases]
-        peer = fake.Peer('one', served.whole('alive'))
+        peer = fake.Peer('one', served.complete_attempt('alive'))
         async with served.serve(fake.make_context(peer)) as client:
             for data, status, param in cases + raw:
                 with self.subTest(data[:40]):
@@ -237,7 +241,7 @@
         ):
             lines = response.aiter_lines()
             await anext(lines)
-            fast = fake.Peer('two', served.whole(*'abc'))
+            fast = fake.Peer('two', served.complete_attempt(*'abc'))
             ctx.peers = fake.Peers(fast)
             found = await client.post(PATH, json=BODY)
             self.assertEqual(found.json()['choices'][0]['text'], 'abc')
@@ -256,7 +260,7 @@
             await peer.opened.wait()
             task.cancel()
             await peer.attempts[0].closed.wait()
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
         self.assertEqual(len(ctx.active), 0)
 
     async def test_patient_request_outlives_its_caller(self):
@@ -272,9 +276,9 @@
             task.cancel()
             (running,) = ctx.active
             await running.watcher
-            for msg in served.whole('plan'):
+            for msg in served.complete_attempt('plan'):
                 peer.attempts[0].put(msg)
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
         (answer,) = ctx.journal.settled.values()
         self.assertEqual(answer.events, [fake.event('plan')])
 
@@ -288,7 +292,7 @@
         ):
             lines = response.aiter_lines()
             self.assertTrue((await anext(lines)).startswith(':'))
-            for msg in served.whole('a', 'b'):
+            for msg in served.complete_attempt('a', 'b'):
                 peer.attempts[0].put(msg)
             rest = [line async for line in lines if line[:1] == 'd']
         self.assertEqual(len(rest), 3)
--- a/tests/quetzalsill_router/http/test_fetch.py
+++ b/tests/quetzalsill_router/http/test_fetch.py
@@ -23,7 +23,7 @@
     """Durable requests and idempotency keys."""
 
     async def test_repeat_gets_the_stored_answer(self):
-        peer = fake.Peer('one', served.whole('a', 'b'))
+        peer = fake.Peer('one', served.complete_attempt('a', 'b'))
         ctx = fake.make_context(peer)
         ctx.answers = Answers(ctx.journal)
         headers = {'idempotency-key': 'order-1'}
@@ -55,12 +55,12 @@
             self.assertEqual(again.status_code, 409)
             self.assertIsNone(again.json()['error']['not_run'])
             self.assertTrue(again.headers['retry-after'])
-            for msg in served.whole('a'):
+            for msg in served.complete_attempt('a'):
                 peer.attempts[0].put(msg)
             self.assertEqual((await task).status_code, 200)
 
     async def test_patient_request_is_answered_later(self):
-        peer = fake.Peer('one', served.whole('plan'))
+        peer = fake.Peer('one', served.complete_attempt('plan'))
         ctx = fake.make_context(peer, cfg=fake.configuration(durable=True))
         ctx.answers = Answers(ctx.journal)
         async with served.serve(ctx) as client:
@@ -68,7 +68,7 @@
                 PATH, json=BODY, headers={'prefer': 'respond-async'}
             )
             self.assertEqual(found.status_code, 202)
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
             found = await client.get(found.headers['location'])
         self.assertEqual(found.json()['choices'][0]['text'], 'plan')
 
@@ -78,7 +78,7 @@
         The plan can't be kept, so it is refused at once as not run; the
         query needs no store.
         """
-        peer = fake.Peer('one', served.whole('slot'))
+        peer = fake.Peer('one', served.complete_attempt('slot'))
         cfg = fake.configuration()
         cfg.profiles['patient'] = fake.model.Profile(durable=True)
         ctx = fake.make_context(peer, cfg=cfg)
@@ -104,7 +104,7 @@
         peer = fake.Peer(
             'one',
             (fake.started(), fake.failed('unknown', code='outcome_unknown')),
-            served.whole('done'),
+            served.complete_attempt('done'),
         )
         ctx = fake.make_context(peer, cfg=fake.configuration(idempotent=False))
         ctx.answers = Answers(ctx.journal)
@@ -112,7 +112,7 @@
         async with served.serve(ctx) as client:
             first = await client.post(PATH, json=BODY, headers=headers)
             self.assertEqual(first.status_code, 504)
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
             again = await client.post(PATH, json=BODY, headers=headers)
         self.assertEqual(again.json()['choices'][0]['text'], 'done')
         self.assertTrue(peer.attempts[1].dispatch.recover)
@@ -128,7 +128,7 @@
             where = found.headers['location']
             await peer.opened.wait()
             self.assertEqual((await client.delete(where)).status_code, 202)
-            await ctx.active.wait_idle(served.BOUND_S)
+            await ctx.active.wait_idle(served.TIMEOUT_S)
             found = await client.get(where)
         self.assertEqual(found.json()['error']['code'], 'cancelled')
         self.assertTrue(peer.attempts[0].closed.is_set())
@@ -152,7 +152,7 @@
             await peer.opened.wait()
             self.assertEqual((await two.get(where)).status_code, 202)
             self.assertEqual((await two.delete(where)).status_code, 202)
-            await runs.active.wait_idle(served.BOUND_S)
+            await runs.active.wait_idle(served.TIMEOUT_S)
             found = await two.get(where)
         self.assertEqual(found.json()['error']['code'], 'cancelled')
 
--- a/tests/quetzalsill_router/http/test_services.py
+++ b/tests/quetzalsill_router/http/test_services.py
@@ -77,7 +77,7 @@
         Its later pieces are sent only after Started, so nothing of it was
         used up and the second server gets all of it.
         """
-        size = services.FIRST_BYTES + 100_000
+        size = services.MAX_FIRST_BYTES + 100_000
         cfg = fake.configuration()
         cfg.services['ordering'].routes[1].max_body_bytes = size
         one = fake.Peer('one', (fake.refused(),))
@@ -85,8 +85,8 @@
         ctx = fake.make_context(one, two, cfg=cfg)
         ctx.routing = lambda _query, candidates: candidates[0]
         async with served.serve(ctx) as client:
-            content = then(
-                b'x' * services.FIRST_BYTES, two.opened, b'x' * 100_000
+            content = body_in_parts(
+                b'x' * services.MAX_FIRST_BYTES, two.opened, b'x' * 100_000
             )
             task = asyncio.create_task(client.post(ORDERS, content=content))
             await two.opened.wait()
@@ -149,7 +149,7 @@
         Ended at that place, the half of an order list would be taken for
         all of it.
         """
-        size = services.FIRST_BYTES
+        size = services.MAX_FIRST_BYTES
         cfg = fake.configuration()
         cfg.services['ordering'].routes[1].max_body_bytes = 2 * size
         for rest in (b'x' * 1000, b'x' * 2 * size):
@@ -158,7 +158,7 @@
                 parts = [b'x' * size, peer.opened, rest]
                 if len(rest) < size:
                     parts.append(asyncio.Event())
-                content = then(*parts)
+                content = body_in_parts(*parts)
                 task = asyncio.create_task(client.post(ORDERS, content=content))
                 await peer.opened.wait()
                 if len(rest) > size:
@@ -170,7 +170,7 @@
             self.assertFalse(peer.attempts[0].body_ended.is_set())
 
 
-async def then(*parts):
+async def body_in_parts(*parts):
     """A body in parts; events among them are waited for."""
     for part in parts:
         if isinstance(part, bytes):
--- a/tests/quetzalsill_router/routing/test_policies.py
+++ b/tests/quetzalsill_router/routing/test_policies.py
@@ -137,13 +137,13 @@
     def test_decays_and_is_bounded(self):
         now = [0.0]
         memory = affinity.Affinity(lambda: now[0])
-        memory.note('a', 'one')
-        self.assertEqual(memory.strength('a', 'one'), 1.0)
+        memory.record('a', 'one')
+        self.assertEqual(memory.cache_likelihood('a', 'one'), 1.0)
         now[0] = affinity.HALF_LIFE_S
-        self.assertEqual(memory.strength('a', 'one'), 0.5)
+        self.assertEqual(memory.cache_likelihood('a', 'one'), 0.5)
         for index in range(affinity.MAX_PREFIXES):
-            memory.note(str(index), 'one')
-        self.assertEqual(memory.holders('a'), [])
+            memory.record(str(index), 'one')
+        self.assertEqual(memory.upstreams_of('a'), [])
 
 
 class MoveTest(unittest.TestCase):
@@ -153,7 +153,7 @@
         slow = fake.Peer('slow', load=load(4000, queued=3))
         idle = fake.Peer('idle', load=load(0))
         busy = fake.Peer('busy', load=load(100, queued=1))
-        better = query.is_better_elsewhere
+        better = query.has_better_peer
         self.assertTrue(better(slow, [slow, idle]))
         self.assertFalse(better(slow, [slow, busy]))
         self.assertFalse(better(slow, [slow]))
--- a/tests/quetzalsill_router/test_membership.py
+++ b/tests/quetzalsill_router/test_membership.py
@@ -16,7 +16,7 @@
 from quetzalsill_router.peer import error as peer_error
 from tests.quetzalsill_router.request import fake
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class Seed:
@@ -60,17 +60,17 @@
         old = message.ConfigReply(3, b'old')
         new = message.ConfigReply(7, b'new')
         async with (
-            asyncio.timeout(BOUND_S),
+            asyncio.timeout(TIMEOUT_S),
             Seed(credential, old) as one,
             Seed(credential, new) as two,
             Seed('another-credential-of-16', new) as three,
         ):
             settings.seeds = [one, '127.0.0.1:1', two, three]
-            found = await membership.newest_of_seeds(settings, 1, None)
+            found = await membership.fetch_newest_from_seeds(settings, 1, None)
             self.assertEqual((found.revision, found.document), (7, b'new'))
             settings.seeds = ['127.0.0.1:1', three]
             self.assertIsNone(
-                await membership.newest_of_seeds(settings, 1, None)
+                await membership.fetch_newest_from_seeds(settings, 1, None)
             )
 
 
@@ -79,7 +79,7 @@
 
     async def test_installs_what_fits_and_survives_the_rest(self):
         held = config_holder.Holder()
-        puller = membership.Puller(held)
+        puller = membership.ConfigPuller(held)
         fitting = document.render(fake.configuration())
         for reply, revision in (
             (peer_error.ConfigFetchError('link ended'), 0),
@@ -88,8 +88,8 @@
             (message.ConfigReply(2, fitting), 4),
         ):
             peer = Peer(reply)
-            puller.notice(4, peer)
-            puller.notice(4, peer)
+            puller.on_newer_revision(4, peer)
+            puller.on_newer_revision(4, peer)
             await peer.asked.wait()
             await asyncio.sleep(0)
             self.assertEqual(held.revision, revision)
@@ -121,16 +121,16 @@
     async def test_outage_of_the_list_changes_nothing(self):
         hosts, peers = Hosts(), Peers()
         task = asyncio.create_task(
-            membership.follow_hosts(hosts, config_holder.Holder(), peers, 0.0)
+            membership.poll_hosts(hosts, config_holder.Holder(), peers, 0.0)
         )
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await peers.thrice.wait()
         task.cancel()
         self.assertEqual(peers.given[:3], [['a'], None, ['b']])
 
     async def test_long_list_is_read_rarely(self):
         for hosts, interval_s in {0: 2.0, 16: 2.0, 1000: 112.0}.items():
-            found = membership.list_interval_s(2.0, hosts)
+            found = membership.poll_interval_s(2.0, hosts)
             self.assertEqual(found, interval_s)
 
 
--- a/tests/quetzalsill_router/test_run.py
+++ b/tests/quetzalsill_router/test_run.py
@@ -18,7 +18,7 @@
 from tests.quetzalsill.net import certificate
 from tests.quetzalsill_router.peer import fake
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 CREDENTIAL = 'a-credential-of-the-fleet'
 
 
@@ -76,7 +76,7 @@
         ctx.peers.reconcile(
             model.Configuration(upstreams={'engine-1': spec}), None
         )
-        conn = await asyncio.wait_for(self.accepted.get(), BOUND_S)
+        conn = await asyncio.wait_for(self.accepted.get(), TIMEOUT_S)
         self.assertEqual(conn.peer.node, 'entry-1')
 
 
