--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/__init__.py
@@ -1,1 +1,1 @@
-"""Bounds of client accounts, shared by routers."""
+"""Limits of client accounts, divided among the routers."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/bucket.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket that may go into debt."""
+"""Token bucket whose level may become negative."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Bucket:
-    """Units that flow in at a rate, up to a capacity.
+    """Token bucket refilled at a constant rate up to a capacity.
 
     Attributes:
-      rate: Units that flow in per second.
-      capacity: Most units that gather in a quiet time.
+      rate: Units added per second.
+      capacity: Maximum level, reached after an idle period.
     """
 
     def __init__(
@@ -25,28 +25,29 @@
         self._updated = clock()
 
     def resize(self, rate: float, capacity: float) -> None:
-        """Changes rate and capacity; what is over the new capacity goes."""
+        """Sets rate and capacity; units above the new capacity are lost."""
         self.level()
         self.rate = rate
         self.capacity = capacity
         self._level = min(self._level, capacity)
 
     def level(self) -> float:
-        """Returns the units that are there; negative while in debt."""
+        """Returns the current level, which is negative while in debt."""
         now = self._clock()
-        gained = (now - self._updated) * self.rate
-        self._level = min(self.capacity, self._level + gained)
+        refill = (now - self._updated) * self.rate
+        self._level = min(self.capacity, self._level + refill)
         self._updated = now
         return self._level
 
     def consume(self, units: float) -> None:
-        """Takes units, into debt if need be; negative units come back."""
+        """Subtracts `units`, below zero if necessary; negative ones refund."""
         self._level = min(self.capacity, self.level() - units)
 
     def wait_s(self, units: float) -> float:
-        """Returns the seconds until `units`, at most a full bucket, are in.
+        """Returns the seconds until the level reaches `units`.
 
-        It is 0 if they are there now.
+        `units` are capped at the capacity. The result is 0 if the level is
+        already sufficient.
         """
         missing = min(units, self.capacity) - self.level()
         if missing <= 0:
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
@@ -1,4 +1,4 @@
-"""Observed output lengths, to reserve tokens up front."""
+"""Output length estimates, used to reserve tokens at admission."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Lengths:
-    """Moving mean of output lengths by model and profile."""
+    """Moving average of output lengths by model and profile."""
 
     def __init__(self) -> None:
         self._means: collections.OrderedDict[tuple[str, str], float] = (
@@ -20,15 +20,15 @@
         )
 
     def observe(self, model: str, profile: str, tokens: int) -> None:
-        """Counts an answer of `tokens` tokens."""
-        kind = (model, profile)
-        mean = self._means.get(kind, INITIAL_MEAN_TOKENS)
-        self._means[kind] = mean + SMOOTHING * (tokens - mean)
-        self._means.move_to_end(kind)
+        """Records an answer of `tokens` tokens."""
+        key = (model, profile)
+        mean = self._means.get(key, INITIAL_MEAN_TOKENS)
+        self._means[key] = mean + SMOOTHING * (tokens - mean)
+        self._means.move_to_end(key)
         if len(self._means) > MAX_KEYS:
             self._means.popitem(last=False)
 
     def estimate(self, model: str, profile: str, max_tokens: int) -> int:
-        """Returns the tokens that an answer will probably have."""
+        """Returns the expected length of an answer in tokens."""
         mean = self._means.get((model, profile), INITIAL_MEAN_TOKENS)
         return max(1, min(max_tokens, round(mean)))
--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/shares.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/shares.py
@@ -1,20 +1,22 @@
 """Limits of client accounts, divided evenly among the live routers.
 
-Routers do not talk to each other about usage: each of N live routers
-grants its N-th part, from what the platform's registration rows say of N.
+Routers do not exchange usage. Each of N live routers grants 1/N of every
+limit, with N taken from the registration rows in the platform's table.
 
 Error bounds, for all routers together and while their views of N agree:
 
-* Concurrency: at most N - 1 over the limit, since each rounds its part up
-  so that no caller is locked out of a router.
+* Concurrency: at most N - 1 over the limit, because each router rounds its
+  share up so that it admits at least one request.
 * Requests: over any T seconds at most `limit * T / 60` plus one burst of
   `max(limit * 10 / 60, N)`.
-* Tokens: as requests, with what the running answers generate beyond their
-  estimates on top; that debt is paid off before anything new is admitted.
-
-While views of N differ (a router came or went within the last registration
-interval), the bound grows by the factor N_real / N_seen. Uneven balancing
-errs the other way: a router may refuse while another has room.
+* Tokens: as for requests, plus the tokens that running answers generate
+  beyond their estimates. That debt is repaid before new requests are
+  admitted.
+
+While views of N differ (a router joined or left within the last registration
+interval), the bound grows by the factor N_real / N_seen. Uneven load
+balancing has the opposite effect: a router may refuse requests while another
+has capacity left.
 """
 
 from __future__ import annotations
@@ -43,11 +45,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Usage:
-    """What one account uses of this router.
+    """Usage of this router by one account.
 
     Attributes:
-      running: Requests granted and not released.
-      duration_s: Moving mean of how long a grant is held.
+      running: Number of grants that are not released.
+      duration_s: Moving average of how long a grant is held.
       requests: Bucket of requests; None without a limit.
       tokens: Bucket of generated tokens; None without a limit.
     """
@@ -59,7 +61,7 @@
 
 
 class Grant:
-    """Leave for one request; charges its tokens until released."""
+    """Permission to run one request; charges tokens until released."""
 
     def __init__(
         self, usage: _Usage, reserved: int, clock: Callable[[], float]
@@ -71,14 +73,14 @@
         self._released = False
 
     def charge(self, tokens: int) -> None:
-        """Counts generated tokens, first against what was reserved."""
+        """Charges generated tokens, first against the reservation."""
         covered = min(tokens, self._reserved)
         self._reserved -= covered
         if self._usage.tokens is not None:
             self._usage.tokens.consume(tokens - covered)
 
     def release(self) -> None:
-        """Ends the request; gives back what it reserved and did not use."""
+        """Ends the grant and refunds the unused part of the reservation."""
         if self._released:
             return
         self._released = True
@@ -91,7 +93,7 @@
 
 
 class Limiter:
-    """Grants requests of accounts within this router's shares."""
+    """Admits requests of accounts within this router's share of limits."""
 
     def __init__(
         self,
@@ -103,12 +105,12 @@
         self._usages: dict[str, _Usage] = {}
 
     def admit(self, account: str, limits: model.Limits, estimate: int) -> Grant:
-        """Grants one request.
+        """Admits one request.
 
         Args:
           account: Client account.
-          limits: Its limits over all routers.
-          estimate: Tokens that the answer will probably have.
+          limits: Limits of the account over all routers.
+          estimate: Expected length of the answer in tokens.
 
         Raises:
           LimitError: The account is over a limit; not run.
@@ -127,7 +129,7 @@
         return Grant(usage, estimate, self._clock)
 
     def retain(self, accounts: set[str]) -> None:
-        """Drops idle usage of accounts that are not among `accounts`."""
+        """Removes the usage of accounts not in `accounts`, unless in use."""
         for name in list(self._usages):
             if name not in accounts and self._usages[name].running == 0:
                 del self._usages[name]
@@ -135,7 +137,7 @@
     def _resize_buckets(
         self, usage: _Usage, limits: model.Limits, routers: int
     ) -> None:
-        """Fits the buckets to the limits and the number of routers."""
+        """Adapts the buckets to the limits and the number of routers."""
         usage.requests = self._make_or_resize(
             usage.requests, limits.requests_per_minute, routers
         )
@@ -146,7 +148,7 @@
     def _make_or_resize(
         self, old: bucket_module.Bucket | None, limit: int, routers: int
     ) -> bucket_module.Bucket | None:
-        """Returns this router's share of a limit as a bucket."""
+        """Returns the bucket of this router's share; None without a limit."""
         if limit == 0:
             return None
         rate = limit / MINUTE_S / routers
@@ -160,7 +162,7 @@
     def _check_concurrency(
         self, usage: _Usage, limit: int, routers: int
     ) -> None:
-        """Raises `LimitError` if the share of concurrency is used up."""
+        """Raises `LimitError` if this router's concurrency is exhausted."""
         if limit == 0:
             return
         share = math.ceil(limit / routers)
@@ -173,14 +175,14 @@
 
 
 def make_limiter(live_routers: Callable[[], int]) -> Limiter:
-    """Makes the limiter that the configuration names `shares`."""
+    """Makes the limiter registered as policy `shares`."""
     return Limiter(live_routers)
 
 
 def _check_rate(
     bucket: bucket_module.Bucket | None, units: float, what: str
 ) -> None:
-    """Raises `LimitError` if `units` are not in the bucket."""
+    """Raises `LimitError` if the bucket holds fewer than `units`."""
     if bucket is None:
         return
     wait_s = bucket.wait_s(units)
@@ -189,7 +191,7 @@
 
 
 def _limit_error(detail: str, wait_s: float) -> request_error.LimitError:
-    """Builds the refusal with a time to come back that helps."""
+    """Builds the error, with a bounded `Retry-After`."""
     retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
     return request_error.LimitError(
         detail,
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of the upstream for an attempt."""
+"""Routing policies: the choice of an upstream for each attempt."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/baseline.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/baseline.py
@@ -1,4 +1,4 @@
-"""Simple routing policies, to compare others with."""
+"""Baseline routing policies."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 def rotate() -> routing_query.Policy:
-    """Makes a policy that takes the candidates in turn."""
-    turns = itertools.count()
+    """Makes a round-robin policy."""
+    counter = itertools.count()
 
     def choose(
         query: routing_query.Query, candidates: Sequence[peer_module.Peer]
@@ -24,13 +24,13 @@
         del query
         if not candidates:
             return None
-        return candidates[next(turns) % len(candidates)]
+        return candidates[next(counter) % len(candidates)]
 
     return choose
 
 
 def fewest_outstanding() -> routing_query.Policy:
-    """Makes a policy that takes the peer with the fewest own attempts."""
+    """Makes a policy that picks the peer with the fewest own attempts."""
 
     def choose(
         query: routing_query.Query, candidates: Sequence[peer_module.Peer]
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/expected_wait.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/expected_wait.py
@@ -1,4 +1,4 @@
-"""Routing to the least expected wait of a few candidates."""
+"""Routes to the lowest expected wait among a sample of candidates."""
 
 from __future__ import annotations
 
@@ -30,27 +30,29 @@
 
 @dataclasses.dataclass(slots=True)
 class _SentSinceReport:
-    """Own choices of a peer since its newest load report."""
+    """Attempts this router sent to a peer since its latest load report."""
 
     load: message.Load | None
     count: int = 0
 
 
 def expected_wait(rng: random.Random | None = None) -> routing_query.Policy:
-    """Makes the policy; its state is what this router itself sent.
+    """Makes the policy, whose state covers only this router's attempts.
 
     Args:
-      rng: Source of the samples; a fresh one if None.
+      rng: Random generator for samples; a new one if None.
     """
     rng = rng or random.Random()
     affinity = affinity_module.Affinity()
-    sent: dict[str, _SentSinceReport] = {}
+    sent_since_report: dict[str, _SentSinceReport] = {}
 
     def since_report(peer: peer_module.Peer) -> _SentSinceReport:
-        known = sent.get(peer.upstream)
-        if known is None or known.load is not peer.load:
-            known = sent[peer.upstream] = _SentSinceReport(peer.load)
-        return known
+        recent = sent_since_report.get(peer.upstream)
+        if recent is None or recent.load is not peer.load:
+            recent = sent_since_report[peer.upstream] = _SentSinceReport(
+                peer.load
+            )
+        return recent
 
     def cost_ms(query: routing_query.Query, peer: peer_module.Peer) -> float:
         cost = _reported_cost_ms(query, peer.load)
@@ -69,8 +71,8 @@
     ) -> peer_module.Peer | None:
         if not candidates:
             return None
-        few = _sample(rng, candidates, affinity.upstreams_of(query.prefix))
-        best = min(few, key=lambda peer: cost_ms(query, peer))
+        sampled = _sample(rng, candidates, affinity.upstreams_of(query.prefix))
+        best = min(sampled, key=lambda peer: cost_ms(query, peer))
         since_report(best).count += 1
         affinity.record(query.prefix, best.upstream)
         return best
@@ -81,30 +83,30 @@
 def _sample(
     rng: random.Random,
     candidates: Sequence[peer_module.Peer],
-    holders: Sequence[str],
+    cache_holders: Sequence[str],
 ) -> list[peer_module.Peer]:
-    """Returns a few candidates at random, and those with the prefix.
+    """Returns a random sample, plus candidates that may cache the prefix.
 
-    Reports lag: were all routers to look at all peers, all would run to
-    the one that was idle a moment ago. Samples spread them.
+    Load reports lag. If every router compared all peers, all of them would
+    pick the one that was last reported idle; sampling spreads the load.
     """
     if len(candidates) <= SAMPLE_SIZE:
-        few = list(candidates)
-        rng.shuffle(few)
-        return few
-    few = rng.sample(candidates, SAMPLE_SIZE)
-    few += [
+        sampled = list(candidates)
+        rng.shuffle(sampled)
+        return sampled
+    sampled = rng.sample(candidates, SAMPLE_SIZE)
+    sampled += [
         peer
         for peer in candidates
-        if peer.upstream in holders and peer not in few
+        if peer.upstream in cache_holders and peer not in sampled
     ]
-    return few
+    return sampled
 
 
 def _reported_cost_ms(
     query: routing_query.Query, load: message.Load | None
 ) -> float:
-    """Returns the cost of a peer by its newest report, in milliseconds."""
+    """Returns a peer's cost in milliseconds by its latest load report."""
     if load is None:
         return UNKNOWN_LOAD_WAIT_MS
     cost = float(load.expected_wait_ms)
@@ -119,7 +121,7 @@
 
 
 def _attempt_cost_ms(load: message.Load | None) -> float:
-    """Returns what one more attempt adds to a peer's expected wait."""
+    """Returns the wait in milliseconds that one more attempt adds."""
     if load is None:
         return UNKNOWN_LOAD_WAIT_MS
     return max(MIN_ATTEMPT_COST_MS, load.token_ms) + load.expected_wait_ms / (
--- a/packages/quetzalsill-router/src/quetzalsill_router/routing/query.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/routing/query.py
@@ -1,4 +1,4 @@
-"""What a routing policy is asked, and what it knows of each peer."""
+"""Input of routing policies, and the check for moving an attempt."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Query:
-    """One choice of an upstream.
+    """Input of a routing policy for one attempt.
 
     Attributes:
-      target: Model or service name.
-      is_call: The target is a plain service.
+      target: Name of the model or service.
+      is_call: Whether the target is a plain service.
       availability_zone: Availability zone of this router.
-      prefix: Digest of the prompt prefix; empty for none.
-      prompt_tokens: Estimated tokens of the prompt.
+      prefix: Digest of the prompt prefix; empty if there is none.
+      prompt_tokens: Estimated length of the prompt in tokens.
     """
 
     target: str
@@ -40,7 +40,7 @@
 
 
 def expected_wait_ms(peer: peer_module.Peer) -> float:
-    """Returns the wait that the sidecar reported; 0 before any report."""
+    """Returns the wait the sidecar reported; 0 before the first report."""
     return peer.load.expected_wait_ms if peer.load is not None else 0.0
 
 
@@ -49,8 +49,8 @@
 ) -> bool:
     """Whether an attempt queued at `peer` should move to an idle peer.
 
-    A move costs a withdrawal and a second queue, so the wait must be worth
-    it and the other must be idle by its own report.
+    A move withdraws the attempt and queues it again, so the wait must be long
+    enough, and the other peer must report that it is idle.
     """
     wait_ms = expected_wait_ms(peer)
     if wait_ms < MIN_MOVE_WAIT_MS and peer.linked and not peer.leaving:
@@ -61,7 +61,7 @@
 
 
 def _is_idle(peer: peer_module.Peer, wait_ms: float) -> bool:
-    """Whether `peer` reports no queue and a far shorter wait."""
+    """Whether `peer` reports an empty queue and a much shorter wait."""
     load = peer.load
     if load is None or not load.healthy or load.queued > 0:
         return False
--- a/tests/quetzalsill_router/limit/test_shares.py
+++ b/tests/quetzalsill_router/limit/test_shares.py
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """A clock that stands until moved."""
+    """A clock that is advanced by hand."""
 
     def __init__(self):
         self.now = 100.0
@@ -28,13 +28,13 @@
 
 
 def make_fleet(count):
-    """Limiters of routers that see each other, on one clock."""
+    """Returns a clock and limiters of `count` routers that share it."""
     clock = Clock()
     return clock, [shares.Limiter(lambda: count, clock) for _ in range(count)]
 
 
 def admit(limiter, limits, estimate=0):
-    """One request; None if refused."""
+    """Admits one request; returns None if it is refused."""
     try:
         return limiter.admit(ACCOUNT, limits, estimate)
     except request_error.LimitError:
@@ -53,7 +53,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    """Never over the limit by more than the module states."""
+    """Limits are not exceeded by more than the stated error bounds."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -123,9 +123,9 @@
 
 
 class LimiterTest(unittest.TestCase):
-    """Refusals and refunds."""
+    """Refusals, refunds and changed limits."""
 
-    def test_refusal_names_a_time_that_helps(self):
+    def test_retry_after_is_sufficient(self):
         clock, (limiter,) = make_fleet(1)
         limits = model.Limits(requests_per_minute=30)
         while admit(limiter, limits) is not None:
@@ -136,7 +136,7 @@
         clock.now += caught.exception.retry_after_s
         self.assertIsNotNone(admit(limiter, limits))
 
-    def test_unused_reservation_comes_back(self):
+    def test_unused_reservation_is_refunded(self):
         _, (limiter,) = make_fleet(1)
         limits = model.Limits(tokens_per_minute=600)
         for _ in range(50):
@@ -144,7 +144,7 @@
             grant.release()
             grant.release()
 
-    def test_long_answer_is_paid_off_before_the_next(self):
+    def test_token_debt_is_repaid_before_admission(self):
         clock, (limiter,) = make_fleet(1)
         limits = model.Limits(tokens_per_minute=600)
         grant = limiter.admit(ACCOUNT, limits, 10)
@@ -171,7 +171,7 @@
 
 
 class LengthsTest(unittest.TestCase):
-    """Estimates of output lengths."""
+    """Output length estimates."""
 
     def test_follows_what_is_observed(self):
         lengths = length.Lengths()
--- a/tests/quetzalsill_router/routing/test_policies.py
+++ b/tests/quetzalsill_router/routing/test_policies.py
@@ -17,19 +17,19 @@
 
 
 def load(wait_ms=0, *, queued=0, used=0, models=(fake.MODEL,), healthy=True):
-    """A load report."""
+    """Returns a load report."""
     return message.Load(
         queued, 0, used, 1000, wait_ms, 10.0, list(models), False, healthy, 1
     )
 
 
 def ask(prefix='', prompt_tokens=100):
-    """A question from ikeja-hall."""
+    """Returns a query from the first zone."""
     return query.Query(fake.MODEL, False, ZONES[0], prefix, prompt_tokens)
 
 
 def fresh():
-    """The policy with a fixed source of samples."""
+    """Returns the expected-wait policy with a fixed seed."""
     return expected_wait.expected_wait(random.Random(1))
 
 
@@ -54,7 +54,7 @@
 
 
 class PoliciesTest(unittest.TestCase):
-    """What every policy promises."""
+    """Properties of every policy."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(peers, strategies.text(max_size=2))
@@ -85,7 +85,7 @@
 
 
 class ExpectedWaitTest(unittest.TestCase):
-    """What the expected wait weighs."""
+    """Costs in the expected-wait policy."""
 
     def test_shorter_wait_goes_before_the_own_zone(self):
         near = fake.Peer('near', load=load(800))
@@ -99,15 +99,15 @@
 
     def test_loaded_and_healthy_go_first(self):
         best = fake.Peer('best', zone=ZONES[2], load=load(5000))
-        sick = fake.Peer('sick', load=load(healthy=False))
+        unhealthy = fake.Peer('sick', load=load(healthy=False))
         empty = fake.Peer('empty', load=load(models=()))
-        self.assertIs(fresh()(ask(), [sick, empty, best]), best)
+        self.assertIs(fresh()(ask(), [unhealthy, empty, best]), best)
 
     def test_burst_between_two_reports_is_spread(self):
-        """A hundred handsets ask within one reporting interval.
+        """100 requests within one reporting interval use all engines.
 
-        By the lagging reports one engine stays the best; all hundred sent
-        there would queue while the others idle.
+        By its stale load report one engine stays the best. If all requests
+        were sent there, they would queue while the others are idle.
         """
         candidates = [
             fake.Peer(f'up-{index}', load=load(index)) for index in range(4)
@@ -123,31 +123,31 @@
         one = fake.Peer('one', load=load())
         two = fake.Peer('two', load=load())
         policy = fresh()
-        question = ask('prefix', 2000)
-        first = policy(question, [one, two])
+        request = ask('prefix', 2000)
+        first = policy(request, [one, two])
         for _ in range(5):
-            self.assertIs(policy(question, [one, two]), first)
+            self.assertIs(policy(request, [one, two]), first)
         first.load = load(5000, queued=9)
-        self.assertIsNot(policy(question, [one, two]), first)
+        self.assertIsNot(policy(request, [one, two]), first)
 
 
 class AffinityTest(unittest.TestCase):
-    """Memory of prefixes."""
+    """Prefix affinity."""
 
     def test_decays_and_is_bounded(self):
         now = [0.0]
-        memory = affinity.Affinity(lambda: now[0])
-        memory.record('a', 'one')
-        self.assertEqual(memory.cache_likelihood('a', 'one'), 1.0)
+        prefixes = affinity.Affinity(lambda: now[0])
+        prefixes.record('a', 'one')
+        self.assertEqual(prefixes.cache_likelihood('a', 'one'), 1.0)
         now[0] = affinity.HALF_LIFE_S
-        self.assertEqual(memory.cache_likelihood('a', 'one'), 0.5)
+        self.assertEqual(prefixes.cache_likelihood('a', 'one'), 0.5)
         for index in range(affinity.MAX_PREFIXES):
-            memory.record(str(index), 'one')
-        self.assertEqual(memory.upstreams_of('a'), [])
+            prefixes.record(str(index), 'one')
+        self.assertEqual(prefixes.upstreams_of('a'), [])
 
 
 class MoveTest(unittest.TestCase):
-    """When a queued attempt should move."""
+    """Moves of queued attempts."""
 
     def test_only_to_an_idle_peer_and_only_if_it_is_worth_it(self):
         slow = fake.Peer('slow', load=load(4000, queued=3))
