--- a/packages/quetzalsill-router/src/quetzalsill_router/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/__init__.py
@@ -1,1 +1,1 @@
-"""The router: takes the requests of callers on an entry host."""
+"""The router: accepts callers' requests on an entry host."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/context.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one router process share."""
+"""State shared by the components of one router process."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """The router as its requests see it.
+    """Components and state that requests of one router use.
 
     Attributes:
       settings: Settings of the process.
-      holder: The configuration in force.
-      store: Revisions in the platform.
-      table: The platform's table.
-      recent: Outcomes that no journal keeps.
+      holder: The active configuration.
+      store: Configuration revisions in the platform.
+      table: The platform's table service.
+      recent: Recent outcomes of requests that are not journaled.
       peers: Links to sidecars.
-      journal: Makes acceptances and outcomes durable.
+      journal: Journal of accepted requests and their outcomes.
       claims: Idempotency keys.
-      answers: Settled answers.
-      registration: The live routers.
-      request_ids: Source of ids of requests that no journal names.
-      active: Requests that run here now.
-      limiter: Limits of client accounts.
-      lengths: Observed output lengths.
-      budget: Budget of the router's own retries.
-      routing: Policy that chooses the upstream.
-      policies: Names of the policies that `limiter` and `routing` follow.
-      ready: Whether the balancer should send new callers.
-      stopping: No new work is taken.
+      answers: Stored answers of settled requests.
+      registration: Registration of this router, and the live routers.
+      request_ids: Generator of ids for requests that are not journaled.
+      active: Requests that this router is running.
+      limiter: Enforces the limits of client accounts.
+      lengths: Output length estimates.
+      budget: Retry budget of this router.
+      routing: Routing policy.
+      policies: Names of the policies of `limiter` and `routing`.
+      ready: Whether the load balancer may send new callers.
+      stopping: Whether new requests are refused.
     """
 
     settings: settings.RouterSettings
--- a/packages/quetzalsill-router/src/quetzalsill_router/event.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/event.py
@@ -1,4 +1,4 @@
-"""Every event that a router writes to its log, with its fields."""
+"""Log events of the router and their fields."""
 
 from __future__ import annotations
 
@@ -40,17 +40,17 @@
 
 @event.define
 class AttemptEnded(event.Event):
-    """An attempt did not bring the whole answer.
+    """An attempt ended without a complete answer.
 
     Attributes:
       request: Id of the request.
       upstream: Name of the upstream.
       code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
-      ran: Whether it has run: `yes`, `no` or `unknown`.
-      gone: Whether the sidecar that had it is gone.
-      moved: Whether it goes on at another upstream.
-      delivered: What of the answer the caller has.
+      detail: Description of what happened.
+      ran: Whether it ran: `yes`, `no` or `unknown`.
+      gone: Whether the sidecar that held it is gone.
+      moved: Whether it continues at another upstream.
+      delivered: How much of the answer the caller received.
     """
 
     request: str
@@ -65,10 +65,10 @@
 
 @event.define
 class ConfigurationNotLoaded(event.Event, level='warning'):
-    """The first configuration cannot be read yet.
+    """The initial configuration cannot be read yet.
 
     Attributes:
-      detail: What happened, in words.
+      detail: Description of what happened.
     """
 
     detail: str
@@ -76,11 +76,11 @@
 
 @event.define
 class ConfigurationNotPulled(event.Event):
-    """A sidecar that has a newer configuration did not give it.
+    """Fetching a newer configuration from a sidecar failed.
 
     Attributes:
       upstream: Name of the upstream.
-      detail: What happened, in words.
+      detail: Description of what happened.
     """
 
     upstream: str
@@ -92,7 +92,7 @@
     """Connections were still open at the end of the grace period.
 
     Attributes:
-      count: How many.
+      count: Number of connections.
     """
 
     count: int
@@ -100,11 +100,11 @@
 
 @event.define
 class ForwardFailed(event.Event):
-    """Another router gave no answer to a call handed on to it.
+    """Another router did not answer a forwarded call.
 
     Attributes:
-      router: Node of the router.
-      detail: What happened, in words.
+      router: Node name of the router.
+      detail: Description of what happened.
     """
 
     router: str
@@ -113,11 +113,11 @@
 
 @event.define
 class GoingAway(event.Event):
-    """A sidecar takes no more work.
+    """A sidecar accepts no more work.
 
     Attributes:
       upstream: Name of the upstream.
-      reason: What was given as the reason.
+      reason: Reason given by the sidecar.
     """
 
     upstream: str
@@ -126,10 +126,10 @@
 
 @event.define
 class HostListDown(event.Event, level='warning'):
-    """The host list cannot be read; what it said last goes on.
+    """The host list cannot be read; its last state is kept.
 
     Attributes:
-      detail: What happened, in words.
+      detail: Description of what happened.
     """
 
     detail: str
@@ -137,16 +137,16 @@
 
 @event.define
 class HttpFault(event.Event, level='error'):
-    """A handler failed in a way that nobody foresaw."""
+    """An HTTP handler failed with an unexpected exception."""
 
 
 @event.define
 class Leaving(event.Event):
-    """A sidecar says that its upstream leaves.
+    """A sidecar announced that its upstream is leaving.
 
     Attributes:
       upstream: Name of the upstream.
-      reason: What was given as the reason.
+      reason: Reason given by the sidecar.
     """
 
     upstream: str
@@ -160,8 +160,8 @@
     Attributes:
       upstream: Name of the upstream.
       code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
-      outstanding: Attempts under way there.
+      detail: Description of what happened.
+      outstanding: Number of attempts in flight there.
     """
 
     upstream: str
@@ -172,13 +172,13 @@
 
 @event.define
 class Linked(event.Event):
-    """A sidecar is linked.
+    """A link to a sidecar was established.
 
     Attributes:
       upstream: Name of the upstream.
-      incarnation: Number of this start of the process.
-      same: Whether it is the process that was known.
-      outstanding: Attempts under way there.
+      incarnation: Incarnation number of the process.
+      same: Whether it is the same process as before.
+      outstanding: Number of attempts in flight there.
     """
 
     upstream: str
@@ -189,7 +189,7 @@
 
 @event.define
 class PeerTaskFailed(event.Event, level='error'):
-    """What keeps up a link failed in a way that nobody foresaw.
+    """The task that maintains a link failed unexpectedly.
 
     Attributes:
       upstream: Name of the upstream.
@@ -200,13 +200,13 @@
 
 @event.define
 class PeerUnreachable(event.Event, level='warning'):
-    """A sidecar cannot be linked; said once until it can.
+    """A link cannot be established; logged once until it can.
 
     Attributes:
       upstream: Name of the upstream.
-      address: Where it was dialled.
+      address: Address that was dialed.
       code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      detail: Description of what happened.
     """
 
     upstream: str
@@ -217,10 +217,10 @@
 
 @event.define
 class PolicyUnknown(event.Event, level='error'):
-    """The configuration names a policy that is not known here.
+    """The configuration names a policy unknown to this router.
 
     Attributes:
-      detail: What happened, in words.
+      detail: Description of what happened.
     """
 
     detail: str
@@ -228,18 +228,18 @@
 
 @event.define
 class RequestEnded(event.Event):
-    """A request has its outcome.
+    """A request ended with an outcome.
 
     Attributes:
       request: Id of the request.
       account: Client account.
-      profile: Profile that was promised.
-      target: Model or service asked for.
+      profile: Name of the profile.
+      target: Name of the requested model or service.
       code: Code of the failure; `ok` or empty if none.
-      ran: Whether it has run: `yes`, `no` or `unknown`.
-      attempts: Attempts made.
-      delivered: What of the answer the caller has.
-      seconds: How long it took so far.
+      ran: Whether it ran: `yes`, `no` or `unknown`.
+      attempts: Number of attempts made.
+      delivered: How much of the answer the caller received.
+      seconds: Time since acceptance.
     """
 
     request: str
@@ -255,7 +255,7 @@
 
 @event.define
 class RequestFault(event.Event, level='error'):
-    """A request failed in a way that nobody foresaw.
+    """A request failed with an unexpected exception.
 
     Attributes:
       request: Id of the request.
@@ -266,15 +266,15 @@
 
 @event.define
 class RequestRefused(event.Event):
-    """A request was answered with a failure.
+    """A request was answered with an error.
 
     Attributes:
       request: Id of the request.
-      method: Method in capitals.
-      path: Path that was asked for.
+      method: HTTP method in upper case.
+      path: Path of the request.
       code: Code of the failure; `ok` or empty if none.
-      status: Status that the caller got.
-      detail: What happened, in words.
+      status: HTTP status sent to the caller.
+      detail: Description of what happened.
     """
 
     request: str
@@ -287,12 +287,12 @@
 
 @event.define
 class RequestTakenOver(event.Event):
-    """A request of a router that is gone goes on here.
+    """A request of a router that is gone continues here.
 
     Attributes:
       request: Id of the request.
-      durable: Whether it is kept until it has its outcome.
-      had_run: Whether a run of it was known.
+      durable: Whether it is stored until it is settled.
+      had_run: Whether a run of it is known.
     """
 
     request: str
@@ -302,15 +302,15 @@
 
 @event.define
 class RequestUnfinished(event.Event, level='warning'):
-    """A request still runs at the end of the grace period.
+    """A request is still running at the end of the grace period.
 
     Attributes:
       request: Id of the request.
       account: Client account.
-      target: Model or service asked for.
+      target: Name of the requested model or service.
       upstream: Name of the upstream.
-      durable: Whether it is kept until it has its outcome.
-      seconds: How long it took so far.
+      durable: Whether it is stored until it is settled.
+      seconds: Time since acceptance.
     """
 
     request: str
@@ -323,11 +323,11 @@
 
 @event.define
 class RouterReady(event.Event):
-    """The router listens.
+    """The router is listening.
 
     Attributes:
-      port: Port listened at.
-      incarnation: Number of this start of the process.
+      port: Port it listens on.
+      incarnation: Incarnation number of the process.
     """
 
     port: int
@@ -336,15 +336,15 @@
 
 @event.define
 class RouterStopped(event.Event):
-    """The router has ended gracefully."""
+    """The router stopped gracefully."""
 
 
 @event.define
 class RouterStopping(event.Event):
-    """The router takes no new work.
+    """The router is draining and will refuse new work.
 
     Attributes:
-      running: Requests under way.
+      running: Number of requests in flight.
     """
 
     running: int
@@ -352,11 +352,11 @@
 
 @event.define
 class SeedUnreachable(event.Event):
-    """A sidecar that should give the first configuration did not.
+    """A seed did not return the initial configuration.
 
     Attributes:
-      seed: Address asked.
-      detail: What happened, in words.
+      seed: Address of the sidecar.
+      detail: Description of what happened.
     """
 
     seed: str
@@ -365,7 +365,7 @@
 
 @event.define
 class SettleDelayed(event.Event, level='warning'):
-    """An outcome could not be written in time; it is written later.
+    """An outcome could not be written in time; it will be written later.
 
     Attributes:
       request: Id of the request.
@@ -376,7 +376,7 @@
 
 @event.define
 class SettleSuperseded(event.Event, level='warning'):
-    """Another router has settled the request.
+    """The request was already settled by another router.
 
     Attributes:
       request: Id of the request.
--- a/packages/quetzalsill-router/src/quetzalsill_router/membership.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/membership.py
@@ -1,4 +1,4 @@
-"""Keeps the router's peers and configuration in step with the system."""
+"""Follows the host list, and fetches configuration from sidecars."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 ]
 
 SEED_TIMEOUT_S = 3.0
-# The list is a hint: a sidecar itself says that it is leaving, and an edit
-# gives a new address within seconds. So it may cost a third of what a node
-# has for control.
+# The host list is only a hint: a sidecar announces its own departure, and a
+# configuration edit announces a new address within seconds. Reading it may use
+# a third of a node's bandwidth for control traffic.
 BYTES_PER_HOST = 112
 MAX_LIST_BYTES_PER_S = 1000
 
@@ -49,37 +49,37 @@
     peers: peers_module.Peers,
     interval_s: float,
 ) -> None:
-    """Reconciles the peers with the host list, until cancelled.
+    """Reconciles the peers with the host list until cancelled.
 
-    The list lags and may be down; the peers then go on as they are. A long
-    list is read more rarely, since it comes whole each time.
+    The list may be stale. While it is unavailable, the peers stay unchanged.
+    A long list is polled less often, as each poll transfers all of it.
     """
     down = False
     while True:
-        wait_s = interval_s
+        delay_s = interval_s
         try:
-            found = await hosts.fetch()
+            listed = await hosts.fetch()
         except platform_error.PlatformError as exc:
             if not down:
                 event.note(event.HostListDown(detail=exc.detail))
             down = True
-            found = None
+            listed = None
         else:
             down = False
-            wait_s = poll_interval_s(interval_s, len(found))
-        peers.reconcile(holder.current, found)
-        await asyncio.sleep(wait_s)
+            delay_s = poll_interval_s(interval_s, len(listed))
+        peers.reconcile(holder.current, listed)
+        await asyncio.sleep(delay_s)
 
 
-def poll_interval_s(least_s: float, hosts: int) -> float:
-    """Gives the time between two reads of a list of so many hosts, in s."""
-    return max(least_s, hosts * BYTES_PER_HOST / MAX_LIST_BYTES_PER_S)
+def poll_interval_s(min_s: float, hosts: int) -> float:
+    """Returns the poll interval in s for a list of `hosts` hosts."""
+    return max(min_s, hosts * BYTES_PER_HOST / MAX_LIST_BYTES_PER_S)
 
 
 class ConfigPuller:
-    """Fetches a newer configuration from the sidecar that named it.
+    """Fetches a newer configuration from the sidecar that announced it.
 
-    The store may be down while a peer has the newest revision already.
+    A peer may have the newest revision while the store is unavailable.
     """
 
     def __init__(self, holder: config_holder.Holder) -> None:
@@ -87,7 +87,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def on_newer_revision(self, revision: int, peer: peer_module.Peer) -> None:
-        """Starts one fetch from a peer that has a newer revision."""
+        """Starts a fetch from a peer with a newer revision, unless running."""
         if peer.upstream in self._tasks:
             return
         task = asyncio.get_running_loop().create_task(self._pull(peer))
@@ -112,12 +112,12 @@
 async def list_routers(
     registration: durable_registration.Registration, table: platform_table.Table
 ) -> list[view.NodeView]:
-    """Reads the live routers, with the revisions that their rows name now.
+    """Returns the live routers, with the revisions in their current rows.
 
     Raises:
-      PlatformUnavailableError: The table does not answer.
+      PlatformUnavailableError: The table is unavailable.
     """
-    rows = [found.row for found in await durable_row.scan(table)]
+    rows = [item.row for item in await durable_row.scan(table)]
     revisions = {(row.node, row.incarnation): row.revision for row in rows}
     return [
         view.NodeView(
@@ -141,11 +141,11 @@
     incarnation: int,
     tls: ssl.SSLContext | None,
 ) -> message.ConfigReply | None:
-    """Asks all seeds at once and returns the newest configuration.
+    """Queries all seeds concurrently and returns the newest configuration.
 
-    A router that starts while the store is down could otherwise serve
-    under a revision that was superseded long ago: the newest of several
-    is what was last in force wherever an accepted edit arrived.
+    With a single seed, a router that starts while the store is down could
+    serve with a revision that was superseded long ago. The newest of several
+    includes every accepted edit that reached one of the seeds.
 
     Returns:
       None if no seed has a configuration.
@@ -164,8 +164,8 @@
             for seed in settings.seeds
         )
     )
-    known = [reply for reply in replies if reply is not None]
-    return max(known, key=lambda reply: reply.revision, default=None)
+    received = [reply for reply in replies if reply is not None]
+    return max(received, key=lambda reply: reply.revision, default=None)
 
 
 async def _fetch_from_seed(
@@ -174,7 +174,7 @@
     settings: settings_module.RouterSettings,
     tls: ssl.SSLContext | None,
 ) -> message.ConfigReply | None:
-    """Returns the configuration of one seed; None if it has or says none."""
+    """Returns a seed's configuration; None if it has none or fails."""
     try:
         async with (
             asyncio.timeout(SEED_TIMEOUT_S),
@@ -195,7 +195,7 @@
     settings: settings_module.RouterSettings,
     tls: ssl.SSLContext | None,
 ) -> AsyncIterator[AsyncIterator[message.Message]]:
-    """Opens a link to a seed and asks for its configuration."""
+    """Opens a link to a seed and requests its configuration."""
     host, _, port = seed.rpartition(':')
     link = await dial.dial(host, int(port), hello, settings.links, tls)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
@@ -16,7 +16,7 @@
 
 
 def register(registry: registry.Registry) -> None:
-    """Adds everything that this package brings."""
+    """Registers the router's role and its policies."""
     registry.add(
         'role',
         'router',
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -1,4 +1,4 @@
-"""The router process: wires its parts together and stops gracefully."""
+"""The router process: builds its components, serves, and stops."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     platform: clients.Clients,
     stop: net_stop.StopSignal,
 ) -> None:
-    """Serves callers until the stop is asked for, and then stops."""
+    """Serves callers until a stop is requested, then stops gracefully."""
     incarnation = ident.new_incarnation()
     ctx, state = _build(settings, platform, incarnation)
     app = http_app.build(ctx)
@@ -99,14 +99,14 @@
     platform: clients.Clients,
     incarnation: int,
 ) -> tuple[context.Context, durable_state.DurableState]:
-    """Makes the parts of a router that is not serving yet."""
+    """Builds the components of a router that is not serving yet."""
     holder = config_holder.Holder()
-    # Asked for at each dial, as the files are replaced before they expire.
+    # Built at each dial, as the files are replaced before they expire.
     link_tls = functools.partial(net_tls.client_context, settings.link_tls)
-    # Files that cannot be used end the start instead of each dial.
+    # Unusable files fail the start instead of every dial.
     link_tls()
     policies = holder.current.policies
-    me = durable_registration.Router(
+    this_router = durable_registration.Router(
         node=settings.node.name,
         incarnation=incarnation,
         address='',
@@ -116,7 +116,7 @@
     state = durable_state.DurableState(
         platform.table,
         platform.objects,
-        me,
+        this_router,
         settings.durable,
         lambda entry: takeover.recover(ctx, entry),
         lambda: takeover.release_superseded(ctx),
@@ -158,10 +158,10 @@
 
 
 def _limiter(name: str, state: durable_state.DurableState) -> object:
-    """Makes the limiter of a policy.
+    """Makes the limiter of the named policy.
 
     Raises:
-      UnknownPluginError: There is no such policy.
+      UnknownPluginError: The policy is not registered.
     """
     make = registry.REGISTRY.get('limits', name)
     return make(state.registration.count)
@@ -172,15 +172,15 @@
     state: durable_state.DurableState,
     cfg: model.Configuration,
 ) -> None:
-    """Puts a new configuration in force in the parts that keep state."""
+    """Applies a new configuration to the components that keep state."""
     state.registration.router.revision = cfg.revision
     ctx.peers.reconcile(cfg, None)
     ctx.limiter.retain(set(cfg.accounts))
     try:
         _apply_policies(ctx, state, cfg.policies)
     except plugin_error.UnknownPluginError as exc:
-        # Another router may have plug-ins that this one lacks; without a
-        # policy no request at all could be served here.
+        # Other routers may have plug-ins that this one lacks. The old
+        # policies stay: without any, no request could be served.
         event.note(event.PolicyUnknown(detail=exc.detail))
 
 
@@ -189,7 +189,7 @@
     state: durable_state.DurableState,
     policies: model.Policies,
 ) -> None:
-    """Makes the policies that have changed by name."""
+    """Replaces the policies; a limiter only if its name has changed."""
     if policies.limits != ctx.policies.limits:
         ctx.limiter = _limiter(policies.limits, state)
     ctx.routing = registry.REGISTRY.get('routing', policies.routing)
@@ -232,7 +232,7 @@
     platform: clients.Clients,
     incarnation: int,
 ) -> AsyncIterator[None]:
-    """Keeps configuration, peers and registration up to date meanwhile."""
+    """Updates configuration, peers and registration in the background."""
     settings = ctx.settings
     follower = config_follower.Follower(
         ctx.store, ctx.holder, settings.follow_interval_s
@@ -260,7 +260,7 @@
 async def _load_configuration(
     ctx: context.Context, follower: config_follower.Follower, incarnation: int
 ) -> None:
-    """Gets the first configuration, then lets the balancer send callers."""
+    """Loads the initial configuration, then marks the router as ready."""
     while ctx.holder.revision == 0:
         try:
             await follower.refresh()
@@ -278,7 +278,7 @@
 
 
 async def _drain(ctx: context.Context, listener: server.HttpServer) -> None:
-    """Takes no new work and lets what runs come to its end."""
+    """Refuses new work and waits for running requests to end."""
     settings = ctx.settings.stop
     event.note(event.RouterStopping(running=len(ctx.active)))
     ctx.ready = False
@@ -295,14 +295,14 @@
         running.hand_over()
     if tasks:
         await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
-    left_s = max(CLOSE_TIMEOUT_S, deadline - time.monotonic())
-    cut = await listener.stop(left_s)
-    if cut:
-        event.note(event.ConnectionsCut(count=cut))
+    timeout_s = max(CLOSE_TIMEOUT_S, deadline - time.monotonic())
+    open_connections = await listener.stop(timeout_s)
+    if open_connections:
+        event.note(event.ConnectionsCut(count=open_connections))
 
 
 def _log_unfinished(ctx: context.Context) -> None:
-    """Tells the operator what still runs at the end of the grace."""
+    """Logs the requests that still run at the end of the grace period."""
     for running in ctx.active:
         event.note(
             event.RequestUnfinished(
--- a/packages/quetzalsill-router/src/quetzalsill_router/settings.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/settings.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestSettings:
-    """Bounds and times of callers' requests."""
+    """Limits and timeouts of callers' requests."""
 
     max_body_bytes: int = key(
         'Largest body of a generation request.',
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RetrySettings:
-    """Retries of the router itself."""
+    """Retries made by the router."""
 
     budget_ratio: float = key(
         'Retries allowed per request, over all requests.',
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(slots=True)
 class StopSettings:
-    """Graceful stop."""
+    """Graceful stop of the router."""
 
     drain_delay_s: float = key(
         'Time from not ready to refusing, for the balancer to notice.',
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RouterSettings:
-    """Everything that one router process is told at its start."""
+    """All settings of a router process."""
 
     node: section.Node = key('This process.')
     listen: section.Listen = key('Address for callers and operators.')
--- a/tests/quetzalsill_router/test_membership.py
+++ b/tests/quetzalsill_router/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: configuration from peers, and the host list."""
+"""Tests of the host list and of configuration from sidecars."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Seed:
-    """A sidecar that answers for its configuration, or stays silent."""
+    """A sidecar that returns its configuration, or does not respond."""
 
     def __init__(self, credential, reply):
         self._reply = reply
@@ -47,13 +47,13 @@
 
 
 class SeedsTest(unittest.IsolatedAsyncioTestCase):
-    """Start of a router while the store is down."""
+    """Start of a router while the store is unavailable."""
 
-    async def test_newest_of_those_that_answer_counts(self):
-        """The store is down when a router starts again.
+    async def test_newest_reply_is_used(self):
+        """A router that restarts while the store is down uses the newest reply.
 
-        One seed is dead, one has no configuration, one has an old one. The
-        old one in force would revert an accepted edit.
+        One seed is unreachable, one refuses the credential, and two have
+        configurations. Using the older one would revert an accepted edit.
         """
         settings = fake.make_context().settings
         credential = settings.credential
@@ -75,11 +75,11 @@
 
 
 class PullerTest(unittest.IsolatedAsyncioTestCase):
-    """Newer configuration from a peer."""
+    """Fetches of a newer configuration from a peer."""
 
-    async def test_installs_what_fits_and_survives_the_rest(self):
-        held = config_holder.Holder()
-        puller = membership.ConfigPuller(held)
+    async def test_installs_newer_and_ignores_invalid(self):
+        holder = config_holder.Holder()
+        puller = membership.ConfigPuller(holder)
         fitting = document.render(fake.configuration())
         for reply, revision in (
             (peer_error.ConfigFetchError('link ended'), 0),
@@ -90,33 +90,33 @@
             peer = Peer(reply)
             puller.on_newer_revision(4, peer)
             puller.on_newer_revision(4, peer)
-            await peer.asked.wait()
+            await peer.fetched.wait()
             await asyncio.sleep(0)
-            self.assertEqual(held.revision, revision)
+            self.assertEqual(holder.revision, revision)
             self.assertEqual(peer.count, 1)
             await asyncio.sleep(0)
 
 
 class Peer:
-    """A peer that answers one fetch."""
+    """A peer that replies to fetches and counts them."""
 
     upstream = 'one'
 
     def __init__(self, reply):
         self._reply = reply
-        self.asked = asyncio.Event()
+        self.fetched = asyncio.Event()
         self.count = 0
 
     async def fetch_config(self, _revision):
         self.count += 1
-        self.asked.set()
+        self.fetched.set()
         if isinstance(self._reply, Exception):
             raise self._reply
         return self._reply
 
 
 class HostsTest(unittest.IsolatedAsyncioTestCase):
-    """The host list and its outages."""
+    """Polling of the host list, and its outages."""
 
     async def test_outage_of_the_list_changes_nothing(self):
         hosts, peers = Hosts(), Peers()
@@ -124,7 +124,7 @@
             membership.poll_hosts(hosts, config_holder.Holder(), peers, 0.0)
         )
         async with asyncio.timeout(TIMEOUT_S):
-            await peers.thrice.wait()
+            await peers.reconciled_three_times.wait()
         task.cancel()
         self.assertEqual(peers.given[:3], [['a'], None, ['b']])
 
@@ -135,7 +135,7 @@
 
 
 class Hosts:
-    """A list that fails the second time."""
+    """A host list whose second read fails."""
 
     def __init__(self):
         self._answers = [['a'], None]
@@ -148,13 +148,13 @@
 
 
 class Peers:
-    """Keeps what it is given."""
+    """Records the host lists it is given."""
 
     def __init__(self):
         self.given = []
-        self.thrice = asyncio.Event()
+        self.reconciled_three_times = asyncio.Event()
 
     def reconcile(self, _cfg, hosts):
         self.given.append(hosts)
         if len(self.given) == 3:
-            self.thrice.set()
+            self.reconciled_three_times.set()
--- a/tests/quetzalsill_router/test_run.py
+++ b/tests/quetzalsill_router/test_run.py
@@ -1,4 +1,4 @@
-"""Tests of how a router process is put together."""
+"""Tests of the assembly of a router process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RunTest(unittest.IsolatedAsyncioTestCase):
-    """Parts of a router that is not serving."""
+    """Components of a router that is not serving."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -51,27 +51,27 @@
         return server.port
 
     async def test_links_use_replaced_certificates(self):
-        """All links fail on the day when the certificates run out.
+        """Links fail once the certificate loaded at the start has expired.
 
-        The router's files were replaced in time, its process runs on, and
-        the sidecars let in only what the new authority signed.
+        The router's files were replaced in time while its process kept
+        running, and sidecars accept only certificates of the new authority.
         """
         registry.REGISTRY.load()
-        ours = certificate.Authority(self.folder, 'ours')
-        other = certificate.Authority(self.folder, 'other')
+        old_authority = certificate.Authority(self.folder, 'ours')
+        new_authority = certificate.Authority(self.folder, 'other')
         platform = section.Platform(*['http://127.0.0.1:1'] * 3)
         cfg = settings.RouterSettings(
             node=section.Node('entry-1', 'dha-hall'),
             listen=section.Listen(),
             platform=platform,
             credential=CREDENTIAL,
-            link_tls=ours.issue('router'),
+            link_tls=old_authority.issue('router'),
         )
         ctx, _ = run._build(cfg, clients.Clients(platform), 1)
         self.addAsyncCleanup(ctx.peers.stop)
-        shutil.copy(other.path, ours.path)
-        other.issue('router')
-        port = await self.serve(other.issue('sidecar'))
+        shutil.copy(new_authority.path, old_authority.path)
+        new_authority.issue('router')
+        port = await self.serve(new_authority.issue('sidecar'))
         spec = model.Upstream('model', f'127.0.0.1:{port}', 'dha-hall')
         ctx.peers.reconcile(
             model.Configuration(upstreams={'engine-1': spec}), None
