--- a/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/limit/length.py
@@ -1,4 +1,4 @@
-"""Observed output lengths, to reserve tokens up front."""
+"""Output length estimates, used to reserve tokens at admission."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 __all__ = ['Lengths']
 
-FIRST_GUESS = 256.0
-WEIGHT = 0.05
-MAX_KINDS = 4096
+INITIAL_MEAN_TOKENS = 256.0
+SMOOTHING = 0.05
+MAX_KEYS = 4096
 
 
 class Lengths:
-    """Moving mean of output lengths by model and profile."""
+    """Moving average of output lengths by model and profile."""
 
     def __init__(self) -> None:
         self._means: collections.OrderedDict[tuple[str, str], float] = (
@@ -20,15 +20,15 @@
         )
 
     def observe(self, model: str, profile: str, tokens: int) -> None:
-        """Counts an answer of `tokens` tokens."""
-        kind = (model, profile)
-        mean = self._means.get(kind, FIRST_GUESS)
-        self._means[kind] = mean + WEIGHT * (tokens - mean)
-        self._means.move_to_end(kind)
-        if len(self._means) > MAX_KINDS:
+        """Records an answer of `tokens` tokens."""
+        key = (model, profile)
+        mean = self._means.get(key, INITIAL_MEAN_TOKENS)
+        self._means[key] = mean + SMOOTHING * (tokens - mean)
+        self._means.move_to_end(key)
+        if len(self._means) > MAX_KEYS:
             self._means.popitem(last=False)
 
     def estimate(self, model: str, profile: str, max_tokens: int) -> int:
-        """Returns the tokens that an answer will probably have."""
-        mean = self._means.get((model, profile), FIRST_GUESS)
+        """Returns the expected length of an answer in tokens."""
+        mean = self._means.get((model, profile), INITIAL_MEAN_TOKENS)
         return max(1, min(max_tokens, round(mean)))
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -1,4 +1,4 @@
-"""The router process: wires its parts together and stops gracefully."""
+"""The router process: builds its components, serves, and stops."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
 __all__ = ['run']
 
 CONFIG_RETRY_S = 0.5
-LAST_WORD_S = 5.0
-ADMIN_ANSWERED = 200
-UNREADABLE = (
+CLOSE_TIMEOUT_S = 5.0
+ADMIN_STATUS_OK = 200
+CONFIG_ERRORS = (
     platform_error.PlatformError,
     config_store.ConfigStoreError,
     schema_error.InvalidDocumentError,
@@ -70,7 +70,7 @@
     platform: clients.Clients,
     stop: net_stop.StopSignal,
 ) -> None:
-    """Serves callers until the stop is asked for, and then stops."""
+    """Serves callers until a stop is requested, then stops gracefully."""
     incarnation = ident.new_incarnation()
     ctx, state = _build(settings, platform, incarnation)
     app = http_app.build(ctx)
@@ -99,14 +99,14 @@
     platform: clients.Clients,
     incarnation: int,
 ) -> tuple[context.Context, durable_state.DurableState]:
-    """Makes the parts of a router that is not serving yet."""
+    """Builds the components of a router that is not serving yet."""
     holder = config_holder.Holder()
-    # Asked for at each dial, as the files are replaced before they expire.
+    # Built at each dial, as the files are replaced before they expire.
     link_tls = functools.partial(net_tls.client_context, settings.link_tls)
-    # Files that cannot be used end the start instead of each dial.
+    # Unusable files fail the start instead of every dial.
     link_tls()
     policies = holder.current.policies
-    me = durable_registration.Router(
+    this_router = durable_registration.Router(
         node=settings.node.name,
         incarnation=incarnation,
         address='',
@@ -116,12 +116,12 @@
     state = durable_state.DurableState(
         platform.table,
         platform.objects,
-        me,
+        this_router,
         settings.durable,
         lambda entry: takeover.recover(ctx, entry),
         lambda: takeover.release_superseded(ctx),
     )
-    puller = membership.Puller(holder)
+    puller = membership.ConfigPuller(holder)
     peers = peers_module.Peers(
         settings.node,
         incarnation,
@@ -130,7 +130,7 @@
         settings.links,
         link_tls,
         recover_s=settings.requests.recover_s,
-        on_revision=puller.notice,
+        on_revision=puller.on_newer_revision,
     )
     ctx = context.Context(
         settings=settings,
@@ -153,43 +153,43 @@
             settings.retries.budget_ratio, settings.retries.budget_burst
         ),
     )
-    holder.on_change(lambda cfg: _reconfigure(ctx, state, cfg))
+    holder.on_change(lambda cfg: _apply_configuration(ctx, state, cfg))
     return ctx, state
 
 
 def _limiter(name: str, state: durable_state.DurableState) -> object:
-    """Makes the limiter of a policy.
+    """Makes the limiter of the named policy.
 
     Raises:
-      UnknownPluginError: There is no such policy.
+      UnknownPluginError: The policy is not registered.
     """
     make = registry.REGISTRY.get('limits', name)
     return make(state.registration.count)
 
 
-def _reconfigure(
+def _apply_configuration(
     ctx: context.Context,
     state: durable_state.DurableState,
     cfg: model.Configuration,
 ) -> None:
-    """Puts a new configuration in force in the parts that keep state."""
+    """Applies a new configuration to the components that keep state."""
     state.registration.router.revision = cfg.revision
     ctx.peers.reconcile(cfg, None)
-    ctx.limiter.forget(set(cfg.accounts))
+    ctx.limiter.retain(set(cfg.accounts))
     try:
-        _change_policies(ctx, state, cfg.policies)
+        _apply_policies(ctx, state, cfg.policies)
     except plugin_error.UnknownPluginError as exc:
-        # Another router may have plug-ins that this one lacks; without a
-        # policy no request at all could be served here.
+        # Other routers may have plug-ins that this one lacks. The old
+        # policies stay: without any, no request could be served.
         event.note(event.PolicyUnknown(detail=exc.detail))
 
 
-def _change_policies(
+def _apply_policies(
     ctx: context.Context,
     state: durable_state.DurableState,
     policies: model.Policies,
 ) -> None:
-    """Makes the policies that have changed by name."""
+    """Replaces the policies; a limiter only if its name has changed."""
     if policies.limits != ctx.policies.limits:
         ctx.limiter = _limiter(policies.limits, state)
     ctx.routing = registry.REGISTRY.get('routing', policies.routing)
@@ -200,13 +200,15 @@
     """Mounts the administration API."""
 
     async def routers() -> list[view.NodeView]:
-        return await membership.routers(ctx.registration, ctx.table)
+        return await membership.list_routers(ctx.registration, ctx.table)
 
     async def elsewhere(
         req: blacksheep.Request, request: str
-    ) -> forward.Elsewhere:
+    ) -> forward.ForwardResult:
         prefix = f'{routes.PREFIX}/requests'
-        return await forward.ask(ctx, req, prefix, request, ADMIN_ANSWERED)
+        return await forward.forward_to_owner(
+            ctx, req, prefix, request, ADMIN_STATUS_OK
+        )
 
     routes.mount(
         app,
@@ -230,14 +232,14 @@
     platform: clients.Clients,
     incarnation: int,
 ) -> AsyncIterator[None]:
-    """Keeps configuration, peers and registration up to date meanwhile."""
+    """Updates configuration, peers and registration in the background."""
     settings = ctx.settings
     follower = config_follower.Follower(
         ctx.store, ctx.holder, settings.follow_interval_s
     )
 
     async def hosts() -> None:
-        await membership.follow_hosts(
+        await membership.poll_hosts(
             platform.hosts, ctx.holder, ctx.peers, settings.hosts_interval_s
         )
 
@@ -258,14 +260,14 @@
 async def _load_configuration(
     ctx: context.Context, follower: config_follower.Follower, incarnation: int
 ) -> None:
-    """Gets the first configuration, then lets the balancer send callers."""
+    """Loads the initial configuration, then marks the router as ready."""
     while ctx.holder.revision == 0:
         try:
             await follower.refresh()
-        except UNREADABLE as exc:
+        except CONFIG_ERRORS as exc:
             event.note(event.ConfigurationNotLoaded(detail=str(exc)))
             tls = net_tls.client_context(ctx.settings.link_tls)
-            reply = await membership.newest_of_seeds(
+            reply = await membership.fetch_newest_from_seeds(
                 ctx.settings, incarnation, tls
             )
             if reply is not None:
@@ -276,7 +278,7 @@
 
 
 async def _drain(ctx: context.Context, listener: server.HttpServer) -> None:
-    """Takes no new work and lets what runs come to its end."""
+    """Refuses new work and waits for running requests to end."""
     settings = ctx.settings.stop
     event.note(event.RouterStopping(running=len(ctx.active)))
     ctx.ready = False
@@ -292,15 +294,15 @@
     for running in ctx.active:
         running.hand_over()
     if tasks:
-        await asyncio.wait(tasks, timeout=LAST_WORD_S)
-    left_s = max(LAST_WORD_S, deadline - time.monotonic())
-    cut = await listener.stop(left_s)
-    if cut:
-        event.note(event.ConnectionsCut(count=cut))
+        await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
+    timeout_s = max(CLOSE_TIMEOUT_S, deadline - time.monotonic())
+    open_connections = await listener.stop(timeout_s)
+    if open_connections:
+        event.note(event.ConnectionsCut(count=open_connections))
 
 
 def _log_unfinished(ctx: context.Context) -> None:
-    """Tells the operator what still runs at the end of the grace."""
+    """Logs the requests that still run at the end of the grace period."""
     for running in ctx.active:
         event.note(
             event.RequestUnfinished(
--- a/tests/quetzalsill_router/test_membership.py
+++ b/tests/quetzalsill_router/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: configuration from peers, and the host list."""
+"""Tests of the host list and of configuration from sidecars."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from quetzalsill_router.peer import error as peer_error
 from tests.quetzalsill_router.request import fake
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class Seed:
-    """A sidecar that answers for its configuration, or stays silent."""
+    """A sidecar that returns its configuration, or does not respond."""
 
     def __init__(self, credential, reply):
         self._reply = reply
@@ -47,39 +47,39 @@
 
 
 class SeedsTest(unittest.IsolatedAsyncioTestCase):
-    """Start of a router while the store is down."""
+    """Start of a router while the store is unavailable."""
 
-    async def test_newest_of_those_that_answer_counts(self):
-        """The store is down when a router starts again.
+    async def test_newest_reply_is_used(self):
+        """A router that restarts while the store is down uses the newest reply.
 
-        One seed is dead, one has no configuration, one has an old one. The
-        old one in force would revert an accepted edit.
+        One seed is unreachable, one refuses the credential, and two have
+        configurations. Using the older one would revert an accepted edit.
         """
         settings = fake.make_context().settings
         credential = settings.credential
         old = message.ConfigReply(3, b'old')
         new = message.ConfigReply(7, b'new')
         async with (
-            asyncio.timeout(BOUND_S),
+            asyncio.timeout(TIMEOUT_S),
             Seed(credential, old) as one,
             Seed(credential, new) as two,
             Seed('another-credential-of-16', new) as three,
         ):
             settings.seeds = [one, '127.0.0.1:1', two, three]
-            found = await membership.newest_of_seeds(settings, 1, None)
+            found = await membership.fetch_newest_from_seeds(settings, 1, None)
             self.assertEqual((found.revision, found.document), (7, b'new'))
             settings.seeds = ['127.0.0.1:1', three]
             self.assertIsNone(
-                await membership.newest_of_seeds(settings, 1, None)
+                await membership.fetch_newest_from_seeds(settings, 1, None)
             )
 
 
 class PullerTest(unittest.IsolatedAsyncioTestCase):
-    """Newer configuration from a peer."""
+    """Fetches of a newer configuration from a peer."""
 
-    async def test_installs_what_fits_and_survives_the_rest(self):
-        held = config_holder.Holder()
-        puller = membership.Puller(held)
+    async def test_installs_newer_and_ignores_invalid(self):
+        holder = config_holder.Holder()
+        puller = membership.ConfigPuller(holder)
         fitting = document.render(fake.configuration())
         for reply, revision in (
             (peer_error.ConfigFetchError('link ended'), 0),
@@ -88,54 +88,54 @@
             (message.ConfigReply(2, fitting), 4),
         ):
             peer = Peer(reply)
-            puller.notice(4, peer)
-            puller.notice(4, peer)
-            await peer.asked.wait()
+            puller.on_newer_revision(4, peer)
+            puller.on_newer_revision(4, peer)
+            await peer.fetched.wait()
             await asyncio.sleep(0)
-            self.assertEqual(held.revision, revision)
+            self.assertEqual(holder.revision, revision)
             self.assertEqual(peer.count, 1)
             await asyncio.sleep(0)
 
 
 class Peer:
-    """A peer that answers one fetch."""
+    """A peer that replies to fetches and counts them."""
 
     upstream = 'one'
 
     def __init__(self, reply):
         self._reply = reply
-        self.asked = asyncio.Event()
+        self.fetched = asyncio.Event()
         self.count = 0
 
     async def fetch_config(self, _revision):
         self.count += 1
-        self.asked.set()
+        self.fetched.set()
         if isinstance(self._reply, Exception):
             raise self._reply
         return self._reply
 
 
 class HostsTest(unittest.IsolatedAsyncioTestCase):
-    """The host list and its outages."""
+    """Polling of the host list, and its outages."""
 
     async def test_outage_of_the_list_changes_nothing(self):
         hosts, peers = Hosts(), Peers()
         task = asyncio.create_task(
-            membership.follow_hosts(hosts, config_holder.Holder(), peers, 0.0)
+            membership.poll_hosts(hosts, config_holder.Holder(), peers, 0.0)
         )
-        async with asyncio.timeout(BOUND_S):
-            await peers.thrice.wait()
+        async with asyncio.timeout(TIMEOUT_S):
+            await peers.reconciled_three_times.wait()
         task.cancel()
         self.assertEqual(peers.given[:3], [['a'], None, ['b']])
 
     async def test_long_list_is_read_rarely(self):
         for hosts, interval_s in {0: 2.0, 16: 2.0, 1000: 112.0}.items():
-            found = membership.list_interval_s(2.0, hosts)
+            found = membership.poll_interval_s(2.0, hosts)
             self.assertEqual(found, interval_s)
 
 
 class Hosts:
-    """A list that fails the second time."""
+    """A host list whose second read fails."""
 
     def __init__(self):
         self._answers = [['a'], None]
@@ -148,13 +148,13 @@
 
 
 class Peers:
-    """Keeps what it is given."""
+    """Records the host lists it is given."""
 
     def __init__(self):
         self.given = []
-        self.thrice = asyncio.Event()
+        self.reconciled_three_times = asyncio.Event()
 
     def reconcile(self, _cfg, hosts):
         self.given.append(hosts)
         if len(self.given) == 3:
-            self.thrice.set()
+            self.reconciled_three_times.set()
