--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
@@ -18,7 +18,7 @@
 
     from quetzalsill_router.admin import context as admin_context
 
-__all__ = ['BOOTSTRAP', 'Operator', 'Role', 'authenticate', 'require']
+__all__ = ['BOOTSTRAP', 'Operator', 'Role', 'authenticate', 'require_role']
 
 BOOTSTRAP = 'bootstrap'
 _SCHEME = b'bearer '
@@ -45,14 +45,14 @@
     role: Role
 
 
-def _token(req: blacksheep.Request) -> bytes:
+def _bearer_token(req: blacksheep.Request) -> bytes:
     header = req.get_first_header(b'authorization') or b''
     if header[: len(_SCHEME)].lower() != _SCHEME:
         raise request_error.UnauthorizedError('no bearer token', advice=_ADVICE)
     return header[len(_SCHEME) :].strip()
 
 
-def _known(
+def _accepted_digests(
     context: admin_context.AdminContext,
 ) -> Iterator[tuple[str, Operator]]:
     """Yields each digest that is accepted with its operator."""
@@ -74,10 +74,10 @@
       UnauthorizedError: The token is missing or unknown.
       NotReadyError: This router does not know the operators yet.
     """
-    digest = hashlib.sha256(_token(req)).hexdigest()
+    digest = hashlib.sha256(_bearer_token(req)).hexdigest()
     found = None
-    for accepted, operator in _known(context):
-        if hmac.compare_digest(accepted, digest):
+    for accepted_digest, operator in _accepted_digests(context):
+        if hmac.compare_digest(accepted_digest, digest):
             found = operator
     if found is None and not context.holder.revision:
         raise error.NotReadyError('no configuration in force here yet')
@@ -88,7 +88,7 @@
     return found
 
 
-def require(operator: Operator, role: Role) -> None:
+def require_role(operator: Operator, role: Role) -> None:
     """Raises `ForbiddenError` unless the operator has the role."""
     if role is Role.OPERATOR and operator.role is not Role.OPERATOR:
         raise request_error.ForbiddenError(
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
@@ -15,26 +15,26 @@
 __all__ = ['read_object']
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     """Builds an object; a key that stands twice would lose one of them."""
-    found = dict(pairs)
-    if len(found) != len(pairs):
+    result = dict(pairs)
+    if len(result) != len(pairs):
         raise ValueError('a key stands twice in one object')
-    return found
+    return result
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f'{name} is not JSON')
 
 
 def _parse(data: bytes) -> Any:
-    plain = json.loads(
-        data, object_pairs_hook=_unique, parse_constant=_no_constant
+    value = json.loads(
+        data, object_pairs_hook=_build_object, parse_constant=_reject_constant
     )
     # A lone surrogate written as an escape parses, but is no character: it
     # would be stored and fail whoever prints the configuration in UTF-8.
-    json.dumps(plain, ensure_ascii=False).encode()
-    return plain
+    json.dumps(value, ensure_ascii=False).encode()
+    return value
 
 
 async def read_object(req: blacksheep.Request) -> dict[str, Any]:
@@ -47,13 +47,13 @@
     """
     data = await http_body.read(req, document.MAX_DOCUMENT_BYTES)
     try:
-        plain = _parse(data)
+        value = _parse(data)
     except (ValueError, RecursionError) as exc:
         raise request_error.BadRequestError(
             f'the body is not JSON: {exc}'
         ) from exc
-    if not isinstance(plain, dict):
+    if not isinstance(value, dict):
         raise request_error.BadRequestError(
-            f'the body is {type(plain).__name__}, not a JSON object'
+            f'the body is {type(value).__name__}, not a JSON object'
         )
-    return plain
+    return value
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
@@ -16,7 +16,7 @@
 from quetzalsill.platform import error as platform_error
 from quetzalsill.schema import error as schema_error
 from quetzalsill.telemetry import log, metric
-from quetzalsill_router.admin import access, answer, check, edit, error
+from quetzalsill_router.admin import access, edit, error, response, validation
 from quetzalsill_router.http import body as http_body
 
 if TYPE_CHECKING:
@@ -25,14 +25,14 @@
 __all__ = ['Call', 'Handler', 'endpoint']
 
 _LOG = log.get(__name__)
-_CALLS = metric.counter(
+_CALLS_TOTAL = metric.counter(
     'quetzalsill_router_admin_calls_total',
     'Calls of the administration API, by code.',
 )
 _RETRY_AFTER_S = 2.0
-_EDIT_ID = re.compile(r'[A-Za-z0-9._-]{1,64}')
-_REVISION = re.compile(r'(?:W/)?"?(\d{1,18})"?')
-_NOTE_LENGTH = 200
+_EDIT_ID_PATTERN = re.compile(r'[A-Za-z0-9._-]{1,64}')
+_REVISION_PATTERN = re.compile(r'(?:W/)?"?(\d{1,18})"?')
+_MAX_NOTE_CHARS = 200
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,22 +49,22 @@
     operator: access.Operator
     req: blacksheep.Request
 
-    def name(self) -> str:
+    def route_name(self) -> str:
         """Gives the name in the path."""
         return self.req.route_values['name']
 
-    def text(self, key: str) -> str:
+    def query_text(self, key: str) -> str:
         """Gives a value of the query; empty if there is none."""
         values = self.req.query.get(key)
         return values[-1] if values else ''
 
-    def number(self, key: str, default: int, maximum: int) -> int:
+    def query_int(self, key: str, default: int, maximum: int) -> int:
         """Gives a count from the query.
 
         Raises:
           BadRequestError: It is no number in 0 to `maximum`.
         """
-        text = self.text(key)
+        text = self.query_text(key)
         if not text:
             return default
         if not re.fullmatch(r'[0-9]{1,18}', text) or int(text) > maximum:
@@ -73,7 +73,7 @@
             )
         return int(text)
 
-    def edit(self) -> edit.Edit:
+    def read_edit(self) -> edit.Edit:
         """Reads the headers that each write carries.
 
         Raises:
@@ -83,8 +83,8 @@
         return edit.Edit(
             id=self._edit_id(),
             author=self.operator.name,
-            note=self._header('x-edit-note')[:_NOTE_LENGTH],
-            expected=self._expected(),
+            note=self._header('x-edit-note')[:_MAX_NOTE_CHARS],
+            expected_revision=self._expected_revision(),
         )
 
     def _header(self, name: str) -> str:
@@ -93,17 +93,17 @@
 
     def _edit_id(self) -> str:
         text = self._header('x-edit-id') or uuid.uuid4().hex
-        if not _EDIT_ID.fullmatch(text):
+        if not _EDIT_ID_PATTERN.fullmatch(text):
             raise request_error.BadRequestError(
-                f'X-Edit-Id must match {_EDIT_ID.pattern}'
+                f'X-Edit-Id must match {_EDIT_ID_PATTERN.pattern}'
             )
         return text
 
-    def _expected(self) -> int:
-        text = self._header('if-match') or self.text('expected_revision')
+    def _expected_revision(self) -> int:
+        text = self._header('if-match') or self.query_text('expected_revision')
         if not text:
             raise error.MissingPreconditionError('no expected revision')
-        match = _REVISION.fullmatch(text)
+        match = _REVISION_PATTERN.fullmatch(text)
         if match is None:
             raise request_error.BadRequestError(
                 'If-Match must be a revision number'
@@ -111,7 +111,7 @@
         return int(match[1])
 
 
-Handler = Callable[[Call], Awaitable[answer.Reply]]
+Handler = Callable[[Call], Awaitable[response.Reply]]
 
 
 def endpoint(
@@ -121,41 +121,43 @@
 ) -> Callable[[blacksheep.Request], Awaitable[blacksheep.Response]]:
     """Wraps a handler: credentials first, failures as JSON last."""
 
-    async def run(req: blacksheep.Request) -> answer.Reply:
+    async def call_handler(req: blacksheep.Request) -> response.Reply:
         operator = access.authenticate(context, req)
-        access.require(operator, role)
+        access.require_role(operator, role)
         return await handler(Call(context, operator, req))
 
     async def serve(req: blacksheep.Request) -> blacksheep.Response:
         try:
-            reply = await run(req)
-            _CALLS.inc({'code': 'ok'})
-            return answer.success(reply)
+            reply = await call_handler(req)
+            _CALLS_TOTAL.inc({'code': 'ok'})
+            return response.render_reply(reply)
         except request_error.RequestError as exc:
-            failed = exc
+            failure = exc
         except platform_error.PlatformError as exc:
-            failed = request_error.StoreUnavailableError(
+            failure = request_error.StoreUnavailableError(
                 exc.detail, retry_after_s=_RETRY_AFTER_S
             )
         except schema_error.InvalidDocumentError as exc:
-            failed = error.InvalidConfigurationError(list(check.faults(exc)))
+            failure = error.InvalidConfigurationError(
+                list(validation.collect_faults(exc))
+            )
         except http_body.CallerLeftError:
             raise
         except Exception:
             # A fault of our own must cost one answer, not the connection,
             # and must be seen: it is logged with its traceback.
             _LOG.exception('admin_call_failed', path=req.path)
-            failed = request_error.RequestError(
+            failure = request_error.RequestError(
                 'internal error', ran=base.Ran.UNKNOWN
             )
-        _CALLS.inc({'code': failed.code})
+        _CALLS_TOTAL.inc({'code': failure.code})
         _LOG.info(
             'admin_call_refused',
             method=req.method,
             path=req.path,
-            code=failed.code,
-            detail=failed.detail,
+            code=failure.code,
+            detail=failure.detail,
         )
-        return answer.failure(failed)
+        return response.render_error(failure)
 
     return serve
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
@@ -13,37 +13,37 @@
 
 __all__ = [
     'Change',
-    'Plain',
+    'JsonObject',
     'put_entry',
     'put_limits',
     'put_policies',
     'remove_entry',
-    'replace',
+    'replace_document',
     'set_draining',
 ]
 
-Plain = dict[str, Any]
-Change = Callable[[Plain], Plain]
+JsonObject = dict[str, Any]
+Change = Callable[[JsonObject], JsonObject]
 
 
-def _entry(document: Plain, section: str, name: str) -> Plain:
-    entries = document.get(section, {})
+def _existing_entry(config: JsonObject, section: str, name: str) -> JsonObject:
+    entries = config.get(section, {})
     if name not in entries:
         raise request_error.NotFoundError(f'no {section}.{name}')
     return entries[name]
 
 
-def replace(wanted: Plain) -> Change:
+def replace_document(document: JsonObject) -> Change:
     """Replaces the whole document."""
-    return lambda _: wanted
+    return lambda _: document
 
 
-def put_entry(section: str, name: str, value: Plain) -> Change:
+def put_entry(section: str, name: str, value: JsonObject) -> Change:
     """Adds or replaces one entry of a section such as `profiles`."""
 
-    def apply(document: Plain) -> Plain:
-        document.setdefault(section, {})[name] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        config.setdefault(section, {})[name] = value
+        return config
 
     return apply
 
@@ -51,30 +51,30 @@
 def remove_entry(section: str, name: str) -> Change:
     """Removes one entry of a section; it must be there."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, section, name)
-        del document[section][name]
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, section, name)
+        del config[section][name]
+        return config
 
     return apply
 
 
-def put_limits(account: str, value: Plain) -> Change:
+def put_limits(account: str, value: JsonObject) -> Change:
     """Replaces the limits of one client account; it must be there."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, 'accounts', account)['limits'] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, 'accounts', account)['limits'] = value
+        return config
 
     return apply
 
 
-def put_policies(value: Plain) -> Change:
+def put_policies(value: JsonObject) -> Change:
     """Replaces the policies."""
 
-    def apply(document: Plain) -> Plain:
-        document['policies'] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        config['policies'] = value
+        return config
 
     return apply
 
@@ -82,8 +82,8 @@
 def set_draining(upstream: str, draining: bool) -> Change:
     """Starts or ends the drain of one upstream; it must be there."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, 'upstreams', upstream)['draining'] = draining
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, 'upstreams', upstream)['draining'] = draining
+        return config
 
     return apply
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/context.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/context.py
@@ -63,4 +63,6 @@
     peers: Callable[[], Iterable[LinkedPeer]]
     routers: Callable[[], Awaitable[list[view.NodeView]]]
     requests: RequestControl
-    elsewhere: Callable[[blacksheep.Request, str], Awaitable[forward.Elsewhere]]
+    forward_to_routers: Callable[
+        [blacksheep.Request, str], Awaitable[forward.Elsewhere]
+    ]
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/edit.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/edit.py
@@ -10,7 +10,7 @@
 from quetzalsill.error import request as request_error
 from quetzalsill.platform import error as platform_error
 from quetzalsill.telemetry import log
-from quetzalsill_router.admin import check, error
+from quetzalsill_router.admin import error, validation
 
 if TYPE_CHECKING:
     from quetzalsill_router.admin import change, context
@@ -35,7 +35,7 @@
     id: str
     author: str
     note: str
-    expected: int
+    expected_revision: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -50,54 +50,62 @@
 
     revision: int
     edit: str
-    earlier: bool
+    already_accepted: bool
 
 
-async def _conflict(
-    context: context.AdminContext, expected: int
+async def _conflict_error(
+    context: context.AdminContext, expected_revision: int
 ) -> error.EditConflictError:
     """Makes the failure that names who was first."""
     head = await context.store.head()
     return error.EditConflictError(
-        f'the edit was made from revision {expected}, but revision '
+        f'the edit was made from revision {expected_revision}, but revision '
         f'{head.revision} by {head.author or "nobody"} is current',
         head.revision,
         head.author,
     )
 
 
-async def _base(context: context.AdminContext, expected: int) -> dict[str, Any]:
+async def _base_document(
+    context: context.AdminContext, expected_revision: int
+) -> dict[str, Any]:
     """Loads the document that the change was made from."""
-    return json.loads(await context.store.load(expected)) if expected else {}
+    return (
+        json.loads(await context.store.load(expected_revision))
+        if expected_revision
+        else {}
+    )
 
 
 async def _publish(
-    context: context.AdminContext, edit: Edit, wanted: change.Change
+    context: context.AdminContext, edit: Edit, apply_change: change.Change
 ) -> Accepted:
     """Makes the next revision; the store knows an edit by its id again."""
-    before = await context.store.head()
-    if before.revision < edit.expected:
-        raise await _conflict(context, edit.expected)
-    plain = wanted(await _base(context, edit.expected))
-    document = check.checked(plain, edit.expected + 1)
+    head = await context.store.head()
+    if head.revision < edit.expected_revision:
+        raise await _conflict_error(context, edit.expected_revision)
+    data = apply_change(await _base_document(context, edit.expected_revision))
+    document = validation.validate(data, edit.expected_revision + 1)
     try:
         revision = await context.store.publish(
-            document, edit.expected, edit.id, edit.author, edit.note
+            document, edit.expected_revision, edit.id, edit.author, edit.note
         )
     except store.RevisionConflictError as exc:
-        raise await _conflict(context, edit.expected) from exc
+        raise await _conflict_error(context, edit.expected_revision) from exc
     except store.EditReusedError as exc:
         raise error.EditConflictError(
             f'edit id {edit.id} was used for another edit',
-            before.revision,
-            before.author,
+            head.revision,
+            head.author,
         ) from exc
     context.holder.install(document, revision)
-    return Accepted(revision, edit.id, earlier=before.revision >= revision)
+    return Accepted(
+        revision, edit.id, already_accepted=head.revision >= revision
+    )
 
 
 async def submit(
-    context: context.AdminContext, edit: Edit, wanted: change.Change
+    context: context.AdminContext, edit: Edit, apply_change: change.Change
 ) -> Accepted:
     """Publishes an edit and puts it in force in this router.
 
@@ -108,7 +116,7 @@
       EditOutcomeUnknownError: The store's answer was lost.
     """
     try:
-        accepted = await _publish(context, edit, wanted)
+        accepted = await _publish(context, edit, apply_change)
     except store.OutcomeUnknownEditError as exc:
         raise error.EditOutcomeUnknownError(exc.detail) from exc
     except platform_error.PlatformError as exc:
@@ -121,6 +129,6 @@
         revision=accepted.revision,
         edit=accepted.edit,
         author=edit.author,
-        earlier=accepted.earlier,
+        earlier=accepted.already_accepted,
     )
     return accepted
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/error.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/error.py
@@ -76,9 +76,9 @@
         'it with that revision as If-Match.'
     )
 
-    def __init__(self, detail: str, current: int, author: str) -> None:
+    def __init__(self, detail: str, current_revision: int, author: str) -> None:
         super().__init__(detail)
-        self.current = current
+        self.current_revision = current_revision
         self.author = author
 
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/fleet.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/fleet.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from quetzalsill.platform import error as platform_error
-from quetzalsill_router.admin import answer, view
+from quetzalsill_router.admin import response, view
 
 if TYPE_CHECKING:
     from quetzalsill.config import model
@@ -18,7 +18,7 @@
 __all__ = ['nodes', 'status']
 
 
-def _load(load: message.Load) -> view.LoadView:
+def _load_view(load: message.Load) -> view.LoadView:
     return view.LoadView(
         queued=load.queued,
         running=load.running,
@@ -36,7 +36,7 @@
     return 'leaving' if peer.leaving else 'live'
 
 
-def _sidecar(
+def _sidecar_view(
     name: str,
     upstream: model.Upstream,
     peer: admin_context.LinkedPeer | None,
@@ -52,19 +52,19 @@
         address=upstream.sidecar,
         incarnation=peer.incarnation if linked else 0,
         revision=load.revision if load is not None else 0,
-        load=_load(load) if load is not None else None,
+        load=_load_view(load) if load is not None else None,
     )
 
 
-def _sidecars(
+def _sidecar_views(
     context: admin_context.AdminContext,
 ) -> Iterator[view.NodeView]:
     peers = {peer.upstream: peer for peer in context.peers()}
     for name, upstream in sorted(context.holder.current.upstreams.items()):
-        yield _sidecar(name, upstream, peers.get(name))
+        yield _sidecar_view(name, upstream, peers.get(name))
 
 
-async def _store_answers(context: admin_context.AdminContext) -> bool:
+async def _is_store_available(context: admin_context.AdminContext) -> bool:
     try:
         await context.store.head()
     except platform_error.PlatformError:
@@ -72,7 +72,7 @@
     return True
 
 
-async def _routers(
+async def _router_views(
     context: admin_context.AdminContext,
 ) -> tuple[list[view.NodeView], bool]:
     """Gives the routers, and whether the store confirms them now.
@@ -80,7 +80,7 @@
     What this router remembers of the others while the store is down may
     name dead ones and miss new ones.
     """
-    confirmed = await _store_answers(context)
+    confirmed = await _is_store_available(context)
     try:
         found = await context.routers()
     except platform_error.PlatformError:
@@ -93,15 +93,15 @@
     ], confirmed
 
 
-async def nodes(call: admin_call.Call) -> answer.Reply:
+async def nodes(call: admin_call.Call) -> response.Reply:
     """Gives every router and sidecar with its revision.
 
     `complete` is false if the store does not confirm which routers there are.
     """
     context = call.context
-    routers, complete = await _routers(context)
-    found = [*routers, *_sidecars(context)]
-    return answer.Reply(
+    routers, complete = await _router_views(context)
+    found = [*routers, *_sidecar_views(context)]
+    return response.Reply(
         {
             'node': context.node,
             'revision': context.holder.revision,
@@ -111,19 +111,19 @@
     )
 
 
-def _count(found: list[view.NodeView], state: str) -> int:
+def _count_in_state(found: list[view.NodeView], state: str) -> int:
     return sum(1 for node in found if node.state == state)
 
 
-async def status(call: admin_call.Call) -> answer.Reply:
+async def status(call: admin_call.Call) -> response.Reply:
     """Gives a summary: routers, sidecars, work, and the store."""
     context = call.context
-    routers, complete = await _routers(context)
-    sidecars = list(_sidecars(context))
+    routers, complete = await _router_views(context)
+    sidecars = list(_sidecar_views(context))
     loads = [node.load for node in sidecars if node.load is not None]
     revision = context.holder.revision
     live = [n for n in (*routers, *sidecars) if n.state == 'live']
-    return answer.Reply(
+    return response.Reply(
         {
             'node': context.node,
             'operator': call.operator.name,
@@ -131,9 +131,9 @@
             'revision': revision,
             'store': 'available' if complete else 'unavailable',
             'routers': len(routers),
-            'sidecars_live': _count(sidecars, 'live'),
-            'sidecars_leaving': _count(sidecars, 'leaving'),
-            'sidecars_unlinked': _count(sidecars, 'unlinked'),
+            'sidecars_live': _count_in_state(sidecars, 'live'),
+            'sidecars_leaving': _count_in_state(sidecars, 'leaving'),
+            'sidecars_unlinked': _count_in_state(sidecars, 'unlinked'),
             'behind': [n.name for n in live if n.revision < revision],
             'queued': sum(load.queued for load in loads),
             'running': sum(load.running for load in loads),
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
@@ -10,17 +10,17 @@
 from quetzalsill.config import model
 from quetzalsill.schema import key
 
-__all__ = ['MASK', 'masked']
+__all__ = ['MASK', 'mask_secrets']
 
 MASK = '***'
 
 
-def _classes(annotation: Any) -> Iterator[type]:
+def _nested_dataclasses(annotation: Any) -> Iterator[type]:
     """Yields the sections that a type annotation mentions."""
     if dataclasses.is_dataclass(annotation):
         yield annotation
     for argument in typing.get_args(annotation):
-        yield from _classes(argument)
+        yield from _nested_dataclasses(argument)
 
 
 def _secret_keys(section: type) -> Iterator[str]:
@@ -30,20 +30,20 @@
         spec = field.metadata.get(key.METADATA_KEY)
         if spec is not None and spec.secret:
             yield field.name
-        for inner in _classes(hints[field.name]):
-            yield from _secret_keys(inner)
+        for nested in _nested_dataclasses(hints[field.name]):
+            yield from _secret_keys(nested)
 
 
 _SECRETS = frozenset(_secret_keys(model.Configuration))
 
 
-def masked(plain: Any) -> Any:
+def mask_secrets(data: Any) -> Any:
     """Copies JSON data with the value of each secret key replaced."""
-    if isinstance(plain, dict):
+    if isinstance(data, dict):
         return {
-            name: MASK if name in _SECRETS else masked(value)
-            for name, value in plain.items()
+            name: MASK if name in _SECRETS else mask_secrets(value)
+            for name, value in data.items()
         }
-    if isinstance(plain, list):
-        return [masked(item) for item in plain]
-    return plain
+    if isinstance(data, list):
+        return [mask_secrets(item) for item in data]
+    return data
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
@@ -9,73 +9,75 @@
 
 from quetzalsill.config import difference, document, model, revision, store
 from quetzalsill.error import request as request_error
-from quetzalsill_router.admin import access, answer, mask, newest
+from quetzalsill_router.admin import access, mask, refresh, response
 
 if TYPE_CHECKING:
     from quetzalsill_router.admin import call as admin_call
 
 __all__ = ['configuration', 'diff', 'entry', 'history', 'limits', 'section']
 
-_HISTORY_DEFAULT = 20
-_HISTORY_MAXIMUM = 1000
-_CHANGES_MAXIMUM = 100
-_REVISION_MAXIMUM = 10**17
+_DEFAULT_HISTORY = 20
+_MAX_HISTORY = 1000
+_MAX_HISTORY_OF_PATH = 100
+_MAX_REVISION = 10**17
 
 
-async def _document(call: admin_call.Call) -> tuple[int, dict[str, Any]]:
+async def _latest_document(call: admin_call.Call) -> tuple[int, dict[str, Any]]:
     """Gives the newest document, with secrets as far as the role goes."""
-    await newest.catch_up(call.context)
+    await refresh.catch_up(call.context)
     holder = call.context.holder
-    plain = json.loads(document.render(holder.current))
+    data = json.loads(document.render(holder.current))
     if call.operator.role is not access.Role.OPERATOR:
-        plain = mask.masked(plain)
-    return holder.revision, plain
+        data = mask.mask_secrets(data)
+    return holder.revision, data
 
 
-async def configuration(call: admin_call.Call) -> answer.Reply:
+async def configuration(call: admin_call.Call) -> response.Reply:
     """Gives the whole document."""
-    revision, plain = await _document(call)
-    return answer.Reply({**plain, 'revision': revision}, revision)
+    revision, data = await _latest_document(call)
+    return response.Reply({**data, 'revision': revision}, revision)
 
 
 def section(name: str) -> admin_call.Handler:
     """Makes the handler that gives one section whole."""
 
-    async def handle(call: admin_call.Call) -> answer.Reply:
-        revision, plain = await _document(call)
-        body = {'revision': revision, 'value': plain[name]}
-        return answer.Reply(body, revision)
+    async def handle(call: admin_call.Call) -> response.Reply:
+        revision, data = await _latest_document(call)
+        body = {'revision': revision, 'value': data[name]}
+        return response.Reply(body, revision)
 
     return handle
 
 
-def _found(plain: dict[str, Any], name: str, entry_name: str) -> Any:
-    if entry_name not in plain[name]:
+def _find_entry(data: dict[str, Any], name: str, entry_name: str) -> Any:
+    if entry_name not in data[name]:
         raise request_error.NotFoundError(f'no {name}.{entry_name}')
-    return plain[name][entry_name]
+    return data[name][entry_name]
 
 
 def entry(name: str) -> admin_call.Handler:
     """Makes the handler that gives one entry of a section."""
 
-    async def handle(call: admin_call.Call) -> answer.Reply:
-        revision, plain = await _document(call)
-        value = _found(plain, name, call.name())
-        body = {'revision': revision, 'name': call.name(), 'value': value}
-        return answer.Reply(body, revision)
+    async def handle(call: admin_call.Call) -> response.Reply:
+        revision, data = await _latest_document(call)
+        value = _find_entry(data, name, call.route_name())
+        body = {'revision': revision, 'name': call.route_name(), 'value': value}
+        return response.Reply(body, revision)
 
     return handle
 
 
-async def limits(call: admin_call.Call) -> answer.Reply:
+async def limits(call: admin_call.Call) -> response.Reply:
     """Gives the limits of one client account."""
-    revision, plain = await _document(call)
-    value = _found(plain, 'accounts', call.name())['limits']
-    body = {'revision': revision, 'name': call.name(), 'value': value}
-    return answer.Reply(body, revision)
+    revision, data = await _latest_document(call)
+    value = _find_entry(data, 'accounts', call.route_name())['limits']
+    body = {'revision': revision, 'name': call.route_name(), 'value': value}
+    return response.Reply(body, revision)
 
 
-def _below(changes: Iterable[difference.Change], path: str) -> list[Any]:
+def _changes_under(
+    changes: Iterable[difference.Change], path: str
+) -> list[Any]:
     """Gives the changes of a key and of those below it, as JSON data."""
     return [
         dataclasses.asdict(change)
@@ -84,20 +86,20 @@
     ]
 
 
-async def _entries(
+async def _entries_changing(
     call: admin_call.Call, entries: Iterable[revision.Revision], path: str
 ) -> AsyncIterator[dict[str, Any]]:
     """Yields the entries that changed a path, with these changes."""
     newer = None
     for entry in entries:
-        new = newer or await _revision(call, entry.revision)
-        newer = await _revision(call, entry.revision - 1)
-        changes = _below(difference.difference(newer, new), path)
+        new = newer or await _load_revision(call, entry.revision)
+        newer = await _load_revision(call, entry.revision - 1)
+        changes = _changes_under(difference.difference(newer, new), path)
         if changes:
-            yield {**_plain(entry), 'changes': changes}
+            yield {**_entry_data(entry), 'changes': changes}
 
 
-def _plain(entry: revision.Revision) -> dict[str, Any]:
+def _entry_data(entry: revision.Revision) -> dict[str, Any]:
     return {
         'revision': entry.revision,
         'edit': entry.edit,
@@ -107,24 +109,26 @@
     }
 
 
-async def history(call: admin_call.Call) -> answer.Reply:
+async def history(call: admin_call.Call) -> response.Reply:
     """Gives who made the newest revisions, the newest first.
 
     With a path, such as `profiles.prompt`, gives those of them that changed
     a key there, each with its changes.
     """
-    path = call.text('path')
-    maximum = _HISTORY_MAXIMUM if not path else _CHANGES_MAXIMUM
-    limit = call.number('limit', _HISTORY_DEFAULT, maximum)
+    path = call.query_text('path')
+    maximum = _MAX_HISTORY if not path else _MAX_HISTORY_OF_PATH
+    limit = call.query_int('limit', _DEFAULT_HISTORY, maximum)
     entries = await call.context.store.history(limit) if limit else []
     if path:
-        found = [item async for item in _entries(call, entries, path)]
+        found = [item async for item in _entries_changing(call, entries, path)]
     else:
-        found = [_plain(entry) for entry in entries]
-    return answer.Reply({'entries': found})
+        found = [_entry_data(entry) for entry in entries]
+    return response.Reply({'entries': found})
 
 
-async def _revision(call: admin_call.Call, number: int) -> model.Configuration:
+async def _load_revision(
+    call: admin_call.Call, number: int
+) -> model.Configuration:
     """Loads one revision; revision 0 is the empty configuration."""
     if number == 0:
         return model.Configuration()
@@ -135,13 +139,13 @@
     return document.parse(data, number)
 
 
-async def diff(call: admin_call.Call) -> answer.Reply:
+async def diff(call: admin_call.Call) -> response.Reply:
     """Gives the changes between two revisions."""
     head = await call.context.store.head()
-    to = call.number('to', head.revision, _REVISION_MAXIMUM)
-    since = call.number('from', max(0, to - 1), _REVISION_MAXIMUM)
+    to = call.query_int('to', head.revision, _MAX_REVISION)
+    since = call.query_int('from', max(0, to - 1), _MAX_REVISION)
     found = difference.difference(
-        await _revision(call, since), await _revision(call, to)
+        await _load_revision(call, since), await _load_revision(call, to)
     )
     changes = [dataclasses.asdict(change) for change in found]
-    return answer.Reply({'from': since, 'to': to, 'changes': changes})
+    return response.Reply({'from': since, 'to': to, 'changes': changes})
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/inquiry.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/request_control.py
@@ -8,7 +8,7 @@
 
 from quetzalsill.error import request as request_error
 from quetzalsill.telemetry import log
-from quetzalsill_router.admin import answer
+from quetzalsill_router.admin import response
 from quetzalsill_router.http import forward
 from quetzalsill_router.request import ident
 
@@ -23,7 +23,7 @@
 
 async def _reply(
     call: admin_call.Call, found: view.RequestView | None, request: str
-) -> answer.Reply:
+) -> response.Reply:
     """Tells of a request that runs here, or in another router.
 
     Raises:
@@ -31,31 +31,31 @@
       OutcomeUnknownError: None that answers runs it, and some don't answer.
     """
     if found is not None:
-        return answer.Reply(dataclasses.asdict(found))
-    elsewhere = forward.Elsewhere()
+        return response.Reply(dataclasses.asdict(found))
+    forwarded = forward.Elsewhere()
     if ident.is_request_id(request) and not forward.was_forwarded(call.req):
-        elsewhere = await call.context.elsewhere(call.req, request)
-    if elsewhere.body is not None:
-        return answer.Reply(json.loads(elsewhere.body))
-    if elsewhere.silent:
+        forwarded = await call.context.forward_to_routers(call.req, request)
+    if forwarded.body is not None:
+        return response.Reply(json.loads(forwarded.body))
+    if forwarded.silent:
         raise request_error.OutcomeUnknownError(
             f'no router that answers runs request {request}; silent: '
-            f'{", ".join(elsewhere.silent)}',
+            f'{", ".join(forwarded.silent)}',
             advice='Repeat the call; a request is cancelled once at most.',
         )
     raise request_error.NotFoundError(f'no router runs a request {request}')
 
 
-async def show(call: admin_call.Call) -> answer.Reply:
+async def show(call: admin_call.Call) -> response.Reply:
     """Gives the state of a request."""
-    request = call.name()
+    request = call.route_name()
     found = await call.context.requests.find(request)
     return await _reply(call, found, request)
 
 
-async def cancel(call: admin_call.Call) -> answer.Reply:
+async def cancel(call: admin_call.Call) -> response.Reply:
     """Cancels a request."""
-    request = call.name()
+    request = call.route_name()
     found = await call.context.requests.cancel(request)
     _LOG.info(
         'request_cancelled_by_operator',
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/answer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/response.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from quetzalsill.error import request as request_error
 
-__all__ = ['Reply', 'failure', 'success']
+__all__ = ['Reply', 'render_error', 'render_reply']
 
 _JSON = b'application/json'
 
@@ -34,14 +34,14 @@
     edit: str = ''
 
 
-def _response(status: int, body: Any) -> blacksheep.Response:
+def _json_response(status: int, body: Any) -> blacksheep.Response:
     content = blacksheep.Content(_JSON, json.dumps(body).encode())
     return blacksheep.Response(status, content=content)
 
 
-def success(reply: Reply) -> blacksheep.Response:
+def render_reply(reply: Reply) -> blacksheep.Response:
     """Renders the answer of a successful call."""
-    resp = _response(200, reply.body)
+    resp = _json_response(200, reply.body)
     if reply.revision is not None:
         resp.add_header(b'ETag', b'"%d"' % reply.revision)
     if reply.edit:
@@ -49,19 +49,19 @@
     return resp
 
 
-def _extras(exc: request_error.RequestError) -> dict[str, Any]:
+def _error_details(exc: request_error.RequestError) -> dict[str, Any]:
     if isinstance(exc, error.InvalidConfigurationError):
         return {'faults': [dataclasses.asdict(f) for f in exc.faults]}
     if isinstance(exc, error.EditConflictError):
-        return {'current_revision': exc.current, 'author': exc.author}
+        return {'current_revision': exc.current_revision, 'author': exc.author}
     return {}
 
 
-def failure(exc: request_error.RequestError) -> blacksheep.Response:
+def render_error(exc: request_error.RequestError) -> blacksheep.Response:
     """Renders a failure in the shape that callers get too."""
     body = json.loads(http_error.document(exc))
-    body['error'].update(_extras(exc))
-    resp = _response(exc.status, body)
+    body['error'].update(_error_details(exc))
+    resp = _json_response(exc.status, body)
     for name, value in http_error.headers(exc):
         resp.add_header(name, value)
     return resp
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/routes.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/routes.py
@@ -9,11 +9,11 @@
 from quetzalsill.error import request as request_error
 from quetzalsill_router.admin import (
     access,
-    answer,
     call,
     fleet,
-    inquiry,
     read,
+    request_control,
+    response,
     write,
 )
 
@@ -53,8 +53,8 @@
 def _section(name: str) -> Iterator[_Endpoint]:
     yield _Endpoint('GET', f'/{name}', read.section(name))
     yield _Endpoint('GET', f'/{name}/:name', read.entry(name))
-    yield _Endpoint('PUT', f'/{name}/:name', write.entry(name))
-    yield _Endpoint('DELETE', f'/{name}/:name', write.removal(name))
+    yield _Endpoint('PUT', f'/{name}/:name', write.put_entry(name))
+    yield _Endpoint('DELETE', f'/{name}/:name', write.remove_entry(name))
 
 
 def _endpoints() -> Iterator[_Endpoint]:
@@ -72,11 +72,11 @@
     yield _Endpoint('POST', '/upstreams/:name/undrain', write.drain(False))
     yield _Endpoint('GET', '/nodes', fleet.nodes)
     yield _Endpoint('GET', '/status', fleet.status)
-    yield _Endpoint('GET', '/requests/:name', inquiry.show)
-    yield _Endpoint('DELETE', '/requests/:name', inquiry.cancel)
+    yield _Endpoint('GET', '/requests/:name', request_control.show)
+    yield _Endpoint('DELETE', '/requests/:name', request_control.cancel)
 
 
-async def _unknown(served: call.Call) -> answer.Reply:
+async def _not_found(served: call.Call) -> response.Reply:
     raise request_error.NotFoundError(
         f'no {served.req.method} {served.req.path}',
         advice='docs/API.md lists the calls.',
@@ -90,6 +90,6 @@
     for entry in _endpoints():
         served = call.endpoint(context, entry.role, entry.handler)
         app.router.add(entry.method, f'{PREFIX}{entry.path}', served)
-    unknown = call.endpoint(context, access.Role.VIEWER, _unknown)
+    not_found = call.endpoint(context, access.Role.VIEWER, _not_found)
     for method in _METHODS:
-        app.router.add(method, f'{PREFIX}/*', unknown)
+        app.router.add(method, f'{PREFIX}/*', not_found)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/check.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/validation.py
@@ -13,29 +13,33 @@
 if TYPE_CHECKING:
     from quetzalsill_router.admin import change
 
-__all__ = ['checked', 'faults']
+__all__ = ['collect_faults', 'validate']
 
 
-def faults(exc: schema_error.InvalidDocumentError) -> Iterator[error.Fault]:
+def collect_faults(
+    exc: schema_error.InvalidDocumentError,
+) -> Iterator[error.Fault]:
     """Yields every fault that a failed check found."""
-    for inner in exc.exceptions:
-        if isinstance(inner, schema_error.InvalidDocumentError):
-            yield from faults(inner)
+    for nested in exc.exceptions:
+        if isinstance(nested, schema_error.InvalidDocumentError):
+            yield from collect_faults(nested)
         else:
             yield error.Fault(
-                str(inner.path), str(inner.found), str(inner.allowed)
+                str(nested.path), str(nested.found), str(nested.allowed)
             )
 
 
-def checked(plain: change.Plain, revision: int) -> bytes:
+def validate(data: change.JsonObject, revision: int) -> bytes:
     """Checks keys, types, ranges and references; renders the document.
 
     Raises:
       InvalidConfigurationError: With every fault that was found.
     """
     try:
-        cfg = document.parse(json.dumps(plain).encode(), revision)
-        reference.check_references(cfg)
-        return document.render(cfg)
+        config = document.parse(json.dumps(data).encode(), revision)
+        reference.check_references(config)
+        return document.render(config)
     except schema_error.InvalidDocumentError as exc:
-        raise error.InvalidConfigurationError(list(faults(exc))) from exc
+        raise error.InvalidConfigurationError(
+            list(collect_faults(exc))
+        ) from exc
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/write.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/write.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quetzalsill_router.admin import answer, body, change, edit
+from quetzalsill_router.admin import body, change, edit, response
 
 if TYPE_CHECKING:
     from quetzalsill_router.admin import call as admin_call
@@ -12,59 +12,63 @@
 __all__ = [
     'configuration',
     'drain',
-    'entry',
     'limits',
     'policies',
-    'removal',
+    'put_entry',
+    'remove_entry',
 ]
 
 
-async def _submit(call: admin_call.Call, wanted: change.Change) -> answer.Reply:
-    accepted = await edit.submit(call.context, call.edit(), wanted)
-    return answer.Reply(
+async def _submit(
+    call: admin_call.Call, apply_change: change.Change
+) -> response.Reply:
+    accepted = await edit.submit(call.context, call.read_edit(), apply_change)
+    return response.Reply(
         {
             'revision': accepted.revision,
             'edit': accepted.edit,
-            'earlier': accepted.earlier,
+            'earlier': accepted.already_accepted,
         },
         accepted.revision,
         accepted.edit,
     )
 
 
-async def configuration(call: admin_call.Call) -> answer.Reply:
+async def configuration(call: admin_call.Call) -> response.Reply:
     """Replaces the whole document."""
-    wanted = await body.read_object(call.req)
-    return await _submit(call, change.replace(wanted))
+    document = await body.read_object(call.req)
+    return await _submit(call, change.replace_document(document))
 
 
-def entry(section: str) -> admin_call.Handler:
+def put_entry(section: str) -> admin_call.Handler:
     """Makes the handler that adds or replaces an entry of a section."""
 
-    async def handle(call: admin_call.Call) -> answer.Reply:
+    async def handle(call: admin_call.Call) -> response.Reply:
         value = await body.read_object(call.req)
-        wanted = change.put_entry(section, call.name(), value)
-        return await _submit(call, wanted)
+        apply_change = change.put_entry(section, call.route_name(), value)
+        return await _submit(call, apply_change)
 
     return handle
 
 
-def removal(section: str) -> admin_call.Handler:
+def remove_entry(section: str) -> admin_call.Handler:
     """Makes the handler that removes an entry of a section."""
 
-    async def handle(call: admin_call.Call) -> answer.Reply:
-        return await _submit(call, change.remove_entry(section, call.name()))
+    async def handle(call: admin_call.Call) -> response.Reply:
+        return await _submit(
+            call, change.remove_entry(section, call.route_name())
+        )
 
     return handle
 
 
-async def limits(call: admin_call.Call) -> answer.Reply:
+async def limits(call: admin_call.Call) -> response.Reply:
     """Replaces the limits of one client account."""
     value = await body.read_object(call.req)
-    return await _submit(call, change.put_limits(call.name(), value))
+    return await _submit(call, change.put_limits(call.route_name(), value))
 
 
-async def policies(call: admin_call.Call) -> answer.Reply:
+async def policies(call: admin_call.Call) -> response.Reply:
     """Replaces the policies."""
     value = await body.read_object(call.req)
     return await _submit(call, change.put_policies(value))
@@ -73,8 +77,8 @@
 def drain(draining: bool) -> admin_call.Handler:
     """Makes the handler that starts or ends the drain of an upstream."""
 
-    async def handle(call: admin_call.Call) -> answer.Reply:
-        wanted = change.set_draining(call.name(), draining)
-        return await _submit(call, wanted)
+    async def handle(call: admin_call.Call) -> response.Reply:
+        apply_change = change.set_draining(call.route_name(), draining)
+        return await _submit(call, apply_change)
 
     return handle
--- a/packages/quetzalsill-router/src/quetzalsill_router/run.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/run.py
@@ -202,7 +202,7 @@
     async def routers() -> list[view.NodeView]:
         return await membership.routers(ctx.registration, ctx.table)
 
-    async def elsewhere(
+    async def forward_to_routers(
         req: blacksheep.Request, request: str
     ) -> forward.Elsewhere:
         prefix = f'{routes.PREFIX}/requests'
@@ -218,7 +218,7 @@
             peers=ctx.peers.peers,
             routers=routers,
             requests=control.Control(ctx.active),
-            elsewhere=elsewhere,
+            forward_to_routers=forward_to_routers,
         ),
     )
 
--- a/tests/quetzalsill_cli/test_edit.py
+++ b/tests/quetzalsill_cli/test_edit.py
@@ -112,7 +112,7 @@
         the winner's edit stays.
         """
         data, revision = self.router.store.put(
-            fake.plain_configuration(), 'obi'
+            fake.sample_configuration(), 'obi'
         )
         self.router.holder.install(data, revision)
         result = self.invoke(
@@ -128,7 +128,7 @@
         The drain concerns one upstream only; refused, it would leave an
         upstream in use that is about to go.
         """
-        rivals = [fake.plain_configuration()]
+        rivals = [fake.sample_configuration()]
         store = self.router.store
         store.before_publish = lambda: rivals and store.put(rivals.pop(), 'obi')
         result = self.invoke('upstream', 'drain', 'ikeja-1')
@@ -173,7 +173,7 @@
         The repetition is refused as unauthorized although the edit is in
         force; "refused" would be a lie.
         """
-        plain = fake.plain_configuration()
+        plain = fake.sample_configuration()
         del plain['operators']['ada']
         self.served.lossy.lose = 1
         result = self.invoke('config', 'apply', self.file(json.dumps(plain)))
@@ -236,7 +236,7 @@
     def test_views_of_several_routers_are_merged(self):
         second = self.add_router()
         second.router.holder.install(
-            *self.router.store.put(fake.plain_configuration())
+            *self.router.store.put(fake.sample_configuration())
         )
         for urls in (
             [self.served.url, second.url],
--- a/tests/quetzalsill_router/admin/fake.py
+++ b/tests/quetzalsill_router/admin/fake.py
@@ -26,7 +26,7 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def plain_configuration():
+def sample_configuration():
     """Gives a small valid document."""
     return {
         'profiles': {'prompt': {}, 'patient': {'durable': True}},
@@ -58,34 +58,34 @@
 
     def __init__(self):
         self.down = False
-        self.lose = 0
+        self.responses_to_lose = 0
         self.before_publish = lambda: None
         self._entries = []
         self._documents = [b'{}']
 
-    def _reach(self):
+    def _check_available(self):
         if self.down:
             raise platform_error.PlatformUnavailableError('down')
 
     async def head(self):
-        self._reach()
+        self._check_available()
         if not self._entries:
             return revision.Head()
         entry = self._entries[-1]
         return revision.Head(entry.revision, entry.edit, entry.author, entry.at)
 
     async def load(self, number):
-        self._reach()
+        self._check_available()
         if number >= len(self._documents):
             raise store.RevisionMissingError(f'no revision {number}')
         return self._documents[number]
 
     async def history(self, limit):
-        self._reach()
+        self._check_available()
         return self._entries[::-1][:limit]
 
     async def publish(self, data, expected_revision, edit, author, note):
-        self._reach()
+        self._check_available()
         self.before_publish()
         for entry in self._entries:
             if entry.edit == edit and self._documents[entry.revision] == data:
@@ -95,8 +95,8 @@
         if expected_revision != len(self._entries):
             raise store.RevisionConflictError(len(self._entries))
         made = self._append(data, edit, author, note)
-        if self.lose:
-            self.lose -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             raise store.OutcomeUnknownEditError(edit, expected_revision)
         return made
 
@@ -152,12 +152,12 @@
 class Router:
     """One router with the administration API, without a listener."""
 
-    def __init__(self, rows=None, name='entry-1'):
-        self.store = rows or MemoryStore()
+    def __init__(self, config_store=None, name='entry-1'):
+        self.store = config_store or MemoryStore()
         self.holder = holder.Holder()
         self.peers = []
         self.requests = Requests()
-        self.others = forward.Elsewhere()
+        self.forward_result = forward.Elsewhere()
         self.context = context.AdminContext(
             node=name,
             bootstrap_sha256=digest(BOOTSTRAP),
@@ -166,13 +166,13 @@
             peers=lambda: self.peers,
             routers=self.routers,
             requests=self.requests,
-            elsewhere=self.elsewhere,
+            forward_to_routers=self.forward_to_routers,
         )
         self.app = blacksheep.Application(router=routing.Router())
         routes.mount(self.app, self.context)
 
-    async def elsewhere(self, req, request):
-        return self.others
+    async def forward_to_routers(self, req, request):
+        return self.forward_result
 
     async def routers(self):
         return [
@@ -189,7 +189,7 @@
 
     def install(self, plain=None):
         """Puts a first configuration in force."""
-        self.holder.install(*self.store.put(plain or plain_configuration()))
+        self.holder.install(*self.store.put(plain or sample_configuration()))
 
     async def client(self):
         await self.app.start()
@@ -223,7 +223,7 @@
         return resp.status, json.loads(await resp.read()), resp
 
 
-class ApiCase(unittest.IsolatedAsyncioTestCase):
+class ApiTestCase(unittest.IsolatedAsyncioTestCase):
     """A router with a first configuration in force."""
 
     async def asyncSetUp(self):
--- a/tests/quetzalsill_router/admin/test_race.py
+++ b/tests/quetzalsill_router/admin/test_race.py
@@ -9,10 +9,10 @@
 from tests.quetzalsill.platform import standin
 from tests.quetzalsill_router.admin import fake
 
-OPERATORS = 3
-EDITS = 4
-BOUND_S = 60
-REPEATABLE = (503, 504)
+OPERATOR_COUNT = 3
+EDITS_PER_OPERATOR = 4
+TIMEOUT_S = 60
+RETRYABLE_STATUSES = (503, 504)
 
 
 async def edit(call, operator, number):
@@ -23,7 +23,7 @@
         value = read['value'] | {'retries': number}
         edit_id = f'{operator}-{number}-{read["revision"]}'
         status = 503
-        while status in REPEATABLE:
+        while status in RETRYABLE_STATUSES:
             status, body, _ = await call(
                 'put',
                 f'/profiles/{operator}',
@@ -40,11 +40,13 @@
 
     async def asyncSetUp(self):
         self.platform = await standin.start(self, 'store')
-        self.opened = await standin.open_clients(self, self.platform.url, 2.0)
+        self.clients = await standin.open_clients(self, self.platform.url, 2.0)
 
     async def client(self, name):
-        rows = store.ConfigStore(self.opened.table, self.opened.objects)
-        return await fake.Router(rows, name).client()
+        config_store = store.ConfigStore(
+            self.clients.table, self.clients.objects
+        )
+        return await fake.Router(config_store, name).client()
 
     async def test_each_accepted_edit_is_one_revision_and_stays(self):
         """Three operators edit at once and each is told "accepted".
@@ -54,8 +56,8 @@
         another's nor be made twice.
         """
         first, second = await self.client('a'), await self.client('b')
-        plain = fake.plain_configuration()
-        names = [f'profile-{n}' for n in range(OPERATORS)]
+        plain = fake.sample_configuration()
+        names = [f'profile-{n}' for n in range(OPERATOR_COUNT)]
         plain['profiles'] |= {name: {} for name in names}
         status, _, _ = await first(
             'put', '/config', plain, token=fake.BOOTSTRAP, If_Match='0'
@@ -63,24 +65,26 @@
         self.assertEqual(200, status)
         await second('get', '/config', token=fake.BOOTSTRAP)
 
-        async def work(call, name):
+        async def edit_repeatedly(call, name):
             accepted = []
-            for number in range(EDITS):
+            for number in range(EDITS_PER_OPERATOR):
                 self.platform.faults.switches.lose_answers = number % 2
                 accepted.append(await edit(call, name, number))
             return accepted
 
-        async with asyncio.timeout(BOUND_S):
-            rounds = await asyncio.gather(
-                work(first, names[0]),
-                work(second, names[1]),
-                work(second, names[2]),
+        async with asyncio.timeout(TIMEOUT_S):
+            results = await asyncio.gather(
+                edit_repeatedly(first, names[0]),
+                edit_repeatedly(second, names[1]),
+                edit_repeatedly(second, names[2]),
             )
-        accepted = dict(pair for made in rounds for pair in made)
+        accepted = dict(pair for edits in results for pair in edits)
         _, body, _ = await first('get', '/history?limit=100')
         history = {e['edit']: e['revision'] for e in body['entries'][:-1]}
         self.assertEqual(accepted, history)
-        self.assertEqual(OPERATORS * EDITS, len(set(accepted.values())))
+        self.assertEqual(
+            OPERATOR_COUNT * EDITS_PER_OPERATOR, len(set(accepted.values()))
+        )
         for edit_id, revision in accepted.items():
             _, body, _ = await first(
                 'get', f'/diff?from={revision - 1}&to={revision}'
@@ -92,7 +96,9 @@
             )
         _, body, _ = await second('get', '/profiles')
         for name in names:
-            self.assertEqual(EDITS - 1, body['value'][name]['retries'])
+            self.assertEqual(
+                EDITS_PER_OPERATOR - 1, body['value'][name]['retries']
+            )
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_router/admin/test_read.py
+++ b/tests/quetzalsill_router/admin/test_read.py
@@ -9,7 +9,7 @@
 from tests.quetzalsill_router.admin import fake
 
 
-class ReadTest(fake.ApiCase):
+class ReadTest(fake.ApiTestCase):
     """Reads of configuration, history, nodes and requests."""
 
     async def test_a_viewer_reads_with_secrets_masked(self):
@@ -104,7 +104,7 @@
         self.assertEqual(404, (await self.call('get', '/requests/r2'))[0])
 
 
-class AccessTest(fake.ApiCase):
+class AccessTest(fake.ApiTestCase):
     """Credentials and roles."""
 
     async def test_missing_and_unknown_tokens_are_refused(self):
@@ -135,7 +135,7 @@
     async def test_the_first_configuration_needs_the_bootstrap_token(self):
         router = fake.Router()
         call = await router.client()
-        wanted = fake.plain_configuration()
+        wanted = fake.sample_configuration()
         status, _, _ = await call('put', '/config', wanted, If_Match='0')
         self.assertEqual(503, status)
         status, body, _ = await call(
--- a/tests/quetzalsill_router/admin/test_write.py
+++ b/tests/quetzalsill_router/admin/test_write.py
@@ -34,12 +34,12 @@
 )
 
 
-class EditTest(fake.ApiCase):
+class EditTest(fake.ApiTestCase):
     """Edits, good and bad."""
 
     async def test_an_accepted_edit_is_in_force_and_told_at_once(self):
-        told = []
-        self.router.holder.on_change(lambda cfg: told.append(cfg.revision))
+        announced = []
+        self.router.holder.on_change(lambda cfg: announced.append(cfg.revision))
         status, body, resp = await self.call(
             'put',
             '/profiles/prompt',
@@ -54,7 +54,7 @@
         self.assertEqual(2, self.router.holder.revision)
         profile = self.router.holder.current.profiles['prompt']
         self.assertEqual(5, profile.deadline_s)
-        self.assertEqual([2], told)
+        self.assertEqual([2], announced)
 
     async def test_each_kind_of_edit(self):
         edits = (
@@ -102,7 +102,7 @@
         self.assertEqual(200, status)
 
     async def test_every_fault_is_listed_and_nothing_changes(self):
-        wanted = fake.plain_configuration()
+        wanted = fake.sample_configuration()
         wanted['profiles']['prompt'] = {'deadline_s': -1, 'delivry': 'whole'}
         wanted['accounts']['lagos']['default_profile'] = 'none'
         status, body, _ = await self.call(
@@ -173,7 +173,7 @@
         return status
 
 
-class RaceTest(fake.ApiCase):
+class RaceTest(fake.ApiTestCase):
     """Operators who edit at the same time."""
 
     async def test_the_second_of_two_operators_is_told_who_was_first(self):
@@ -183,7 +183,9 @@
         the current revision and whom to ask.
         """
         other = fake.Router(self.router.store, 'entry-2')
-        other.holder.install(*self.router.store.put(fake.plain_configuration()))
+        other.holder.install(
+            *self.router.store.put(fake.sample_configuration())
+        )
         second = await other.client()
         await self.call('put', '/profiles/a', {}, If_Match='2')
         status, body, _ = await second(
@@ -203,7 +205,7 @@
     async def test_an_edit_accepted_between_read_and_publication(self):
         """Another router publishes while this one checks its document."""
         self.router.store.before_publish = lambda: self.router.store.put(
-            fake.plain_configuration(), 'obi'
+            fake.sample_configuration(), 'obi'
         )
         status, body, _ = await self.call(
             'put', '/profiles/a', {}, If_Match='1'
@@ -216,7 +218,7 @@
         self.assertEqual(409, status)
 
 
-class LostAnswerTest(fake.ApiCase):
+class LostAnswerTest(fake.ApiTestCase):
     """Edits through a store that fails or loses its answer."""
 
     async def test_a_repeated_edit_is_accepted_once(self):
@@ -226,7 +228,7 @@
         a conflict with itself, and must not be made twice.
         """
         edit = {'If_Match': '1', 'X_Edit_Id': 'edit-a'}
-        self.router.store.lose = 1
+        self.router.store.responses_to_lose = 1
         status, body, _ = await self.call('put', '/profiles/a', {}, **edit)
         self.assertEqual(504, status)
         self.assertEqual('outcome_unknown', body['error']['code'])
