--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
@@ -1,4 +1,4 @@
-"""Who calls the administration API, and what that one may do."""
+"""Authenticates operators and checks their roles."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an operator may do."""
+    """Permissions of an operator; viewers only read."""
 
     VIEWER = 'viewer'
     OPERATOR = 'operator'
@@ -34,11 +34,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Operator:
-    """The one who calls.
+    """The authenticated caller of the administration API.
 
     Attributes:
       name: Name in the configuration, or `bootstrap`.
-      role: What it may do.
+      role: Role that the configuration grants.
     """
 
     name: str
@@ -55,7 +55,7 @@
 def _accepted_digests(
     context: admin_context.AdminContext,
 ) -> Iterator[tuple[str, Operator]]:
-    """Yields each digest that is accepted with its operator."""
+    """Yields each accepted token digest with its operator."""
     if context.bootstrap_sha256:
         yield context.bootstrap_sha256, Operator(BOOTSTRAP, Role.OPERATOR)
     for name, entry in context.holder.current.operators.items():
@@ -65,14 +65,15 @@
 def authenticate(
     context: admin_context.AdminContext, req: blacksheep.Request
 ) -> Operator:
-    """Finds the operator whose token the request carries.
+    """Returns the operator whose token the request carries.
 
-    Every digest is compared in constant time and none ends the search, so
-    that the time taken tells nothing of the digests.
+    Compares every digest in constant time and does not stop at a match, so
+    that the response time reveals nothing about the digests.
 
     Raises:
       UnauthorizedError: The token is missing or unknown.
-      NotReadyError: This router does not know the operators yet.
+      NotReadyError: This router has no configuration yet, so it knows no
+        operators.
     """
     digest = hashlib.sha256(_bearer_token(req)).hexdigest()
     found = None
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
@@ -1,4 +1,4 @@
-"""Reads the JSON body of a write."""
+"""Reads the JSON body of a write request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Builds an object; a key that stands twice would lose one of them."""
+    """Rejects duplicate keys, of which `dict` would keep only the last."""
     result = dict(pairs)
     if len(result) != len(pairs):
         raise ValueError('a key stands twice in one object')
@@ -31,8 +31,8 @@
     value = json.loads(
         data, object_pairs_hook=_build_object, parse_constant=_reject_constant
     )
-    # A lone surrogate written as an escape parses, but is no character: it
-    # would be stored and fail whoever prints the configuration in UTF-8.
+    # An escaped lone surrogate parses but cannot be encoded. Once stored, it
+    # would break every client that prints the configuration as UTF-8.
     json.dumps(value, ensure_ascii=False).encode()
     return value
 
@@ -41,9 +41,9 @@
     """Reads a JSON object.
 
     Raises:
-      TooLargeError: The body is larger than a document may be.
-      BadRequestError: It is not JSON, or not an object.
-      CallerLeftError: The connection closed within the body.
+      TooLargeError: The body exceeds the maximum size of a document.
+      BadRequestError: The body is not JSON, or not an object.
+      CallerLeftError: The connection was closed before the body ended.
     """
     data = await http_body.read(req, document.MAX_DOCUMENT_BYTES)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/call.py
@@ -1,4 +1,4 @@
-"""One call of the administration API."""
+"""Calls of the administration API: parameters, access, error handling."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
 
-# The library resolves the annotations of handlers when it starts.
+# BlackSheep resolves the annotations of handlers at startup.
 import blacksheep  # noqa: TC002
 
 from quetzalsill.error import base
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """What a handler gets.
+    """An authorized request, as passed to a handler.
 
     Attributes:
-      context: The router around the API.
-      operator: Who calls.
+      context: The router that serves the API.
+      operator: The authenticated caller.
       req: The HTTP request.
     """
 
@@ -50,19 +50,19 @@
     req: blacksheep.Request
 
     def route_name(self) -> str:
-        """Gives the name in the path."""
+        """Returns the `:name` parameter of the route."""
         return self.req.route_values['name']
 
     def query_text(self, key: str) -> str:
-        """Gives a value of the query; empty if there is none."""
+        """Returns the last value of a query key; empty if there is none."""
         values = self.req.query.get(key)
         return values[-1] if values else ''
 
     def query_int(self, key: str, default: int, maximum: int) -> int:
-        """Gives a count from the query.
+        """Returns an integer of the query.
 
         Raises:
-          BadRequestError: It is no number in 0 to `maximum`.
+          BadRequestError: It is not an integer from 0 to `maximum`.
         """
         text = self.query_text(key)
         if not text:
@@ -74,10 +74,10 @@
         return int(text)
 
     def read_edit(self) -> edit.Edit:
-        """Reads the headers that each write carries.
+        """Reads the edit headers that every write request carries.
 
         Raises:
-          MissingPreconditionError: No expected revision is named.
+          MissingPreconditionError: The request has no expected revision.
           BadRequestError: A header is malformed.
         """
         return edit.Edit(
@@ -119,7 +119,7 @@
     role: access.Role,
     handler: Handler,
 ) -> Callable[[blacksheep.Request], Awaitable[blacksheep.Response]]:
-    """Wraps a handler: credentials first, failures as JSON last."""
+    """Wraps a handler with authorization and JSON error responses."""
 
     async def call_handler(req: blacksheep.Request) -> response.Reply:
         operator = access.authenticate(context, req)
@@ -144,8 +144,8 @@
         except http_body.CallerLeftError:
             raise
         except Exception:
-            # A fault of our own must cost one answer, not the connection,
-            # and must be seen: it is logged with its traceback.
+            # An internal error fails only this request, not the connection,
+            # and is logged with its traceback.
             _LOG.exception('admin_call_failed', path=req.path)
             failure = request_error.RequestError(
                 'internal error', ran=base.Ran.UNKNOWN
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
@@ -1,7 +1,7 @@
-"""Changes of the configuration document, as plain JSON data.
+"""Changes of the configuration document as JSON data.
 
-A change is a function from the document that the operator saw to the one
-that the operator wants; it is applied to a copy and checked afterwards.
+A change is a function that takes the document of the expected revision and
+returns the new document. It is applied to a copy, and the result is validated.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def replace_document(document: JsonObject) -> Change:
-    """Replaces the whole document."""
+    """Replaces the complete document."""
     return lambda _: document
 
 
@@ -49,7 +49,7 @@
 
 
 def remove_entry(section: str, name: str) -> Change:
-    """Removes one entry of a section; it must be there."""
+    """Removes one entry of a section; the entry must exist."""
 
     def apply(config: JsonObject) -> JsonObject:
         _existing_entry(config, section, name)
@@ -60,7 +60,7 @@
 
 
 def put_limits(account: str, value: JsonObject) -> Change:
-    """Replaces the limits of one client account; it must be there."""
+    """Replaces the limits of one client account; the account must exist."""
 
     def apply(config: JsonObject) -> JsonObject:
         _existing_entry(config, 'accounts', account)['limits'] = value
@@ -70,7 +70,7 @@
 
 
 def put_policies(value: JsonObject) -> Change:
-    """Replaces the policies."""
+    """Replaces the `policies` section."""
 
     def apply(config: JsonObject) -> JsonObject:
         config['policies'] = value
@@ -80,7 +80,7 @@
 
 
 def set_draining(upstream: str, draining: bool) -> Change:
-    """Starts or ends the drain of one upstream; it must be there."""
+    """Starts or stops draining an upstream; the upstream must exist."""
 
     def apply(config: JsonObject) -> JsonObject:
         _existing_entry(config, 'upstreams', upstream)['draining'] = draining
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/context.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/context.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of the router around it."""
+"""Interface between the administration API and its router."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LinkedPeer(Protocol):
-    """The part of `peer.Peer` that is shown to operators."""
+    """The attributes of `peer.Peer` that are shown to operators."""
 
     upstream: str
     availability_zone: str
@@ -29,31 +29,32 @@
 
 
 class RequestControl(Protocol):
-    """Requests that this router knows of."""
+    """Looks up and cancels the requests of this router."""
 
     async def find(self, request: str) -> view.RequestView | None:
-        """Looks a request up; None if it is unknown here."""
+        """Returns a request; None if this router does not run it."""
 
     async def cancel(self, request: str) -> view.RequestView | None:
-        """Cancels a request and tells its state; None if unknown."""
+        """Cancels a request and returns its state; None if unknown."""
 
 
 @dataclasses.dataclass(slots=True)
 class AdminContext:
-    """The router as the administration API sees it.
+    """The parts of the router that the administration API uses.
 
     Attributes:
-      node: Name of this router.
+      node: Node name of this router.
       bootstrap_sha256: Digest of the credential that may apply the first
         configuration; empty if there is none.
-      holder: The configuration in force in this process; it tells the peers
-        of each revision that is installed.
-      store: The revisions in the platform.
-      peers: Gives the present peers, one for each sidecar.
+      holder: The active configuration of this process; installing a revision
+        announces it to the peers.
+      store: The configuration revisions in the platform store.
+      peers: Returns the current peers, one for each sidecar.
       routers: Reads the live routers from their registration rows; raises
         `PlatformUnavailableError`.
-      requests: Requests by id.
-      elsewhere: Sends a call about a request to the other routers.
+      requests: Looks up and cancels requests by id.
+      forward_to_routers: Forwards a call about a request to the other
+        routers.
     """
 
     node: str
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/edit.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/edit.py
@@ -1,4 +1,4 @@
-"""One edit of the configuration, from request to revision in force."""
+"""Publishes edits of the configuration as new revisions."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Edit:
-    """Who edits which revision.
+    """Identity, author and base revision of an edit.
 
     Attributes:
-      id: Chosen by the client, the same whenever it repeats this edit.
+      id: Chosen by the client, which sends the same id when it retries.
       author: Name of the operator.
-      note: Why, in the operator's words.
-      expected: Revision that the change was made from.
+      note: The operator's reason for the edit.
+      expected_revision: Revision that the edit is based on.
     """
 
     id: str
@@ -43,9 +43,10 @@
     """The outcome of an edit.
 
     Attributes:
-      revision: Revision that the edit made.
+      revision: Revision that the edit created.
       edit: Id of the edit.
-      earlier: It had been accepted before this repetition arrived.
+      already_accepted: An earlier attempt of this edit was accepted, so this
+        one changed nothing.
     """
 
     revision: int
@@ -56,7 +57,7 @@
 async def _conflict_error(
     context: context.AdminContext, expected_revision: int
 ) -> error.EditConflictError:
-    """Makes the failure that names who was first."""
+    """Returns a conflict error with the current revision and its author."""
     head = await context.store.head()
     return error.EditConflictError(
         f'the edit was made from revision {expected_revision}, but revision '
@@ -69,7 +70,7 @@
 async def _base_document(
     context: context.AdminContext, expected_revision: int
 ) -> dict[str, Any]:
-    """Loads the document that the change was made from."""
+    """Loads the document that the edit is based on; empty for revision 0."""
     return (
         json.loads(await context.store.load(expected_revision))
         if expected_revision
@@ -80,7 +81,7 @@
 async def _publish(
     context: context.AdminContext, edit: Edit, apply_change: change.Change
 ) -> Accepted:
-    """Makes the next revision; the store knows an edit by its id again."""
+    """Publishes the next revision; the store recognizes retries by edit id."""
     head = await context.store.head()
     if head.revision < edit.expected_revision:
         raise await _conflict_error(context, edit.expected_revision)
@@ -107,13 +108,13 @@
 async def submit(
     context: context.AdminContext, edit: Edit, apply_change: change.Change
 ) -> Accepted:
-    """Publishes an edit and puts it in force in this router.
+    """Publishes an edit and installs the new revision in this router.
 
     Raises:
-      InvalidConfigurationError: The document would not pass the check.
-      EditConflictError: Another edit was first.
-      StoreUnavailableError: The store did not take it; nothing changed.
-      EditOutcomeUnknownError: The store's answer was lost.
+      InvalidConfigurationError: The edited document would be invalid.
+      EditConflictError: Another edit was accepted first.
+      StoreUnavailableError: The store is unavailable; nothing was changed.
+      EditOutcomeUnknownError: The store's response was lost.
     """
     try:
         accepted = await _publish(context, edit, apply_change)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/error.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/error.py
@@ -1,4 +1,4 @@
-"""Failures of the administration API beside those of `error.request`."""
+"""Errors of the administration API, in addition to `error.request`."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """One key of a document that does not fit.
+    """One invalid key of a document.
 
     Attributes:
       path: Path of the key, such as `profiles.prompt.deadline_s`.
-      found: What stands there.
-      allowed: What may stand there.
+      found: Value in the document.
+      allowed: Description of the allowed values.
     """
 
     path: str
@@ -32,7 +32,7 @@
 
 
 class InvalidConfigurationError(request.RequestError):
-    """The document as it would be after the edit does not pass the check."""
+    """The edited document would be invalid."""
 
     code = 'invalid_configuration'
     status = 422
@@ -44,7 +44,7 @@
 
 
 class MissingPreconditionError(request.RequestError):
-    """A write names no revision that it was made from."""
+    """A write request names no expected revision."""
 
     code = 'precondition_required'
     status = 428
@@ -52,7 +52,7 @@
 
 
 class NotReadyError(request.RequestError):
-    """This router has no configuration yet, so it knows no operator."""
+    """This router has no configuration yet, so it knows no operators."""
 
     code = 'not_ready'
     status = 503
@@ -63,11 +63,11 @@
 
 
 class EditConflictError(request.ConflictError):
-    """Another edit was accepted first, so this one was not.
+    """The edit is not based on the current revision.
 
     Attributes:
-      current: Revision in force.
-      author: Operator who made it; empty if unknown.
+      current_revision: Latest revision in the store.
+      author: Operator who published it; empty if unknown.
     """
 
     code = 'edit_conflict'
@@ -83,7 +83,7 @@
 
 
 class EditOutcomeUnknownError(request.OutcomeUnknownError):
-    """The store's answer was lost, so the edit may have been accepted."""
+    """The store's response was lost, so the edit may have been accepted."""
 
     code = 'outcome_unknown'
     advice = (
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/fleet.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of the system, and which revision each has in force."""
+"""Lists routers and sidecars with their state and active revision."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
     upstream: model.Upstream,
     peer: admin_context.LinkedPeer | None,
 ) -> view.NodeView:
-    """Shows an upstream's sidecar, by its peer if this router has one."""
+    """Returns the view of an upstream's sidecar.
+
+    State, load and revision come from the link of this router, if it has one.
+    """
     linked = peer is not None and peer.linked
     load = peer.load if linked else None
     return view.NodeView(
@@ -75,10 +78,10 @@
 async def _router_views(
     context: admin_context.AdminContext,
 ) -> tuple[list[view.NodeView], bool]:
-    """Gives the routers, and whether the store confirms them now.
+    """Returns the routers, and whether the store is available.
 
-    What this router remembers of the others while the store is down may
-    name dead ones and miss new ones.
+    While the store is down, the last known list may contain stopped routers
+    and lack new ones.
     """
     confirmed = await _is_store_available(context)
     try:
@@ -94,9 +97,10 @@
 
 
 async def nodes(call: admin_call.Call) -> response.Reply:
-    """Gives every router and sidecar with its revision.
+    """Returns every router and sidecar with its active revision.
 
-    `complete` is false if the store does not confirm which routers there are.
+    `complete` is false if the store is unavailable, so that the list of
+    routers may be outdated.
     """
     context = call.context
     routers, complete = await _router_views(context)
@@ -116,7 +120,7 @@
 
 
 async def status(call: admin_call.Call) -> response.Reply:
-    """Gives a summary: routers, sidecars, work, and the store."""
+    """Returns a summary of routers, sidecars, load and the store."""
     context = call.context
     routers, complete = await _router_views(context)
     sidecars = list(_sidecar_views(context))
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/mask.py
@@ -1,4 +1,4 @@
-"""Masks secrets of the configuration for those who may not edit it."""
+"""Masks secrets of the configuration for operators who may not edit it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _nested_dataclasses(annotation: Any) -> Iterator[type]:
-    """Yields the sections that a type annotation mentions."""
+    """Yields the dataclasses that a type annotation refers to."""
     if dataclasses.is_dataclass(annotation):
         yield annotation
     for argument in typing.get_args(annotation):
@@ -24,7 +24,7 @@
 
 
 def _secret_keys(section: type) -> Iterator[str]:
-    """Yields the names of secret keys of a section and those below it."""
+    """Yields the names of all secret keys in a section and its subsections."""
     hints = typing.get_type_hints(section)
     for field in dataclasses.fields(section):
         spec = field.metadata.get(key.METADATA_KEY)
@@ -38,7 +38,7 @@
 
 
 def mask_secrets(data: Any) -> Any:
-    """Copies JSON data with the value of each secret key replaced."""
+    """Returns a copy of JSON data with every secret value replaced."""
     if isinstance(data, dict):
         return {
             name: MASK if name in _SECRETS else mask_secrets(value)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
@@ -1,4 +1,4 @@
-"""Reads of the configuration and its history."""
+"""Endpoints that read the configuration and its history."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def _latest_document(call: admin_call.Call) -> tuple[int, dict[str, Any]]:
-    """Gives the newest document, with secrets as far as the role goes."""
+    """Returns the latest revision; secrets are masked for viewers."""
     await refresh.catch_up(call.context)
     holder = call.context.holder
     data = json.loads(document.render(holder.current))
@@ -33,13 +33,13 @@
 
 
 async def configuration(call: admin_call.Call) -> response.Reply:
-    """Gives the whole document."""
+    """Returns the complete document."""
     revision, data = await _latest_document(call)
     return response.Reply({**data, 'revision': revision}, revision)
 
 
 def section(name: str) -> admin_call.Handler:
-    """Makes the handler that gives one section whole."""
+    """Returns a handler that reads one section."""
 
     async def handle(call: admin_call.Call) -> response.Reply:
         revision, data = await _latest_document(call)
@@ -56,7 +56,7 @@
 
 
 def entry(name: str) -> admin_call.Handler:
-    """Makes the handler that gives one entry of a section."""
+    """Returns a handler that reads one entry of a section."""
 
     async def handle(call: admin_call.Call) -> response.Reply:
         revision, data = await _latest_document(call)
@@ -68,7 +68,7 @@
 
 
 async def limits(call: admin_call.Call) -> response.Reply:
-    """Gives the limits of one client account."""
+    """Returns the limits of one client account."""
     revision, data = await _latest_document(call)
     value = _find_entry(data, 'accounts', call.route_name())['limits']
     body = {'revision': revision, 'name': call.route_name(), 'value': value}
@@ -78,7 +78,7 @@
 def _changes_under(
     changes: Iterable[difference.Change], path: str
 ) -> list[Any]:
-    """Gives the changes of a key and of those below it, as JSON data."""
+    """Returns the changes at a key path and below it as JSON data."""
     return [
         dataclasses.asdict(change)
         for change in changes
@@ -89,7 +89,7 @@
 async def _entries_changing(
     call: admin_call.Call, entries: Iterable[revision.Revision], path: str
 ) -> AsyncIterator[dict[str, Any]]:
-    """Yields the entries that changed a path, with these changes."""
+    """Yields the history entries that changed a path, with the changes."""
     newer = None
     for entry in entries:
         new = newer or await _load_revision(call, entry.revision)
@@ -110,10 +110,10 @@
 
 
 async def history(call: admin_call.Call) -> response.Reply:
-    """Gives who made the newest revisions, the newest first.
+    """Returns the latest revisions with their authors, newest first.
 
-    With a path, such as `profiles.prompt`, gives those of them that changed
-    a key there, each with its changes.
+    With a path such as `profiles.prompt`, returns only those that changed a
+    key at or below it, with their changes.
     """
     path = call.query_text('path')
     maximum = _MAX_HISTORY if not path else _MAX_HISTORY_OF_PATH
@@ -140,7 +140,7 @@
 
 
 async def diff(call: admin_call.Call) -> response.Reply:
-    """Gives the changes between two revisions."""
+    """Returns the changes between two revisions."""
     head = await call.context.store.head()
     to = call.query_int('to', head.revision, _MAX_REVISION)
     since = call.query_int('from', max(0, to - 1), _MAX_REVISION)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/refresh.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/refresh.py
@@ -1,4 +1,4 @@
-"""Brings this router to the newest revision before an operator reads."""
+"""Installs the latest revision before an operator reads it."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 async def catch_up(context: admin_context.AdminContext) -> bool:
-    """Installs the newest revision if this router is behind.
+    """Installs the latest revision if this router has an older one.
 
-    An operator who edits through one router and reads through another
-    within the follower's interval would be shown the old revision, edit it
-    and lose a race against nobody but the own edit.
+    Otherwise an operator who edits through one router and reads through
+    another before that one polls the store would read the old revision, and
+    the next edit would conflict with the operator's own previous one.
 
     Returns:
-      False if the store gave no newest revision, so that what is read is
-      what this router last knew.
+      False if the latest revision could not be loaded, so that the active
+      configuration may be outdated.
     """
     try:
         head = await context.store.head()
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/request_control.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/request_control.py
@@ -1,4 +1,4 @@
-"""Shows and cancels callers' requests."""
+"""Endpoints that show and cancel callers' requests."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 async def _reply(
     call: admin_call.Call, found: view.RequestView | None, request: str
 ) -> response.Reply:
-    """Tells of a request that runs here, or in another router.
+    """Returns a request of this router, or asks the other routers for it.
 
     Raises:
-      NotFoundError: No router runs it.
-      OutcomeUnknownError: None that answers runs it, and some don't answer.
+      NotFoundError: No router runs the request.
+      OutcomeUnknownError: No router that responded runs it, and some did not
+        respond.
     """
     if found is not None:
         return response.Reply(dataclasses.asdict(found))
@@ -47,14 +48,14 @@
 
 
 async def show(call: admin_call.Call) -> response.Reply:
-    """Gives the state of a request."""
+    """Returns the state of a request."""
     request = call.route_name()
     found = await call.context.requests.find(request)
     return await _reply(call, found, request)
 
 
 async def cancel(call: admin_call.Call) -> response.Reply:
-    """Cancels a request."""
+    """Cancels a request and returns its state."""
     request = call.route_name()
     found = await call.context.requests.cancel(request)
     _LOG.info(
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/response.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/response.py
@@ -1,4 +1,4 @@
-"""Turns results and failures into JSON answers."""
+"""Renders results and errors as JSON responses."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """What a successful call answers.
+    """The result of a successful call.
 
     Attributes:
       body: JSON data.
-      revision: Revision that the body shows; sent as ETag unless None.
-      edit: Id of the accepted edit; empty for reads.
+      revision: Configuration revision of the body, sent as ETag; None for no
+        ETag.
+      edit: Id of the accepted edit, sent as X-Edit-Id; empty for reads.
     """
 
     body: Any
@@ -40,7 +41,7 @@
 
 
 def render_reply(reply: Reply) -> blacksheep.Response:
-    """Renders the answer of a successful call."""
+    """Renders the response to a successful call."""
     resp = _json_response(200, reply.body)
     if reply.revision is not None:
         resp.add_header(b'ETag', b'"%d"' % reply.revision)
@@ -58,7 +59,7 @@
 
 
 def render_error(exc: request_error.RequestError) -> blacksheep.Response:
-    """Renders a failure in the shape that callers get too."""
+    """Renders an error in the format of the callers' API."""
     body = json.loads(http_error.document(exc))
     body['error'].update(_error_details(exc))
     resp = _json_response(exc.status, body)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/routes.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/routes.py
@@ -1,4 +1,4 @@
-"""Mounts the administration API on the router's application."""
+"""Routes of the administration API."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
     @property
     def role(self) -> access.Role:
-        """Whoever may call reads; writes are for operators."""
+        """The required role: writes need `operator`, reads any role."""
         if self.method == 'GET':
             return access.Role.VIEWER
         return access.Role.OPERATOR
@@ -86,7 +86,7 @@
 def mount(
     app: blacksheep.Application, context: admin_context.AdminContext
 ) -> None:
-    """Adds every route below `/admin/v1` to the application."""
+    """Adds all routes below `/admin/v1` to the application."""
     for entry in _endpoints():
         served = call.endpoint(context, entry.role, entry.handler)
         app.router.add(entry.method, f'{PREFIX}{entry.path}', served)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/validation.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/validation.py
@@ -1,4 +1,4 @@
-"""Checks a whole configuration document before it is accepted."""
+"""Validates a complete configuration document before it is accepted."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def collect_faults(
     exc: schema_error.InvalidDocumentError,
 ) -> Iterator[error.Fault]:
-    """Yields every fault that a failed check found."""
+    """Yields every fault of a nested validation error."""
     for nested in exc.exceptions:
         if isinstance(nested, schema_error.InvalidDocumentError):
             yield from collect_faults(nested)
@@ -33,7 +33,7 @@
     """Checks keys, types, ranges and references; renders the document.
 
     Raises:
-      InvalidConfigurationError: With every fault that was found.
+      InvalidConfigurationError: The document is invalid; lists every fault.
     """
     try:
         config = document.parse(json.dumps(data).encode(), revision)
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/view.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/view.py
@@ -1,4 +1,4 @@
-"""What the administration API tells of nodes and requests."""
+"""Nodes and requests as the administration API returns them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadView:
-    """Newest load that a sidecar reported.
+    """The latest load reported by a sidecar.
 
     Attributes:
       queued: Attempts waiting in the sidecar.
       running: Attempts on the upstream.
-      used_tokens: Key-value memory in use, in tokens.
-      capacity_tokens: Key-value memory in all, in tokens; 0 if unknown.
-      expected_wait_ms: Wait that a new prompt attempt would see.
-      models: Models loaded now.
-      healthy: The upstream answers its sidecar.
+      used_tokens: Used part of the KV cache, in tokens.
+      capacity_tokens: Size of the KV cache, in tokens; 0 if unknown.
+      expected_wait_ms: Expected wait of a new latency-sensitive attempt.
+      models: Models that are loaded.
+      healthy: The upstream responds to its sidecar.
     """
 
     queued: int
@@ -32,18 +32,18 @@
 
 @dataclasses.dataclass(slots=True)
 class NodeView:
-    """One process of the system, as the answering router sees it.
+    """A router or sidecar, as seen by the responding router.
 
     Attributes:
       name: Node name of a router; upstream name of a sidecar.
       kind: `router` or `sidecar`.
-      state: `live`, `leaving` or `unlinked` (a sidecar that the answering
-        router holds no link to; other routers may).
-      availability_zone: Where it runs.
-      address: IP:PORT where it listens.
-      incarnation: Number of its present start; 0 if unknown.
-      revision: Configuration in force there; 0 if unknown.
-      load: Newest load of a sidecar; None for routers and if unknown.
+      state: `live`, `leaving` or `unlinked` (a sidecar without a link to
+        the responding router; it may be linked to others).
+      availability_zone: Availability zone of the node.
+      address: IP:PORT that it listens on.
+      incarnation: Incarnation number of the process; 0 if unknown.
+      revision: Revision that is active there; 0 if unknown.
+      load: Latest load of a sidecar; None for routers and if unknown.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestView:
-    """A caller's request, without its prompt and answer.
+    """A caller's request, without its prompt and response.
 
     Attributes:
       request: Id of the request.
@@ -66,12 +66,12 @@
       account: Client account.
       profile: Profile name.
       model: Model or service name.
-      upstream: Upstream of the present attempt; empty if none.
-      attempts: Dispatches so far.
+      upstream: Upstream of the current attempt; empty if none.
+      attempts: Number of dispatches so far.
       age_s: Seconds since acceptance.
-      delivered: Tokens or pieces handed to the caller so far.
-      durable: The request is journalled in the platform.
-      code: Error code if it failed; empty otherwise.
+      delivered: Tokens or chunks delivered to the caller so far.
+      durable: The request is journaled in the platform store.
+      code: Error code of a failed request; empty otherwise.
     """
 
     request: str
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/write.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/write.py
@@ -1,4 +1,4 @@
-"""Writes of the configuration; each is one edit of the whole document."""
+"""Endpoints that edit the configuration; each edit makes one revision."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 async def configuration(call: admin_call.Call) -> response.Reply:
-    """Replaces the whole document."""
+    """Replaces the complete document."""
     document = await body.read_object(call.req)
     return await _submit(call, change.replace_document(document))
 
 
 def put_entry(section: str) -> admin_call.Handler:
-    """Makes the handler that adds or replaces an entry of a section."""
+    """Returns a handler that adds or replaces an entry of a section."""
 
     async def handle(call: admin_call.Call) -> response.Reply:
         value = await body.read_object(call.req)
@@ -52,7 +52,7 @@
 
 
 def remove_entry(section: str) -> admin_call.Handler:
-    """Makes the handler that removes an entry of a section."""
+    """Returns a handler that removes an entry of a section."""
 
     async def handle(call: admin_call.Call) -> response.Reply:
         return await _submit(
@@ -69,13 +69,13 @@
 
 
 async def policies(call: admin_call.Call) -> response.Reply:
-    """Replaces the policies."""
+    """Replaces the `policies` section."""
     value = await body.read_object(call.req)
     return await _submit(call, change.put_policies(value))
 
 
 def drain(draining: bool) -> admin_call.Handler:
-    """Makes the handler that starts or ends the drain of an upstream."""
+    """Returns a handler that starts or stops draining an upstream."""
 
     async def handle(call: admin_call.Call) -> response.Reply:
         apply_change = change.set_draining(call.route_name(), draining)
