--- a/tests/quetzalsill_router/admin/fake.py
+++ b/tests/quetzalsill_router/admin/fake.py
@@ -1,4 +1,4 @@
-"""Fakes of what the administration API needs of its router."""
+"""Fakes of the router parts that the administration API uses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def sample_configuration():
-    """Gives a small valid document."""
+    """Returns a small valid document."""
     return {
         'profiles': {'prompt': {}, 'patient': {'durable': True}},
         'models': {'planner': {'profile': 'patient'}},
@@ -48,12 +48,13 @@
 
 
 class MemoryStore:
-    """Revisions in memory, with the failures of the platform.
+    """A configuration store in memory that can simulate failures.
 
     Attributes:
       down: Every call fails.
-      lose: So many publications take effect without an answer.
-      before_publish: Called as each publication arrives.
+      responses_to_lose: How many of the next publications take effect but
+        report an unknown outcome.
+      before_publish: Called at the start of each publication.
     """
 
     def __init__(self):
@@ -109,7 +110,7 @@
         return made
 
     def put(self, plain, author='ada'):
-        """Publishes a document behind the back of the API."""
+        """Publishes a document directly, without the API."""
         data = document.render(document.parse(json.dumps(plain).encode(), 0))
         edit = f'edit-{len(self._documents)}'
         return data, self._append(data, edit, author)
@@ -134,7 +135,7 @@
 
 
 class Requests:
-    """Requests by id."""
+    """A fake of `RequestControl`, with requests by id."""
 
     def __init__(self):
         self.found = {}
@@ -150,7 +151,7 @@
 
 
 class Router:
-    """One router with the administration API, without a listener."""
+    """A router with the administration API, without a listener."""
 
     def __init__(self, config_store=None, name='entry-1'):
         self.store = config_store or MemoryStore()
@@ -188,7 +189,7 @@
         ]
 
     def install(self, plain=None):
-        """Puts a first configuration in force."""
+        """Publishes and installs a first configuration."""
         self.holder.install(*self.store.put(plain or sample_configuration()))
 
     async def client(self):
@@ -197,7 +198,7 @@
 
 
 class Client:
-    """Calls the API with a token and JSON bodies."""
+    """Calls the API with a token and a JSON body."""
 
     def __init__(self, client):
         self._client = client
@@ -224,7 +225,7 @@
 
 
 class ApiTestCase(unittest.IsolatedAsyncioTestCase):
-    """A router with a first configuration in force."""
+    """Provides a router with an active configuration and its client."""
 
     async def asyncSetUp(self):
         self.router = Router()
--- a/tests/quetzalsill_router/admin/test_race.py
+++ b/tests/quetzalsill_router/admin/test_race.py
@@ -1,4 +1,4 @@
-"""Operators who race through two routers, on the real store and stand-in."""
+"""Concurrent edits through two routers, on a stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 async def edit(call, operator, number):
-    """Makes one edit as the command line does; gives its revision."""
+    """Makes one edit as the command line does.
+
+    Returns:
+      The edit id and its revision.
+    """
     edit_id = ''
     while True:
         _, read, _ = await call('get', f'/profiles/{operator}')
@@ -36,7 +40,7 @@
 
 
 class RacingOperatorsTest(unittest.IsolatedAsyncioTestCase):
-    """Three operators, two routers, one store that loses answers."""
+    """Three operators, two routers and a store that loses responses."""
 
     async def asyncSetUp(self):
         self.platform = await standin.start(self, 'store')
@@ -49,11 +53,11 @@
         return await fake.Router(config_store, name).client()
 
     async def test_each_accepted_edit_is_one_revision_and_stays(self):
-        """Three operators edit at once and each is told "accepted".
+        """Concurrent edits must not be undone by others or applied twice.
 
-        Now and then the store loses an answer after the write, so a router
-        can't know what became of it. One operator's edit must neither undo
-        another's nor be made twice.
+        Three operators edit at the same time, and the store loses some
+        responses after the write, so that the router does not know the
+        outcome and the operator retries.
         """
         first, second = await self.client('a'), await self.client('b')
         plain = fake.sample_configuration()
--- a/tests/quetzalsill_router/admin/test_read.py
+++ b/tests/quetzalsill_router/admin/test_read.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API: reads and credentials."""
+"""Tests of reads, credentials and roles of the administration API."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReadTest(fake.ApiTestCase):
-    """Reads of configuration, history, nodes and requests."""
+    """Reading the configuration, history, nodes and requests."""
 
     async def test_a_viewer_reads_with_secrets_masked(self):
         status, body, resp = await self.call(
@@ -30,10 +30,11 @@
         self.assertEqual((200, 2), (status, accepted['revision']))
 
     async def test_reads_catch_up_with_another_router(self):
-        """An operator edits through one router and reads through another.
+        """A read returns the latest revision, not the one last polled.
 
-        The second router's follower has not looked yet. Shown the old
-        revision, the operator would edit that and lose against the own edit.
+        An operator edits through one router and reads through another that
+        has not polled the store since. An edit of the old revision would
+        conflict with the operator's own.
         """
         other = await fake.Router(self.router.store, 'entry-2').client()
         await self.call('put', '/profiles/quick', {}, If_Match='1')
@@ -105,7 +106,7 @@
 
 
 class AccessTest(fake.ApiTestCase):
-    """Credentials and roles."""
+    """Tokens, roles and unknown paths."""
 
     async def test_missing_and_unknown_tokens_are_refused(self):
         for token in ('', 'x', 'lagos-token', fake.OPERATOR + 'x'):
--- a/tests/quetzalsill_router/admin/test_write.py
+++ b/tests/quetzalsill_router/admin/test_write.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API: edits, races and lost answers."""
+"""Tests of edits, conflicts and lost responses of the administration API."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class EditTest(fake.ApiTestCase):
-    """Edits, good and bad."""
+    """Valid and invalid edits."""
 
     async def test_an_accepted_edit_is_in_force_and_told_at_once(self):
         announced = []
@@ -174,13 +174,14 @@
 
 
 class RaceTest(fake.ApiTestCase):
-    """Operators who edit at the same time."""
+    """Concurrent edits of several operators."""
 
     async def test_the_second_of_two_operators_is_told_who_was_first(self):
-        """Two operators edit from the same revision through two routers.
+        """A conflict names the current revision and its author.
 
-        One is accepted. The other must not overwrite it unseen, and needs
-        the current revision and whom to ask.
+        Two operators edit the same revision through two routers. The second
+        edit must not overwrite the first, and its operator needs to know
+        whose edit was accepted.
         """
         other = fake.Router(self.router.store, 'entry-2')
         other.holder.install(
@@ -203,7 +204,7 @@
         self.assertTrue(body['error']['not_run'])
 
     async def test_an_edit_accepted_between_read_and_publication(self):
-        """Another router publishes while this one checks its document."""
+        """Another router publishes between this one's read and its write."""
         self.router.store.before_publish = lambda: self.router.store.put(
             fake.sample_configuration(), 'obi'
         )
@@ -219,13 +220,14 @@
 
 
 class LostAnswerTest(fake.ApiTestCase):
-    """Edits through a store that fails or loses its answer."""
+    """Edits while the store fails or its response is lost."""
 
     async def test_a_repeated_edit_is_accepted_once(self):
-        """The answer to an accepted edit is lost, another edit follows.
+        """A retry of an accepted edit returns that edit's revision.
 
-        The operator sends the first again. It must be told its revision, not
-        a conflict with itself, and must not be made twice.
+        The response to the first attempt is lost and another edit follows.
+        The retry must neither conflict with the first attempt nor be applied
+        again.
         """
         edit = {'If_Match': '1', 'X_Edit_Id': 'edit-a'}
         self.router.store.responses_to_lose = 1
