--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
@@ -1,4 +1,4 @@
-"""Who calls the administration API, and what that one may do."""
+"""Authenticates operators and checks their roles."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     from quetzalsill_router.admin import context as admin_context
 
-__all__ = ['BOOTSTRAP', 'Operator', 'Role', 'authenticate', 'require']
+__all__ = ['BOOTSTRAP', 'Operator', 'Role', 'authenticate', 'require_role']
 
 BOOTSTRAP = 'bootstrap'
 _SCHEME = b'bearer '
@@ -26,7 +26,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an operator may do."""
+    """Permissions of an operator; viewers only read."""
 
     VIEWER = 'viewer'
     OPERATOR = 'operator'
@@ -34,28 +34,28 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Operator:
-    """The one who calls.
+    """The authenticated caller of the administration API.
 
     Attributes:
       name: Name in the configuration, or `bootstrap`.
-      role: What it may do.
+      role: Role that the configuration grants.
     """
 
     name: str
     role: Role
 
 
-def _token(req: blacksheep.Request) -> bytes:
+def _bearer_token(req: blacksheep.Request) -> bytes:
     header = req.get_first_header(b'authorization') or b''
     if header[: len(_SCHEME)].lower() != _SCHEME:
         raise request_error.UnauthorizedError('no bearer token', advice=_ADVICE)
     return header[len(_SCHEME) :].strip()
 
 
-def _known(
+def _accepted_digests(
     context: admin_context.AdminContext,
 ) -> Iterator[tuple[str, Operator]]:
-    """Yields each digest that is accepted with its operator."""
+    """Yields each accepted token digest with its operator."""
     if context.bootstrap_sha256:
         yield context.bootstrap_sha256, Operator(BOOTSTRAP, Role.OPERATOR)
     for name, entry in context.holder.current.operators.items():
@@ -65,19 +65,20 @@
 def authenticate(
     context: admin_context.AdminContext, req: blacksheep.Request
 ) -> Operator:
-    """Finds the operator whose token the request carries.
+    """Returns the operator whose token the request carries.
 
-    Every digest is compared in constant time and none ends the search, so
-    that the time taken tells nothing of the digests.
+    Compares every digest in constant time and does not stop at a match, so
+    that the response time reveals nothing about the digests.
 
     Raises:
       UnauthorizedError: The token is missing or unknown.
-      NotReadyError: This router does not know the operators yet.
+      NotReadyError: This router has no configuration yet, so it knows no
+        operators.
     """
-    digest = hashlib.sha256(_token(req)).hexdigest()
+    digest = hashlib.sha256(_bearer_token(req)).hexdigest()
     found = None
-    for accepted, operator in _known(context):
-        if hmac.compare_digest(accepted, digest):
+    for accepted_digest, operator in _accepted_digests(context):
+        if hmac.compare_digest(accepted_digest, digest):
             found = operator
     if found is None and not context.holder.revision:
         raise error.NotReadyError('no configuration in force here yet')
@@ -88,7 +89,7 @@
     return found
 
 
-def require(operator: Operator, role: Role) -> None:
+def require_role(operator: Operator, role: Role) -> None:
     """Raises `ForbiddenError` unless the operator has the role."""
     if role is Role.OPERATOR and operator.role is not Role.OPERATOR:
         raise request_error.ForbiddenError(
--- a/tests/quetzalsill_router/admin/fake.py
+++ b/tests/quetzalsill_router/admin/fake.py
@@ -1,4 +1,4 @@
-"""Fakes of what the administration API needs of its router."""
+"""Fakes of the router parts that the administration API uses."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def plain_configuration():
-    """Gives a small valid document."""
+def sample_configuration():
+    """Returns a small valid document."""
     return {
         'profiles': {'prompt': {}, 'patient': {'durable': True}},
         'models': {'planner': {'profile': 'patient'}},
@@ -48,44 +48,45 @@
 
 
 class MemoryStore:
-    """Revisions in memory, with the failures of the platform.
+    """A configuration store in memory that can simulate failures.
 
     Attributes:
       down: Every call fails.
-      lose: So many publications take effect without an answer.
-      before_publish: Called as each publication arrives.
+      responses_to_lose: How many of the next publications take effect but
+        report an unknown outcome.
+      before_publish: Called at the start of each publication.
     """
 
     def __init__(self):
         self.down = False
-        self.lose = 0
+        self.responses_to_lose = 0
         self.before_publish = lambda: None
         self._entries = []
         self._documents = [b'{}']
 
-    def _reach(self):
+    def _check_available(self):
         if self.down:
             raise platform_error.PlatformUnavailableError('down')
 
     async def head(self):
-        self._reach()
+        self._check_available()
         if not self._entries:
             return revision.Head()
         entry = self._entries[-1]
         return revision.Head(entry.revision, entry.edit, entry.author, entry.at)
 
     async def load(self, number):
-        self._reach()
+        self._check_available()
         if number >= len(self._documents):
             raise store.RevisionMissingError(f'no revision {number}')
         return self._documents[number]
 
     async def history(self, limit):
-        self._reach()
+        self._check_available()
         return self._entries[::-1][:limit]
 
     async def publish(self, data, expected_revision, edit, author, note):
-        self._reach()
+        self._check_available()
         self.before_publish()
         for entry in self._entries:
             if entry.edit == edit and self._documents[entry.revision] == data:
@@ -95,8 +96,8 @@
         if expected_revision != len(self._entries):
             raise store.RevisionConflictError(len(self._entries))
         made = self._append(data, edit, author, note)
-        if self.lose:
-            self.lose -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             raise store.OutcomeUnknownEditError(edit, expected_revision)
         return made
 
@@ -109,7 +110,7 @@
         return made
 
     def put(self, plain, author='ada'):
-        """Publishes a document behind the back of the API."""
+        """Publishes a document directly, without the API."""
         data = document.render(document.parse(json.dumps(plain).encode(), 0))
         edit = f'edit-{len(self._documents)}'
         return data, self._append(data, edit, author)
@@ -134,7 +135,7 @@
 
 
 class Requests:
-    """Requests by id."""
+    """A fake of `RequestControl`, with requests by id."""
 
     def __init__(self):
         self.found = {}
@@ -150,14 +151,14 @@
 
 
 class Router:
-    """One router with the administration API, without a listener."""
+    """A router with the administration API, without a listener."""
 
-    def __init__(self, rows=None, name='entry-1'):
-        self.store = rows or MemoryStore()
+    def __init__(self, config_store=None, name='entry-1'):
+        self.store = config_store or MemoryStore()
         self.holder = holder.Holder()
         self.peers = []
         self.requests = Requests()
-        self.others = forward.ForwardResult()
+        self.forward_result = forward.ForwardResult()
         self.context = context.AdminContext(
             node=name,
             bootstrap_sha256=digest(BOOTSTRAP),
@@ -166,13 +167,13 @@
             peers=lambda: self.peers,
             routers=self.routers,
             requests=self.requests,
-            elsewhere=self.elsewhere,
+            forward_to_routers=self.forward_to_routers,
         )
         self.app = blacksheep.Application(router=routing.Router())
         routes.mount(self.app, self.context)
 
-    async def elsewhere(self, req, request):
-        return self.others
+    async def forward_to_routers(self, req, request):
+        return self.forward_result
 
     async def routers(self):
         return [
@@ -188,8 +189,8 @@
         ]
 
     def install(self, plain=None):
-        """Puts a first configuration in force."""
-        self.holder.install(*self.store.put(plain or plain_configuration()))
+        """Publishes and installs a first configuration."""
+        self.holder.install(*self.store.put(plain or sample_configuration()))
 
     async def client(self):
         await self.app.start()
@@ -197,7 +198,7 @@
 
 
 class Client:
-    """Calls the API with a token and JSON bodies."""
+    """Calls the API with a token and a JSON body."""
 
     def __init__(self, client):
         self._client = client
@@ -223,8 +224,8 @@
         return resp.status, json.loads(await resp.read()), resp
 
 
-class ApiCase(unittest.IsolatedAsyncioTestCase):
-    """A router with a first configuration in force."""
+class ApiTestCase(unittest.IsolatedAsyncioTestCase):
+    """Provides a router with an active configuration and its client."""
 
     async def asyncSetUp(self):
         self.router = Router()
--- a/tests/quetzalsill_router/admin/test_write.py
+++ b/tests/quetzalsill_router/admin/test_write.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API: edits, races and lost answers."""
+"""Tests of edits, conflicts and lost responses of the administration API."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 )
 
 
-class EditTest(fake.ApiCase):
-    """Edits, good and bad."""
+class EditTest(fake.ApiTestCase):
+    """Valid and invalid edits."""
 
     async def test_an_accepted_edit_is_in_force_and_told_at_once(self):
-        told = []
-        self.router.holder.on_change(lambda cfg: told.append(cfg.revision))
+        announced = []
+        self.router.holder.on_change(lambda cfg: announced.append(cfg.revision))
         status, body, resp = await self.call(
             'put',
             '/profiles/prompt',
@@ -54,7 +54,7 @@
         self.assertEqual(2, self.router.holder.revision)
         profile = self.router.holder.current.profiles['prompt']
         self.assertEqual(5, profile.deadline_s)
-        self.assertEqual([2], told)
+        self.assertEqual([2], announced)
 
     async def test_each_kind_of_edit(self):
         edits = (
@@ -102,7 +102,7 @@
         self.assertEqual(200, status)
 
     async def test_every_fault_is_listed_and_nothing_changes(self):
-        wanted = fake.plain_configuration()
+        wanted = fake.sample_configuration()
         wanted['profiles']['prompt'] = {'deadline_s': -1, 'delivry': 'whole'}
         wanted['accounts']['lagos']['default_profile'] = 'none'
         status, body, _ = await self.call(
@@ -173,17 +173,20 @@
         return status
 
 
-class RaceTest(fake.ApiCase):
-    """Operators who edit at the same time."""
+class RaceTest(fake.ApiTestCase):
+    """Concurrent edits of several operators."""
 
     async def test_the_second_of_two_operators_is_told_who_was_first(self):
-        """Two operators edit from the same revision through two routers.
+        """A conflict names the current revision and its author.
 
-        One is accepted. The other must not overwrite it unseen, and needs
-        the current revision and whom to ask.
+        Two operators edit the same revision through two routers. The second
+        edit must not overwrite the first, and its operator needs to know
+        whose edit was accepted.
         """
         other = fake.Router(self.router.store, 'entry-2')
-        other.holder.install(*self.router.store.put(fake.plain_configuration()))
+        other.holder.install(
+            *self.router.store.put(fake.sample_configuration())
+        )
         second = await other.client()
         await self.call('put', '/profiles/a', {}, If_Match='2')
         status, body, _ = await second(
@@ -201,9 +204,9 @@
         self.assertTrue(body['error']['not_run'])
 
     async def test_an_edit_accepted_between_read_and_publication(self):
-        """Another router publishes while this one checks its document."""
+        """Another router publishes between this one's read and its write."""
         self.router.store.before_publish = lambda: self.router.store.put(
-            fake.plain_configuration(), 'obi'
+            fake.sample_configuration(), 'obi'
         )
         status, body, _ = await self.call(
             'put', '/profiles/a', {}, If_Match='1'
@@ -216,17 +219,18 @@
         self.assertEqual(409, status)
 
 
-class LostAnswerTest(fake.ApiCase):
-    """Edits through a store that fails or loses its answer."""
+class LostAnswerTest(fake.ApiTestCase):
+    """Edits while the store fails or its response is lost."""
 
     async def test_a_repeated_edit_is_accepted_once(self):
-        """The answer to an accepted edit is lost, another edit follows.
+        """A retry of an accepted edit returns that edit's revision.
 
-        The operator sends the first again. It must be told its revision, not
-        a conflict with itself, and must not be made twice.
+        The response to the first attempt is lost and another edit follows.
+        The retry must neither conflict with the first attempt nor be applied
+        again.
         """
         edit = {'If_Match': '1', 'X_Edit_Id': 'edit-a'}
-        self.router.store.lose = 1
+        self.router.store.responses_to_lose = 1
         status, body, _ = await self.call('put', '/profiles/a', {}, **edit)
         self.assertEqual(504, status)
         self.assertEqual('outcome_unknown', body['error']['code'])
