--- a/packages/quetzalsill/src/quetzalsill/net/__init__.py
+++ b/packages/quetzalsill/src/quetzalsill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Plumbing around HTTP and TLS libraries."""
+"""HTTP client and server, TLS contexts, deadlines and stop signals."""
--- a/packages/quetzalsill/src/quetzalsill/net/client.py
+++ b/packages/quetzalsill/src/quetzalsill/net/client.py
@@ -18,28 +18,29 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
-# Below the keep-alive bound of any server in use, so that a connection is
-# dropped here before the server closes it under a request.
+# Shorter than the keep-alive timeout of every server in use, so that an idle
+# connection is closed here before the server closes it during a request.
 IDLE_TIMEOUT_S = 3.0
 MAX_IDLE = 64
 
 
 class Session(library_session.ClientSession):
-    """Client whose requests reach the other end once or not at all.
+    """Client that delivers each request at most once.
 
-    The library's session sends a request again, up to three times, when the
-    connection closes before an answer. The first may have run by then, and
-    an order would be carried out twice. Here no code path sends again: the
-    caller learns from the type of the error whether it may.
+    The library's session retries a request up to three times when the
+    connection closes before a response, although the first attempt may have
+    run by then: a request that is not idempotent would take effect twice. No
+    code path here retries; the type of the error tells the caller whether it
+    may.
     """
 
     async def get_connection(
         self, url: blacksheep.URL
     ) -> connection.Connection:
-        """Returns a connection that was idle, or a new one.
+        """Returns an idle connection, or opens a new one.
 
         Raises:
-          ConnectFailedError: If none came about; nothing was sent.
+          ConnectFailedError: If it cannot be opened; nothing was sent.
         """
         target = self.pools.get_pool(url.schema, url.host, url.port)
         try:
@@ -60,7 +61,7 @@
         except TimeoutError as exc:
             conn.report_timeout()
             raise error.ResponseTimeoutError(
-                f'no answer within {self.request_timeout} s'
+                f'no response within {self.request_timeout} s'
             ) from exc
 
 
@@ -74,26 +75,27 @@
     idle_timeout_s: float = IDLE_TIMEOUT_S,
     max_idle: int = MAX_IDLE,
 ) -> Session:
-    """Makes a client without resends, redirects and cookies.
+    """Creates a client that does not retry, redirect or store cookies.
 
     Its requests raise `net.error.ConnectFailedError` or
     `RequestInvalidError` if nothing was sent, and `ResponseLostError` or its
     `ResponseTimeoutError` if the request may have run. A body that is longer
-    than 64 KiB or of unknown length is read as `response.stream()` is
+    than 64 KiB or of unknown length is read while `response.stream()` is
     iterated; closing that iterator, or dropping the response, closes the
-    connection. A URL given as `str` is escaped by the library; give `bytes`
-    if it is escaped already.
+    connection. The library escapes a URL given as `str`; pass `bytes` if it
+    is already escaped.
 
     Args:
-      base_url: URL before relative ones.
-      timeout_s: Longest wait for the head of an answer, and for the whole of
-        a short one; None for no bound.
+      base_url: URL that relative ones are resolved against.
+      timeout_s: Longest wait for the head of a response, and for all of a
+        short one; None for no timeout.
       tls: Certificates for `https` URLs; the system's authorities if None.
-      read_timeout_s: Longest wait between two pieces of a body; None for none.
+      read_timeout_s: Longest wait between two chunks of a body; None for no
+        timeout.
       connect_timeout_s: Longest wait for a connection.
-      idle_timeout_s: How long an idle connection may be used again; 0 opens
-        one for each request.
-      max_idle: Idle connections kept for one address.
+      idle_timeout_s: How long an idle connection may be reused; 0 opens a
+        new one for each request.
+      max_idle: Idle connections kept for each address.
     """
     pools = pool.Pools(
         tls or section.Tls(), read_timeout_s, idle_timeout_s, max_idle
--- a/packages/quetzalsill/src/quetzalsill/net/connection.py
+++ b/packages/quetzalsill/src/quetzalsill/net/connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 connection of the client.
 
-blacksheep's own connection reads the whole answer ahead without a bound, and
-takes an answer that is cut off for a whole one. This one reads when its
-reader asks, and an answer that is cut off raises `ResponseLostError`.
+blacksheep's own connection reads the entire response ahead without a limit,
+and treats a truncated response as complete. This one reads on demand, and a
+truncated response raises `ResponseLostError`.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 
 class _StreamedBody(blacksheep.StreamedContent):
-    """Body that is read from its connection as it is asked for."""
+    """Body that is read from its connection on demand."""
 
     async def read(self) -> bytes:
-        """Returns the whole body, also when asked again."""
+        """Returns the complete body; may be called repeatedly."""
         return self.body if self.body is not None else await super().read()
 
 
 class _ResponseBody:
-    """The answer that a connection is receiving.
+    """The body of the response that a connection is receiving.
 
-    A connection goes on to other requests, so what still refers to an
-    earlier answer, such as an iterator dropped late, must not reach it.
+    The connection is reused for other requests, so a stale reference to an
+    earlier response, such as an iterator dropped late, must not affect it.
     """
 
     def __init__(
@@ -55,9 +55,9 @@
         self._ended = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body piece by piece as it comes, once."""
+        """Yields the chunks of the body as they arrive; works once."""
         if self._ended:
-            raise error.NetError('the body of this answer was read already')
+            raise error.NetError('the body of this response was already read')
         try:
             while True:
                 chunk = self._parser.take_body()
@@ -73,7 +73,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """Closes the connection unless the answer has ended."""
+        """Closes the connection unless the response is complete."""
         if not self._ended:
             self._ended = True
             self._conn.abort()
@@ -85,14 +85,14 @@
         except TimeoutError as exc:
             self._conn.report_timeout()
             raise error.ResponseTimeoutError(
-                f'nothing came for {self._read_timeout_s} s'
+                f'no data received for {self._read_timeout_s} s'
             ) from exc
         except OSError as exc:
             raise error.ResponseLostError(_describe(exc)) from exc
 
 
 class Connection(library_connection.HTTP11Connection):
-    """A connection that carries one request at a time and repeats none."""
+    """A connection that carries one request at a time and never retries."""
 
     def __init__(
         self,
@@ -114,10 +114,10 @@
     def is_open(self) -> bool:
         """Whether a request may be sent on it.
 
-        A server closes a connection that is idle for long. Its end of
-        stream is then here already, and a request written behind it would
-        be lost with its outcome unknown. Some servers write an answer
-        before they close, which a further request would take for its own.
+        A server closes a connection that is idle for too long. Its end of
+        stream has then already arrived, and a request written after it
+        would be lost with its outcome unknown. Some servers send a response
+        before they close, which the next request would take for its own.
         """
         has_no_pending_data = (
             not self.reader.at_eof() and not self.reader._buffer
@@ -130,11 +130,11 @@
         keepalive.enable(self.writer.transport)
 
     async def send(self, request: blacksheep.Request) -> blacksheep.Response:
-        """Sends a request once and returns the head of its answer.
+        """Sends a request once and returns the head of its response.
 
         Raises:
-          RequestInvalidError: If it cannot be written; nothing was sent.
-          ResponseLostError: If no answer came; the request may have run.
+          RequestInvalidError: If it cannot be encoded; nothing was sent.
+          ResponseLostError: If no response came; the request may have run.
         """
         self._has_response = False
         try:
@@ -144,21 +144,22 @@
         except (OSError, h11.ProtocolError) as exc:
             raise error.ResponseLostError(_describe(exc)) from exc
         finally:
-            # Also on cancellation: the other end must see that its answer
-            # is not waited for, and the connection must not be used again.
+            # Also on cancellation: the server must see that nobody waits for
+            # its response, and the connection must not be reused.
             if not self._has_response:
                 self.abort()
 
     async def feed_parser(self) -> None:
-        """Waits for bytes and gives them to the parser of the answer.
+        """Waits for data and passes it to the response parser.
 
         Raises:
-          ResponseLostError: If they are no HTTP, or end within the answer.
+          ResponseLostError: If it is not valid HTTP, or the stream ends
+            within the response.
         """
         self._parser.feed(await self.reader.read(self.buffer_size))
 
     def release(self) -> None:
-        """Gives the connection back after a whole answer."""
+        """Returns the connection to its pool after a complete response."""
         is_sent = self._h11_conn.our_state is h11.DONE
         if is_sent and self._parser.can_reuse_connection:
             self._h11_conn = h11.Connection(our_role=h11.CLIENT)
@@ -167,11 +168,11 @@
             self.abort()
 
     def report_timeout(self) -> None:
-        """Distrusts the idle connections to the same address too."""
+        """Reports a timeout, so that the pool closes its idle connections."""
         self._on_timeout()
 
     def abort(self) -> None:
-        """Closes the connection at once, whatever it carries."""
+        """Closes the connection at once, even during a request."""
         self._closing = True
         if self.writer is not None:
             self.writer.transport.abort()
@@ -184,7 +185,7 @@
         self, request: blacksheep.Request
     ) -> tuple[h11.Request, bytes | None]:
         self._parser = parser.ResponseParser(request.method)
-        # The library answers an expectation on a path that reads ahead.
+        # The library handles `Expect` on a code path that reads ahead.
         request.remove_header(b'expect')
         try:
             return super()._convert_request_to_h11(request)
@@ -215,7 +216,7 @@
         body = _StreamedBody(
             content_type, response_body.chunks, int(length or -1)
         )
-        # An answer that is dropped unread would hold the connection.
+        # A response that is dropped unread would keep the connection open.
         weakref.finalize(body, response_body.abort).atexit = False
         return body
 
--- a/packages/quetzalsill/src/quetzalsill/net/deadline.py
+++ b/packages/quetzalsill/src/quetzalsill/net/deadline.py
@@ -1,12 +1,12 @@
-"""Timeouts that do not discard a result which has already come.
+"""Timeouts that do not discard a result that has already arrived.
 
-A process that was paused wakes to an answer and to the end of the wait for it
-in one turn of the event loop. `asyncio.timeout` then cancels the task although
-its answer is there; a `Deadline` lets the task take the answer first.
+After a pause, a process finds both the response and the expired timeout in the
+same iteration of the event loop. `asyncio.timeout` then cancels the task
+although its response has arrived; a `Deadline` lets the task receive it first.
 
-What has come passes through other tasks before it is with the one that waits,
-some of them with work of their own. So a process that notices by the lateness
-of the timer that it was paused gives them a moment.
+Received data passes through other tasks, some of them with work of their own,
+before it reaches the waiting one. When a late timer shows that the process was
+paused, the deadline therefore grants a short grace period.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 
 __all__ = ['LATE_THRESHOLD_S', 'Deadline', 'timeout', 'timeout_at']
 
-# Turns of the loop from received bytes to the task that waits for them: through
-# a reader, a task of its own and a shield around that.
+# Iterations of the event loop from received bytes to the waiting task, through
+# a stream reader, a separate task and a shield around it.
 GRACE_ITERATIONS = 4
-# A timer that is this late tells of a pause; a loaded event loop is less so.
+# A timer this late indicates a pause; under load alone, timers are less late.
 LATE_THRESHOLD_S = 0.02
-# How long what came during a pause may take to arrive.
+# How long data received during a pause may take to reach the waiting task.
 GRACE_S = 0.05
 
 
 class Deadline:
-    """Bounds a block, as an asynchronous context manager.
+    """Asynchronous context manager that limits the time of a block.
 
-    Raises `TimeoutError` at its end if it has cancelled the block.
+    Raises `TimeoutError` on exit if it has cancelled the block.
     """
 
     __slots__ = ('_handle', '_loop', '_timeout', '_when_s')
 
     def __init__(self, when_s: float | None) -> None:
-        """Prepares a deadline.
+        """Initializes a deadline.
 
         Args:
-          when_s: Time of the event loop, in seconds; None for no bound.
+          when_s: Event loop time, in seconds; None for no deadline.
         """
         self._when_s = when_s
         self._timeout = asyncio.timeout(None)
@@ -62,11 +62,11 @@
         return await self._timeout.__aexit__(kind, exc, trace)
 
     def when(self) -> float | None:
-        """Returns the time at which the block is cancelled."""
+        """Returns the event loop time at which the block is cancelled."""
         return self._when_s
 
     def reschedule(self, when_s: float | None) -> None:
-        """Sets another time at which the block is cancelled."""
+        """Changes the time at which the block is cancelled."""
         self._cancel_timer()
         self._when_s = when_s
         if when_s is not None:
@@ -92,12 +92,12 @@
 
 
 def timeout_at(when_s: float | None) -> Deadline:
-    """Bounds a block like `asyncio.timeout_at`, but takes what has come."""
+    """Like `asyncio.timeout_at`, but keeps a result that has arrived."""
     return Deadline(when_s)
 
 
 def timeout(delay_s: float | None) -> Deadline:
-    """Bounds a block like `asyncio.timeout`, but takes what has come."""
+    """Like `asyncio.timeout`, but keeps a result that has arrived."""
     if delay_s is None:
         return Deadline(None)
     return Deadline(asyncio.get_running_loop().time() + delay_s)
--- a/packages/quetzalsill/src/quetzalsill/net/error.py
+++ b/packages/quetzalsill/src/quetzalsill/net/error.py
@@ -1,4 +1,4 @@
-"""Failures of connections, listeners and certificates."""
+"""Errors of connections, listeners and certificates."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class NetError(base.QuetzalsillError):
-    """A failure on the network.
+    """Base class of network errors.
 
     Attributes:
-      ran: Whether the other end may have acted on the request.
+      ran: Whether the server may have acted on the request.
     """
 
     code = 'net_failed'
@@ -27,37 +27,37 @@
 
 
 class ListenError(NetError):
-    """A listener cannot be opened, or its application does not start."""
+    """A listener cannot be opened, or its application failed to start."""
 
     code = 'listen_failed'
 
 
 class CertificateError(NetError):
-    """A certificate, key or authority file cannot be used."""
+    """A certificate, key or CA file cannot be loaded."""
 
     code = 'certificate_invalid'
 
 
 class ConnectFailedError(NetError):
-    """No connection came about, so nothing of the request was sent."""
+    """The connection could not be opened; nothing was sent."""
 
     code = 'connect_failed'
 
 
 class RequestInvalidError(NetError):
-    """The request cannot be written as HTTP, so nothing of it was sent."""
+    """The request cannot be encoded as HTTP; nothing was sent."""
 
     code = 'request_invalid'
 
 
 class ResponseLostError(NetError):
-    """The request was sent, at least in part, and no whole answer came."""
+    """The request was at least partly sent, but no complete response came."""
 
     code = 'answer_lost'
     ran = base.Ran.UNKNOWN
 
 
 class ResponseTimeoutError(ResponseLostError):
-    """The request was sent and its answer did not come in time."""
+    """The request was sent, but its response did not come in time."""
 
     code = 'answer_timeout'
--- a/packages/quetzalsill/src/quetzalsill/net/header.py
+++ b/packages/quetzalsill/src/quetzalsill/net/header.py
@@ -1,4 +1,4 @@
-"""Names of HTTP headers that both ends of a link treat alike."""
+"""HTTP headers that apply to one connection and are not forwarded."""
 
 from __future__ import annotations
 
--- a/packages/quetzalsill/src/quetzalsill/net/keepalive.py
+++ b/packages/quetzalsill/src/quetzalsill/net/keepalive.py
@@ -1,4 +1,4 @@
-"""Socket options that find connections which went silent."""
+"""Socket options that detect dead connections."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 
 def enable(transport: asyncio.BaseTransport) -> None:
-    """Lets the kernel close a connection whose other end is lost.
+    """Lets the kernel close a connection whose peer is unreachable.
 
-    Something between the two ends may lose track of an open connection: no
-    reset comes, writes vanish and reads wait for good. Keepalive probes find
-    this on an idle connection after `IDLE_S + PROBES * INTERVAL_S`, the user
-    timeout on one with unacknowledged data after `USER_TIMEOUT_S`; both then
-    raise an error on the transport, as a reset would.
+    A middlebox, such as a NAT or a firewall, may drop its state of an open
+    connection: no reset comes, writes are lost and reads never return.
+    Keepalive probes detect this on an idle connection after
+    `IDLE_S + PROBES * INTERVAL_S`, and the TCP user timeout on one with
+    unacknowledged data after `USER_TIMEOUT_S`; both raise an error on the
+    transport, as a reset would.
     """
     sock = transport.get_extra_info('socket')
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/packages/quetzalsill/src/quetzalsill/net/parser.py
+++ b/packages/quetzalsill/src/quetzalsill/net/parser.py
@@ -1,4 +1,4 @@
-"""Parser of one HTTP/1.1 answer."""
+"""Incremental parser of one HTTP/1.1 response."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Head:
-    """Status and headers of an answer, in order."""
+    """Status and headers of a response, in the order received."""
 
     status: int
     headers: Headers
 
     def first(self, name: bytes) -> bytes | None:
-        """Returns the first value of a header; None if it is absent."""
+        """Returns the first value of a header, or None if it is absent."""
         values = (value for known, value in self.headers if known == name)
         return next(values, None)
 
 
 class ResponseParser:
-    """Takes the bytes of a connection as they come.
+    """Parses the bytes of a connection as they arrive.
 
     Attributes:
-      head: Head of the final answer, once it is there.
-      is_complete: Whether the answer has ended as its head announced.
+      head: Head of the final response, once it is received.
+      is_complete: Whether the response has ended as its head announced.
     """
 
     def __init__(self, method: str) -> None:
@@ -49,14 +49,15 @@
 
     @property
     def can_reuse_connection(self) -> bool:
-        """Whether another request may follow on the connection."""
+        """Whether the connection may carry another request."""
         return self.is_complete and self._keep_alive
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes; none at all stand for the end of the stream.
+        """Parses received bytes; an empty value marks the end of stream.
 
         Raises:
-          ResponseLostError: If they are no HTTP, or end within the answer.
+          ResponseLostError: If they are not valid HTTP, or the stream ends
+            within the response.
         """
         if not data:
             self._feed_eof()
@@ -66,31 +67,31 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            raise error.ResponseLostError(f'malformed answer: {exc}') from exc
+            raise error.ResponseLostError(f'malformed response: {exc}') from exc
 
     def take_body(self) -> bytes:
-        """Returns what has come of the body since the last time."""
+        """Returns the part of the body received since the last call."""
         body = b''.join(self._chunks)
         self._chunks.clear()
         return body
 
-    # Callbacks of httptools.
+    # Callbacks of the httptools parser.
 
     def on_message_begin(self) -> None:
-        """Starts an answer, an interim one, or one that nobody asked for.
+        """Handles the start of a response: final, interim or unsolicited.
 
-        The last could be taken for the answer to the next request, so the
-        connection is given up.
+        An unsolicited one could be taken for the response to the next
+        request, so the connection is not reused.
         """
         if self.head is not None:
             self._keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Takes the head, unless it is of an interim answer (1xx)."""
+        """Stores the head, unless the response is interim (1xx)."""
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             self._headers = []
@@ -100,30 +101,30 @@
         self.head = Head(status, self._headers)
         self._keep_alive = self._parser.should_keep_alive()
         if not self._has_body:
-            # The parser does not know of HEAD and would wait for the body
-            # that the head describes, so the connection is given up.
+            # The parser does not know that the request was HEAD and would wait
+            # for the announced body, so the connection is not reused.
             self._keep_alive = False
             self.is_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Stores a chunk of the body."""
         if not self.is_complete:
             self._chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Ends the answer, unless it was an interim one."""
+        """Marks the response complete, unless it was interim."""
         if self.head is not None:
             self.is_complete = True
 
     def _feed_eof(self) -> None:
         if self.head is None:
-            raise error.ResponseLostError('closed before an answer')
+            raise error.ResponseLostError('connection closed before a response')
         framing_headers = (b'content-length', b'transfer-encoding')
         if any(self.head.first(name) is not None for name in framing_headers):
-            raise error.ResponseLostError('closed within an answer')
+            raise error.ResponseLostError('connection closed within a response')
         self.is_complete = True
 
     def _count_head_bytes(self, received: int) -> None:
         self._head_bytes += received
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise error.ResponseLostError('the head of the answer is too large')
+            raise error.ResponseLostError('the response head is too large')
--- a/packages/quetzalsill/src/quetzalsill/net/pool.py
+++ b/packages/quetzalsill/src/quetzalsill/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections of the client that are kept for further requests."""
+"""Connection pools of the HTTP client."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Pool(library_pool.ConnectionPool):
-    """Connections to one address."""
+    """Pool of connections to one address."""
 
     def __init__(
         self, scheme: bytes, host: bytes, port: int, pools: Pools
@@ -52,7 +52,7 @@
         return conn
 
     def try_return_connection(self, conn: connection.Connection) -> None:
-        """Keeps a connection for the next request, or closes it."""
+        """Returns a connection to the pool; closes it if the pool is full."""
         if self.disposed or self._idle_connections.full():
             conn.abort()
             return
@@ -60,16 +60,16 @@
         self._idle_connections.put_nowait(conn)
 
     def close_idle(self) -> None:
-        """Closes the idle connections after one of them went silent.
+        """Closes the idle connections after one of them timed out.
 
-        What lost track of one connection between the ends has mostly lost
-        its siblings too, and each would cost its request a timeout.
+        A middlebox that lost its state of one connection has usually lost
+        that of the others too, and each would cost its request a timeout.
         """
         while not self._idle_connections.empty():
             self._idle_connections.get_nowait().abort()
 
     async def dispose(self) -> None:
-        """Closes every connection, those in use included."""
+        """Closes every connection, including those in use."""
         self.disposed = True
         for conn in list(self._open):
             conn.abort()
@@ -89,12 +89,13 @@
 
 
 class Pools(library_pool.ConnectionPools):
-    """Pools by address.
+    """Connection pools by address.
 
     Attributes:
       tls: Certificates for `https` addresses.
-      read_timeout_s: Longest wait between two pieces of a body; None for none.
-      max_idle: Idle connections kept for one address.
+      read_timeout_s: Longest wait between two chunks of a body; None for no
+        timeout.
+      max_idle: Idle connections kept for each address.
     """
 
     def __init__(
@@ -112,7 +113,7 @@
     def get_pool(
         self, scheme: bytes, host: bytes, port: int, ssl: object = None
     ) -> Pool:
-        """Returns the pool of an address."""
+        """Returns the pool of an address, creating it if needed."""
         port = port or (HTTPS_PORT if scheme == b'https' else HTTP_PORT)
         address = (scheme, host, port)
         if address not in self._pools:
--- a/packages/quetzalsill/src/quetzalsill/net/protocol.py
+++ b/packages/quetzalsill/src/quetzalsill/net/protocol.py
@@ -1,4 +1,4 @@
-"""HTTP protocol of a listener, with bounds on what a client may hold up."""
+"""HTTP server protocol with limits on the resources that a client holds."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Limits:
-    """What one client may hold up.
+    """Limits on the clients of a listener.
 
     Attributes:
       head_timeout_s: Longest time from the first byte, or from the connection,
         to the end of a request's head.
-      body_timeout_s: Longest silence within a request's body.
-      write_timeout_s: Longest time in which the client reads nothing of an
-        answer.
+      body_timeout_s: Longest time without data within a request's body.
+      write_timeout_s: Longest time in which the client reads nothing of a
+        response.
       idle_timeout_s: Longest time between two requests of a connection.
-      max_head_bytes: Largest head.
-      max_connections: Connections at once.
+      max_head_bytes: Largest request head.
+      max_connections: Open connections of the listener.
     """
 
     head_timeout_s: float = 10.0
@@ -47,7 +47,7 @@
 
 
 class _Expected(enum.Enum):
-    """What the client still owes."""
+    """The part of a request that the client has yet to send."""
 
     HEAD = 'head'
     BODY = 'body'
@@ -55,12 +55,12 @@
 
 
 class LimitedProtocol(httptools_impl.HttpToolsProtocol):
-    """Closes a connection whose client exceeds a bound.
+    """Closes a connection whose client exceeds a limit.
 
     A client that sends its request byte by byte, or stops in the middle,
-    holds a connection and memory for as long as it likes; many of them keep
-    all others out (slow-loris). One timer per connection runs while the
-    client owes something, and closes it when the bound is over.
+    holds a connection and memory indefinitely; many of them block all other
+    clients (slow-loris attack). One timer per connection runs while part of
+    a request is outstanding, and closes the connection when it expires.
     """
 
     limits = Limits()
@@ -78,13 +78,13 @@
         self._error_status = http.HTTPStatus.BAD_REQUEST
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Starts to wait for the first head."""
+        """Starts the timeout of the first request head."""
         super().connection_made(transport)
         keepalive.enable(transport)
-        # The bound on writing runs while writing is paused. With the usual
-        # marks a client that stops reading with less than 64 KiB left pauses
-        # nothing, and its connection stays for good. (A mark of 0 would pause a
-        # TLS connection that has nothing to write.)
+        # The write timeout runs while writing is paused. With the default
+        # water marks, a client that stops reading when less than 64 KiB is left
+        # never pauses the writer, and its connection stays open forever. (A
+        # high mark of 0 would pause a TLS connection with nothing to write.)
         transport.set_write_buffer_limits(high=1, low=0)
         if len(self.connections) > self.limits.max_connections:
             self._reject(http.HTTPStatus.SERVICE_UNAVAILABLE, 'connections')
@@ -92,7 +92,7 @@
         self._expect_head()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the timers."""
+        """Stops the timers."""
         self._stop_timer()
         self.resume_writing()
         super().connection_lost(exc)
@@ -100,28 +100,28 @@
         self.on_closed()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the client."""
+        """Handles bytes received from the client."""
         if self.transport.is_closing():
             return
-        # Line ends before a request line begin no message for the parser,
-        # so that the bound has to start with the first byte.
+        # The parser does not start a message at line ends before a request
+        # line, so the timeout has to start with the first byte.
         if self._expected is _Expected.NOTHING and self._is_idle():
             self._expect_head()
         self._has_completed = False
         super().data_received(data)
-        # Behind the end of a request these bytes may be mostly its body.
+        # If a request ended in this data, most of it may be the body.
         if self._expected is _Expected.HEAD and not self._has_completed:
             self._count_head_bytes(len(data))
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Handles the start of a request."""
         super().on_message_begin()
         self._parsed_head_bytes = 0
         if self._expected is _Expected.NOTHING:
             self._expect_head()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
+        """Handles a header; rejects a head that is too large."""
         self._parsed_head_bytes += len(name) + len(value)
         if self._parsed_head_bytes > self.limits.max_head_bytes:
             self._error_status = http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
@@ -129,7 +129,7 @@
         super().on_header(name, value)
 
     def on_url(self, url: bytes) -> None:
-        """Takes the target."""
+        """Handles the request target; rejects one that is too long."""
         self._parsed_head_bytes += len(url)
         if self._parsed_head_bytes > self.limits.max_head_bytes:
             self._error_status = http.HTTPStatus.REQUEST_URI_TOO_LONG
@@ -137,35 +137,35 @@
         super().on_url(url)
 
     def on_headers_complete(self) -> None:
-        """Starts to wait for the body."""
+        """Starts the timeout of the body."""
         self._expected = _Expected.BODY
         self._extend_deadline(self.limits.body_timeout_s)
         super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a chunk of the body and extends its timeout."""
         self._extend_deadline(self.limits.body_timeout_s)
         super().on_body(body)
 
     def on_message_complete(self) -> None:
-        """Ends a request: the client owes nothing more."""
+        """Stops the timer at the end of a request."""
         self._has_completed = True
         self._stop_timer()
         super().on_message_complete()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuses what the parser did not take."""
+        """Rejects a request that the parser does not accept."""
         self._reject(self._error_status, 'malformed')
 
     def pause_writing(self) -> None:
-        """Starts to wait for the client to read."""
+        """Starts the write timeout."""
         super().pause_writing()
         self._write_timer = self.loop.call_later(
             self.limits.write_timeout_s, self._abort, 'write_stalled'
         )
 
     def resume_writing(self) -> None:
-        """The client read."""
+        """Stops the write timeout."""
         super().resume_writing()
         if self._write_timer is not None:
             self._write_timer.cancel()
@@ -181,8 +181,8 @@
 
     def _extend_deadline(self, timeout_s: float) -> None:
         self._deadline = self.loop.time() + timeout_s
-        # A timer that runs out earlier finds the deadline moved and goes on,
-        # which costs less than a new timer for each piece of a body.
+        # A timer that expires early is rescheduled to the new deadline, which
+        # costs less than a new timer for each chunk of a body.
         if self._timer is not None:
             if self._timer.when() <= self._deadline:
                 return
@@ -197,8 +197,8 @@
 
     def _on_deadline(self) -> None:
         self._timer = None
-        # While the application does not take the body, reading is paused
-        # and the silence is not the client's.
+        # While the application does not consume the body, reading is paused,
+        # and the client is not the one that stalls.
         if self.flow.read_paused:
             self._extend_deadline(self.limits.body_timeout_s)
         elif self.loop.time() < self._deadline:
@@ -215,8 +215,8 @@
             self._reject(status, 'head_large')
 
     def _reject(self, status: http.HTTPStatus, reason: str) -> None:
-        """Answers with a bare status and closes."""
-        # While an answer is on its way, the status would be spliced into it.
+        """Sends a status without a body and closes the connection."""
+        # During a response, the status line would corrupt its body.
         if not self._is_idle():
             self._abort(reason)
             return
@@ -229,7 +229,7 @@
             self.transport.close()
 
     def _abort(self, reason: str) -> None:
-        """Closes without an answer; the application sees a disconnect."""
+        """Closes without a response; the application sees a disconnect."""
         self._record_cut(reason)
         self.transport.abort()
 
@@ -244,8 +244,8 @@
     """Returns the protocol class of one listener.
 
     Args:
-      limits: What one client may hold up.
-      on_closed: Called when a connection has ended.
+      limits: Limits on the clients of the listener.
+      on_closed: Called after each connection is closed.
     """
     attributes = {'limits': limits, 'on_closed': staticmethod(on_closed)}
     return type('ListenerProtocol', (LimitedProtocol,), attributes)
--- a/packages/quetzalsill/src/quetzalsill/net/server.py
+++ b/packages/quetzalsill/src/quetzalsill/net/server.py
@@ -1,4 +1,4 @@
-"""HTTP listener inside the process, on its own event loop."""
+"""HTTP server that runs on the event loop of the process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 class HttpServer:
     """Serves an ASGI application.
 
-    The signals of the process and its other tasks stay untouched.
+    It does not change the signal handlers or other tasks of the process.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         tls: section.Tls | None = None,
         limits: protocol.Limits | None = None,
     ) -> None:
-        """Prepares the listener; `start` opens it.
+        """Initializes the server; `start` opens its listener.
 
         Args:
           app: ASGI application.
           listen: Address; port 0 lets the kernel choose.
-          tls: Certificates; none or empty serves in the clear.
-          limits: What one client may hold up.
+          tls: Certificates; None or empty serves without TLS.
+          limits: Limits on the clients; defaults if None.
         """
         limits = limits or protocol.Limits()
         self._listen = listen
@@ -72,19 +72,19 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Takes the address, starts the application and then listens.
+        """Binds the address, starts the application and then listens.
 
         Raises:
-          CertificateError: If the certificate files cannot be used.
-          ListenError: If the application does not start, or the address
-            cannot be had.
+          CertificateError: If the certificate files cannot be loaded.
+          ListenError: If the application fails to start, or the address
+            cannot be bound.
         """
         context = net_tls.server_context(self._tls) if self._tls else None
         sock = self._bind()
         await self._lifespan.startup()
         if self._lifespan.should_exit:
             sock.close()
-            raise error.ListenError('the application did not start')
+            raise error.ListenError('the application failed to start')
         self.port = sock.getsockname()[1]
         self._server = await asyncio.get_running_loop().create_server(
             self._make_protocol,
@@ -98,15 +98,15 @@
         self._date_task = asyncio.create_task(self._refresh_date())
 
     async def stop(self, grace_s: float) -> int:
-        """Stops listening and lets the requests in flight end.
+        """Stops listening and waits for the requests in flight.
 
-        Idle connections are closed at once, others after their answer.
+        Idle connections are closed at once, others after their response.
 
         Args:
           grace_s: How long requests in flight may take.
 
         Returns:
-          How many requests still ran after that; they were cut.
+          Number of requests that still ran after that and were aborted.
         """
         if self._server is None:
             return 0
@@ -123,12 +123,12 @@
 
     @property
     def running(self) -> int:
-        """Requests in flight."""
+        """Number of requests in flight."""
         return len(self._uvicorn.server_state.tasks)
 
     @property
     def connections(self) -> int:
-        """Connections open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
@@ -145,8 +145,8 @@
     def _bind(self) -> socket.socket:
         host, port = self._listen.host, self._listen.port
         family = socket.AF_INET6 if ':' in host else socket.AF_INET
-        # asyncio switches Nagle off only on sockets that say they are TCP; with
-        # it on, each small piece of an answer waits for an acknowledgement.
+        # asyncio sets TCP_NODELAY only on sockets whose protocol is TCP. With
+        # Nagle's algorithm on, each small write waits for an acknowledgement.
         sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -157,15 +157,15 @@
         return sock
 
     async def _refresh_date(self) -> None:
-        """Renews the Date header of answers."""
+        """Updates the Date header of responses periodically."""
         while True:
             await self._uvicorn.on_tick(0)
             await asyncio.sleep(DATE_INTERVAL_S)
 
     async def _drain(self, timeout_s: float) -> None:
-        # A request's task ends when its last bytes are buffered, not when
-        # they are sent, so the wait is for the connections too: leaving
-        # earlier would cut the end of an answer to a slow reader.
+        # A request's task ends when its last bytes are buffered, not when they
+        # are sent. Waiting for the connections too keeps the end of a response
+        # to a slow reader from being truncated.
         try:
             async with asyncio.timeout(timeout_s):
                 while self._connections or self.running:
--- a/packages/quetzalsill/src/quetzalsill/net/ticker.py
+++ b/packages/quetzalsill/src/quetzalsill/net/ticker.py
@@ -1,4 +1,4 @@
-"""Periodic work that acts on silence, in a process that may be paused."""
+"""Periodic timeout checks in a process that may be paused."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class Ticker:
-    """Waits between the turns of a periodic loop.
+    """Waits between the iterations of a periodic loop.
 
-    A process that was paused runs its timers before it reads what arrived
-    meanwhile. Whoever is silent for too long then is not known in the first
-    turn after it.
+    A process that was paused runs its timers before it reads the data that
+    arrived meanwhile. The first iteration after a pause therefore cannot tell
+    which peers have really been silent for too long.
     """
 
     __slots__ = ('_was_late',)
 
     def __init__(self) -> None:
-        """Starts with no turn that was late."""
+        """Initializes a ticker that was not late yet."""
         self._was_late = False
 
     async def wait(self, interval_s: float) -> bool:
-        """Sleeps until the next turn.
+        """Sleeps until the next iteration.
 
         Args:
-          interval_s: Time between turns, in seconds.
+          interval_s: Time between iterations, in seconds.
 
         Returns:
-          Whether silence counts in this turn: it is late by no more than the
-          interval, or the turn before did not count.
+          Whether this iteration may act on missing messages: it is late by no
+          more than the interval, or the previous one was not allowed to.
         """
         clock = asyncio.get_running_loop().time
         due_s = clock() + interval_s
--- a/packages/quetzalsill/src/quetzalsill/net/tls.py
+++ b/packages/quetzalsill/src/quetzalsill/net/tls.py
@@ -22,18 +22,18 @@
 
 @dataclasses.dataclass(slots=True)
 class _Loaded:
-    """A context and the state of the files that it was built from."""
+    """A context and the state of the files from which it was built."""
 
     file_state: FileState
     context: ssl.SSLContext
 
 
 class _ReloadingContext:
-    """Gives the newest context that its files make.
+    """Provides a context that follows changes of its files.
 
-    Files are replaced one after the other, so a certificate may stand
-    beside the key of its predecessor for a moment. Such a pair does not
-    load; the context before it then stays in use until they change again.
+    Files are replaced one after the other, so a new certificate may briefly
+    coexist with the previous key. Such a pair fails to load; the previous
+    context then stays in use until the files change again.
     """
 
     def __init__(self, tls: section.Tls, build: ContextBuilder) -> None:
@@ -43,7 +43,7 @@
         self._last_attempt = self._loaded.file_state
 
     def current(self) -> ssl.SSLContext:
-        """Returns the context of the files as they are now."""
+        """Returns the context of the files in their current state."""
         try:
             file_state = _read_file_state(self._tls)
             if file_state != self._last_attempt:
@@ -58,14 +58,14 @@
 
 
 class _LoggingSSLObject(ssl.SSLObject):
-    """A listener's end of a connection that tells of a refused handshake.
+    """Server side of a TLS connection that logs failed handshakes.
 
-    The event loop drops such a connection without a word, so that a router
-    with an expired certificate looks like one that never dialled.
+    The event loop closes such a connection silently, so that a router with
+    an expired certificate would look like one that never connected.
     """
 
     def do_handshake(self) -> None:
-        """Goes on with the handshake; logs its failure."""
+        """Continues the handshake; logs its failure."""
         try:
             super().do_handshake()
         except (ssl.SSLWantReadError, ssl.SSLWantWriteError):
@@ -81,11 +81,11 @@
 def server_context(tls: section.Tls) -> ssl.SSLContext | None:
     """Returns the context of a listener; None if TLS is off.
 
-    Each handshake uses the files as they are then. With an authority,
-    clients must show a certificate that it signed.
+    Each handshake uses the current state of the files. If an authority is
+    set, clients must present a certificate that it signed.
 
     Raises:
-      CertificateError: If the files cannot be used.
+      CertificateError: If the files cannot be loaded.
     """
     if not tls.certificate:
         _reject_incomplete(tls)
@@ -103,12 +103,12 @@
 
 
 def client_context(tls: section.Tls) -> ssl.SSLContext | None:
-    """Returns the context for one connection now; None if TLS is off.
+    """Returns the context for one client connection; None if TLS is off.
 
-    Ask again for each connection, since the files may have changed.
+    Call it for each connection, since the files may have changed.
 
     Raises:
-      CertificateError: If the files cannot be used.
+      CertificateError: If the files cannot be loaded.
     """
     files = (tls.certificate, tls.key, tls.authority)
     if not any(files):
@@ -124,8 +124,8 @@
 def _build_server(tls: section.Tls) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.sslobject_class = _LoggingSSLObject
-    # A resumed session skips the check of the client's certificate, so that
-    # one that has expired since would still be let in.
+    # A resumed session skips the verification of the client's certificate, so
+    # that one that has expired since would still be accepted.
     context.num_tickets = 0
     context.options |= ssl.OP_NO_TICKET
     _load(context, tls)
@@ -154,7 +154,7 @@
 
 
 def _read_file_state(tls: section.Tls) -> FileState:
-    """Returns what changes when one of the files is replaced."""
+    """Returns a value that changes when one of the files is replaced."""
     files = filter(None, (tls.certificate, tls.key, tls.authority))
     try:
         stats = [os.stat(file) for file in files]
@@ -166,11 +166,11 @@
 
 
 def _reject_incomplete(tls: section.Tls) -> None:
-    # A listener that was meant to be protected must not come up in the clear
-    # because one of its keys was forgotten.
+    # If only the certificate setting is missing, the listener must not start
+    # without TLS.
     if tls.key or tls.authority:
         raise error.CertificateError(
-            'a key or an authority is set without a certificate'
+            'a key or CA file is set without a certificate'
         )
 
 
--- a/tests/quetzalsill/net/certificate.py
+++ b/tests/quetzalsill/net/certificate.py
@@ -1,4 +1,4 @@
-"""Certificates made for one test."""
+"""Generates certificates for tests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Authority:
-    """A certificate authority that writes its files to a folder."""
+    """A certificate authority that writes its files to a directory."""
 
     def __init__(self, folder: pathlib.Path, name: str) -> None:
         self._folder = folder
@@ -30,7 +30,7 @@
         self.path.write_bytes(_pem(certificate))
 
     def issue(self, name: str, lasts: datetime.timedelta = DAY) -> section.Tls:
-        """Writes a certificate for 127.0.0.1; negative: it has expired."""
+        """Writes a certificate for 127.0.0.1; negative `lasts`: expired."""
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = self._sign(_name(name), key, lasts, is_authority=False)
         chain = self._folder / f'{name}.crt'
--- a/tests/quetzalsill/net/scripted_server.py
+++ b/tests/quetzalsill/net/scripted_server.py
@@ -1,4 +1,4 @@
-"""A bare TCP server and client for tests of HTTP over real sockets."""
+"""A TCP server with scripted connections, for tests of the HTTP client."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def make_response(body: bytes) -> bytes:
-    """Returns a whole answer that keeps the connection."""
+    """Returns a complete response that keeps the connection open."""
     head = b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n' % len(body)
     return head + body
 
 
 class ScriptedServer:
-    """A server that plays a script on each connection.
+    """A server that runs a script on each connection.
 
     Attributes:
-      heads: Heads of the requests that reached it.
-      reached: Set once a request did.
+      heads: Heads of the requests received.
+      reached: Set once a request was received.
       lost: Set once a client closed a connection.
     """
 
@@ -39,7 +39,7 @@
         self.url = ''
 
     async def head(self, reader: asyncio.StreamReader) -> None:
-        """Takes the head of a request."""
+        """Reads the head of a request."""
         self.heads.append(await reader.readuntil(HEAD_END))
         self.reached.set()
 
@@ -51,7 +51,7 @@
 
 
 async def serve_script(script: Script) -> AsyncIterator[ScriptedServer]:
-    """Serves a script; use it as an asynchronous context manager."""
+    """Starts a server that runs a script; an async context manager body."""
     server = ScriptedServer()
 
     async def on_connection(
--- a/tests/quetzalsill/net/test_client.py
+++ b/tests/quetzalsill/net/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client: nothing is sent twice, nothing cut is whole."""
+"""Tests of the HTTP client: no retries, and truncation is an error."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
-    """Base: a scripted server and a client of it."""
+    """Base class with a scripted server and its client."""
 
     async def serve(self, script, **options):
         server = await self.enterAsyncContext(
@@ -31,20 +31,20 @@
 
 
 class ResendTest(ClientTest):
-    """No request reaches the other end twice."""
+    """No request reaches the server twice."""
 
     async def close_second(self, server, reader, writer):
-        """Answers the first request; closes in the middle of the second."""
+        """Responds to the first request and closes during the second."""
         await server.head(reader)
         writer.write(scripted_server.make_response(b'ok'))
         await server.head(reader)
 
     async def test_order_is_not_sent_again(self):
-        """A second truck brings the same order to the same door.
+        """A request takes effect twice.
 
-        The app server takes an order on a kept-alive connection and dies
-        before it answers; the HTTP client sees the closed connection and
-        silently sends the order again on a new one.
+        The server receives it on a kept-alive connection and crashes before
+        it responds; the client sees the closed connection and silently
+        retries on a new one.
         """
         server = await self.serve(self.close_second)
         await self.client.get('/slots')
@@ -54,9 +54,10 @@
         self.assertEqual(len(server.heads), 2)
 
     async def test_library_would_send_it_again(self):
-        """Why `net.client` exists; if this fails, the library has changed.
+        """The library's own session retries the request of the test above.
 
-        The same order as above through the library's own session.
+        This is why `net.client` exists; a failure means that the library has
+        changed.
         """
         server = await self.serve(self.close_second)
         session = library.ClientSession(base_url=server.url)
@@ -67,11 +68,11 @@
         self.assertEqual(len(server.heads), 3)
 
     async def test_connection_closed_while_idle_is_not_used(self):
-        """A caller is told that the outcome of an order is unknown.
+        """A request fails with an unknown outcome without need.
 
-        The server closes an idle connection, as servers do; the order is
-        written behind the end of the stream and lost, though it might as
-        well have gone out on a new connection.
+        The server has closed an idle connection; the request is written after
+        the end of the stream and lost, although it could have been sent on a
+        new connection.
         """
         closed = asyncio.Event()
 
@@ -90,10 +91,10 @@
         self.assertEqual((response.status, len(server.heads)), (200, 2))
 
     async def test_unasked_answer_is_not_taken_for_the_next(self):
-        """A caller gets an answer that is not to its own request.
+        """A caller receives a response to no request of its own.
 
-        The server says 408 on an idle connection before it closes it, and
-        the next request on that connection takes this for its answer.
+        The server sends a 408 on an idle connection before it closes it, and
+        the next request on that connection takes it for its response.
         """
         sent = asyncio.Event()
 
@@ -145,7 +146,7 @@
 
 
 class BodyTest(ClientTest):
-    """A body is whole or its reader is told."""
+    """A body is complete, or reading it raises an error."""
 
     async def serve_bytes(self, data, **options):
         async def write(server, reader, writer):
@@ -155,10 +156,10 @@
         return await self.serve(write, **options)
 
     async def test_cut_answer_is_not_taken_for_whole(self):
-        """A clerk prints half of a loading plan as if it were all of it.
+        """A caller takes a truncated body for a complete one.
 
-        The engine dies in the middle of its answer, and the client gives
-        the part that came as the body.
+        The server crashes in the middle of its response, and the client
+        returns the part received as the body.
         """
         head = b'HTTP/1.1 200 OK\r\n'
         cut_length = head + b'content-length: 9\r\n\r\nhalf'
@@ -198,9 +199,9 @@
         self.assertEqual(await response.read(), await response.read())
 
     async def test_silent_stream_ends_with_an_error(self):
-        """A caller waits for good on an answer that never goes on.
+        """A caller waits forever for the rest of a response.
 
-        The connection to the engine goes silent in mid-answer without a
+        The connection goes silent in the middle of the response, without a
         reset.
         """
 
@@ -217,10 +218,10 @@
         await asyncio.wait_for(server.lost.wait(), scripted_server.TIMEOUT_S)
 
     async def test_upstream_sees_that_nobody_waits(self):
-        """An engine goes on decoding an answer that nobody will read.
+        """An engine continues to generate a response that nobody reads.
 
-        The caller is cancelled before the head, or leaves in mid-stream, or
-        the response is dropped unread; the connection stayed open.
+        The caller is cancelled before the head, stops reading within the
+        stream, or drops the response unread, and the connection stays open.
         """
 
         async def endless(server, reader, writer):
@@ -243,8 +244,8 @@
             try:
                 await call
             except asyncio.CancelledError as exc:
-                # Its frames refer to the connection, which must not stay
-                # open for that.
+                # Its traceback refers to the connection, which must be closed
+                # nevertheless.
                 self.kept = exc
 
         async def leave():
@@ -264,10 +265,10 @@
                 )
 
     async def test_late_iterator_does_not_touch_the_next_answer(self):
-        """A caller gets pieces of another caller's answer.
+        """A caller receives chunks of another caller's response.
 
-        The iterator of a finished answer is asked once more after its
-        connection has gone on to the next request.
+        The iterator of a finished response is advanced once more after its
+        connection was reused for the next request.
         """
         body = b'x' * 100_000
 
--- a/tests/quetzalsill/net/test_deadline.py
+++ b/tests/quetzalsill/net/test_deadline.py
@@ -1,4 +1,4 @@
-"""Tests of deadlines: what has come, and what has not."""
+"""Tests of deadlines with results that have and have not arrived."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    """One block under a deadline."""
+    """One block with a deadline."""
 
     async def asyncSetUp(self):
         near, far = socket.socketpair()
@@ -24,7 +24,7 @@
         self.far = far
 
     def respond_and_pause(self):
-        """An answer arrives, and the process is paused past the deadline."""
+        """Sends a response and pauses the process past the deadline."""
         self.far.sendall(b'answer\n')
         pause.pause(2 * SHORT_S + deadline.LATE_THRESHOLD_S)
 
@@ -33,7 +33,7 @@
         return await asyncio.shield(reading)
 
     async def test_an_answer_that_comes_as_the_deadline_passes(self):
-        """An answer is discarded as the process wakes from a pause."""
+        """A response is discarded when the process resumes after a pause."""
         for read in (self.reader.readline, self.read_shielded):
             with self.subTest(read.__name__):
                 asyncio.get_running_loop().call_soon(self.respond_and_pause)
@@ -42,7 +42,7 @@
                 self.assertEqual(found, b'answer\n')
 
     async def test_an_answer_that_takes_many_turns_to_arrive(self):
-        """An answer goes through more parts than a moment has turns."""
+        """A response takes more loop iterations than the grace period has."""
 
         async def read():
             for _ in range(MANY_ITERATIONS):
--- a/tests/quetzalsill/net/test_parser.py
+++ b/tests/quetzalsill/net/test_parser.py
@@ -1,4 +1,4 @@
-"""Tests of the parser of an answer."""
+"""Tests of the HTTP response parser."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ResponseParserTest(unittest.TestCase):
-    """An answer is whole only when its head says so."""
+    """A response is complete only as its head announces."""
 
     def parse(self, *pieces, method='GET'):
         parsed = parser.ResponseParser(method)
--- a/tests/quetzalsill/net/test_server.py
+++ b/tests/quetzalsill/net/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP listener over real sockets."""
+"""Tests of the HTTP server over real sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _App:
-    """Small application that shows what a request meets."""
+    """Small application that exposes the progress of its requests."""
 
     def __init__(self):
         self.entered = asyncio.Event()
@@ -48,7 +48,7 @@
         self.sent.set()
 
     async def leave_unsent(self, send):
-        """Answers until a little is left that the kernel does not take."""
+        """Sends until some data is left that the kernel does not accept."""
         await send(
             {'type': 'http.response.start', 'status': 200, 'headers': []}
         )
@@ -59,7 +59,7 @@
 
 
 class ServerTest(unittest.IsolatedAsyncioTestCase):
-    """One client's faults and slowness stay its own."""
+    """A faulty or slow client does not affect others."""
 
     async def asyncSetUp(self):
         self.app = _App()
@@ -72,10 +72,10 @@
         self.addAsyncCleanup(self.server.stop, 0)
 
     async def test_small_writes_are_not_held_back(self):
-        """The second token of an answer comes some 40 ms late.
+        """The second token of a response comes about 40 ms late.
 
-        The kernel holds a small write back until the client has acknowledged
-        the one before, and the client delays that acknowledgement (Nagle).
+        Nagle's algorithm delays a small write until the client acknowledges
+        the previous one, and the client delays that acknowledgement.
         """
         await self.serve()
         await self.connect(b'GET /wait HTTP/1.1\r\nhost: a\r\n\r\n')
@@ -95,7 +95,7 @@
         return reader, writer
 
     async def exchange(self, data):
-        """Returns all that the server says until it closes."""
+        """Returns all that the server sends until it closes."""
         reader, _ = await self.connect(data)
         async with asyncio.timeout(scripted_server.TIMEOUT_S):
             try:
@@ -108,10 +108,10 @@
         self.assertTrue(response.startswith(b'HTTP/1.1 200'), response)
 
     async def test_slow_head_is_cut(self):
-        """Callers find no free connection although the system is idle.
+        """Callers get no connection although the system is idle.
 
-        One client opens connections and sends its heads byte by byte, or
-        line ends only, and each holds its connection for good.
+        One client opens many connections and sends its heads byte by byte, or
+        only line ends, and holds each connection indefinitely.
         """
         await self.serve(head_timeout_s=0.1)
         for data in (b'', b'GET / HT', b'\r\n', b'GET / HTTP/1.1\r\nx: y\r\n'):
@@ -120,7 +120,7 @@
         await self.assert_serves()
 
     async def test_line_ends_do_not_hold_an_idle_connection(self):
-        """As above, between two requests of one connection."""
+        """As above, between two requests on one connection."""
         await self.serve(head_timeout_s=0.1)
         reader, writer = await self.connect(b'GET / HTTP/1.1\r\n\r\n')
         await reader.readuntil(b'ok')
@@ -131,7 +131,7 @@
         self.assertTrue(response.startswith(b'HTTP/1.1 408'), response)
 
     async def test_stalled_body_is_cut(self):
-        """A request that never comes whole holds a place in the limits."""
+        """A request that is never complete counts against the limits."""
         await self.serve(body_timeout_s=0.1)
         await self.exchange(b'POST / HTTP/1.1\r\ncontent-length: 9\r\n\r\nhalf')
         await asyncio.wait_for(
@@ -140,7 +140,7 @@
         await self.assert_serves()
 
     async def test_reader_that_stops_is_cut(self):
-        """Answers pile up in memory for a client that reads none."""
+        """Responses accumulate in memory for a client that does not read."""
         await self.serve(write_timeout_s=0.1)
         _, writer = await self.connect()
         writer.transport.pause_reading()
@@ -151,10 +151,10 @@
         self.assertEqual(await self.server.stop(scripted_server.TIMEOUT_S), 0)
 
     async def test_reader_that_leaves_a_little_is_cut(self):
-        """Connections stay for good after clients stopped reading.
+        """Connections stay open forever after clients stop reading.
 
-        What is left is less than the buffer that stops the sender, so that
-        nothing was waited for and no bound ran.
+        The unsent rest is smaller than the buffer that pauses the writer, so
+        that no timeout runs.
         """
         await self.serve(write_timeout_s=0.1)
         self.app.unsent = lambda: any(
@@ -186,10 +186,10 @@
         await self.assert_serves()
 
     async def test_refusal_is_not_spliced_into_an_answer(self):
-        """A clerk reads a status line in the middle of a loading plan.
+        """A status line appears in the middle of a response body.
 
-        Behind its request the client sends what is no request, while the
-        answer is on its way.
+        The client sends malformed data after its request, while the response
+        is being sent.
         """
         await self.serve()
         response = await self.exchange(
@@ -219,7 +219,7 @@
         self.assertTrue(response.startswith(b'HTTP/1.1 503'), response)
 
     async def test_stop_cuts_no_request_and_closes_idle_connections(self):
-        """A retailer's order shows an error at each deployment."""
+        """Requests in flight fail at each deployment."""
         await self.serve()
         idle, _ = await self.connect(b'GET / HTTP/1.1\r\n\r\n')
         await idle.readuntil(b'ok')
@@ -238,10 +238,10 @@
         self.assertEqual(await stop, 0)
 
     async def test_stop_waits_for_a_slow_reader(self):
-        """The end of a large answer is missing after a deployment.
+        """The end of a large response is missing after a deployment.
 
-        The request's task is over, its last bytes are still buffered in the
-        process, and the process exits.
+        The process exits when the request's task has ended but its last bytes
+        are still buffered.
         """
         await self.serve()
         reader, writer = await self.connect()
--- a/tests/quetzalsill/net/test_stop.py
+++ b/tests/quetzalsill/net/test_stop.py
@@ -1,4 +1,4 @@
-"""Tests of the signals that stop a process."""
+"""Tests of the stop signals."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class StopSignalTest(unittest.IsolatedAsyncioTestCase):
-    """A stop is asked for once, however many signals come."""
+    """Repeated signals request one stop."""
 
     async def test_second_signal_is_harmless(self):
-        """A second SIGTERM cuts the requests that the first let end."""
+        """A second SIGTERM aborts the requests that the first lets finish."""
         with stop.StopSignal() as signal:
             self.assertFalse(signal.is_set)
             for number in stop.SIGNALS * 2:
--- a/tests/quetzalsill/net/test_ticker.py
+++ b/tests/quetzalsill/net/test_ticker.py
@@ -1,4 +1,4 @@
-"""Turns of a periodic loop, on time and after pauses."""
+"""Tests of the ticker, on time and after pauses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TickerTest(unittest.TestCase):
-    """A loop with a turn every 20 ms."""
+    """A loop that runs every 20 ms."""
 
     def test_turns_on_time_count(self):
         found = []
@@ -30,12 +30,12 @@
     """The same loop in a process that is paused."""
 
     async def test_only_the_first_of_late_turns_does_not_count(self):
-        """Everybody else is taken for gone as a paused process wakes."""
+        """A process that resumes after a pause takes all its peers for gone."""
         loop = asyncio.get_running_loop()
         turns = ticker.Ticker()
         found = []
         for _ in range(2):
-            # Runs once the wait has begun.
+            # Runs after the wait has started.
             loop.call_soon(pause.pause, 5 * INTERVAL_S)
             found.append(await turns.wait(INTERVAL_S))
         self.assertEqual(found, [False, True])
--- a/tests/quetzalsill/net/test_tls.py
+++ b/tests/quetzalsill/net/test_tls.py
@@ -23,7 +23,7 @@
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """Only holders of a valid certificate of the authority are let in."""
+    """Only peers with a valid certificate of the authority are accepted."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -59,7 +59,7 @@
         self.assertEqual(await self.call(self.router), 204)
 
     async def test_clients_without_a_valid_certificate_are_refused(self):
-        """A stranger on the network gives orders to an engine."""
+        """An unauthorized client on the network sends commands to an engine."""
         await self.serve(self.sidecar)
         none = section.Tls(authority=self.router.authority)
         expired = self.ours.issue('expired', -certificate.DAY)
@@ -69,13 +69,13 @@
             for refused in (none, expired, foreign):
                 await self.assert_refused(refused)
             self.assertEqual(await self.call(self.router), 204)
-        # Without a line an operator can't tell it from a dead listener.
+        # Without a log line, operators can't tell it from a dead listener.
         events = [type(call.args[0]) for call in note.call_args_list]
         self.assertEqual(events, [event.HandshakeRefused] * 3)
         self.assertEqual(event.HandshakeRefused.LEVEL, 'warning')
 
     async def test_servers_without_a_valid_certificate_are_refused(self):
-        """A stranger's listener takes the requests of a router."""
+        """An unauthorized listener receives the requests of a router."""
         expired = self.ours.issue('expired', -certificate.DAY)
         foreign = self.other.issue('foreign')
         for refused in (expired, foreign):
@@ -84,11 +84,11 @@
             await self.assert_refused(self.router)
 
     async def test_files_are_taken_up_when_they_change(self):
-        """All links fail on the day when the certificates run out.
+        """All links fail when the certificates expire.
 
-        The files were replaced in time and the process kept the old ones;
-        or the authority was replaced after a theft and the stolen
-        certificate was still let in.
+        The files were replaced in time, but the process kept the old ones; or
+        the authority was replaced after a theft, and the stolen certificate
+        was still accepted.
         """
         await self.serve(self.sidecar)
         self.assertEqual(await self.call(self.router), 204)
