--- a/packages/quetzalsill/src/quetzalsill/wire/codec.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/codec.py
@@ -1,7 +1,7 @@
 """Encoding of messages as msgpack arrays `[type number, field, ...]`.
 
-How each class is checked is worked out once, at import, from the annotations
-of its fields, so that decoding a message costs one comparison of types and one
+The checks of each class are derived once, at import, from the annotations of
+its fields, so that decoding a message costs one comparison of types and one
 pass over each list.
 """
 
@@ -59,15 +59,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Schema:
-    """How messages of one class are packed and checked.
+    """How messages of one class are encoded and checked.
 
     Attributes:
       number: Type number of the class.
       cls: The class.
       names: Names of its fields.
-      types: Exact types of all parts, the type number among them.
-      checks: Further checks of single parts, with the index of each.
-      fields: Reads the fields of a message as a tuple.
+      types: Exact types of all parts, including the type number.
+      checks: Further checks of single parts, each with its index.
+      fields: Returns the fields of a message as a tuple.
     """
 
     number: int
@@ -109,7 +109,7 @@
 
 
 def encode(msg: message.Message) -> bytes:
-    """Encodes a message; not for use from several threads at once.
+    """Encodes a message; not thread-safe.
 
     Raises:
       error.MalformedFrameError: A field cannot be encoded.
@@ -128,8 +128,8 @@
 
     Raises:
       error.MalformedFrameError: The body is not msgpack, or its parts do not
-        fit the fields of the message.
-      error.UnknownMessageError: No message has the type number.
+        match the fields of the message.
+      error.UnknownMessageError: No message class has the type number.
     """
     parts = _unpack(body)
     schema = SCHEMAS.get(parts[0])
@@ -144,10 +144,10 @@
 
 
 def _unpack(body: bytes) -> list[Any]:
-    # Nested array headers that announce many items make the unpacker reserve
-    # room for all of them at each level: a frame of a few bytes would take
-    # gigabytes. An array can't hold more items than the body has bytes, and
-    # MAX_ITEMS bounds it for long bodies.
+    # The unpacker preallocates memory for the announced items of each nested
+    # array header, so that a frame of a few bytes could allocate gigabytes. An
+    # array can't hold more items than the body has bytes, and MAX_ITEMS limits
+    # it for long bodies.
     try:
         parts = msgpack.unpackb(
             body,
@@ -165,7 +165,7 @@
 
 
 def _coerce_ints(schema: Schema, parts: list[Any]) -> None:
-    """Takes whole numbers where floats stand; refuses any other misfit."""
+    """Converts integers in float fields; rejects any other mismatch."""
     if len(parts) != len(schema.types):
         raise error.MalformedFrameError(
             f'{schema.cls.__name__} has {len(schema.types) - 1} fields, '
--- a/packages/quetzalsill/src/quetzalsill/wire/dial.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/dial.py
@@ -1,4 +1,4 @@
-"""Opens a link to a sidecar."""
+"""Opens links to sidecars."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
     """Connects and completes the handshake within `timing.connect_s`.
 
     Args:
-      host: IP number of the sidecar.
+      host: IP address of the sidecar.
       port: Its port.
-      hello: What this end says of itself.
-      timing: Bounds of the link.
-      tls: Context of an encrypted link; None for a plain one.
-      revision: Gives the revision in force here, for heartbeats; that of
-        the Hello if there is none.
-      on_revision: Called with each revision that heartbeats bring.
+      hello: Hello message to send.
+      timing: Timeouts of the link.
+      tls: Context of an encrypted link; None for a plaintext one.
+      revision: Returns the current local revision for heartbeats; that of
+        the Hello if None.
+      on_revision: Called with each revision received in a heartbeat.
       heartbeat_factor: Factor of the time to the first heartbeat; see
         `link.Link`.
 
     Raises:
-      error.DialError: No connection could be made.
-      error.HandshakeTimeoutError: The other end was too slow.
-      error.RejectedError: The other end refused this one.
-      error.WireError: The other end broke the protocol.
+      error.DialError: The connection could not be opened.
+      error.HandshakeTimeoutError: The peer did not respond in time.
+      error.RejectedError: The peer rejected the link.
+      error.WireError: The peer violated the protocol.
     """
     try:
         async with deadline.timeout(timing.connect_s):
--- a/packages/quetzalsill/src/quetzalsill/wire/error.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/error.py
@@ -1,4 +1,4 @@
-"""Failures of a link between router and sidecar."""
+"""Errors of a link between router and sidecar."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class WireError(base.QuetzalsillError):
-    """A link failed; nothing else is disturbed by it."""
+    """A link failed; other links are not affected."""
 
     code = 'wire_failed'
 
@@ -34,7 +34,7 @@
 
 
 class UnknownMessageError(WireError):
-    """A frame carries a type number that this version does not know."""
+    """A frame has a type number that is unknown to this version."""
 
     code = 'unknown_message'
 
@@ -46,42 +46,42 @@
 
 
 class ProtocolError(WireError):
-    """A message is well formed but not allowed at this point."""
+    """A message is well-formed but not allowed at this point."""
 
     code = 'protocol_violation'
 
 
 class VersionMismatchError(WireError):
-    """The other end speaks another version of the protocol."""
+    """The peer uses another version of the protocol."""
 
     code = 'version_mismatch'
     advice = 'Run the same release on both ends.'
 
 
 class CredentialError(WireError):
-    """The dialling end does not know the credential of the fleet."""
+    """The dialling end sent the wrong credential."""
 
     code = 'wrong_credential'
     advice = 'Put the same link credential into the settings of both ends.'
 
 
 class HandshakeTimeoutError(WireError):
-    """The other end did not complete the handshake in time."""
+    """The peer did not complete the handshake in time."""
 
     code = 'handshake_timeout'
 
 
 class DialError(WireError):
-    """No connection could be made."""
+    """The connection could not be opened."""
 
     code = 'dial_failed'
 
 
 class RejectedError(WireError):
-    """The other end closed the link for a reason that it named.
+    """The peer closed the link and sent the reason.
 
     Attributes:
-      reason: Code that the other end gave.
+      reason: Error code sent by the peer.
     """
 
     code = 'link_rejected'
@@ -92,18 +92,18 @@
 
 
 class LinkClosedError(WireError):
-    """The link is closed; a new one has to be dialled."""
+    """The link is closed; a new one must be dialled."""
 
     code = 'link_closed'
 
 
 class LinkSilentError(LinkClosedError):
-    """Nothing arrived for longer than the link may be silent."""
+    """No data was received within the silence timeout."""
 
     code = 'link_silent'
 
 
 class LinkOverflowError(LinkClosedError):
-    """The other end reads too slowly; the link was dropped."""
+    """The peer reads too slowly; the link was closed."""
 
     code = 'link_overflow'
--- a/packages/quetzalsill/src/quetzalsill/wire/frame.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/frame.py
@@ -1,4 +1,4 @@
-"""Frames: a length of four bytes, most significant first, then the body."""
+"""Frames: a four-byte big-endian length, followed by the body."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def pack(body: bytes) -> bytes:
-    """Puts the length in front of a body.
+    """Prefixes a body with its length.
 
     Raises:
       error.OversizeFrameError: The body is longer than `MAX_BODY_BYTES` bytes.
@@ -34,7 +34,7 @@
     """Splits a byte stream into the bodies of its frames.
 
     Attributes:
-      limit: Longest body accepted, in bytes.
+      limit: Largest accepted body, in bytes.
     """
 
     __slots__ = ('_buffer', 'limit')
@@ -44,14 +44,14 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Takes the next bytes and yields each body that is complete.
+        """Adds received bytes and yields each complete body.
 
         Yields:
-          Bodies of frames, in order.
+          Frame bodies, in order.
 
         Raises:
           error.OversizeFrameError: A frame announces more than `limit`
-            bytes; it is refused before any of them is kept.
+            bytes; it is rejected without waiting for its body.
         """
         buffer = self._buffer
         buffer += data
--- a/packages/quetzalsill/src/quetzalsill/wire/handshake.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/handshake.py
@@ -1,4 +1,4 @@
-"""First two frames of a link: Hello from the router, Welcome in answer."""
+"""First two frames of a link: Hello from the router, then Welcome."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 async def read_first(
     reader: asyncio.StreamReader, splitter: frame.Splitter
 ) -> message.Message:
-    """Reads the first message of the other end.
+    """Reads the first message of the peer.
 
-    The splitter keeps what arrived behind it, and its limit is raised from
-    that of a handshake to that of a link.
+    The splitter keeps the data received after it, and its limit is raised
+    from that of a handshake to that of a link.
 
     Raises:
-      error.LinkClosedError: The connection ended before a whole message.
+      error.LinkClosedError: The connection ended before a complete message.
       error.WireError: The first frame is malformed, unknown or too long.
     """
     while True:
         data = await reader.read(READ_BYTES)
         if not data:
-            raise error.LinkClosedError('closed in the handshake')
+            raise error.LinkClosedError('closed during the handshake')
         for body in splitter.feed(data):
             splitter.limit = frame.MAX_BODY_BYTES
             return codec.decode(body)
 
 
 def write_first(writer: asyncio.StreamWriter, msg: message.Message) -> None:
-    """Writes a message of the handshake."""
+    """Writes a handshake message."""
     writer.write(frame.pack(codec.encode(msg)))
 
 
 def check_hello(msg: message.Message, credential: str) -> message.Hello:
-    """Gives the Hello if its sender may have a link.
+    """Returns the Hello if its sender is accepted.
 
     Raises:
-      error.ProtocolError: The message is no Hello.
-      error.VersionMismatchError: Its sender speaks another version.
-      error.CredentialError: Its credential is not the one of this fleet.
+      error.ProtocolError: The message is not a Hello.
+      error.VersionMismatchError: Its sender uses another protocol version.
+      error.CredentialError: Its credential does not match.
     """
     if not isinstance(msg, message.Hello):
         raise error.ProtocolError(f'{type(msg).__name__} instead of Hello')
@@ -58,12 +58,12 @@
 
 
 def check_welcome(msg: message.Message) -> message.Welcome:
-    """Gives the Welcome if the other end accepted the link.
+    """Returns the Welcome if the peer accepted the link.
 
     Raises:
-      error.RejectedError: The other end rejected it.
-      error.ProtocolError: The message is no Welcome.
-      error.VersionMismatchError: Its sender speaks another version.
+      error.RejectedError: The peer rejected it.
+      error.ProtocolError: The message is not a Welcome.
+      error.VersionMismatchError: Its sender uses another protocol version.
     """
     if isinstance(msg, message.Reject):
         raise error.RejectedError(msg.code, msg.detail)
--- a/packages/quetzalsill/src/quetzalsill/wire/kind.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/kind.py
@@ -1,4 +1,4 @@
-"""Kinds of work that a Dispatch names."""
+"""Kinds of work in a Dispatch message."""
 
 from __future__ import annotations
 
--- a/packages/quetzalsill/src/quetzalsill/wire/link.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/link.py
@@ -1,4 +1,4 @@
-"""One open connection between a router and a sidecar."""
+"""An open connection between a router and a sidecar."""
 
 from __future__ import annotations
 
@@ -32,15 +32,14 @@
 class Link:
     """Sends and receives messages over one connection.
 
-    The link answers and sends heartbeats by itself. Silence is noticed only
-    while `messages` is being read, so one task must read it all the time.
+    The link sends and answers heartbeats itself. The silence timeout applies
+    only while `messages` is being read, so one task must read it all the time.
 
     Attributes:
-      peer: Hello or Welcome of the other end.
-      remote: Address of the other end, for logs.
-      on_revision: Called with each revision that a heartbeat of the other
-        end carries.
-      sent_bytes: Bytes handed to the connection so far.
+      peer: Hello or Welcome of the peer.
+      remote: Address of the peer, for logs.
+      on_revision: Called with each revision received in a heartbeat.
+      sent_bytes: Bytes written to the connection so far.
       received_bytes: Bytes read so far.
     """
 
@@ -55,18 +54,18 @@
         on_revision: Callable[[int], None] | None = None,
         heartbeat_factor: Callable[[], float] | None = None,
     ) -> None:
-        """Takes over a connection whose handshake is done.
+        """Takes over a connection after its handshake.
 
         Args:
           reader: Stream of the connection.
           writer: Stream of the connection.
-          peer: What the other end said in the handshake.
-          splitter: Holds what was read beyond the handshake.
-          timing: Bounds of idleness and silence.
-          revision: Gives the revision in force here, for heartbeats.
+          peer: Handshake message of the peer.
+          splitter: Holds the data received after the handshake.
+          timing: Heartbeat interval and silence timeout.
+          revision: Returns the current local revision for heartbeats.
           on_revision: See the attribute.
-          heartbeat_factor: Gives the factor by which the first heartbeat on an
-            idle link comes later than `idle_s`; 1 if there is none.
+          heartbeat_factor: Returns the factor by which `idle_s` is multiplied
+            for the first heartbeat on an idle link; 1 if None.
         """
         self.peer = peer
         self.remote = remote_address(writer)
@@ -91,19 +90,19 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing more can be sent."""
+        """Whether the link is closed for sending."""
         return self._failure is not None
 
     def get_extra_info(self, name: str) -> Any:
-        """Gives what the transport knows of itself, such as its `socket`."""
+        """Returns information of the transport, such as its `socket`."""
         return self._writer.get_extra_info(name)
 
     def send_nowait(self, msg: message.Message) -> None:
-        """Buffers a message; all of one loop tick leave in one write.
+        """Buffers a message; one loop iteration's messages share a write.
 
         Raises:
-          error.LinkClosedError: The link is closed, or was dropped just now
-            because the other end reads too slowly (`LinkOverflowError`).
+          error.LinkClosedError: The link is closed, or was closed now because
+            the peer reads too slowly (`LinkOverflowError`).
           error.MalformedFrameError: A field cannot be encoded.
           error.OversizeFrameError: The message is too long.
         """
@@ -117,10 +116,10 @@
         self._unsent_bytes += len(data)
 
     async def send(self, msg: message.Message) -> None:
-        """Sends a message and waits while the other end reads too slowly.
+        """Sends a message and waits while the write buffer is full.
 
         Raises:
-          error.LinkClosedError: The link is closed or closes meanwhile.
+          error.LinkClosedError: The link is closed, or closes meanwhile.
           error.MalformedFrameError: A field cannot be encoded.
           error.OversizeFrameError: The message is too long.
         """
@@ -132,13 +131,14 @@
             raise self._fail(error.LinkClosedError(str(exc))) from exc
 
     async def messages(self) -> AsyncIterator[message.Message]:
-        """Yields messages as they come; heartbeats are dealt with here.
+        """Yields received messages, except heartbeats and other control ones.
 
         Raises:
           error.LinkClosedError: The connection ended.
-          error.LinkSilentError: Nothing arrived for `silence_s`.
-          error.RejectedError: The other end closed the link and said why.
-          error.WireError: The other end broke the protocol; it was told.
+          error.LinkSilentError: Nothing was received for `silence_s`.
+          error.RejectedError: The peer closed the link and sent the reason.
+          error.WireError: The peer violated the protocol and was sent a
+            Reject.
         """
         data = b''
         while True:
@@ -153,27 +153,26 @@
             data = await self._read()
 
     def reject(self, exc: error.WireError) -> None:
-        """Tells the other end why its link is closed, and closes it."""
+        """Sends the peer the reason in a Reject, and closes the link."""
         if not isinstance(exc, error.RejectedError):
             with contextlib.suppress(error.LinkClosedError):
                 self.send_nowait(message.Reject(exc.code, exc.detail))
         self.close(exc)
 
     def ping(self) -> int:
-        """Asks for an echo and gives its number.
+        """Sends a Ping and returns its nonce.
 
-        Once `echoed` reaches it, the other end has taken all that was sent
-        before, and all that it had sent by then has been read here.
+        Once `echoed` reaches it, the peer has read everything sent before the
+        Ping, and everything that the peer sent before its Pong has been read.
         """
         self._ping()
         return self._nonce
 
     def probe(self) -> None:
-        """Asks for a sign of life now if nothing came for `idle_s`.
+        """Sends a Ping now if nothing was received for `idle_s`.
 
-        For a sender that puts work on an idle link whose heartbeats were
-        stretched, and are not any more: if the link is dead, that shows
-        within `silence_s`.
+        For a sender that assigns work to an idle link, whose longer heartbeat
+        interval thereby ends: a dead link is detected within `silence_s`.
         """
         now = self._loop.time()
         since = self._reading_since
@@ -189,19 +188,19 @@
             )
 
     def close(self, exc: error.WireError | None = None) -> None:
-        """Closes the link after what is buffered has left."""
+        """Closes the link after the buffered data is written."""
         if self._failure is not None:
             return
         self._flush()
-        self._failure = exc or error.LinkClosedError('closed by this end')
+        self._failure = exc or error.LinkClosedError('closed locally')
         self._timer.cancel()
         self._writer.close()
-        # A peer that stopped reading never lets the rest leave, and the
-        # connection with its buffer would stay for good.
+        # If the peer has stopped reading, the buffer never drains, and the
+        # connection would stay open with it.
         self._loop.call_later(CLOSE_GRACE_S, self._writer.transport.abort)
 
     def _handle_control(self, msg: message.Message) -> bool:
-        """Deals with messages that concern the link alone."""
+        """Handles a control message; returns False for any other."""
         cls = type(msg)
         if cls is message.Ping:
             if self._failure is None:
@@ -227,12 +226,12 @@
         finally:
             self._reading_since = None
         if not data:
-            raise self._fail(error.LinkClosedError('closed by the other end'))
+            raise self._fail(error.LinkClosedError('closed by the peer'))
         self.received_bytes += len(data)
         return data
 
     def _fail(self, exc: error.WireError) -> error.WireError:
-        """Ends the connection at once; gives the failure to be raised."""
+        """Aborts the connection; returns the error to be raised."""
         if self._failure is None:
             self._failure = exc
             self._timer.cancel()
@@ -241,8 +240,8 @@
         return self._failure
 
     def _check_unsent(self, size: int) -> None:
-        # A peer that stops reading while its connection stays open would
-        # let the buffer grow until this process has no memory left.
+        # If a peer stops reading without closing its connection, the buffer
+        # would grow until this process runs out of memory.
         waiting = self._writer.transport.get_write_buffer_size()
         if waiting + self._unsent_bytes + size > MAX_UNSENT_BYTES:
             raise self._fail(
@@ -262,12 +261,12 @@
         self._writer.write(data)
 
     def _on_timer(self) -> None:
-        """Sends a heartbeat when one is due and drops a silent link."""
+        """Sends a heartbeat if one is due; aborts a silent link."""
         now = self._loop.time()
         if self._is_silent(now):
             self._fail(
                 error.LinkSilentError(
-                    f'nothing for {self._max_silence_s()} s from {self.remote}'
+                    f'no data for {self._max_silence_s()} s from {self.remote}'
                 )
             )
             return
@@ -281,20 +280,21 @@
     def _ping(self) -> None:
         self._nonce += 1
         self._pinged_at = self._loop.time()
-        # An overflow has dropped the link; its reader is told by `messages`.
+        # On overflow the link is aborted; its reader gets the error from
+        # `messages`.
         with contextlib.suppress(error.LinkClosedError):
             self.send_nowait(message.Ping(self._nonce, self._revision()))
             self._flush()
 
     def _is_silent(self, now: float) -> bool:
-        # Something between the ends can lose track of the connection: both
-        # ends see it open and nothing ever arrives. Each end asks when it
-        # has heard nothing, and again and again; an end that is alive
-        # answers at once, so that no answer to several is proof enough.
+        # A middlebox can lose its state of the connection: both ends see it
+        # open, and nothing ever arrives. Each end sends Pings repeatedly while
+        # it receives nothing; a live peer responds at once, so that several
+        # unanswered Pings show that the link is dead.
         if self._reading_since is None:
             return False
-        # A process that was paused wakes to a late timer and to data that
-        # waits unread; that silence was its own, so it starts anew.
+        # After a pause of this process, the timer is late and received data
+        # is still unread. The silence was not the peer's, so it is reset.
         if now - self._timer.when() > self._timing.idle_s:
             self._reading_since = now
         return now >= self._reading_since + self._max_silence_s()
@@ -307,8 +307,8 @@
         return self._timing.idle_s * self._heartbeat_factor()
 
     def _next_ping_at(self) -> float:
-        # While nothing is read, nothing can be heard; the other end must
-        # still hear of this one.
+        # While this end does not read, it cannot detect silence, but must
+        # still send heartbeats to the peer.
         if self._reading_since is None:
             return self._sent_at + self._timing.idle_s
         return max(
@@ -324,6 +324,6 @@
 
 
 def remote_address(writer: asyncio.StreamWriter) -> str:
-    """Gives the address of the other end as `IP:PORT`."""
+    """Returns the address of the peer as `IP:PORT`."""
     address = writer.get_extra_info('peername') or ('unknown', 0)
     return f'{address[0]}:{address[1]}'
--- a/packages/quetzalsill/src/quetzalsill/wire/listen.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/listen.py
@@ -1,4 +1,4 @@
-"""Takes the links that routers dial."""
+"""Accepts the links that routers dial."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LinkServer:
-    """Listens for links; each runs in a task of its own."""
+    """Listens for links and serves each in its own task."""
 
     def __init__(
         self,
@@ -35,19 +35,19 @@
         revision: Callable[[], int] | None = None,
         heartbeat_factor: Callable[[], float] | None = None,
     ) -> None:
-        """Prepares a server; `start` opens it.
+        """Initializes the server; `start` opens its listener.
 
         Args:
-          listen: Address to listen at; port 0 lets the kernel choose.
-          credential: Credential that a Hello must carry.
-          welcome: Gives the answer to a Hello; may raise `WireError` to
+          listen: Address to listen on; port 0 lets the kernel choose.
+          credential: Credential required in a Hello.
+          welcome: Returns the response to a Hello; may raise `WireError` to
             reject it.
-          on_link: Serves one link; the link is closed when it returns. A
-            `WireError` that it raises ends that link only.
-          timing: Bounds of each link and its handshake.
-          tls: Context of encrypted links; None for plain ones.
-          revision: Gives the revision in force here, for heartbeats; that
-            of the Welcome if there is none.
+          on_link: Serves one link; the link is closed when it returns. If it
+            raises `WireError`, only that link ends.
+          timing: Timeouts of each link and its handshake.
+          tls: Context of encrypted links; None for plaintext ones.
+          revision: Returns the current local revision for heartbeats; that
+            of the Welcome if None.
           heartbeat_factor: Factor of the time to the first heartbeat; see
             `link.Link`.
         """
@@ -65,14 +65,14 @@
 
     @property
     def port(self) -> int:
-        """Port listened at."""
+        """Port on which the server listens."""
         return self._server.sockets[0].getsockname()[1]
 
     async def start(self) -> None:
         """Opens the listener.
 
         Raises:
-          OSError: The address cannot be used.
+          OSError: The address cannot be bound.
         """
         tls_options = {'ssl_handshake_timeout': self._timing.connect_s}
         self._server = await asyncio.start_server(
@@ -94,8 +94,9 @@
     def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # Connections that never say Hello would fill the table of open
-        # files; above the bound a new one is dropped until others time out.
+        # Connections that never send a Hello would use up the file
+        # descriptors; above the limit, new ones are dropped until others time
+        # out.
         if self._handshakes >= MAX_HANDSHAKES:
             writer.transport.abort()
             return
@@ -138,8 +139,8 @@
         splitter = frame.Splitter(frame.MAX_HANDSHAKE_BODY_BYTES)
         self._handshakes += 1
         try:
-            # A client that sends its Hello byte by byte, or none, would
-            # hold the connection for good.
+            # A client that sends its Hello byte by byte, or none at all, would
+            # keep the connection open indefinitely.
             async with deadline.timeout(self._timing.connect_s):
                 first = await handshake.read_first(reader, splitter)
         except TimeoutError as exc:
--- a/packages/quetzalsill/src/quetzalsill/wire/message.py
+++ b/packages/quetzalsill/src/quetzalsill/wire/message.py
@@ -1,9 +1,9 @@
 """Messages between router and sidecar.
 
-Each class is one message; its fields travel in order of declaration as a
-msgpack array `[type number, field, ...]`. `codec` packs and checks them.
+Each class is one message type; its fields are encoded in order of declaration
+as a msgpack array `[type number, field, ...]`. `codec` encodes and checks them.
 An attempt is one try of one router to have a request served; its id is
-`NODE/INCARNATION/COUNTER`, so that it is unique over restarts.
+`NODE/INCARNATION/COUNTER`, so that it is unique across restarts.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Welcome(Message):
-    """Answer to Hello by the sidecar."""
+    """The sidecar's response to Hello."""
 
     version: int
     node: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reject(Message):
-    """A link is closed for the named reason; goes to that link only."""
+    """Closes the link on which it is sent, for the given reason."""
 
     code: str
     detail: str
@@ -65,33 +65,33 @@
     Attributes:
       attempt: Id of the attempt.
       request: Id of the request, the same over its attempts.
-      incarnation: Incarnation of the sidecar that the router believes in;
+      incarnation: Incarnation of the sidecar that the router expects;
         another one refuses (not run).
-      revision: Configuration under which the router decided.
-      fence: Ownership epoch of a durable request; a lower one than seen
-        for this request is refused.
+      revision: Configuration revision on which the router's decision is based.
+      fence: Ownership epoch of a durable request; an epoch lower than one
+        already seen for this request is refused.
       account: Client account.
       profile: Profile name.
       model: Model or service name.
-      kind: One of those in `wire.kind`.
+      kind: A constant of `wire.kind`.
       method: HTTP method of a call; `POST` otherwise.
       path: Path of a call below its service; empty otherwise.
-      headers: Header pairs of a call, in order.
-      payload: JSON body of a generation, or first bytes of a call's body.
+      headers: Headers of a call, in order, as name-value pairs.
+      payload: JSON body of a generation, or the first bytes of a call's body.
       body_open: More Body messages follow (calls only).
-      idempotent: The work may be run again by the sidecar or router.
-      remaining_ms: Time left to the deadline.
+      idempotent: The sidecar or router may run the work again.
+      remaining_ms: Time left until the deadline.
       queue_ms: Longest time in the sidecar's queue.
       prompt_tokens: Estimated tokens of the prompt.
-      max_tokens: Bound on generated tokens.
+      max_tokens: Maximum number of generated tokens.
       prefix: Digest of the prompt prefix for cache affinity.
       recover: Only attach to work of this request that the engine already
-        has; if the engine has none, answer Refused (not run), or Failed
+        has; if it has none, respond with Refused (not run), or with Failed
         with `ran` unknown if its incarnation is not `engine`.
-      credit: Items that the sidecar may send before a Credit.
+      credit: Number of items that the sidecar may send before a Credit.
       trace: W3C traceparent.
       engine: Incarnation of the engine that the sidecar last reported; 0
-        if unknown. An engine that restarted since can't prove that the
+        if unknown. An engine that has restarted since can't prove that the
         work did not run.
     """
 
@@ -123,7 +123,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Body(Message):
-    """A further piece of a call's request body."""
+    """A further chunk of a call's request body."""
 
     attempt: str
     data: bytes
@@ -132,7 +132,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Refused(Message):
-    """The attempt did not run and never will (a tombstone is kept)."""
+    """The attempt did not run and never will; a tombstone is kept."""
 
     attempt: str
     code: str
@@ -142,7 +142,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Started(Message):
-    """The attempt was handed to the upstream; it counts as run."""
+    """The attempt was sent to the upstream and counts as run."""
 
     attempt: str
     waited_ms: int
@@ -150,7 +150,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Head(Message):
-    """Status line and headers of a call's answer."""
+    """Status and headers of the response to a call."""
 
     attempt: str
     status: int
@@ -159,13 +159,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Chunk(Message):
-    """Pieces of an answer, in order.
+    """Items of a response, in order.
 
     Attributes:
       attempt: Id of the attempt.
-      seq: Number of the first item; the next chunk starts at seq + len.
-      items: For a generation the JSON payloads of the engine's events, one
-        token each; for a call the pieces of the body.
+      seq: Sequence number of the first item; the next chunk starts at
+        seq + len(items).
+      items: For a generation, the JSON payloads of the engine's events, one
+        token each; for a call, chunks of the body.
     """
 
     attempt: str
@@ -175,7 +176,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Credit(Message):
-    """Permits further items and acknowledges all below `seq`."""
+    """Allows `items` further items and acknowledges all below `seq`."""
 
     attempt: str
     seq: int
@@ -184,14 +185,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Ack(Message):
-    """Acknowledges a terminal message; the sidecar may forget the tail."""
+    """Acknowledges a terminal message; the sidecar may drop the tail."""
 
     attempt: str
 
 
 @dataclasses.dataclass(slots=True)
 class Finished(Message):
-    """The attempt ended whole with `seq` items in all."""
+    """The attempt is complete, with `seq` items in total."""
 
     attempt: str
     seq: int
@@ -199,15 +200,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Failed(Message):
-    """The attempt ended in failure.
+    """The attempt failed.
 
     Attributes:
       attempt: Id of the attempt.
-      code: Code of a `error.request` class.
-      detail: Text for the reader.
+      code: Code of an `error.request` class.
+      detail: Human-readable description.
       ran: `no`, `yes` or `unknown`.
-      gone: The generation is proved lost, so that an idempotent request
-        with nothing delivered may be dispatched again.
+      gone: The generation is known to be lost, so that an idempotent request
+        of which nothing was delivered may be dispatched again.
     """
 
     attempt: str
@@ -219,35 +220,35 @@
 
 @dataclasses.dataclass(slots=True)
 class Withdraw(Message):
-    """Asks that a queued attempt never start."""
+    """Requests that a queued attempt is not started."""
 
     attempt: str
 
 
 @dataclasses.dataclass(slots=True)
 class Withdrawn(Message):
-    """Not run and never will be; also sent for an attempt never seen."""
+    """The attempt did not run and never will; also sent if it is unknown."""
 
     attempt: str
 
 
 @dataclasses.dataclass(slots=True)
 class Running(Message):
-    """Too late to withdraw: the attempt has started."""
+    """The attempt cannot be withdrawn, as it has started."""
 
     attempt: str
 
 
 @dataclasses.dataclass(slots=True)
 class Cancel(Message):
-    """The answer is no longer wanted; stops the work on the upstream."""
+    """The response is no longer needed; stops the work on the upstream."""
 
     attempt: str
 
 
 @dataclasses.dataclass(slots=True)
 class Resume(Message):
-    """Takes up an attempt on a new link, with items from `seq` on."""
+    """Resumes an attempt on a new link, with the items from `seq` on."""
 
     attempt: str
     seq: int
@@ -256,19 +257,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Load(Message):
-    """What the sidecar knows of its upstream.
+    """Load and state of the upstream as seen by its sidecar.
 
     Attributes:
-      queued: Attempts waiting in the sidecar.
+      queued: Attempts in the sidecar's queue.
       running: Attempts on the upstream.
-      used_tokens: Key-value memory in use.
-      capacity_tokens: Key-value memory in all; 0 if unknown.
-      expected_wait_ms: Wait that a new prompt attempt would see.
+      used_tokens: KV cache in use, in tokens.
+      capacity_tokens: KV cache capacity, in tokens; 0 if unknown.
+      expected_wait_ms: Expected wait of a new attempt of the highest rank.
       token_ms: Recent mean time between tokens.
-      models: Models loaded now.
-      leaving: Takes no new work.
-      healthy: The upstream answers.
-      revision: Configuration in force at the sidecar.
+      models: Models currently loaded.
+      leaving: The upstream accepts no new work.
+      healthy: The upstream responds.
+      revision: Configuration revision active at the sidecar.
       engine: Incarnation of the engine; 0 if unknown.
     """
 
@@ -287,7 +288,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Leaving(Message):
-    """The upstream is leaving; nothing new is taken from now on."""
+    """The upstream is leaving and accepts no new work from now on."""
 
     upstream: str
     reason: str
@@ -295,7 +296,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Ping(Message):
-    """Sent on an idle link; carries the sender's revision."""
+    """Heartbeat of an idle link; carries the sender's revision."""
 
     nonce: int
     revision: int
@@ -303,7 +304,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Pong(Message):
-    """Answer to Ping."""
+    """Response to Ping."""
 
     nonce: int
     revision: int
@@ -311,14 +312,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigFetch(Message):
-    """Asks for the configuration if newer than `revision`."""
+    """Requests the configuration if it is newer than `revision`."""
 
     revision: int
 
 
 @dataclasses.dataclass(slots=True)
 class ConfigReply(Message):
-    """A whole configuration document (JSON) at `revision`."""
+    """The complete configuration document (JSON) at `revision`."""
 
     revision: int
     document: bytes
@@ -326,7 +327,7 @@
 
 @dataclasses.dataclass(slots=True)
 class GoAway(Message):
-    """The sender is stopping; its attempts go on to their end."""
+    """The sender is stopping; its running attempts continue to their end."""
 
     reason: str
 
--- a/tests/quetzalsill/wire/__init__.py
+++ b/tests/quetzalsill/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of quetzalsill.wire."""
--- a/tests/quetzalsill/wire/messages.py
+++ b/tests/quetzalsill/wire/messages.py
@@ -1,4 +1,4 @@
-"""Strategies for messages of every class."""
+"""Hypothesis strategies for messages of every class."""
 
 from __future__ import annotations
 
--- a/tests/quetzalsill/wire/test_codec.py
+++ b/tests/quetzalsill/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the codec and of frames: any bytes give typed errors only."""
+"""Tests of the codec and of frames: bad input raises only typed errors."""
 
 from __future__ import annotations
 
@@ -71,10 +71,10 @@
             codec.decode(msgpack.packb([250]))
 
     def test_nested_array_headers_are_refused(self):
-        """One frame of 2 KB takes the process's memory.
+        """One frame of 2 KB exhausts the memory of the process.
 
-        Each of 400 nested array headers announces 2^32 - 1 items; an
-        unpacker that reserves room for them asks for gigabytes.
+        Each of 400 nested array headers announces 2^32 - 1 items; an unpacker
+        that preallocates them requests gigabytes.
         """
         with self.assertRaises(error.MalformedFrameError):
             codec.decode(b'\xdd\xff\xff\xff\xff' * 400)
--- a/tests/quetzalsill/wire/test_link.py
+++ b/tests/quetzalsill/wire/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of links: handshake, heartbeat, and what a bad peer can do."""
+"""Tests of links: handshake, heartbeats and faulty peers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Timing:
-    """Bounds short enough for a test."""
+    """Timeouts short enough for a test."""
 
     idle_s: float = 0.05
     silence_s: float = 0.4
@@ -48,7 +48,7 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """Two ends in one process, over loopback."""
+    """Both ends of a link in one process, over loopback."""
 
     async def asyncSetUp(self):
         self.accepted = asyncio.Queue()
@@ -161,10 +161,11 @@
             self.assertEqual(caught.exception.reason, code)
 
     async def test_bad_first_frames_end_that_link_only(self):
-        """A port scanner or a broken router reaches the sidecar's port.
+        """A port scanner or a faulty router disturbs other links.
 
-        It sends an oversize or malformed first frame; it gets a Reject with
-        the code, and the link of another router works on.
+        It connects to the sidecar and sends an oversize or malformed first
+        frame. It must receive a Reject with the code, and the link of another
+        router must keep working.
         """
         conn = await self.dial()
         for data, code in (
@@ -196,10 +197,10 @@
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
     async def test_a_client_that_never_says_hello_is_dropped(self):
-        """Routers can't reach a sidecar although its process lives.
+        """Routers can't connect to a sidecar although it is running.
 
         Clients connect, send nothing or a byte now and then, and hold the
-        connections for good (slow-loris).
+        connections indefinitely (slow-loris attack).
         """
         self.server = await self.serve(Timing(connect_s=0.2))
         reader, writer = await self.raw()
@@ -219,7 +220,7 @@
             await self.dial(timing=Timing(connect_s=0.2), port=port)
 
     async def test_a_welcome_that_comes_as_its_time_ends(self):
-        """A router that was paused takes a sidecar for silent, and waits."""
+        """After a pause, a router discards a Welcome that has arrived."""
         short = Timing(connect_s=0.1)
 
         def welcome_and_pause(msg):
@@ -247,11 +248,11 @@
         self.assertFalse(conn.closed)
 
     async def test_a_silent_link_is_dropped_and_a_new_one_works(self):
-        """Answers stop in the middle and never go on, nor do they fail.
+        """Responses stop in the middle, without an error.
 
-        Something between the ends lost track of the connection: both ends
-        see it open, nothing arrives. The link ends by LinkSilentError, and
-        a dial anew works.
+        A middlebox lost its state of the connection: both ends see it open,
+        and nothing arrives. The link must end with LinkSilentError, and a new
+        link must work.
         """
         proxy = await self.relay()
         for directions in ({}, {'up': False}, {'down': False}):
@@ -270,11 +271,11 @@
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
     async def test_work_put_on_a_dead_idle_link_shows_it_at_once(self):
-        """A handset waits half a minute for an answer that never comes.
+        """A request on a dead idle link waits half a minute for an error.
 
-        A node with many links asks idle ones rarely. One of them has died
-        unnoticed when a request is put on it; from then on it has to be
-        asked as often as any link that carries work.
+        A node with many links pings idle ones rarely. One of them is dead,
+        undetected, when a request is assigned to it; from then on it must be
+        pinged as often as any link that carries work.
         """
         heartbeat_factor = mock.Mock(return_value=10_000.0)
         self.server = await self.serve(
@@ -315,8 +316,8 @@
     async def test_a_peer_that_stops_reading_costs_bounded_memory(self):
         """The process grows until it is killed, with all its requests.
 
-        One peer stops reading while its connection stays open, and what is
-        sent to it piles up. The link is dropped at its bound instead.
+        A peer stops reading without closing its connection, and unsent data
+        accumulates. The link must be closed at its limit instead.
         """
         conn = await self.dial()
         remote_end = await self.next_of(self.accepted)
@@ -329,10 +330,10 @@
         self.assertTrue(conn.closed)
 
     async def test_only_holders_of_a_certificate_are_linked(self):
-        """A stranger on the network gives work to an engine, or takes it.
+        """An unauthorized node on the network sends work, or receives it.
 
-        One end shows an expired certificate, one of another authority, or
-        none; the link is refused before the credential is sent or read.
+        One end presents an expired certificate, one of another authority, or
+        none; the link must fail before the credential is sent or read.
         """
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
