--- a/packages/quetzalsill/src/quetzalsill/telemetry/event.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/event.py
@@ -1,9 +1,9 @@
-"""How events are defined and written.
+"""Definition and logging of events.
 
-A line is `event=NAME field=value ...`; the name is the class's, in lower case
-with underscores. Every package keeps its events in one module, so that names
-and fields cannot drift apart between the code, the page for operators and the
-commands that read logs.
+A log line is `event=NAME field=value ...`; the name is that of the class, in
+snake case. Each package defines its events in one module, so that names and
+fields stay the same in the code, the operators' documentation and the commands
+that read logs.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 __all__ = ['EVENTS', 'Event', 'define', 'name_of', 'note']
 
 WORD_BOUNDARY = re.compile(r'(?<!^)(?=[A-Z])')
-# By package, then by name.
+# Event classes by package, then by event name.
 EVENTS: dict[str, dict[str, type[Event]]] = {}
 
 
@@ -27,25 +27,25 @@
 
 @dataclass_transform()
 def define(cls: EventClass) -> EventClass:
-    """Makes a class of events; a decorator.
+    """Class decorator that defines an event.
 
-    What compares and prints them stands once, in `Event`. Made anew for each
-    class, these methods take two thirds of the time of defining it, and a
-    gateway defines some sixty before it can take a caller: 0.05 s of a whole
-    core, three times that on a small host.
+    The methods for comparison and representation are inherited from `Event`.
+    Generating them for each class takes two thirds of the time to define it,
+    and a gateway defines about sixty before it can accept requests: 0.05 s of
+    a whole core, three times that on a small host.
     """
     return dataclasses.dataclass(slots=True, eq=False, repr=False)(cls)
 
 
 @define
 class Event:
-    """Something that a process decided or came to believe."""
+    """A decision or an observation of a process, written to the log."""
 
     LEVEL: ClassVar[str] = 'info'
 
     def __init_subclass__(cls, level: str = '') -> None:
-        # A dataclass with slots is a second class, made without the keyword;
-        # it has the level of the first already.
+        # A dataclass with slots is created as a second class, without the
+        # keyword; it inherits the level from the first.
         if level:
             cls.LEVEL = level
         EVENTS.setdefault(_package(cls), {})[name_of(cls)] = cls
@@ -63,7 +63,7 @@
 
 @functools.cache
 def name_of(cls: type[Event]) -> str:
-    """Returns the name of an event in the log."""
+    """Returns the log name of an event class."""
     return WORD_BOUNDARY.sub('_', cls.__name__).lower()
 
 
@@ -71,8 +71,8 @@
     """Writes an event to the log.
 
     Args:
-      event: What happened.
-      exc: Its traceback is written too, for failures that nobody foresaw.
+      event: Event to write.
+      exc: Unexpected exception whose traceback is written too.
     """
     cls = type(event)
     fields = _fields(event)
--- a/packages/quetzalsill/src/quetzalsill/telemetry/export.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/export.py
@@ -1,4 +1,4 @@
-"""Export of finished spans to a file as JSON lines."""
+"""Exporter that writes finished spans to a file as JSON lines."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class JsonLinesExporter(export.SpanExporter):
-    """Appends spans to a file until the file has `max_bytes`.
+    """Appends spans to a file of at most `max_bytes`.
 
     The batch processor calls it from its own thread, so that a slow disk
-    does not hold up the event loop.
+    does not block the event loop.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
     def export(
         self, spans: Sequence[sdk_trace.ReadableSpan]
     ) -> export.SpanExportResult:
-        """Writes spans; drops them if the file is full or closed."""
+        """Writes spans, or drops them if the file is full or closed."""
         text = ''.join(self._line(span) for span in spans)
         with self._lock:
             if self._file.closed or len(text) > self._bytes_left:
--- a/packages/quetzalsill/src/quetzalsill/telemetry/log.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Log lines: one line of key=value pairs for each event, to stdout."""
+"""Logging to stdout, one line of key=value pairs for each event."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     'warning': logging.WARNING,
     'error': logging.ERROR,
 }
-# Takes a part of a start; loaded only by processes that open spans.
+# Slow to import, so loaded only by processes that open spans.
 TRACE_MODULE = 'opentelemetry.trace'
 KEY_ORDER = ('timestamp', 'level', 'event', 'node', 'role', 'module', 'trace')
 
 EventDict = dict[str, Any]
 
-# Before `configure`, lines must not mix with what a command prints.
+# Before `configure`, log lines must not mix with the output of a command.
 structlog.configure(logger_factory=structlog.WriteLoggerFactory(sys.stderr))
 
 
 def configure(level: str, node: str = '', role: str = '') -> None:
-    """Sets up the log lines of this process, its libraries' included.
+    """Configures logging of this process and its libraries.
 
     Args:
-      level: Least level that is written; a key of `LEVELS`.
-      node: Name of the node, put on each line.
-      role: Role of the process, put on each line.
+      level: Minimum level; a key of `LEVELS`.
+      node: Name of the node, added to each line.
+      role: Role of the process, added to each line.
     """
     limiter = log_output.RateLimiter()
     output = log_output.LogOutput(sys.stdout, limiter)
@@ -59,17 +59,18 @@
 def get(name: str) -> Any:
     """Returns the logger of a module.
 
-    Its methods take the name of an event and its keys. Programs write by
-    `event.note`, which knows both.
+    Its methods take the name of an event and its keys. Programs use
+    `event.note`, which derives both from the event.
     """
     return structlog.get_logger(module=name)
 
 
 def render(_logger: Any, _method: str, event: EventDict) -> str:
-    """Returns the line of an event, as structlog's logfmt renderer would.
+    """Returns the line of an event, in the format of structlog's logfmt.
 
-    That one looks at each character of each key in Python, by which a line of
-    a dozen keys takes about twice as long; keys are names in our code.
+    structlog's renderer validates each character of each key in Python, so
+    that a line of a dozen keys takes about twice as long. The keys here are
+    identifiers of the code and need no validation.
     """
     leading = [
         _format_pair(key, value)
@@ -96,7 +97,7 @@
 def _configure_libraries(
     level: str, output: log_output.LogOutput, processors: list[Any]
 ) -> None:
-    """Gives lines of libraries, logged by `logging`, the same form."""
+    """Formats the lines that libraries write through `logging` alike."""
     handler = logging.StreamHandler(output)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
@@ -146,8 +147,8 @@
 
 
 def _escape_values(_logger: Any, _method: str, event: EventDict) -> EventDict:
-    # A value from outside may hold line ends or terminal controls, which
-    # would forge further log lines; escaped, they stay within their value.
+    # An external value may contain line ends or terminal control characters,
+    # which could forge log lines, so those are escaped.
     return {name: _escape(value) for name, value in event.items()}
 
 
--- a/packages/quetzalsill/src/quetzalsill/telemetry/log_output.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/log_output.py
@@ -1,10 +1,11 @@
-"""Where log lines go: bounded in volume, and never waited for.
+"""Non-blocking, rate-limited output of log lines.
 
 A process logs from its event loop. If the reader of its output stops, the pipe
-fills within seconds, and a blocking write would then stop every request of the
-process until the reader goes on. And a burst of failures, each with its line,
-would fill any disk behind that pipe. Lines beyond both bounds are dropped and
-counted, and the count is written as soon as a line gets through.
+fills within seconds, and a blocking write would then stall every request of the
+process until the reader resumes. A burst of failures, each with its log line,
+could also fill the disk behind that pipe. Lines that would block or exceed the
+rate limit are dropped and counted, and the count is written as soon as a line
+can be written again.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 __all__ = ['RateLimiter', 'LogOutput']
 
-# A pipe that polls as writable has room for this much (POSIX PIPE_BUF), so a
-# write no longer than this does not block.
+# A pipe that polls as writable has room for this many bytes (PIPE_BUF), so a
+# write of at most this length does not block.
 MAX_LINE_BYTES = 4096
-# Lines of one event per second, and in one burst. A node at the size to design
-# for serves 35 requests a second with about four lines each.
+# Limits per event: sustained lines per second, and lines in a burst. A node of
+# the design size serves 35 requests per second with about four lines each.
 LINES_PER_S = 150.0
 BURST_LINES = 450.0
 REPORT_INTERVAL_S = 1.0
@@ -36,7 +37,7 @@
 
 
 class RateLimiter:
-    """Lets through so many lines of each event."""
+    """Limits the rate of the lines of each event."""
 
     def __init__(
         self, per_s: float = LINES_PER_S, burst: float = BURST_LINES
@@ -49,10 +50,10 @@
     def __call__(
         self, _logger: Any, _method: str, line: EventDict
     ) -> EventDict:
-        """Passes a line on, as a processor of structlog.
+        """Passes a line on, as a structlog processor.
 
         Raises:
-          structlog.DropEvent: There were too many of its event.
+          structlog.DropEvent: The rate limit of its event is exceeded.
         """
         event = str(line.get('event'))
         now = time.monotonic()
@@ -66,17 +67,17 @@
         return line
 
     def take_dropped(self) -> dict[str, int]:
-        """Returns the lines dropped since last asked, by event."""
+        """Returns the count of lines dropped since the last call, by event."""
         dropped, self.dropped = self.dropped, {}
         return dropped
 
 
 class LogOutput:
-    """Writes lines to a stream as long as its reader takes them.
+    """Writes lines to a stream without blocking.
 
     Attributes:
-      unread: Lines dropped since the last that got through, since the reader
-        did not take them.
+      unread: Lines dropped because the reader did not read, since the last
+        line that was written.
     """
 
     def __init__(self, stream: Any, limiter: RateLimiter) -> None:
@@ -89,13 +90,13 @@
         try:
             self._fd = stream.fileno()
         except (AttributeError, io.UnsupportedOperation):
-            # A stream in memory, as tests use, blocks nobody.
+            # An in-memory stream, as used by tests, never blocks.
             return
         self._poll = select.poll()
         self._poll.register(self._fd, select.POLLOUT)
 
     def write(self, text: str) -> None:
-        """Writes a line unless that would block."""
+        """Writes a line, or drops it if that would block."""
         if not self._is_writable():
             self.unread += 1
             return
@@ -109,7 +110,7 @@
         self._report_dropped()
 
     def flush(self) -> None:
-        """Does nothing: each line is written at once."""
+        """Does nothing, as each line is written at once."""
 
     def _report_dropped(self) -> None:
         now = time.monotonic()
@@ -138,5 +139,5 @@
         try:
             os.write(self._fd, data)
         except OSError:
-            # The reader has gone; there is nobody left to tell.
+            # The reader has closed the pipe, so the error cannot be reported.
             self.unread += 1
--- a/packages/quetzalsill/src/quetzalsill/telemetry/metric.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/metric.py
@@ -1,4 +1,4 @@
-"""Metrics of this process, in one registry."""
+"""Metrics of this process, in a single registry."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 
 def counter(name: str, doc: str) -> aioprometheus.Counter:
-    """Returns the counter of this name: `inc(labels)`, `add(labels, n)`."""
+    """Returns the named counter: `inc(labels)`, `add(labels, n)`."""
     return _get(aioprometheus.Counter, name, doc)
 
 
 def gauge(name: str, doc: str) -> aioprometheus.Gauge:
-    """Returns the gauge of this name: `set(labels, value)`."""
+    """Returns the named gauge: `set(labels, value)`."""
     return _get(aioprometheus.Gauge, name, doc)
 
 
 def histogram(
     name: str, doc: str, buckets: Sequence[float] = SECONDS
 ) -> aioprometheus.Histogram:
-    """Returns the histogram of this name: `observe(labels, value)`.
+    """Returns the named histogram: `observe(labels, value)`.
 
     Args:
-      name: Name, with its unit at the end (`_seconds`, `_tokens`).
-      doc: One sentence for operators.
-      buckets: Upper bounds, ascending, with infinity at the end.
+      name: Name, ending in its unit (`_seconds`, `_tokens`).
+      doc: Help text, one sentence.
+      buckets: Upper bounds in ascending order, ending in infinity.
     """
     return _get(aioprometheus.Histogram, name, doc, buckets=buckets)
 
 
 def render() -> bytes:
-    """Returns all metrics in the text form of Prometheus."""
+    """Returns all metrics in the Prometheus text format."""
     return formats.text.TextFormatter().marshall(_registry)
 
 
--- a/packages/quetzalsill/src/quetzalsill/telemetry/trace.py
+++ b/packages/quetzalsill/src/quetzalsill/telemetry/trace.py
@@ -1,8 +1,8 @@
-"""Spans of requests over their hops.
+"""Tracing of requests across processes.
 
-The trace id travels in W3C `traceparent` form whether or not spans are
-recorded, so that log lines of all hops can be joined. Spans are for hops and
-steps of a request, never for single tokens.
+The trace id is propagated in W3C `traceparent` form whether or not spans are
+recorded, so that log lines of all hops can be correlated. Spans cover hops and
+steps of a request, never single tokens.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 
 def setup(node: str, file: str) -> None:
-    """Records spans to a file; an empty name records none.
+    """Enables recording of spans to a file; an empty name disables it.
 
     Args:
       node: Name of the node, written with each span.
       file: File to which finished spans are appended as JSON lines. Spans
-        beyond the bounded queue are dropped.
+        that do not fit the queue are dropped.
 
     Raises:
       OSError: If the file cannot be opened.
@@ -58,7 +58,7 @@
 
 
 def shutdown() -> None:
-    """Writes what is queued and stops recording."""
+    """Writes the queued spans and stops recording."""
     global _provider
     if _provider is not None:
         _provider.shutdown()
@@ -69,16 +69,16 @@
 def span(
     name: str, parent: str = '', **attributes: str | int | float | bool
 ) -> Iterator[otel_trace.Span]:
-    """Makes a span the current one until the block ends.
+    """Opens a span that is the current one until the block ends.
 
     Args:
       name: Name of the step, such as `router.dispatch`.
-      parent: `traceparent` of the hop before; empty for the current span.
+      parent: `traceparent` of the previous hop; empty for the current span.
         A malformed one starts a new trace.
       **attributes: Attributes of the span.
 
     Yields:
-      The span; `set_attribute` adds what is known later.
+      The span; `set_attribute` adds attributes later.
     """
     context = _propagator.extract({HEADER: parent}) if parent else None
     new_span = _start_span(name, context, attributes)
@@ -87,7 +87,7 @@
 
 
 def traceparent() -> str:
-    """Returns the current span in W3C form; empty if there is none."""
+    """Returns the current span in W3C form, or an empty string."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier)
     return carrier.get(HEADER, '')
--- a/tests/quetzalsill/telemetry/__init__.py
+++ b/tests/quetzalsill/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the module of the same name."""
+"""Tests of quetzalsill.telemetry."""
--- a/tests/quetzalsill/telemetry/test_log_output.py
+++ b/tests/quetzalsill/telemetry/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and nobody waits for their reader."""
+"""Tests of the log output: rate limits, and writes that never block."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LogOutputTest(unittest.TestCase):
-    """A pipe whose reader stops, and goes on."""
+    """A pipe whose reader stops and resumes."""
 
     def setUp(self):
         self.read_fd, write_fd = os.pipe()
@@ -26,7 +26,7 @@
         self.addCleanup(self.stream.close)
 
     def write(self, count):
-        """Writes lines in a thread, which must come to its end."""
+        """Writes lines in a thread, which must not block."""
 
         def work():
             for _ in range(count):
@@ -35,13 +35,15 @@
         writing = threading.Thread(target=work, daemon=True)
         writing.start()
         writing.join(timeout=20)
-        self.assertFalse(writing.is_alive(), 'the writer waits for its reader')
+        self.assertFalse(
+            writing.is_alive(), 'the write blocks until the pipe is read'
+        )
 
     def test_a_reader_that_stops_holds_nobody_up(self):
-        """The collector of logs hangs, and its pipe fills.
+        """A gateway stalls while the log collector does not read its pipe.
 
-        A gateway that waited would serve nobody until it goes on. Lines are
-        dropped and counted, and the count is told once it reads again.
+        Lines are dropped and counted instead, and the count is written once
+        the collector reads again.
         """
         self.write(20_000)
         self.assertGreater(self.log_output.unread, 0)
@@ -69,7 +71,7 @@
 
 
 class RateLimiterTest(unittest.TestCase):
-    """A burst of failures, each with its line."""
+    """Bursts of lines, with a clock under control of the test."""
 
     def setUp(self):
         self.clock = 0.0
--- a/tests/quetzalsill/telemetry/test_telemetry.py
+++ b/tests/quetzalsill/telemetry/test_telemetry.py
@@ -19,7 +19,7 @@
 
 
 class LogTest(unittest.TestCase):
-    """One event is one line, whatever its values hold."""
+    """One event is one line, whatever its values contain."""
 
     def setUp(self):
         self.addCleanup(structlog.configure, **structlog.get_config())
@@ -46,10 +46,10 @@
             self.assertIn(pair, line)
 
     def test_values_forge_no_lines(self):
-        """An operator would read events that never happened.
+        """The log contains forged events.
 
-        A caller sends a header with a line end and key=value pairs behind
-        it, and the header is logged.
+        A caller sends a header with a line end followed by key=value pairs,
+        and the header is logged.
         """
         forged = 'x\r\nlevel=info event=order_accepted\x1b[2J\u2028'
         log.get('m').warning('refused', header=forged, error=ValueError(forged))
@@ -65,7 +65,7 @@
 
 
 class MetricTest(unittest.TestCase):
-    """Metrics render in the text form."""
+    """Metrics are rendered in the Prometheus text format."""
 
     def test_renders_what_was_counted(self):
         for _ in range(2):
@@ -79,7 +79,7 @@
 
 
 class TraceTest(unittest.TestCase):
-    """The trace id crosses hops, and spans reach the file."""
+    """The trace id is propagated, and spans are written to the file."""
 
     def test_trace_id_crosses_hops_without_recording(self):
         with trace.span('router.request'):
@@ -128,7 +128,7 @@
 
 
 class RenderTest(unittest.TestCase):
-    """Lines are the same as those of the library's renderer."""
+    """Rendered lines are identical to those of structlog's renderer."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(
@@ -151,10 +151,10 @@
 
 
 class EventTest(unittest.TestCase):
-    """An event is written at the level that its class states."""
+    """An event is logged at the level that its class declares."""
 
     def test_a_fault_is_no_ordinary_line(self):
-        """An operator watches for errors, and none is ever written."""
+        """Monitoring of error lines misses faults logged at a lower level."""
         levels = {
             cls.LEVEL
             for cls in (kernel_event.ProcessFailed, kernel_event.LinkTaskFailed)
