--- a/tests/quetzalsill/net/test_client.py
+++ b/tests/quetzalsill/net/test_client.py
@@ -217,7 +217,7 @@
             await response.read()
         await asyncio.wait_for(server.lost.wait(), scripted_server.TIMEOUT_S)
 
-    async def test_upstream_sees_that_nobody_waits(self):
+    async def test_abandoned_request_closes_its_connection(self):
         """An engine continues to generate a response that nobody reads.
 
         The caller is cancelled before the head, stops reading within the
--- a/tests/quetzalsill/net/test_deadline.py
+++ b/tests/quetzalsill/net/test_deadline.py
@@ -41,7 +41,7 @@
                     found = await read()
                 self.assertEqual(found, b'answer\n')
 
-    async def test_an_answer_that_takes_many_turns_to_arrive(self):
+    async def test_an_answer_that_takes_many_iterations_to_arrive(self):
         """A response takes more loop iterations than the grace period has."""
 
         async def read():
@@ -59,7 +59,7 @@
             async with deadline.timeout(SHORT_S):
                 await self.reader.readline()
 
-    async def test_work_that_never_waits_for_its_end_is_cancelled(self):
+    async def test_work_that_never_blocks_is_cancelled(self):
         async def work():
             while True:  # noqa: ASYNC110
                 await asyncio.sleep(0)
@@ -77,7 +77,7 @@
                 limit.reschedule(asyncio.get_running_loop().time() + SHORT_S)
                 await asyncio.Event().wait()
 
-    async def test_nothing_is_cancelled_behind_the_block(self):
+    async def test_nothing_is_cancelled_after_the_block(self):
         async with deadline.timeout_at(asyncio.get_running_loop().time()):
             pass
         await asyncio.sleep(SHORT_S)
--- a/tests/quetzalsill/net/test_server.py
+++ b/tests/quetzalsill/net/test_server.py
@@ -255,7 +255,7 @@
         self.assertTrue(response.endswith(LARGE))
         self.assertEqual(await stop, 0)
 
-    async def test_stop_tells_what_still_ran_at_its_bound(self):
+    async def test_stop_returns_the_requests_aborted_at_its_timeout(self):
         await self.serve()
         await self.connect(b'GET /wait HTTP/1.1\r\n\r\n')
         await asyncio.wait_for(
--- a/tests/quetzalsill/net/test_stop.py
+++ b/tests/quetzalsill/net/test_stop.py
@@ -12,7 +12,7 @@
 class StopSignalTest(unittest.IsolatedAsyncioTestCase):
     """Repeated signals request one stop."""
 
-    async def test_second_signal_is_harmless(self):
+    async def test_second_signal_has_no_effect(self):
         """A second SIGTERM aborts the requests that the first lets finish."""
         with stop.StopSignal() as signal:
             self.assertFalse(signal.is_set)
--- a/tests/quetzalsill/net/test_tls.py
+++ b/tests/quetzalsill/net/test_tls.py
@@ -54,7 +54,7 @@
         with self.assertRaises(error.NetError):
             await self.call(settings)
 
-    async def test_own_certificates_are_let_in(self):
+    async def test_own_certificates_are_accepted(self):
         await self.serve(self.sidecar)
         self.assertEqual(await self.call(self.router), 204)
 
@@ -83,7 +83,7 @@
             await self.serve(refused)
             await self.assert_refused(self.router)
 
-    async def test_files_are_taken_up_when_they_change(self):
+    async def test_files_are_reloaded_when_they_change(self):
         """All links fail when the certificates expire.
 
         The files were replaced in time, but the process kept the old ones; or
--- a/tests/quetzalsill/telemetry/test_log_output.py
+++ b/tests/quetzalsill/telemetry/test_log_output.py
@@ -39,7 +39,7 @@
             writing.is_alive(), 'the write blocks until the pipe is read'
         )
 
-    def test_a_reader_that_stops_holds_nobody_up(self):
+    def test_a_reader_that_stops_does_not_block(self):
         """A gateway stalls while the log collector does not read its pipe.
 
         Lines are dropped and counted instead, and the count is written once
@@ -57,7 +57,7 @@
         self.assertTrue(tail.endswith('event=regained\n'))
         os.close(self.read_fd)
 
-    def test_a_reader_that_has_gone_holds_nobody_up(self):
+    def test_a_closed_reader_does_not_block(self):
         os.close(self.read_fd)
         self.write(10)
         self.assertGreater(self.log_output.unread, 0)
@@ -92,14 +92,14 @@
             passed_count += 1
         return passed_count
 
-    def test_each_event_has_its_own_bound(self):
+    def test_each_event_has_its_own_limit(self):
         self.assertEqual(self.passed('a', 100), 20)
         self.assertEqual(self.passed('b', 5), 5)
         self.clock += 1.0
         self.assertEqual(self.passed('a', 100), 10)
         self.assertEqual(self.limiter.dropped, {'a': 170})
 
-    def test_what_was_dropped_is_told(self):
+    def test_dropped_lines_are_reported(self):
         stream = io.StringIO()
         lines = log_output.LogOutput(stream, self.limiter)
         self.passed('a', 25)
--- a/tests/quetzalsill/telemetry/test_telemetry.py
+++ b/tests/quetzalsill/telemetry/test_telemetry.py
@@ -45,7 +45,7 @@
         ):
             self.assertIn(pair, line)
 
-    def test_values_forge_no_lines(self):
+    def test_values_cannot_forge_lines(self):
         """The log contains forged events.
 
         A caller sends a header with a line end followed by key=value pairs,
@@ -153,7 +153,7 @@
 class EventTest(unittest.TestCase):
     """An event is logged at the level that its class declares."""
 
-    def test_a_fault_is_no_ordinary_line(self):
+    def test_faults_are_logged_as_errors(self):
         """Monitoring of error lines misses faults logged at a lower level."""
         levels = {
             cls.LEVEL
--- a/tests/quetzalsill/wire/test_link.py
+++ b/tests/quetzalsill/wire/test_link.py
@@ -196,7 +196,7 @@
         await conn.send(message.Ack('b'))
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
-    async def test_a_client_that_never_says_hello_is_dropped(self):
+    async def test_a_client_that_never_sends_hello_is_dropped(self):
         """Routers can't connect to a sidecar although it is running.
 
         Clients connect, send nothing or a byte now and then, and hold the
@@ -208,7 +208,7 @@
         answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         self.assertEqual(codec.decode(answer[4:]).code, 'handshake_timeout')
 
-    async def test_a_listener_that_never_answers_is_given_up(self):
+    async def test_a_listener_that_never_responds_times_out(self):
         async def never_answer(reader, writer):
             await reader.read()
             writer.close()
@@ -219,7 +219,7 @@
         with self.assertRaises(error.HandshakeTimeoutError):
             await self.dial(timing=Timing(connect_s=0.2), port=port)
 
-    async def test_a_welcome_that_comes_as_its_time_ends(self):
+    async def test_a_welcome_that_arrives_at_its_timeout_is_kept(self):
         """After a pause, a router discards a Welcome that has arrived."""
         short = Timing(connect_s=0.1)
 
@@ -231,7 +231,7 @@
         conn = await self.dial(timing=short)
         self.assertEqual(conn.peer.node, 'host-1')
 
-    async def test_nobody_listens(self):
+    async def test_dial_without_a_listener_fails(self):
         server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
@@ -270,7 +270,7 @@
         await again.send(message.Ack('b'))
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
-    async def test_work_put_on_a_dead_idle_link_shows_it_at_once(self):
+    async def test_probe_detects_a_dead_idle_link(self):
         """A request on a dead idle link waits half a minute for an error.
 
         A node with many links pings idle ones rarely. One of them is dead,
@@ -287,13 +287,13 @@
             conn = await self.dial(
                 port=proxy.port, heartbeat_factor=heartbeat_factor
             )
-            heard = asyncio.Event()
-            reading = asyncio.create_task(self.drain(conn, heard.set))
+            received_one = asyncio.Event()
+            reading = asyncio.create_task(self.drain(conn, received_one.set))
             remote_end = await self.next_of(self.accepted)
             await asyncio.sleep(4 * Timing().idle_s)
             if receives_first:
                 remote_end.send_nowait(message.Ack('a'))
-                await asyncio.wait_for(heard.wait(), TIMEOUT_S)
+                await asyncio.wait_for(received_one.wait(), TIMEOUT_S)
             proxy.silence()
             heartbeat_factor.return_value = 1.0
             conn.send_nowait(message.Ack('work'))
@@ -301,7 +301,7 @@
             with self.assertRaises(error.LinkSilentError):
                 await reading
 
-    async def test_idle_links_of_many_are_asked_by_the_dialling_end(self):
+    async def test_idle_links_are_pinged_by_the_dialling_end(self):
         for links in (1, 8, 9, 100, 1000):
             dialled, listened = (
                 heartbeat.dialling_factor(links),
@@ -313,7 +313,7 @@
                 self.assertLess(heartbeat.dialling_factor(100_000), listened)
                 self.assertAlmostEqual(dialled, min(20.0, links / 8))
 
-    async def test_a_peer_that_stops_reading_costs_bounded_memory(self):
+    async def test_unsent_bytes_are_limited(self):
         """The process grows until it is killed, with all its requests.
 
         A peer stops reading without closing its connection, and unsent data
@@ -329,7 +329,7 @@
                 await asyncio.sleep(0)
         self.assertTrue(conn.closed)
 
-    async def test_only_holders_of_a_certificate_are_linked(self):
+    async def test_links_require_a_valid_certificate(self):
         """An unauthorized node on the network sends work, or receives it.
 
         One end presents an expired certificate, one of another authority, or
@@ -366,10 +366,10 @@
         while await self.next_of(self.ended) is not conn:
             pass
 
-    async def drain(self, conn, heard=lambda: None):
+    async def drain(self, conn, on_message=lambda: None):
         async with asyncio.timeout(TIMEOUT_S):
             async for _ in conn.messages():
-                heard()
+                on_message()
 
 
 if __name__ == '__main__':
