--- a/packages/quetzalsill-router/src/quetzalsill_router/http/__init__.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' API over HTTP."""
+"""HTTP API for callers."""
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/answer.py
@@ -1,4 +1,4 @@
-"""Answers to generation requests: whole documents and event streams."""
+"""Responses to generation requests: JSON documents and event streams."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def encode_events(items: Iterable[bytes]) -> bytes:
-    """Renders JSON items as server-sent events."""
+    """Encodes JSON items as server-sent events."""
     return b''.join([b'data: %b\n\n' % item for item in items])
 
 
 async def complete_response(
     running: active.ActiveRequest,
 ) -> blacksheep.Response:
-    """Waits for the whole answer and renders it as one document.
+    """Waits for the complete answer and returns it as one document.
 
     Raises:
       RequestError: The request failed.
@@ -65,14 +65,14 @@
 
 async def event_stream_response(
     running: active.ActiveRequest,
-    drained: asgi.Drain,
+    drain: asgi.Drain,
     keep_alive_s: float,
     usage: bool,
 ) -> blacksheep.Response:
-    """Answers with server-sent events, from the first piece on.
+    """Returns a response of server-sent events once the first is available.
 
-    A request that fails before anything came, and before a comment had to
-    be sent, is answered with the status of its failure.
+    A request that fails before its first event and before the first
+    keep-alive comment is answered with the HTTP status of its error.
 
     Raises:
       RequestError: The request failed before its first event.
@@ -84,7 +84,7 @@
         raise delivery.error
 
     async def produce() -> AsyncIterator[bytes]:
-        async for data in event_stream(running, drained, usage):
+        async for data in event_stream(running, drain, usage):
             yield data
 
     content = blacksheep.StreamedContent(SSE_TYPE, produce)
@@ -94,22 +94,22 @@
 
 async def event_stream(
     running: active.ActiveRequest,
-    drained: asgi.Drain,
+    drain: asgi.Drain,
     usage: bool,
 ) -> AsyncIterator[bytes]:
-    """Yields the text of the event stream, coalesced by write.
+    """Yields the encoded event stream, with pending items coalesced.
 
-    Items are released once the caller has taken them, so that a slow
-    caller slows its own attempt and nothing else. Small pieces need no
-    wait of their own: the server waits before the next one.
+    Items are released once the caller has received them, so a slow caller
+    slows down only its own attempt. Small chunks need no explicit drain: the
+    server waits before it accepts the next one.
     """
     delivery = running.delivery
-    labelled = event_id.make_id_replacer(running.work.request)
+    replace_ids = event_id.make_id_replacer(running.work.request)
     count = 0
     last = b''
     while not delivery.disconnected:
         await delivery.wait()
-        silent = delivery.idle
+        is_idle = delivery.idle
         parts = [
             part for part in delivery.take() if isinstance(part, piece.Items)
         ]
@@ -117,15 +117,15 @@
             items = [item for part in parts for item in part.items]
             count += len(items)
             last = items[-1]
-            data = encode_events(labelled(items))
+            data = encode_events(replace_ids(items))
             yield data
             if len(data) > MAX_UNDRAINED_BYTES:
-                await drained()
+                await drain()
             for part in parts:
                 part.release()
         elif delivery.ended:
             break
-        elif silent:
+        elif is_idle:
             yield KEEP_ALIVE_COMMENT
     if delivery.disconnected:
         return
@@ -143,7 +143,7 @@
     """Joins the events of a generation into one document.
 
     Raises:
-      UpstreamFailedError: An event is not what the protocol says.
+      UpstreamFailedError: An event is malformed.
     """
     return join_events(work.request, work.target, work.kind, items)
 
@@ -151,7 +151,7 @@
 def join_events(
     request: str, model: str, kind: str, items: list[bytes]
 ) -> bytes:
-    """Joins events into the document of one answer.
+    """Joins events into one OpenAI-style response document.
 
     Args:
       request: Id of the request.
@@ -160,7 +160,7 @@
       items: JSON of each event.
 
     Raises:
-      UpstreamFailedError: An event is not what the protocol says.
+      UpstreamFailedError: An event is malformed.
     """
     chat = kind == spec.CHAT
     try:
@@ -189,7 +189,7 @@
 
 
 def _text(parsed: list[dict[str, Any]]) -> dict[str, Any]:
-    """Joins the texts of completion events."""
+    """Concatenates the texts of completion events."""
     return {
         'text': ''.join(
             choice.get('text') or ''
@@ -215,7 +215,7 @@
 
 
 def _tool_calls(deltas: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Joins the pieces of tool calls by their index."""
+    """Merges the fragments of tool calls by their index."""
     calls: dict[int, dict[str, Any]] = {}
     for delta in deltas:
         for part in delta.get('tool_calls') or ():
@@ -231,7 +231,7 @@
 
 
 def _finish_reason(parsed: list[dict[str, Any]]) -> str:
-    """Returns the last finish reason that an event gave."""
+    """Returns the last finish reason in the events; `stop` if none."""
     for event in reversed(parsed):
         for choice in event['choices']:
             if choice.get('finish_reason'):
@@ -240,14 +240,14 @@
 
 
 def _usage(parsed: list[dict[str, Any]]) -> dict[str, Any]:
-    """Returns the usage that the upstream reported, else our own count."""
+    """Returns the usage reported by the upstream, else the event count."""
     if parsed and isinstance(parsed[-1].get('usage'), dict):
         return parsed[-1]['usage']
     return _usage_from_counts(0, len(parsed))
 
 
 def _usage_from_counts(prompt_tokens: int, count: int) -> dict[str, int]:
-    """Returns a usage from our own count of tokens."""
+    """Builds a usage object from the router's own token counts."""
     return {
         'prompt_tokens': prompt_tokens,
         'completion_tokens': count,
@@ -256,7 +256,7 @@
 
 
 def _usage_event(work: spec.Work, last: bytes, count: int) -> list[bytes]:
-    """Returns the closing usage event, unless the upstream sent one."""
+    """Returns the final usage event, unless the upstream sent one."""
     if b'"usage"' in last:
         return []
     chat = work.kind == spec.CHAT
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/app.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/app.py
@@ -26,7 +26,7 @@
 
 
 def build(ctx: context.Context) -> blacksheep.Application:
-    """Builds the application with the callers' API."""
+    """Builds the application that serves the API for callers."""
     app = blacksheep.Application(router=routing.Router())
     authenticator = auth.Authenticator(ctx.holder)
     completions.mount(app, ctx, authenticator)
@@ -38,15 +38,15 @@
 
 
 def _handle_failures(app: blacksheep.Application, ctx: context.Context) -> None:
-    """Gives every failure the same shape of answer."""
+    """Renders every failure as an error response of the same format."""
 
-    def answer(
+    def error_response(
         request: blacksheep.Request, exc: request_error.RequestError
     ) -> blacksheep.Response:
-        ident = exc.request or ctx.request_ids.next()
+        request_id = exc.request or ctx.request_ids.next()
         event.note(
             event.RequestRefused(
-                request=ident,
+                request=request_id,
                 method=request.method,
                 path=request.url.path.decode('latin-1'),
                 code=exc.code,
@@ -54,35 +54,37 @@
                 detail=exc.detail,
             )
         )
-        return error.response(exc, ident)
+        return error.response(exc, request_id)
 
-    async def refused(
+    async def on_request_error(
         app: blacksheep.Application,
         request: blacksheep.Request,
         exc: request_error.RequestError,
     ) -> blacksheep.Response:
-        return answer(request, exc)
+        return error_response(request, exc)
 
-    async def not_found(
+    async def on_not_found(
         app: blacksheep.Application,
         request: blacksheep.Request,
         exc: Exception,
     ) -> blacksheep.Response:
-        return answer(request, request_error.NotFoundError('no such path'))
+        return error_response(
+            request, request_error.NotFoundError('no such path')
+        )
 
-    async def fault(
+    async def on_unexpected_error(
         app: blacksheep.Application,
         request: blacksheep.Request,
         exc: Exception,
     ) -> blacksheep.Response:
         event.note(event.HttpFault(), exc=exc)
-        return answer(
+        return error_response(
             request,
             request_error.RequestError(
                 f'internal fault: {type(exc).__name__}', ran=base.Ran.UNKNOWN
             ),
         )
 
-    app.exceptions_handlers[request_error.RequestError] = refused
-    app.exceptions_handlers[404] = not_found
-    app.exceptions_handlers[Exception] = fault
+    app.exceptions_handlers[request_error.RequestError] = on_request_error
+    app.exceptions_handlers[404] = on_not_found
+    app.exceptions_handlers[Exception] = on_unexpected_error
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/asgi.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/asgi.py
@@ -1,4 +1,4 @@
-"""What handlers need of the server beneath the application."""
+"""Backpressure and truncation of responses between app and server."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class TruncatedAnswerError(request_error.RequestError):
-    """The answer of a call broke off after its head was delivered."""
+    """The response to a call failed after its head was delivered."""
 
     code = 'answer_cut'
 
 
 def wrap(app: App) -> App:
-    """Lets handlers wait for the server's buffer, and cut an answer off.
+    """Lets handlers wait for the server's write buffer and truncate a body.
 
-    The server takes a piece of an answer at once and waits before the next
-    one. A sender that goes by the first alone would run one whole piece
-    ahead of a caller that reads nothing, however large the piece is.
+    The server accepts a body chunk immediately and waits before the next one.
+    Without an explicit drain, a handler would run one chunk of any size ahead
+    of a caller that does not read.
 
-    An answer that is not ended makes the server close the connection, so
-    that nobody takes a part of it for the whole.
+    If a response is left unfinished, the server closes the connection, so
+    that a partial body is not taken for a complete one.
     """
 
     async def serve(scope: dict[str, Any], receive: Any, send: Any) -> None:
@@ -45,5 +45,5 @@
 
 
 def drain_of(scope: dict[str, Any]) -> Drain:
-    """Returns the function that waits; only for an answer that has begun."""
+    """Returns the drain function, valid once the response has started."""
     return scope[DRAIN_KEY]
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/auth.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/auth.py
@@ -1,4 +1,4 @@
-"""Finds the client account of a bearer token."""
+"""Authentication of callers by bearer token."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Caller:
-    """The client account behind a request."""
+    """The authenticated client account of a request."""
 
     name: str
     account: model.Account
 
 
 class Authenticator:
-    """Index of token digests, rebuilt with each configuration."""
+    """Looks up accounts by token digest in the active configuration."""
 
     def __init__(self, holder: holder.Holder) -> None:
         self._holder = holder
@@ -38,14 +38,14 @@
         self._by_digest: dict[str, Caller] = {}
 
     def identify(self, request: blacksheep.Request) -> Caller:
-        """Returns the caller.
+        """Returns the authenticated caller of a request.
 
-        The token is looked up by its digest: how long that takes tells
-        nothing about the tokens that exist.
+        The token is looked up by its digest, so the lookup time reveals
+        nothing about existing tokens.
 
         Raises:
           UnauthorizedError: The token is missing or unknown.
-          StoreUnavailableError: No configuration was had yet, so that no
+          StoreUnavailableError: No configuration is loaded yet, so no
             account is known.
         """
         if self._holder.revision == 0:
@@ -53,8 +53,8 @@
                 'this router has no configuration yet',
                 retry_after_s=NO_CONFIGURATION_RETRY_AFTER_S,
             )
-        raw = request.get_first_header(b'authorization') or b''
-        text = raw.decode('latin-1')
+        header = request.get_first_header(b'authorization') or b''
+        text = header.decode('latin-1')
         if (
             not text.lower().startswith(SCHEME)
             or len(text) > MAX_AUTHORIZATION_CHARS
@@ -62,16 +62,16 @@
             raise request_error.UnauthorizedError('no bearer token')
         token = text[len(SCHEME) :].strip()
         digest = hashlib.sha256(token.encode()).hexdigest()
-        found = self._index().get(digest)
-        if found is None:
+        caller = self._index().get(digest)
+        if caller is None:
             raise request_error.UnauthorizedError('unknown bearer token')
-        known = found.account.token_sha256
-        if not any(hmac.compare_digest(digest, item) for item in known):
+        digests = caller.account.token_sha256
+        if not any(hmac.compare_digest(digest, item) for item in digests):
             raise request_error.UnauthorizedError('unknown bearer token')
-        return found
+        return caller
 
     def _index(self) -> dict[str, Caller]:
-        """Returns the index of the configuration in force."""
+        """Returns the index of the active configuration."""
         if self._revision != self._holder.revision:
             self._by_digest = {
                 digest: Caller(name, account)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/body.py
@@ -1,4 +1,4 @@
-"""Reading of request bodies, within bounds."""
+"""Reads request bodies with limits on size and time."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
 
 
 class CallerDisconnectedError(request_error.CancelledError):
-    """The caller closed its connection before its request was whole."""
+    """The caller closed its connection before its request was complete."""
 
 
 async def chunks(
     request: blacksheep.Request, max_bytes: int
 ) -> AsyncIterator[bytes]:
-    """Yields the body as it comes; it is counted, however long it says it is.
+    """Yields the body as it arrives.
+
+    The received bytes are counted, whatever `Content-Length` states.
 
     Raises:
-      TooLargeError: It is over `max_bytes`.
-      BadRequestError: A piece was not there within `READ_TIMEOUT_S`.
+      TooLargeError: The body is larger than `max_bytes`.
+      BadRequestError: No data arrived within `READ_TIMEOUT_S`.
       CallerDisconnectedError: The connection was closed.
     """
     length = request.get_first_header(b'content-length')
     if length is not None and int(length) > max_bytes:
-        # Refused before anything of it is sent on, so that it did not run.
+        # Refused before any of it is forwarded, so the request did not run.
         raise _too_large(max_bytes)
     receive = request.content.receive
-    seen = 0
+    received_bytes = 0
     more = True
     while more:
         try:
@@ -52,8 +54,8 @@
             )
         data = event.get('body', b'')
         more = event.get('more_body', False)
-        seen += len(data)
-        if seen > max_bytes:
+        received_bytes += len(data)
+        if received_bytes > max_bytes:
             raise _too_large(max_bytes)
         if data:
             yield data
@@ -67,7 +69,7 @@
 
 
 async def read(request: blacksheep.Request, max_bytes: int) -> bytes:
-    """Reads the whole body."""
+    """Reads the complete body."""
     return b''.join([data async for data in chunks(request, max_bytes)])
 
 
@@ -77,20 +79,20 @@
     """Reads the body as a JSON object.
 
     Raises:
-      FieldError: It is not JSON or not an object.
+      FieldError: The body is not JSON or not an object.
     """
     data = await read(request, max_bytes)
     try:
-        plain = json.loads(data, parse_constant=_refuse_constant)
+        parsed = json.loads(data, parse_constant=_refuse_constant)
     except RecursionError as exc:
         raise field.FieldError('body', 'JSON is nested too deep') from exc
     except ValueError as exc:
         raise field.FieldError('body', f'not JSON: {exc}') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(parsed, dict):
         raise field.FieldError('body', 'must be a JSON object')
-    return plain
+    return parsed
 
 
 def _refuse_constant(name: str) -> None:
-    """Refuses NaN and the infinities, which JSON does not know."""
+    """Rejects NaN and infinities, which are not valid JSON."""
     raise ValueError(f'{name} is not a JSON number')
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/caller.py
@@ -1,4 +1,4 @@
-"""The caller's end of a request: its headers and its leaving."""
+"""Request headers from the caller, and detection of its disconnect."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     """Returns the idempotency key; empty if there is none.
 
     Raises:
-      FieldError: It is not 1 to 255 printable ASCII characters.
+      FieldError: The key is not 1 to 255 printable ASCII characters.
     """
     return _header(
         request, 'Idempotency-Key', IDEMPOTENCY_KEY, '1 to 255 of ! to ~'
@@ -39,10 +39,10 @@
 
 
 def profile_name(request: blacksheep.Request) -> str:
-    """Returns the profile that the caller names; empty if none.
+    """Returns the profile that the caller requests; empty if none.
 
     Raises:
-      FieldError: It is not the form of a name.
+      FieldError: The value is not a valid name.
     """
     return _header(
         request,
@@ -54,26 +54,26 @@
 
 def traceparent(request: blacksheep.Request) -> str:
     """Returns the caller's W3C traceparent; empty if absent or malformed."""
-    raw = request.get_first_header(b'traceparent') or b''
-    text = raw.decode('latin-1')
+    header = request.get_first_header(b'traceparent') or b''
+    text = header.decode('latin-1')
     return text if TRACEPARENT.fullmatch(text) else ''
 
 
 def prefers_async(request: blacksheep.Request) -> bool:
-    """Whether the caller prefers an id now and the answer later."""
-    raw = request.get_first_header(b'prefer') or b''
-    parts = raw.decode('latin-1').lower().split(',')
+    """Whether the caller sent `Prefer: respond-async`."""
+    header = request.get_first_header(b'prefer') or b''
+    parts = header.decode('latin-1').lower().split(',')
     return 'respond-async' in [part.strip() for part in parts]
 
 
 def watch_disconnect(
     request: blacksheep.Request, running: active.ActiveRequest
 ) -> None:
-    """Tells the request when its caller is gone.
+    """Notifies the request when its caller disconnects.
 
-    To be called once the body is read. The server reports a closed
-    connection only to who is receiving; nobody else would notice one that
-    closes while the answer is queued.
+    Must be called after the body has been read. The server reports a closed
+    connection only to a pending receive; without one, a disconnect while the
+    answer is pending would go unnoticed.
     """
     running.watcher = asyncio.create_task(
         _watch(request.content.receive, running),
@@ -82,20 +82,23 @@
 
 
 async def _watch(receive: object, running: active.ActiveRequest) -> None:
-    """Receives until the connection ends or the answer is complete."""
+    """Receives until the connection closes or the response is complete."""
     while (await receive())['type'] != 'http.disconnect':
         pass
     running.caller_disconnected()
 
 
 def _header(
-    request: blacksheep.Request, name: str, form: re.Pattern[str], what: str
+    request: blacksheep.Request,
+    name: str,
+    pattern: re.Pattern[str],
+    expected: str,
 ) -> str:
-    """Returns a header that comes at most once and has a given form."""
-    found = request.get_headers(name.lower().encode())
-    if not found:
+    """Returns a header; checks that it occurs once and fits the pattern."""
+    values = request.get_headers(name.lower().encode())
+    if not values:
         return ''
-    text = found[0].decode('latin-1')
-    if len(found) > 1 or not form.fullmatch(text):
-        raise field.FieldError(name, f'must come once and be {what}')
+    text = values[0].decode('latin-1')
+    if len(values) > 1 or not pattern.fullmatch(text):
+        raise field.FieldError(name, f'must come once and be {expected}')
     return text
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/completions.py
@@ -39,7 +39,7 @@
     ctx: context.Context,
     authenticator: auth.Authenticator,
 ) -> None:
-    """Adds the routes of generations to the application."""
+    """Adds the generation and model routes to the application."""
     add = app.router.add
     add(
         'POST', '/v1/completions', _handler(ctx, authenticator, spec.COMPLETION)
@@ -51,32 +51,32 @@
 def _handler(
     ctx: context.Context, authenticator: auth.Authenticator, kind: str
 ) -> Handler:
-    """Makes the handler of one kind of generation."""
+    """Makes the handler for one kind of generation request."""
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
         accept.check_accepting(ctx)
         identity = authenticator.identify(request)
-        plain = await body.read_object(
+        body_object = await body.read_object(
             request, ctx.settings.requests.max_body_bytes
         )
-        asked = generation.parse(kind, plain)
+        parsed = generation.parse(kind, body_object)
         work = accept.build_generation_work(
             ctx,
             identity,
-            asked,
+            parsed,
             caller.profile_name(request),
             caller.idempotency_key(request),
         )
         work.trace = caller.traceparent(request)
-        later = work.durable and caller.prefers_async(request)
-        accepted = await submit.submit(ctx, identity, work, not later)
+        is_async = work.durable and caller.prefers_async(request)
+        accepted = await submit.submit(ctx, identity, work, not is_async)
         if isinstance(accepted, submit.Duplicate):
-            return await submit.replay(ctx, accepted, asked.stream)
-        if later:
+            return await submit.replay(ctx, accepted, parsed.stream)
+        if is_async:
             return stored.pending(work.request)
         caller.watch_disconnect(request, accepted)
-        drained = asgi.drain_of(request.scope)
-        return await _respond(ctx, accepted, asked, drained)
+        drain = asgi.drain_of(request.scope)
+        return await _respond(ctx, accepted, parsed, drain)
 
     return handle
 
@@ -84,16 +84,16 @@
 async def _respond(
     ctx: context.Context,
     running: active.ActiveRequest,
-    asked: generation.Generation,
-    drained: asgi.Drain,
+    parsed: generation.Generation,
+    drain: asgi.Drain,
 ) -> blacksheep.Response:
-    """Answers as the caller asked, with events or one document."""
+    """Returns an event stream or one document, as the caller requested."""
     request = running.work.request
     keep_alive_s = ctx.settings.requests.keep_alive_s
     try:
-        if asked.stream:
+        if parsed.stream:
             response = await answer.event_stream_response(
-                running, drained, keep_alive_s, asked.include_usage
+                running, drain, keep_alive_s, parsed.include_usage
             )
         else:
             response = await answer.complete_response(running)
@@ -108,11 +108,11 @@
 
     async def handle(request: blacksheep.Request) -> blacksheep.Response:
         authenticator.identify(request)
-        listed = [
+        models = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': OWNER}
             for name in sorted(ctx.holder.current.models)
         ]
-        document = json.dumps({'object': 'list', 'data': listed})
+        document = json.dumps({'object': 'list', 'data': models})
         content = blacksheep.Content(JSON_TYPE, document.encode())
         return blacksheep.Response(200, None, content)
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/error.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/error.py
@@ -1,4 +1,4 @@
-"""Failures as callers of the HTTP interface see them."""
+"""Error responses of the HTTP API."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def document(error: request_error.RequestError, request: str = '') -> bytes:
-    """Renders a failure as an OpenAI-shaped JSON document."""
+    """Encodes an error as an OpenAI-compatible JSON document."""
     body = {
         'message': error.detail,
         'type': TYPES.get(error.status, 'server_error'),
@@ -41,25 +41,25 @@
 
 
 def headers(error: request_error.RequestError) -> list[tuple[bytes, bytes]]:
-    """Returns the headers that tell a client whether to come back.
+    """Returns the headers that tell a client whether to retry.
 
-    Clients of the OpenAI library resend on 409, 429 and 5xx by themselves.
-    Work whose outcome is not known to be "not run" would run twice that
-    way, so they are told not to, in the header that they heed.
+    The OpenAI client library retries on 409, 429 and 5xx by default. Work that
+    is not known to be "not run" could then run twice, so `x-should-retry`,
+    which the library honors, disables the retry.
     """
-    may_resend = error.ran is base.Ran.NO and error.retry_after_s is not None
-    found = [(b'x-should-retry', b'true' if may_resend else b'false')]
+    may_retry = error.ran is base.Ran.NO and error.retry_after_s is not None
+    result = [(b'x-should-retry', b'true' if may_retry else b'false')]
     if error.retry_after_s is not None:
         seconds = max(0.0, error.retry_after_s)
-        found.append((b'retry-after', b'%d' % math.ceil(seconds)))
-        found.append((b'retry-after-ms', b'%d' % (seconds * MILLIS)))
-    return found
+        result.append((b'retry-after', b'%d' % math.ceil(seconds)))
+        result.append((b'retry-after-ms', b'%d' % (seconds * MILLIS)))
+    return result
 
 
 def response(
     error: request_error.RequestError, request: str
 ) -> blacksheep.Response:
-    """Builds the whole answer for a failed request."""
+    """Builds the error response of a failed request."""
     content = blacksheep.Content(JSON_TYPE, document(error, request))
-    found = [*headers(error), (b'x-request-id', request.encode())]
-    return blacksheep.Response(error.status, found, content)
+    all_headers = [*headers(error), (b'x-request-id', request.encode())]
+    return blacksheep.Response(error.status, all_headers, content)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/event_id.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/event_id.py
@@ -1,4 +1,4 @@
-"""The id that the events of an answer carry towards the caller."""
+"""Replaces the engine's ids in events with the request's id."""
 
 from __future__ import annotations
 
@@ -12,36 +12,44 @@
 
 
 def make_id_replacer(request: str) -> Callable[[Iterable[bytes]], list[bytes]]:
-    """Makes the function that puts the request's id into JSON events.
+    """Makes a function that sets the request's id in JSON events.
 
-    The engine knows the attempt, and its events carry an id made of that; a
-    caller that asks for it at `/v1/requests/{id}` would find nothing. Events
-    are not parsed one by one: the engine's id is learnt from one and its
-    quoted text replaced in the others. It can't be met within a text, where
-    quotes are escaped.
+    The engine only knows the attempt and derives the id in its events from
+    it; `/v1/requests/{id}` does not know that id. To avoid parsing every
+    event, the engine's id is read from one event, and its quoted text is
+    replaced in the others. That text cannot occur within generated text,
+    where quotes are escaped.
     """
-    wanted = json.dumps(request).encode()
-    quoted: bytes | None = None
+    request_id_json = json.dumps(request).encode()
+    engine_id_json: bytes | None = None
 
-    def label(items: Iterable[bytes]) -> list[bytes]:
-        nonlocal quoted
-        labelled = []
+    def replace_ids(items: Iterable[bytes]) -> list[bytes]:
+        nonlocal engine_id_json
+        replaced = []
         for item in items:
-            # Cheaper than to look for the id first.
-            done = item.replace(quoted, wanted, 1) if quoted else item
-            if done == item and quoted != b'':
-                quoted = _quoted_id(item)
-                done = item.replace(quoted, wanted, 1) if quoted else item
-            labelled.append(done)
-        return labelled
-
-    return label
+            # Replacing is cheaper than searching for the id first.
+            new_item = (
+                item.replace(engine_id_json, request_id_json, 1)
+                if engine_id_json
+                else item
+            )
+            if new_item == item and engine_id_json != b'':
+                engine_id_json = _quoted_id(item)
+                new_item = (
+                    item.replace(engine_id_json, request_id_json, 1)
+                    if engine_id_json
+                    else item
+                )
+            replaced.append(new_item)
+        return replaced
+
+    return replace_ids
 
 
 def _quoted_id(item: bytes) -> bytes:
-    """Returns the id of an event as it stands there; empty if it has none."""
+    """Returns the JSON text of an event's id; empty if it has none."""
     try:
-        found = json.loads(item)['id']
+        value = json.loads(item)['id']
     except (ValueError, KeyError, TypeError):
         return b''
-    return json.dumps(found).encode() if isinstance(found, str) else b''
+    return json.dumps(value).encode() if isinstance(value, str) else b''
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/forward.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/forward.py
@@ -1,4 +1,4 @@
-"""Passes calls about a request on to the router that runs it."""
+"""Forwards calls about a request to the router that runs it."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ForwardResult:
-    """What other routers said of a request.
+    """Responses of other routers about a request.
 
     Attributes:
-      body: Body of the answer of the one that runs it; None if none does.
-      unreachable: Names of those asked that did not answer.
+      body: Response body of the router that runs it; None if none does.
+      unreachable: Names of the routers that did not respond.
     """
 
     body: bytes | None = None
@@ -45,7 +45,7 @@
 
 
 def was_forwarded(request: blacksheep.Request) -> bool:
-    """Whether another router sent this; it is not passed on again."""
+    """Whether another router sent this; then it is not forwarded again."""
     return request.has_header(FORWARDED_HEADER)
 
 
@@ -53,49 +53,54 @@
     ctx: context.Context,
     request: blacksheep.Request,
     prefix: str,
-    ident: str,
+    request_id: str,
     accepted: int,
 ) -> ForwardResult:
-    """Sends a call about a request to other routers until one runs it.
+    """Forwards a call to other routers until one runs the request.
 
-    The id names the router that accepted it. After a takeover another one
-    runs it, and a few of the rest are asked.
+    The request id names the router that accepted it. After a takeover another
+    router runs it, so up to `MAX_ROUTERS` routers are queried.
 
     Args:
       ctx: This router.
-      request: The call; its method and credential are passed on.
-      prefix: Path of the call before the id.
-      ident: Id of the request.
-      accepted: Status by which a router says that it runs the request.
+      request: The call; its method and credential are forwarded.
+      prefix: Path of the call before the request id.
+      request_id: Id of the request.
+      accepted: HTTP status that means that a router runs the request.
     """
-    found = ForwardResult()
-    for router in _other_routers(ctx, ident)[:MAX_ROUTERS]:
+    result = ForwardResult()
+    for router in _other_routers(ctx, request_id)[:MAX_ROUTERS]:
         try:
-            answer = await _send(ctx, router, request, f'{prefix}/{ident}')
-            if answer.status == accepted:
-                found.body = await answer.read() or b''
+            response = await _send(
+                ctx, router, request, f'{prefix}/{request_id}'
+            )
+            if response.status == accepted:
+                result.body = await response.read() or b''
                 break
         except net_error.NetError as exc:
             event.note(event.ForwardFailed(router=router.node, detail=str(exc)))
-            found.unreachable.append(router.node)
-    return found
+            result.unreachable.append(router.node)
+    return result
 
 
 async def fetch_from_acceptor(
-    ctx: context.Context, request: blacksheep.Request, prefix: str, ident: str
+    ctx: context.Context,
+    request: blacksheep.Request,
+    prefix: str,
+    request_id: str,
 ) -> blacksheep.Response | None:
-    """Gives what the router that accepted a request answers to the call.
+    """Forwards a call to the router that accepted the request.
 
     Returns:
-      Its answer; None if it does not live, or is this one.
+      Its response; None if that router is not live or is this one.
     """
     if was_forwarded(request):
         return None
-    for router in _other_routers(ctx, ident)[:1]:
+    for router in _other_routers(ctx, request_id)[:1]:
         if request_ident.was_accepted_by(
-            ident, router.node, router.incarnation
+            request_id, router.node, router.incarnation
         ):
-            return await _fetch(ctx, router, request, f'{prefix}/{ident}')
+            return await _fetch(ctx, router, request, f'{prefix}/{request_id}')
     return None
 
 
@@ -105,37 +110,37 @@
     request: blacksheep.Request,
     path: str,
 ) -> blacksheep.Response | None:
-    """Copies the answer of a router; None if it gives none."""
+    """Returns a copy of a router's response; None if it fails."""
     try:
-        answer = await _send(ctx, router, request, path)
-        data = await answer.read() or b''
+        response = await _send(ctx, router, request, path)
+        data = await response.read() or b''
     except net_error.NetError as exc:
         event.note(event.ForwardFailed(router=router.node, detail=str(exc)))
         return None
-    kind = answer.get_first_header(b'content-type') or b''
+    content_type = response.get_first_header(b'content-type') or b''
     headers = [
-        pair for pair in answer.headers if pair[0].lower() in COPIED_HEADERS
+        pair for pair in response.headers if pair[0].lower() in COPIED_HEADERS
     ]
-    content = blacksheep.Content(kind, data)
-    return blacksheep.Response(answer.status, headers, content)
+    content = blacksheep.Content(content_type, data)
+    return blacksheep.Response(response.status, headers, content)
 
 
 def _other_routers(
-    ctx: context.Context, ident: str
+    ctx: context.Context, request_id: str
 ) -> list[registration.Router]:
-    """Returns the other live routers, the accepting one first."""
+    """Returns the other live routers, the one that accepted first."""
     others = [
         router
         for router in ctx.registration.live_routers()
         if router.node != ctx.settings.node.name and router.address
     ]
 
-    def is_other(router: registration.Router) -> bool:
+    def did_not_accept(router: registration.Router) -> bool:
         return not request_ident.was_accepted_by(
-            ident, router.node, router.incarnation
+            request_id, router.node, router.incarnation
         )
 
-    return sorted(others, key=is_other)
+    return sorted(others, key=did_not_accept)
 
 
 async def _send(
@@ -144,7 +149,7 @@
     request: blacksheep.Request,
     path: str,
 ) -> blacksheep.Response:
-    """Sends the call to one router."""
+    """Sends the call to a router."""
     tls = ctx.settings.tls
     scheme = 'https' if tls.certificate else 'http'
     url = f'{scheme}://{router.address}{path}'
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/generation.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/generation.py
@@ -1,4 +1,4 @@
-"""Checks the JSON of a generation request, field by field."""
+"""Validates the JSON body of generation requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     'presence_penalty': (-2, 2),
     'frequency_penalty': (-2, 2),
 }
-ROUTER_FIELDS = (
+FIELDS_NOT_FORWARDED = (
     'n',
     'max_completion_tokens',
     'stream_options',
@@ -36,19 +36,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Generation:
-    """A checked generation request.
+    """A validated generation request.
 
     Attributes:
       kind: `completion` or `chat`.
       model: Model name.
-      adapter: Adapter asked for; empty for none.
-      stream: Tokens are wanted as they come.
-      include_usage: A last event with the usage is wanted.
-      max_tokens: Bound on generated tokens that the caller gave; 0 if none.
-      prompt_tokens: Estimated tokens of the prompt.
-      prefix: Digest of the prompt's beginning; empty if it is short.
-      prompt: The prompt, or the messages of a chat as one text.
-      body: The whole JSON object.
+      adapter: Name of the adapter; empty for none.
+      stream: Whether to stream the answer.
+      include_usage: Whether to end the stream with a usage event.
+      max_tokens: Caller's limit on generated tokens; 0 if none.
+      prompt_tokens: Estimated length of the prompt in tokens.
+      prefix: Digest of the prompt prefix; empty for a short prompt.
+      prompt: The prompt, or the concatenated messages of a chat.
+      body: The complete JSON object.
     """
 
     kind: str
@@ -63,20 +63,20 @@
     body: dict[str, Any]
 
     def payload(self, max_tokens: int) -> bytes:
-        """Renders the body for the engine."""
+        """Encodes the body for the engine."""
         body = self.body | {'max_tokens': max_tokens, 'stream': True}
         if self.kind == spec.COMPLETION:
             body['prompt'] = self.prompt
-        for name in ROUTER_FIELDS:
+        for name in FIELDS_NOT_FORWARDED:
             body.pop(name, None)
         return json.dumps(body, separators=(',', ':')).encode()
 
 
 def parse(kind: str, body: dict[str, Any]) -> Generation:
-    """Checks the body of a completion or chat request.
+    """Validates the body of a completion or chat request.
 
     Raises:
-      FieldError: A field is missing or does not fit.
+      FieldError: A field is missing or invalid.
     """
     prompt = _chat(body) if kind == spec.CHAT else _prompt(body)
     _check_numbers(body)
@@ -99,7 +99,7 @@
 
 
 def _prefix(text: bytes) -> str:
-    """Digests the beginning of a prompt that is long enough to matter."""
+    """Returns the digest of the prompt prefix; empty for a short prompt."""
     if len(text) < PREFIX_MIN_BYTES:
         return ''
     return xxhash.xxh3_64_hexdigest(text[:PREFIX_BYTES])
@@ -118,7 +118,7 @@
 
 
 def _chat(body: dict[str, Any]) -> str:
-    """Returns the messages of a chat as one text."""
+    """Returns the concatenated messages of a chat."""
     messages = body.get('messages')
     if not isinstance(messages, list) or not messages:
         raise field.FieldError('messages', 'must be a list of messages')
@@ -130,14 +130,14 @@
     )
 
 
-def _message(where: str, item: Any) -> str:
+def _message(path: str, item: Any) -> str:
     """Returns one message of a chat as text."""
     if not isinstance(item, dict):
-        raise field.FieldError(where, 'must be an object')
+        raise field.FieldError(path, 'must be an object')
     role = item.get('role')
     if role not in ROLES:
         raise field.FieldError(
-            f'{where}.role', f'must be one of {", ".join(ROLES)}'
+            f'{path}.role', f'must be one of {", ".join(ROLES)}'
         )
     content = item.get('content')
     if isinstance(content, str):
@@ -146,27 +146,27 @@
         return f'{role}: {json.dumps(content)}'
     if content is None and role == 'assistant':
         return f'{role}:'
-    raise field.FieldError(f'{where}.content', 'must be a string or a list')
+    raise field.FieldError(f'{path}.content', 'must be a string or a list')
 
 
 def _string(body: dict[str, Any], name: str, required: bool = False) -> str:
-    """Returns a string field; empty if it is absent and may be."""
-    found = body.get(name)
-    if found is None and not required:
+    """Returns a string field; empty if it is optional and absent."""
+    value = body.get(name)
+    if value is None and not required:
         return ''
-    if not isinstance(found, str) or not found or len(found) > 256:
+    if not isinstance(value, str) or not value or len(value) > 256:
         raise field.FieldError(name, 'must be a string of 1 to 256 characters')
-    return found
+    return value
 
 
 def _boolean(body: dict[str, Any], name: str) -> bool:
     """Returns a boolean field; False if absent."""
-    found = body.get(name)
-    if found is None:
+    value = body.get(name)
+    if value is None:
         return False
-    if not isinstance(found, bool):
+    if not isinstance(value, bool):
         raise field.FieldError(name, 'must be true or false')
-    return found
+    return value
 
 
 def _include_usage(body: dict[str, Any]) -> bool:
@@ -180,43 +180,45 @@
 
 
 def _max_tokens(body: dict[str, Any]) -> int:
-    """Returns the caller's bound on generated tokens; 0 if none."""
+    """Returns the caller's limit on generated tokens; 0 if none."""
     for name in ('max_completion_tokens', 'max_tokens'):
-        found = body.get(name)
-        if found is None:
+        value = body.get(name)
+        if value is None:
             continue
-        if isinstance(found, bool) or not isinstance(found, int) or found < 1:
+        if isinstance(value, bool) or not isinstance(value, int) or value < 1:
             raise field.FieldError(name, 'must be a whole number from 1')
-        return found
+        return value
     return 0
 
 
 def _check_numbers(body: dict[str, Any]) -> None:
-    """Checks the sampling fields."""
+    """Validates the sampling fields."""
     for name, (low, high) in NUMBER_RANGES.items():
-        found = body.get(name)
-        if found is None:
+        value = body.get(name)
+        if value is None:
             continue
-        fits = isinstance(found, int | float) and not isinstance(found, bool)
-        if not fits or not low <= found <= high:
+        is_valid = isinstance(value, int | float) and not isinstance(
+            value, bool
+        )
+        if not is_valid or not low <= value <= high:
             raise field.FieldError(
                 name, f'must be a number from {low} to {high}'
             )
     seed = body.get('seed')
     if seed is None:
         return
-    fits = isinstance(seed, int) and not isinstance(seed, bool)
-    if not fits or abs(seed) > MAX_SEED:
+    is_valid = isinstance(seed, int) and not isinstance(seed, bool)
+    if not is_valid or abs(seed) > MAX_SEED:
         raise field.FieldError('seed', 'must be a whole number of 64 bits')
 
 
 def _check_stop(body: dict[str, Any]) -> None:
-    """Checks the stop sequences."""
+    """Validates the stop sequences."""
     stop = body.get('stop')
     if stop is None or isinstance(stop, str):
         return
-    fits = isinstance(stop, list) and len(stop) <= MAX_STOP_SEQUENCES
-    if not fits or not all(isinstance(item, str) for item in stop):
+    is_valid = isinstance(stop, list) and len(stop) <= MAX_STOP_SEQUENCES
+    if not is_valid or not all(isinstance(item, str) for item in stop):
         raise field.FieldError(
             'stop',
             f'must be a string or a list of at most {MAX_STOP_SEQUENCES}',
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/health.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/health.py
@@ -17,7 +17,7 @@
 
 
 def mount(app: blacksheep.Application, ctx: context.Context) -> None:
-    """Adds the routes for balancer and monitoring to the application."""
+    """Adds the routes for load balancers and monitoring."""
 
     async def healthz(request: blacksheep.Request) -> blacksheep.Response:
         del request
@@ -44,6 +44,6 @@
 
 
 def _text(status: int, text: str) -> blacksheep.Response:
-    """Builds an answer of one line."""
+    """Builds a one-line text response."""
     content = blacksheep.Content(TEXT_TYPE, f'{text}\n'.encode())
     return blacksheep.Response(status, None, content)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/relay.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/relay.py
@@ -1,4 +1,4 @@
-"""Headers that pass between caller and upstream."""
+"""Forwards headers between caller and upstream."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 def request_headers(
     pairs: Iterable[tuple[bytes, bytes]],
 ) -> list[list[str]]:
-    """Returns the caller's headers that go to the upstream.
+    """Returns the caller's headers that are forwarded to the upstream.
 
-    The caller's token is ours, so it stays here.
+    The caller's token is a credential of this system and is not forwarded.
     """
     return [
         [name.decode('latin-1'), value.decode('latin-1')]
@@ -53,7 +53,7 @@
 
 
 def response(status: int, pairs: Iterable[list[str]]) -> blacksheep.Response:
-    """Starts the answer to the caller with the upstream's headers."""
+    """Builds a response without a body, with the upstream's headers."""
     headers = [
         (name.encode('latin-1'), value.encode('latin-1', 'replace'))
         for name, value in pairs
@@ -64,7 +64,7 @@
 
 
 def content_type(pairs: Iterable[list[str]]) -> bytes:
-    """Returns the content type that the upstream gave."""
+    """Returns the upstream's content type, else a default."""
     for name, value in pairs:
         if name.lower() == 'content-type' and _is_safe(name, value):
             return value.encode('latin-1', 'replace')
@@ -72,5 +72,5 @@
 
 
 def _is_safe(name: str, value: str) -> bool:
-    """Whether a header can be written without forging another."""
+    """Whether a header is valid and cannot inject another one."""
     return bool(HEADER_NAME.fullmatch(name)) and not UNSAFE_VALUE.search(value)
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/requests.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-# Needed at run time: blacksheep reads the annotations of handlers.
+# Needed at run time: blacksheep evaluates the annotations of handlers.
 import blacksheep  # noqa: TC002
 
 from quetzalsill.error import base
@@ -32,7 +32,7 @@
     ctx: context.Context,
     authenticator: auth.Authenticator,
 ) -> None:
-    """Adds the routes of stored requests to the application."""
+    """Adds the routes to fetch and cancel requests."""
     app.router.add('GET', PREFIX, _fetch_by_key(ctx, authenticator))
     app.router.add('GET', PATH, _fetch(ctx, authenticator))
     app.router.add('DELETE', PATH, _cancel(ctx, authenticator))
@@ -49,7 +49,8 @@
                 ctx, account, request_id, _wants_events(request)
             )
         except request_error.UnknownRequestError:
-            # What is not journalled only the router knows that took it.
+            # Only the router that accepted a request knows it, unless it is
+            # journaled.
             answer = await forward.fetch_from_acceptor(
                 ctx, request, PREFIX, request_id
             )
@@ -81,7 +82,7 @@
 async def _answer(
     ctx: context.Context, account: str, request_id: str, as_events: bool
 ) -> blacksheep.Response:
-    """Answers with the outcome of a request, or that it has none yet."""
+    """Returns the outcome of a request, or a pending response."""
     if _runs_here(ctx, account, request_id):
         return stored.pending(request_id)
     answer = ctx.recent.get(account, request_id)
@@ -101,19 +102,19 @@
         if _runs_here(ctx, account, request_id):
             ctx.active.get(request_id).cancel(CANCEL_REASON)
             return stored.pending(request_id)
-        failed = _not_running(request_id)
+        failure = _not_running(request_id)
         try:
-            found = await ctx.answers.get(account, request_id)
+            lookup = await ctx.answers.get(account, request_id)
         except request_error.NotFoundError as exc:
-            # Nothing is stored of a request that isn't durable; only the
-            # router that runs it knows it.
-            failed = exc
+            # A request that is not durable is not stored; only the router
+            # that runs it knows it.
+            failure = exc
         else:
-            if found.answer is not None:
-                return stored.render(request_id, found.answer, as_events=False)
+            if lookup.answer is not None:
+                return stored.render(request_id, lookup.answer, as_events=False)
         if await _cancel_elsewhere(ctx, request, request_id):
             return stored.pending(request_id)
-        raise failed
+        raise failure
 
     return handle
 
@@ -121,13 +122,13 @@
 async def _cancel_elsewhere(
     ctx: context.Context, request: blacksheep.Request, request_id: str
 ) -> bool:
-    """Whether another router runs the request and has cancelled it."""
+    """Cancels at another router; returns whether one runs the request."""
     if forward.was_forwarded(request):
         return False
-    found = await forward.forward_to_owner(
+    result = await forward.forward_to_owner(
         ctx, request, PREFIX, request_id, ACCEPTED
     )
-    return found.body is not None
+    return result.body is not None
 
 
 def _not_running(request_id: str) -> request_error.ConflictError:
@@ -141,11 +142,11 @@
 def _account(
     authenticator: auth.Authenticator, request: blacksheep.Request
 ) -> str:
-    """Returns the account that asks.
+    """Returns the name of the caller's account.
 
     Raises:
-      RequestError: It is not known. That proves nothing about the request
-        that is asked after, which may have run: "not run" would be untrue.
+      RequestError: The account is unknown. The request with this id may still
+        have run, so the error must not state "not run".
     """
     try:
         return authenticator.identify(request).name
@@ -155,24 +156,24 @@
 
 
 def _runs_here(ctx: context.Context, account: str, request: str) -> bool:
-    """Whether the account's request runs in this router."""
+    """Whether this router runs the request for the account."""
     running = ctx.active.get(request)
     return running is not None and running.work.account == account
 
 
 def _request_id(request: blacksheep.Request) -> str:
-    """Returns the request id of the path.
+    """Returns the request id in the path.
 
     Raises:
-      NotFoundError: It has not the form of one.
+      NotFoundError: The value is not a request id.
     """
-    found = request.route_values['request']
-    if not ident.is_request_id(found):
+    value = request.route_values['request']
+    if not ident.is_request_id(value):
         raise request_error.NotFoundError('not a request id')
-    return found
+    return value
 
 
 def _wants_events(request: blacksheep.Request) -> bool:
-    """Whether the caller asks for server-sent events."""
+    """Whether the caller accepts server-sent events."""
     raw = request.get_first_header(b'accept') or b''
     return b'text/event-stream' in raw.lower()
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/services.py
@@ -1,4 +1,4 @@
-"""`/services/{name}/...`: plain services beside the model engines."""
+"""`/services/{name}/...`: plain HTTP services."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         accept.check_accepting(ctx)
         identity = authenticator.identify(request)
         work = await _work(ctx, identity, request)
-        accepted = await submit.submit(ctx, identity, work, attend=True)
+        accepted = await submit.submit(ctx, identity, work, is_attended=True)
         if isinstance(accepted, submit.Duplicate):
             return await submit.replay(ctx, accepted, as_events=False)
         if work.body is None:
@@ -65,7 +65,7 @@
     """Builds the work of a call.
 
     Raises:
-      RequestError: It does not fit the configuration.
+      RequestError: The call does not match the configuration.
     """
     name, path = _target(request)
     cfg = ctx.holder.current
@@ -81,7 +81,7 @@
         cfg, identity, caller.profile_name(request)
     )
     key = caller.idempotency_key(request)
-    first, rest = await _body(request, route, whole=bool(key))
+    first, rest = await _body(request, route, read_all=bool(key))
     work = spec.Work(
         request='',
         account=identity.name,
@@ -111,9 +111,9 @@
     work: spec.Work,
     rest: AsyncIterator[bytes],
 ) -> AsyncIterator[bytes]:
-    """Yields the rest of the body, then watches for the caller's leaving.
+    """Yields the rest of the body, then watches for a caller disconnect.
 
-    A watch that began earlier would receive pieces of the body itself.
+    An earlier watch would consume parts of the body.
     """
     async for data in rest:
         yield data
@@ -123,10 +123,10 @@
 
 
 def _target(request: blacksheep.Request) -> tuple[str, str]:
-    """Returns service name and the path with its query below it.
+    """Returns the service name, and the path below it with its query.
 
-    The path goes on as it came, still encoded: a decoded one could hold
-    line ends and so forge headers on the way to the upstream.
+    The path is forwarded percent-encoded as received: a decoded path could
+    contain line breaks and inject headers into the upstream request.
     """
     raw = request.scope['raw_path'].decode('latin-1')
     query = request.scope.get('query_string', b'').decode('latin-1')
@@ -140,36 +140,36 @@
 
 
 async def _body(
-    request: blacksheep.Request, route: model.Route, whole: bool
+    request: blacksheep.Request, route: model.Route, read_all: bool
 ) -> tuple[bytes, AsyncIterator[bytes] | None]:
-    """Returns the first bytes of the body, and the rest if there is one.
+    """Returns the first bytes of the body, and an iterator over the rest.
 
-    A call with an idempotency key is read whole: its digest has to cover
-    all of it.
+    A call with an idempotency key is read completely, as its digest must
+    cover the complete body.
     """
-    pieces = body.chunks(request, route.max_body_bytes)
+    remaining = body.chunks(request, route.max_body_bytes)
     first = bytearray()
-    async for data in pieces:
+    async for data in remaining:
         first += data
         if len(first) >= MAX_FIRST_BYTES:
             break
     else:
         return bytes(first), None
-    if whole:
+    if read_all:
         raise request_error.TooLargeError(
             'a call with an idempotency key holds below '
             f'{MAX_FIRST_BYTES} bytes'
         )
-    return bytes(first), pieces
+    return bytes(first), remaining
 
 
 async def _respond(
-    running: active.ActiveRequest, drained: asgi.Drain
+    running: active.ActiveRequest, drain: asgi.Drain
 ) -> blacksheep.Response:
-    """Answers with the upstream's head, then its body as it comes.
+    """Returns the upstream's response head and streams its body.
 
     Raises:
-      RequestError: The call failed before its head.
+      RequestError: The call failed before the response head.
     """
     delivery = running.delivery
     await delivery.wait()
@@ -185,7 +185,7 @@
         return response
 
     async def produce() -> AsyncIterator[bytes]:
-        async for data in _body_chunks(running, early, drained):
+        async for data in _body_chunks(running, early, drain):
             yield data
 
     response.content = blacksheep.StreamedContent(
@@ -195,7 +195,7 @@
 
 
 def _content_length(head: piece.Head) -> int:
-    """Returns the content length that the upstream gave; -1 for none."""
+    """Returns the upstream's content length; -1 if it gave none."""
     for name, value in head.headers:
         if name.lower() == 'content-length' and value.isdecimal():
             return int(value)
@@ -203,13 +203,13 @@
 
 
 async def _body_chunks(
-    running: active.ActiveRequest, early: list[piece.Piece], drained: asgi.Drain
+    running: active.ActiveRequest, early: list[piece.Piece], drain: asgi.Drain
 ) -> AsyncIterator[bytes]:
-    """Yields the body as it comes.
+    """Yields the body as it arrives.
 
     Raises:
       TruncatedAnswerError: The call failed midway. The connection is closed
-        without the end of the body, so that nobody takes it for whole.
+        before the end of the body, so that the caller sees it is incomplete.
     """
     delivery = running.delivery
     parts = early
@@ -217,7 +217,7 @@
         data = b''.join(item for part in parts for item in part.items)
         if data:
             yield data
-            await drained()
+            await drain()
         for part in parts:
             part.release()
         if delivery.disconnected or (delivery.ended and not parts):
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/stored.py
@@ -1,4 +1,4 @@
-"""Answers that the platform keeps, as callers fetch them."""
+"""Responses from stored answers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 def render(
     request: str, stored: durable_answer.Answer, as_events: bool
 ) -> blacksheep.Response:
-    """Renders a settled answer as it would have been at once.
+    """Renders a settled answer like the direct response.
 
     Args:
       request: Id of the request.
       stored: Its settled outcome.
-      as_events: A generation is wanted as server-sent events.
+      as_events: Whether to render a generation as server-sent events.
     """
     if stored.code != durable_answer.DONE:
         return error.response(failure(stored), request)
@@ -47,14 +47,14 @@
 
 
 def failure(stored: durable_answer.Answer) -> request_error.RequestError:
-    """Rebuilds the failure that a request was settled with."""
+    """Rebuilds the error that a request was settled with."""
     return request_error.from_code(
         stored.code, stored.detail, base.Ran(stored.ran)
     )
 
 
 def pending(request: str) -> blacksheep.Response:
-    """Answers for a request that has not ended."""
+    """Builds the response for a request that has not ended."""
     document = {'id': request, 'object': 'request', 'status': 'pending'}
     headers = [
         (b'location', f'/v1/requests/{request}'.encode()),
@@ -66,7 +66,7 @@
 
 
 def conflict(request: str) -> request_error.ConflictError:
-    """Makes the failure of a repeat whose first request still runs."""
+    """Makes the error for a duplicate whose original is still running."""
     error = request_error.ConflictError(
         f'request {request} with this idempotency key has not ended',
         ran=base.Ran.UNKNOWN,
@@ -80,7 +80,7 @@
 def _call_response(
     request: str, stored: durable_answer.Answer
 ) -> blacksheep.Response:
-    """Renders the stored answer of a call."""
+    """Renders the stored answer of a service call."""
     body = b''.join(stored.events)
     response = relay.response(stored.status, stored.headers)
     if response.status not in relay.STATUSES_WITHOUT_BODY:
@@ -91,8 +91,8 @@
 
 
 def _header(stored: durable_answer.Answer, name: str) -> str:
-    """Returns a header of the stored answer; empty if absent."""
-    for found, value in stored.headers:
-        if found == name:
+    """Returns a header of the stored answer; empty if it is absent."""
+    for header_name, value in stored.headers:
+        if header_name == name:
             return value
     return ''
--- a/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/http/submit.py
@@ -1,4 +1,4 @@
-"""From built work to a running request, or to the one it repeats."""
+"""Admits and starts requests, and detects duplicates by key."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Duplicate:
-    """The request repeats another one by its idempotency key.
+    """A request whose idempotency key belongs to an earlier request.
 
     Attributes:
       account: Client account.
@@ -33,57 +33,60 @@
 
 
 async def submit(
-    ctx: context.Context, identity: auth.Caller, work: spec.Work, attend: bool
+    ctx: context.Context,
+    identity: auth.Caller,
+    work: spec.Work,
+    is_attended: bool,
 ) -> active.ActiveRequest | Duplicate:
-    """Takes leave of the account, accepts the work and starts it.
+    """Admits, accepts and starts a request.
 
     Args:
       ctx: The router.
-      identity: Whose request it is.
-      work: What it asks for; its id is set here.
-      attend: The caller waits for the answer.
+      identity: The caller.
+      work: The requested work; its request id is set here.
+      is_attended: Whether the caller waits for the answer.
 
     Raises:
-      RequestError: It is not accepted.
+      RequestError: The request is not accepted.
     """
     grant = _admit(ctx, identity, work)
     accepted = False
     try:
-        holder = await _accept(ctx, work)
-        accepted = holder == work.request
+        key_holder = await _accept(ctx, work)
+        accepted = key_holder == work.request
     finally:
         if not accepted:
             grant.release()
     if not accepted:
-        return Duplicate(work.account, holder)
+        return Duplicate(work.account, key_holder)
     if work.kind == spec.CALL:
         work.headers.append(['x-request-id', work.request])
-    begin = serve.start if attend else serve.start_detached
-    return begin(ctx, work, grant)
+    start = serve.start if is_attended else serve.start_detached
+    return start(ctx, work, grant)
 
 
 async def replay(
-    ctx: context.Context, repeated: Duplicate, as_events: bool
+    ctx: context.Context, duplicate: Duplicate, as_events: bool
 ) -> blacksheep.Response:
-    """Answers a repeat with the answer of the request that it repeats.
+    """Answers a duplicate with the answer of the original request.
 
     Raises:
-      ConflictError: That request did not end within the wait.
+      ConflictError: The original did not end within the wait.
     """
-    found = await ctx.answers.wait(
-        repeated.account,
-        repeated.request,
+    original = await ctx.answers.wait(
+        duplicate.account,
+        duplicate.request,
         ctx.settings.requests.conflict_wait_s,
     )
-    if found.answer is None:
-        raise stored.conflict(repeated.request)
-    return stored.render(repeated.request, found.answer, as_events)
+    if original.answer is None:
+        raise stored.conflict(duplicate.request)
+    return stored.render(duplicate.request, original.answer, as_events)
 
 
 def _admit(
     ctx: context.Context, identity: auth.Caller, work: spec.Work
 ) -> shares.Grant:
-    """Takes leave of the account's limits."""
+    """Admits the request within the account's limits."""
     estimate = 0
     if work.kind != spec.CALL:
         estimate = ctx.lengths.estimate(
@@ -93,7 +96,7 @@
 
 
 async def _accept(ctx: context.Context, work: spec.Work) -> str:
-    """Returns the id of the request that answers this one."""
+    """Accepts the work; returns the id of the request to answer from."""
     if journaling.needs_journal(work):
         return await journaling.accept(ctx, work)
     work.request = ctx.request_ids.next()
