--- a/tests/quetzalsill_router/http/served.py
+++ b/tests/quetzalsill_router/http/served.py
@@ -1,4 +1,4 @@
-"""A router's HTTP interface over fake peers, on a real listener."""
+"""Serves a router's HTTP API with fake peers on a real listener."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 async def serve(
     ctx: context.Context,
 ) -> AsyncIterator[httpx2.AsyncClient]:
-    """Serves `ctx`; gives a client of the one account."""
+    """Serves `ctx`; yields a client with the configured account's token."""
     listener = server.HttpServer(asgi.wrap(app.build(ctx)), section.Listen())
     await listener.start()
     url = f'http://127.0.0.1:{listener.port}'
@@ -43,6 +43,6 @@
 
 
 def complete_attempt(*texts: str) -> tuple:
-    """Script of an attempt that generates `texts`."""
+    """Returns the messages of an attempt that generates `texts`."""
     items = [fake.event(text) for text in texts]
     return (fake.started(), fake.chunk(0, *items), fake.finished(len(items)))
--- a/tests/quetzalsill_router/http/test_completions.py
+++ b/tests/quetzalsill_router/http/test_completions.py
@@ -17,14 +17,14 @@
 
 
 def openai_client(client):
-    """An unmodified OpenAI client of the same server."""
+    """Returns an unmodified OpenAI client of the same server."""
     return openai.AsyncOpenAI(
         api_key=served.TOKEN, base_url=f'{client.base_url}/v1'
     )
 
 
 class OpenAiClientTest(unittest.IsolatedAsyncioTestCase):
-    """The API as an unmodified client sees it."""
+    """The API as seen by an unmodified OpenAI client."""
 
     async def test_whole_and_streamed(self):
         peer = fake.Peer(
@@ -36,9 +36,9 @@
             served.serve(fake.make_context(peer)) as client,
             openai_client(client) as api,
         ):
-            whole = await api.completions.create(**BODY)
-            self.assertEqual(whole.choices[0].text, 'ab')
-            self.assertEqual(whole.usage.completion_tokens, 2)
+            completion = await api.completions.create(**BODY)
+            self.assertEqual(completion.choices[0].text, 'ab')
+            self.assertEqual(completion.usage.completion_tokens, 2)
             stream = await api.completions.create(
                 **BODY, stream=True, stream_options={'include_usage': True}
             )
@@ -63,10 +63,10 @@
         self.assertEqual(answer.choices[0].message.content, 'pass or hold')
 
     async def test_events_carry_the_id_of_the_request(self):
-        """A caller cancels by the id of the events that it got.
+        """A caller can cancel a request by the id in its events.
 
-        They carried the engine's id, which names nothing here; the event of
-        the usage carried another.
+        Events used to carry the engine's id, which the router does not know,
+        and the usage event carried a different one.
         """
         texts = ('a', '"entry-1/7/1"', 'b')
         items = [fake.event(text, id='entry-1/7/1') for text in texts]
@@ -74,19 +74,21 @@
         body = {**STREAMED, 'stream_options': {'include_usage': True}}
         peer = fake.Peer('one', script)
         async with served.serve(fake.make_context(peer)) as client:
-            found = await client.post(PATH, json=body)
-        lines = [line[6:] for line in found.text.split('\n') if '{' in line]
+            response = await client.post(PATH, json=body)
+        lines = [line[6:] for line in response.text.split('\n') if '{' in line]
         events = [json.loads(line) for line in lines]
         ids = {event['id'] for event in events}
-        self.assertEqual(ids, {found.headers['x-request-id']})
-        told = [c['text'] for event in events for c in event['choices']]
-        self.assertEqual(tuple(told), texts)
+        self.assertEqual(ids, {response.headers['x-request-id']})
+        texts_received = [
+            c['text'] for event in events for c in event['choices']
+        ]
+        self.assertEqual(tuple(texts_received), texts)
 
-    async def test_answer_that_breaks_off_is_not_taken_for_whole(self):
-        """An engine dies after the first token of a streamed answer.
+    async def test_truncated_answer_is_not_taken_for_complete(self):
+        """An engine fails after the first token of a streamed answer.
 
-        The stream ends with an error event and no [DONE]: a client that
-        took the piece for the answer would load half a truck.
+        The stream must end with an error event and without [DONE], so that
+        the client does not take a partial answer for a complete one.
         """
         script = (
             fake.chunk(0, fake.event('a')),
@@ -104,8 +106,9 @@
     async def test_unknown_outcome_is_not_resent_by_the_client(self):
         """The link breaks after the Dispatch of work that must run once.
 
-        The library resends on a 504 by itself, which would run the work
-        twice; the answer tells it not to. The outcome can be asked for.
+        The OpenAI library retries on a 504 by default, which would run the
+        work twice; the response disables the retry. The outcome can be
+        fetched later.
         """
         lost = fake.failed('unknown', code='outcome_unknown')
         peer = fake.Peer('one', (lost,), served.complete_attempt('done'))
@@ -127,9 +130,9 @@
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    """Requests that are not served."""
+    """Requests that are refused."""
 
-    async def test_bad_requests_name_field_and_mend(self):
+    async def test_bad_requests_name_field_and_advice(self):
         cases = [
             ({'prompt': 'x'}, 400, 'model'),
             ({'model': 7, 'prompt': 'x'}, 400, 'model'),
@@ -159,15 +162,17 @@
         async with served.serve(fake.make_context(peer)) as client:
             for data, status, param in cases + raw:
                 with self.subTest(data[:40]):
-                    found = await client.post(PATH, content=data)
-                    self.assertEqual(found.status_code, status, found.text)
-                    error = found.json()['error']
+                    response = await client.post(PATH, content=data)
+                    self.assertEqual(
+                        response.status_code, status, response.text
+                    )
+                    error = response.json()['error']
                     self.assertEqual(error['param'], param)
                     self.assertIs(error['not_run'], True)
                     self.assertTrue(error['advice'])
-                    self.assertTrue(found.headers['x-request-id'])
-            found = await client.post(PATH, json=BODY)
-        self.assertEqual(found.json()['choices'][0]['text'], 'alive')
+                    self.assertTrue(response.headers['x-request-id'])
+            response = await client.post(PATH, json=BODY)
+        self.assertEqual(response.json()['choices'][0]['text'], 'alive')
 
     async def test_bad_headers(self):
         cases = [
@@ -181,35 +186,42 @@
         async with served.serve(fake.make_context()) as client:
             for headers, status in cases:
                 with self.subTest(headers):
-                    found = await client.post(PATH, json=BODY, headers=headers)
-                    self.assertEqual(found.status_code, status, found.text)
-
-    async def test_overload_says_when_to_come_back(self):
+                    response = await client.post(
+                        PATH, json=BODY, headers=headers
+                    )
+                    self.assertEqual(
+                        response.status_code, status, response.text
+                    )
+
+    async def test_overload_sets_retry_after(self):
         script = (fake.refused(retry_after_ms=2400),)
         ctx = fake.make_context(fake.Peer('one', script))
         async with served.serve(ctx) as client:
             for stream in (False, True):
                 ctx.peers = fake.Peers(fake.Peer('one', script))
-                found = await client.post(PATH, json={**BODY, 'stream': stream})
-                self.assertEqual(found.status_code, 503)
-                self.assertEqual(found.headers['retry-after'], '3')
-                self.assertEqual(found.headers['retry-after-ms'], '2400')
-                self.assertEqual(found.headers['x-should-retry'], 'true')
-                self.assertIs(found.json()['error']['not_run'], True)
+                response = await client.post(
+                    PATH, json={**BODY, 'stream': stream}
+                )
+                self.assertEqual(response.status_code, 503)
+                self.assertEqual(response.headers['retry-after'], '3')
+                self.assertEqual(response.headers['retry-after-ms'], '2400')
+                self.assertEqual(response.headers['x-should-retry'], 'true')
+                self.assertIs(response.json()['error']['not_run'], True)
 
     async def test_refusal_after_a_lost_run_is_not_called_not_run(self):
-        """The first attempt ran and was lost, the second is refused.
+        """The first attempt ran and was lost; the second is refused.
 
-        Told "not run", the caller would repeat what did run.
+        If the response stated "not run", the caller would retry work that
+        did run.
         """
         one = fake.Peer('one', (fake.failed('yes', gone=True),))
         two = fake.Peer('two', (fake.refused(),))
         ctx = fake.make_context(one, two, cfg=fake.configuration(retries=1))
         ctx.routing = lambda _query, candidates: candidates[0]
         async with served.serve(ctx) as client:
-            found = await client.post(PATH, json=BODY)
-        self.assertIs(found.json()['error']['not_run'], False)
-        self.assertEqual(found.headers['x-should-retry'], 'false')
+            response = await client.post(PATH, json=BODY)
+        self.assertIs(response.json()['error']['not_run'], False)
+        self.assertEqual(response.headers['x-should-retry'], 'false')
 
     async def test_stopping_router_refuses_and_is_not_ready(self):
         ctx = fake.make_context(fake.Peer('one'))
@@ -218,18 +230,18 @@
             ctx.stopping = True
             self.assertEqual((await client.get('/readyz')).status_code, 503)
             self.assertEqual((await client.get('/healthz')).status_code, 200)
-            found = await client.post(PATH, json=BODY)
-        self.assertEqual(found.json()['error']['code'], 'shutting_down')
+            response = await client.post(PATH, json=BODY)
+        self.assertEqual(response.json()['error']['code'], 'shutting_down')
 
 
 class DeliveryTest(unittest.IsolatedAsyncioTestCase):
-    """Callers that are slow, wait, or leave."""
+    """Callers that read slowly, wait or disconnect."""
 
     async def test_slow_caller_slows_only_its_own_attempt(self):
-        """One handset stops reading in mid-answer, another reads on.
+        """One caller stops reading midway while another continues.
 
-        Were credit given before the slow one had taken its tokens, the
-        router would gather the whole answer, or stall the link for both.
+        If credit were granted before the slow caller received its tokens,
+        the router would buffer the complete answer or stall the shared link.
         """
         count = 400
         items = [fake.event('x' * 65536)] * count
@@ -243,8 +255,8 @@
             await anext(lines)
             fast = fake.Peer('two', served.complete_attempt(*'abc'))
             ctx.peers = fake.Peers(fast)
-            found = await client.post(PATH, json=BODY)
-            self.assertEqual(found.json()['choices'][0]['text'], 'abc')
+            fast_response = await client.post(PATH, json=BODY)
+            self.assertEqual(fast_response.json()['choices'][0]['text'], 'abc')
             (attempt,) = slow.attempts
             self.assertEqual(attempt.granted, [])
             attempt.put(fake.finished(count))
@@ -263,10 +275,10 @@
             await ctx.active.wait_idle(served.TIMEOUT_S)
         self.assertEqual(len(ctx.active), 0)
 
-    async def test_patient_request_outlives_its_caller(self):
-        """A clerk's laptop closes while the loading plan is written.
+    async def test_durable_request_continues_without_its_caller(self):
+        """The caller of a durable request disconnects during generation.
 
-        The plan was accepted, so it goes on and is stored.
+        The request was accepted, so it continues and its answer is stored.
         """
         peer = fake.Peer('one', (fake.started(),))
         ctx = fake.make_context(peer, cfg=fake.configuration(durable=True))
@@ -282,7 +294,7 @@
         (answer,) = ctx.journal.settled.values()
         self.assertEqual(answer.events, [fake.event('plan')])
 
-    async def test_silence_is_filled_with_comments(self):
+    async def test_keep_alive_comments_are_sent_while_idle(self):
         peer = fake.Peer('one', (fake.started(),))
         ctx = fake.make_context(peer, cfg=fake.configuration(delivery='whole'))
         ctx.settings.requests.keep_alive_s = 0.01
--- a/tests/quetzalsill_router/http/test_fetch.py
+++ b/tests/quetzalsill_router/http/test_fetch.py
@@ -1,4 +1,4 @@
-"""Keyed requests, and what is fetched through another router."""
+"""Tests of keyed requests, and of requests that another router runs."""
 
 from __future__ import annotations
 
@@ -59,24 +59,24 @@
                 peer.attempts[0].put(msg)
             self.assertEqual((await task).status_code, 200)
 
-    async def test_patient_request_is_answered_later(self):
+    async def test_durable_request_is_answered_later(self):
         peer = fake.Peer('one', served.complete_attempt('plan'))
         ctx = fake.make_context(peer, cfg=fake.configuration(durable=True))
         ctx.answers = Answers(ctx.journal)
         async with served.serve(ctx) as client:
-            found = await client.post(
+            response = await client.post(
                 PATH, json=BODY, headers={'prefer': 'respond-async'}
             )
-            self.assertEqual(found.status_code, 202)
+            self.assertEqual(response.status_code, 202)
             await ctx.active.wait_idle(served.TIMEOUT_S)
-            found = await client.get(found.headers['location'])
-        self.assertEqual(found.json()['choices'][0]['text'], 'plan')
+            response = await client.get(response.headers['location'])
+        self.assertEqual(response.json()['choices'][0]['text'], 'plan')
 
-    async def test_store_outage_refuses_patient_work_only(self):
-        """The platform's store is down when a plan and a query come.
+    async def test_store_outage_refuses_durable_requests_only(self):
+        """Only durable requests are refused while the store is unavailable.
 
-        The plan can't be kept, so it is refused at once as not run; the
-        query needs no store.
+        They cannot be stored, so they are refused immediately as not run.
+        Other requests do not need the store.
         """
         peer = fake.Peer('one', served.complete_attempt('slot'))
         cfg = fake.configuration()
@@ -86,20 +86,20 @@
             retry_after_s=2.0
         )
         async with served.serve(ctx) as client:
-            plan = await client.post(
+            durable = await client.post(
                 PATH, json=BODY, headers={'x-quetzalsill-profile': 'patient'}
             )
             query = await client.post(PATH, json=BODY)
-        self.assertEqual(plan.status_code, 503)
-        self.assertIs(plan.json()['error']['not_run'], True)
-        self.assertEqual(plan.headers['retry-after'], '2')
+        self.assertEqual(durable.status_code, 503)
+        self.assertIs(durable.json()['error']['not_run'], True)
+        self.assertEqual(durable.headers['retry-after'], '2')
         self.assertEqual(query.status_code, 200)
 
     async def test_unknown_outcome_is_settled_later(self):
-        """The sidecar is lost while a keyed order runs, then comes back.
+        """A sidecar is lost while a keyed request runs, then returns.
 
-        The caller is told "unknown" at once. What the upstream says later
-        becomes the stored outcome, which a repeat of the key gets.
+        The caller receives an unknown outcome immediately. The outcome that
+        the upstream reports later is stored, and a repeat of the key gets it.
         """
         peer = fake.Peer(
             'one',
@@ -122,71 +122,74 @@
         ctx = fake.make_context(peer, cfg=fake.configuration(durable=True))
         ctx.answers = Answers(ctx.journal)
         async with served.serve(ctx) as client:
-            found = await client.post(
+            response = await client.post(
                 PATH, json=BODY, headers={'prefer': 'respond-async'}
             )
-            where = found.headers['location']
+            location = response.headers['location']
             await peer.opened.wait()
-            self.assertEqual((await client.delete(where)).status_code, 202)
+            self.assertEqual((await client.delete(location)).status_code, 202)
             await ctx.active.wait_idle(served.TIMEOUT_S)
-            found = await client.get(where)
-        self.assertEqual(found.json()['error']['code'], 'cancelled')
+            response = await client.get(location)
+        self.assertEqual(response.json()['error']['code'], 'cancelled')
         self.assertTrue(peer.attempts[0].closed.is_set())
 
 
 class OtherRouterTest(unittest.IsolatedAsyncioTestCase):
-    """Requests that another router runs."""
+    """Requests that run at another router."""
 
     async def test_cancel_reaches_the_router_that_runs_it(self):
         peer = fake.Peer('one', (fake.started(),))
         cfg = fake.configuration(durable=True)
-        runs, asked = fake.make_context(peer, cfg=cfg), fake.make_context()
-        runs.answers = asked.answers = Answers(runs.journal)
-        asked.settings.node = section.Node('entry-2', 'apapa-hall')
-        async with served.serve(runs) as one, served.serve(asked) as two:
-            asked.registration = Routers(one.base_url.netloc.decode())
-            found = await one.post(
+        owner, other = fake.make_context(peer, cfg=cfg), fake.make_context()
+        owner.answers = other.answers = Answers(owner.journal)
+        other.settings.node = section.Node('entry-2', 'apapa-hall')
+        async with served.serve(owner) as one, served.serve(other) as two:
+            other.registration = Routers(one.base_url.netloc.decode())
+            response = await one.post(
                 PATH, json=BODY, headers={'prefer': 'respond-async'}
             )
-            where = found.headers['location']
+            location = response.headers['location']
             await peer.opened.wait()
-            self.assertEqual((await two.get(where)).status_code, 202)
-            self.assertEqual((await two.delete(where)).status_code, 202)
-            await runs.active.wait_idle(served.TIMEOUT_S)
-            found = await two.get(where)
-        self.assertEqual(found.json()['error']['code'], 'cancelled')
-
-    async def test_fetch_from_a_router_that_knows_nobody_yet(self):
-        """A retoucher is told that an accepted brief did not run.
-
-        A router starts while the store is away. It has no configuration, so
-        it knows no account; it refused the fetch as unauthorized, and as
-        "not run", which the brief's caller takes for the brief.
+            self.assertEqual((await two.get(location)).status_code, 202)
+            self.assertEqual((await two.delete(location)).status_code, 202)
+            await owner.active.wait_idle(served.TIMEOUT_S)
+            response = await two.get(location)
+        self.assertEqual(response.json()['error']['code'], 'cancelled')
+
+    async def test_fetch_from_a_router_without_configuration(self):
+        """A caller is told "not run" about a request that was accepted.
+
+        A router that starts while the store is unavailable has no
+        configuration and knows no account. It refused the fetch as
+        unauthorized and as "not run", which the caller applies to the
+        request it asked about.
         """
         ctx = fake.make_context()
         cfg, ctx.holder.current = ctx.holder.current, model.Configuration()
         for status, headers in ((503, {}), (401, {'authorization': 'x'})):
             async with served.serve(ctx) as client:
-                found = await client.get('/v1/requests/a-1-0', headers=headers)
-                self.assertEqual(found.status_code, status, found.text)
-                self.assertIsNone(found.json()['error']['not_run'])
+                response = await client.get(
+                    '/v1/requests/a-1-0', headers=headers
+                )
+                self.assertEqual(response.status_code, status, response.text)
+                self.assertIsNone(response.json()['error']['not_run'])
                 models = await client.get('/v1/models', headers=headers)
-                self.assertEqual(models.status_code, status, found.text)
+                self.assertEqual(models.status_code, status, response.text)
             ctx.holder.current = dataclasses.replace(cfg, revision=1)
 
-    async def test_unreachable_owner_is_told(self):
+    async def test_unreachable_owner_is_reported(self):
         ctx = fake.make_context()
         await ctx.journal.accept(fake.make_entry(request=''))
         ctx.answers = Answers(ctx.journal)
         ctx.registration = Routers('127.0.0.1:1')
         async with served.serve(ctx) as client:
-            found = await client.delete('/v1/requests/entry-1-1-0')
-        self.assertEqual(found.status_code, 409)
-        self.assertIsNone(found.json()['error']['not_run'])
+            response = await client.delete('/v1/requests/entry-1-1-0')
+        self.assertEqual(response.status_code, 409)
+        self.assertIsNone(response.json()['error']['not_run'])
 
 
 class Routers:
-    """One other live router."""
+    """A registration with one other live router."""
 
     def __init__(self, address):
         self._router = registration.Router(
@@ -208,7 +211,7 @@
 
 
 class Answers:
-    """Looks answers up in the fake journal."""
+    """Looks up answers in the fake journal."""
 
     def __init__(self, journal):
         self._journal = journal
--- a/tests/quetzalsill_router/http/test_services.py
+++ b/tests/quetzalsill_router/http/test_services.py
@@ -21,12 +21,12 @@
 
 
 def head(status=200, *headers):
-    """Head of a call's answer."""
+    """Returns the head of a call's response."""
     return message.Head('', status, [list(pair) for pair in headers])
 
 
 def call(*pieces, status=200):
-    """Script of a call that is answered."""
+    """Returns the messages of a call that is answered."""
     return (
         fake.started(),
         head(status),
@@ -36,15 +36,15 @@
 
 
 class ServicesTest(unittest.IsolatedAsyncioTestCase):
-    """Calls on their way to the app server and back."""
+    """Calls to an upstream of a service, and its responses."""
 
     async def test_call_keeps_method_path_and_body(self):
         peer = fake.Peer('one', call(b'ok', status=201))
         async with served.serve(fake.make_context(peer)) as client:
-            found = await client.put(
+            response = await client.put(
                 f'{ORDERS}/a%2Fb%0d%0ax?q=1%202', content=b'{"id": 7}'
             )
-        self.assertEqual((found.status_code, found.content), (201, b'ok'))
+        self.assertEqual((response.status_code, response.content), (201, b'ok'))
         sent = peer.attempts[0].dispatch
         self.assertEqual(sent.method, 'PUT')
         self.assertEqual(sent.path, '/orders/a%2Fb%0d%0ax?q=1%202')
@@ -52,7 +52,7 @@
         self.assertFalse(sent.body_open)
         self.assertFalse(sent.idempotent)
 
-    async def test_token_and_hop_headers_stay_here(self):
+    async def test_token_and_hop_by_hop_headers_are_not_forwarded(self):
         peer = fake.Peer('one', call(b''))
         async with served.serve(fake.make_context(peer)) as client:
             await client.get('/services/ordering/x', headers={'x-shop': '7'})
@@ -67,15 +67,15 @@
         )
         ctx = fake.make_context(fake.Peer('one', script))
         async with served.serve(ctx) as client:
-            found = await client.get('/services/ordering/x')
-        self.assertEqual(found.headers['x-ok'], 'd')
-        self.assertNotIn('x-a', found.headers)
+            response = await client.get('/services/ordering/x')
+        self.assertEqual(response.headers['x-ok'], 'd')
+        self.assertNotIn('x-a', response.headers)
 
     async def test_large_body_follows_once_the_call_has_started(self):
-        """A big upload is refused by the first app server.
+        """A large upload is refused by the first upstream.
 
-        Its later pieces are sent only after Started, so nothing of it was
-        used up and the second server gets all of it.
+        Parts after the first are sent only after Started, so none of them is
+        consumed and the second upstream receives the complete body.
         """
         size = services.MAX_FIRST_BYTES + 100_000
         cfg = fake.configuration()
@@ -96,18 +96,18 @@
                 attempt.put(msg)
             self.assertEqual((await task).status_code, 200)
         self.assertTrue(attempt.dispatch.body_open)
-        whole = attempt.dispatch.payload + b''.join(attempt.body)
-        self.assertEqual(len(whole), size)
+        complete_body = attempt.dispatch.payload + b''.join(attempt.body)
+        self.assertEqual(len(complete_body), size)
 
-    async def test_body_over_its_bound(self):
+    async def test_body_over_its_limit(self):
         ctx = fake.make_context(fake.Peer('one'))
         async with served.serve(ctx) as client:
             for content in (b'x' * 5000, chunked(b'x' * 5000)):
-                found = await client.post(ORDERS, content=content)
-                self.assertEqual(found.status_code, 413)
-                self.assertIs(found.json()['error']['not_run'], True)
+                response = await client.post(ORDERS, content=content)
+                self.assertEqual(response.status_code, 413)
+                self.assertIs(response.json()['error']['not_run'], True)
 
-    async def test_order_of_unknown_outcome_is_told_and_not_repeated(self):
+    async def test_unknown_outcome_is_reported_and_not_retried(self):
         one = fake.Peer(
             'one', (fake.failed('unknown', code='outcome_unknown'),)
         )
@@ -115,16 +115,17 @@
         ctx = fake.make_context(one, two)
         ctx.routing = lambda _query, candidates: candidates[0]
         async with served.serve(ctx) as client:
-            found = await client.post(ORDERS, json={'id': 1})
-        self.assertEqual(found.status_code, 504)
-        self.assertIsNone(found.json()['error']['not_run'])
-        self.assertEqual(found.headers['x-should-retry'], 'false')
+            response = await client.post(ORDERS, json={'id': 1})
+        self.assertEqual(response.status_code, 504)
+        self.assertIsNone(response.json()['error']['not_run'])
+        self.assertEqual(response.headers['x-should-retry'], 'false')
         self.assertEqual(two.attempts, [])
 
-    async def test_answer_that_breaks_off_is_cut(self):
-        """An app server dies while a proof is on its way to a portal.
+    async def test_truncated_response_closes_the_connection(self):
+        """An upstream fails in the middle of a response body.
 
-        Ended properly, the half of a picture would be taken for it.
+        If the response ended normally, the caller would take the partial
+        body for the complete one.
         """
         script = (head(), fake.chunk(0, b'half'), fake.failed('yes'))
         ctx = fake.make_context(fake.Peer('one', script))
@@ -135,19 +136,19 @@
     async def test_unknown_paths(self):
         async with served.serve(fake.make_context()) as client:
             for path in ('/services/none/x', '/services/', '/nowhere'):
-                found = await client.get(path)
-                self.assertEqual(found.status_code, 404)
-                self.assertEqual(found.json()['error']['code'], 'not_found')
+                response = await client.get(path)
+                self.assertEqual(response.status_code, 404)
+                self.assertEqual(response.json()['error']['code'], 'not_found')
 
 
 class BodyTest(unittest.IsolatedAsyncioTestCase):
-    """Request bodies that do not come whole."""
+    """Request bodies that are incomplete or too large."""
 
-    async def test_body_that_breaks_off_is_not_ended(self):
-        """A shop's upload breaks off midway, another grows over its bound.
+    async def test_truncated_body_is_not_ended(self):
+        """An upload stops midway, another exceeds its limit.
 
-        Ended at that place, the half of an order list would be taken for
-        all of it.
+        If the body were ended there, the upstream would take a partial body
+        for the complete one.
         """
         size = services.MAX_FIRST_BYTES
         cfg = fake.configuration()
@@ -162,16 +163,16 @@
                 task = asyncio.create_task(client.post(ORDERS, content=content))
                 await peer.opened.wait()
                 if len(rest) > size:
-                    found = await task
-                    self.assertEqual(found.status_code, 413)
-                    self.assertIsNone(found.json()['error']['not_run'])
+                    response = await task
+                    self.assertEqual(response.status_code, 413)
+                    self.assertIsNone(response.json()['error']['not_run'])
                 task.cancel()
                 await peer.attempts[0].closed.wait()
             self.assertFalse(peer.attempts[0].body_ended.is_set())
 
 
 async def body_in_parts(*parts):
-    """A body in parts; events among them are waited for."""
+    """Yields a body in parts; waits for the events among them."""
     for part in parts:
         if isinstance(part, bytes):
             yield part
@@ -180,13 +181,13 @@
 
 
 async def chunked(data):
-    """A body without a Content-Length."""
+    """Yields a body that has no Content-Length."""
     for start in range(0, len(data), 1000):
         yield data[start : start + 1000]
 
 
 class RouteTest(unittest.TestCase):
-    """Choice of the route and form of headers and ids."""
+    """Selection of routes, and the format of headers and ids."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -209,7 +210,7 @@
         longest = max(map(len, fitting), default=None)
         self.assertEqual(found and len(found.path), longest)
 
-    def test_method_is_looked_at(self):
+    def test_method_must_match(self):
         service = model.Service([model.Route(path='/', methods=['GET'])])
         self.assertIsNone(route_module.pick_route(service, 'POST', '/x'))
 
@@ -222,8 +223,8 @@
 
     def test_ids_fit_a_url(self):
         names = ident.RequestIds('entry-1', ident.new_incarnation())
-        found = {names.next() for _ in range(100)}
-        self.assertEqual(len(found), 100)
-        self.assertTrue(all(map(ident.is_request_id, found)))
+        response = {names.next() for _ in range(100)}
+        self.assertEqual(len(response), 100)
+        self.assertTrue(all(map(ident.is_request_id, response)))
         for bad in ('', '../x', 'a b', 'A', 'a\n', 'x' * 200):
             self.assertFalse(ident.is_request_id(bad))
--- a/tests/quetzalsill_router/test_membership.py
+++ b/tests/quetzalsill_router/test_membership.py
@@ -66,8 +66,8 @@
             Seed('another-credential-of-16', new) as three,
         ):
             settings.seeds = [one, '127.0.0.1:1', two, three]
-            found = await membership.fetch_newest_from_seeds(settings, 1, None)
-            self.assertEqual((found.revision, found.document), (7, b'new'))
+            reply = await membership.fetch_newest_from_seeds(settings, 1, None)
+            self.assertEqual((reply.revision, reply.document), (7, b'new'))
             settings.seeds = ['127.0.0.1:1', three]
             self.assertIsNone(
                 await membership.fetch_newest_from_seeds(settings, 1, None)
@@ -130,8 +130,8 @@
 
     async def test_long_list_is_read_rarely(self):
         for hosts, interval_s in {0: 2.0, 16: 2.0, 1000: 112.0}.items():
-            found = membership.poll_interval_s(2.0, hosts)
-            self.assertEqual(found, interval_s)
+            actual = membership.poll_interval_s(2.0, hosts)
+            self.assertEqual(actual, interval_s)
 
 
 class Hosts:
@@ -141,10 +141,10 @@
         self._answers = [['a'], None]
 
     async def fetch(self):
-        found = self._answers.pop(0) if self._answers else ['b']
-        if found is None:
+        reply = self._answers.pop(0) if self._answers else ['b']
+        if reply is None:
             raise platform_error.PlatformUnavailableError('down')
-        return found
+        return reply
 
 
 class Peers:
