--- a/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
@@ -11,7 +11,7 @@
 __all__ = ['apply']
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     """Reads JSON; what is no JSON is a string."""
     try:
         return json.loads(text)
@@ -29,8 +29,8 @@
     """
     changed = dict(values)
     for text in assignments:
-        name, sign, value = text.partition('=')
-        if not sign or not name:
+        name, separator, value = text.partition('=')
+        if not separator or not name:
             raise click.UsageError(f'{text!r} is not KEY=VALUE')
-        changed[name] = _value(value)
+        changed[name] = _parse_value(value)
     return changed
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/account.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/account.py
@@ -10,13 +10,13 @@
     exchange,
     option,
     output,
-    perform,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['group']
 
-_LIMITS = ('concurrency', 'requests_per_minute', 'tokens_per_minute')
+_LIMIT_KEYS = ('concurrency', 'requests_per_minute', 'tokens_per_minute')
 
 
 @click.group(name='account')
@@ -28,22 +28,28 @@
 @option.json_output
 def list_accounts(as_json: bool) -> None:
     """List the client accounts."""
-    body = perform.run(lambda links: links.read(exchange.path('accounts')))
+    body = runner.run(lambda client: client.get(exchange.path('accounts')))
     if as_json:
         output.print_json(body)
         return
-    heads = ('NAME', 'PROFILE', 'WEIGHT', 'TOKENS', *map(str.upper, _LIMITS))
+    headers = (
+        'NAME',
+        'PROFILE',
+        'WEIGHT',
+        'TOKENS',
+        *map(str.upper, _LIMIT_KEYS),
+    )
     rows = (
         [
             name,
             account['default_profile'],
             account['weight'],
             _token_count(account['token_sha256']),
-            *(account['limits'][key] for key in _LIMITS),
+            *(account['limits'][key] for key in _LIMIT_KEYS),
         ]
         for name, account in sorted(body['value'].items())
     )
-    output.table(heads, rows)
+    output.table(headers, rows)
 
 
 def _token_count(tokens: object) -> object:
@@ -56,7 +62,7 @@
 @option.json_output
 def show(name: str, as_json: bool) -> None:
     """Show every key of one client account."""
-    perform.show('accounts', name, as_json=as_json)
+    runner.show('accounts', name, as_json=as_json)
 
 
 @group.command()
@@ -79,16 +85,16 @@
     """Show or change the limits of a client account; 0 is no bound."""
     path = exchange.path('accounts', name, 'limits')
 
-    async def work(links: routers.Routers) -> None:
-        body = await links.read(path)
+    async def read_or_change(client: router_client.RouterClient) -> None:
+        body = await client.get(path)
         if assignments:
             changed = assignment.apply(body['value'], assignments)
             revision = body['revision'] if expect is None else expect
-            wanted = edit.Edit('PUT', path, changed, revision, note)
-            await perform.carry_out(links, wanted, wait)
+            new_edit = edit.Edit('PUT', path, changed, revision, note)
+            await runner.submit_edit(client, new_edit, wait)
         elif as_json:
             output.print_json(body)
         else:
-            output.pairs(body['value'])
+            output.key_values(body['value'])
 
-    perform.run(work)
+    runner.run(read_or_change)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
@@ -7,8 +7,8 @@
 
 __all__ = ['command']
 
-_PROGRAM = 'quetzalsill'
-_VARIABLE = '_QUETZALSILL_COMPLETE'
+_PROGRAM_NAME = 'quetzalsill'
+_COMPLETION_VARIABLE = '_QUETZALSILL_COMPLETE'
 
 
 @click.command(name='completion')
@@ -20,6 +20,8 @@
     For bash, put it in a file and source that from ~/.bashrc.
     """
     cls = shell_completion.get_completion_class(shell)
-    script = cls(ctx.find_root().command, {}, _PROGRAM, _VARIABLE)
+    script = cls(
+        ctx.find_root().command, {}, _PROGRAM_NAME, _COMPLETION_VARIABLE
+    )
     # The method of bash's own class starts a shell to learn its version.
     click.echo(shell_completion.ShellComplete.source(script))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/config.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/config.py
@@ -20,15 +20,15 @@
     history,
     option,
     output,
-    perform,
     rollout,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['group']
 
 EXAMPLE = 'example.json5'
-_FILE = click.Path(exists=True, dir_okay=False)
+_FILE_TYPE = click.Path(exists=True, dir_okay=False)
 
 
 @click.group(name='config')
@@ -37,7 +37,7 @@
 
 
 @group.command()
-@click.argument('file', type=_FILE)
+@click.argument('file', type=_FILE_TYPE)
 def check(file: str) -> None:
     """Check a configuration file; needs no router."""
     document.load(file)
@@ -55,12 +55,12 @@
 @option.json_output
 def show(as_json: bool) -> None:
     """Print the configuration as a document that `apply` takes."""
-    body = perform.run(lambda links: links.read(exchange.path('config')))
+    body = runner.run(lambda client: client.get(exchange.path('config')))
     output.print_json(body)
 
 
-async def _expected(
-    links: routers.Routers, plain: dict[str, Any], expect: int | None
+async def _base_revision(
+    client: router_client.RouterClient, data: dict[str, Any], expect: int | None
 ) -> int:
     """Chooses the revision that an edit is made from.
 
@@ -69,14 +69,14 @@
     """
     if expect is not None:
         return expect
-    if plain.get('revision'):
-        return plain['revision']
-    body = await links.read(exchange.path('config'))
+    if data.get('revision'):
+        return data['revision']
+    body = await client.get(exchange.path('config'))
     return body['revision']
 
 
 @group.command()
-@click.argument('file', type=_FILE)
+@click.argument('file', type=_FILE_TYPE)
 @option.expect
 @option.note
 @option.wait
@@ -86,20 +86,20 @@
     The edit is refused if the configuration changed since the revision in
     --expect, or since the one that `config show` wrote into the file.
     """
-    plain = document.read(file)
+    data = document.read(file)
 
-    async def work(links: routers.Routers) -> None:
-        expected = await _expected(links, plain, expect)
-        wanted = edit.Edit(
-            'PUT', exchange.path('config'), plain, expected, note
+    async def read_and_apply(client: router_client.RouterClient) -> None:
+        base_revision = await _base_revision(client, data, expect)
+        new_edit = edit.Edit(
+            'PUT', exchange.path('config'), data, base_revision, note
         )
-        await perform.carry_out(links, wanted, wait)
+        await runner.submit_edit(client, new_edit, wait)
 
-    perform.run(work)
+    runner.run(read_and_apply)
 
 
 @group.command()
-@click.argument('file', type=_FILE, required=False)
+@click.argument('file', type=_FILE_TYPE, required=False)
 @click.option('--from', 'since', type=click.IntRange(min=0), metavar='REVISION')
 @click.option('--to', type=click.IntRange(min=0), metavar='REVISION')
 @option.json_output
@@ -109,7 +109,7 @@
     """Show what FILE would change, or what changed between revisions."""
     if file is None:
         path = exchange.path('diff', **{'from': since, 'to': to})
-        body = perform.run(lambda links: links.read(path))
+        body = runner.run(lambda client: client.get(path))
     elif since is not None or to is not None:
         raise click.UsageError('give FILE, or --from and --to')
     else:
@@ -123,9 +123,9 @@
 def _compare(file: str) -> dict[str, Any]:
     """Compares a file with the configuration in force."""
     wanted = document.load(file)
-    plain = perform.run(lambda links: links.read(exchange.path('config')))
+    data = runner.run(lambda client: client.get(exchange.path('config')))
     try:
-        current = schema_check.check(model.Configuration, plain, 'router')
+        current = schema_check.check(model.Configuration, data, 'router')
     except schema_error.InvalidDocumentError as exc:
         raise failure.InvalidDocumentError(
             '\n'.join(exc.lines()),
@@ -152,12 +152,12 @@
 @option.json_output
 def status(as_json: bool) -> None:
     """Show which node has which revision in force."""
-    fleet = perform.run(rollout.look)
+    fleet = runner.run(rollout.fetch_fleet)
     if as_json:
         output.print_json(
             {
                 'complete': fleet.complete,
-                'nodes': [node.plain() for node in fleet.nodes],
+                'nodes': [node.to_json() for node in fleet.nodes],
             }
         )
         return
@@ -173,7 +173,7 @@
         ]
         for node in fleet.nodes
     )
-    heads = (
+    headers = (
         'NODE',
         'KIND',
         'ZONE',
@@ -182,6 +182,6 @@
         'INCARNATION',
         'ADDRESS',
     )
-    output.table(heads, rows)
+    output.table(headers, rows)
     if not fleet.complete:
         click.echo('the store does not tell which routers are live', err=True)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/model.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/model.py
@@ -13,9 +13,9 @@
     exchange,
     option,
     output,
-    perform,
     rollout,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['group']
@@ -27,16 +27,16 @@
 
 
 async def _read(
-    links: routers.Routers,
+    client: router_client.RouterClient,
 ) -> tuple[dict[str, Any], dict[str, Any], rollout.Fleet]:
     return await asyncio.gather(
-        links.read(exchange.path('models')),
-        links.read(exchange.path('upstreams')),
-        rollout.look(links),
+        client.get(exchange.path('models')),
+        client.get(exchange.path('upstreams')),
+        rollout.fetch_fleet(client),
     )
 
 
-def _loaded(fleet: rollout.Fleet) -> Iterator[str]:
+def _loaded_models(fleet: rollout.Fleet) -> Iterator[str]:
     for node in fleet.linked():
         if node.load:
             yield from node.load['models']
@@ -46,13 +46,13 @@
 @option.json_output
 def list_models(as_json: bool) -> None:
     """List the models: upstreams that should, and do, have them loaded."""
-    body, upstreams, fleet = perform.run(_read)
+    body, upstreams, fleet = runner.run(_read)
     wanted = Counter(
         model
         for upstream in upstreams['value'].values()
         for model in upstream['models']
     )
-    loaded = Counter(_loaded(fleet))
+    loaded = Counter(_loaded_models(fleet))
     if as_json:
         counts = {
             name: {'wanted': wanted[name], 'loaded': loaded[name]}
@@ -71,5 +71,5 @@
         ]
         for name, model in sorted(body['value'].items())
     )
-    heads = ('NAME', 'PROFILE', 'ADAPTERS', 'CONTEXT', 'WANTED', 'LOADED')
-    output.table(heads, rows)
+    headers = ('NAME', 'PROFILE', 'ADAPTERS', 'CONTEXT', 'WANTED', 'LOADED')
+    output.table(headers, rows)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/profile.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/profile.py
@@ -15,8 +15,8 @@
     history,
     option,
     output,
-    perform,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['group']
@@ -40,7 +40,7 @@
 @option.json_output
 def list_profiles(as_json: bool) -> None:
     """List the profiles."""
-    body = perform.run(lambda links: links.read(exchange.path('profiles')))
+    body = runner.run(lambda client: client.get(exchange.path('profiles')))
     if as_json:
         output.print_json(body)
         return
@@ -56,7 +56,7 @@
 @option.json_output
 def show(name: str, as_json: bool) -> None:
     """Show every key of one profile."""
-    perform.show('profiles', name, as_json=as_json)
+    runner.show('profiles', name, as_json=as_json)
 
 
 @group.command(name='history')
@@ -68,18 +68,18 @@
     history.show(f'profiles.{name}', limit, as_json)
 
 
-async def _read(
-    links: routers.Routers, name: str, create: bool
+async def _read_profile(
+    client: router_client.RouterClient, name: str, create: bool
 ) -> tuple[int, dict[str, Any]]:
     """Reads the profile and its revision; a new one has no values."""
-    body = await links.read(exchange.path('profiles'))
-    known = body['value']
-    if name not in known and not create:
+    body = await client.get(exchange.path('profiles'))
+    profiles = body['value']
+    if name not in profiles and not create:
         raise failure.NotFoundError(
-            f'no profile {name!r}; there are: {", ".join(sorted(known))}',
+            f'no profile {name!r}; there are: {", ".join(sorted(profiles))}',
             'Use --create to add it.',
         )
-    return body['revision'], known.get(name, {})
+    return body['revision'], profiles.get(name, {})
 
 
 @group.command(name='edit')
@@ -99,22 +99,22 @@
 ) -> None:
     """Change a profile and see it in force everywhere."""
 
-    async def work(links: routers.Routers) -> None:
-        revision, values = await _read(links, name, create)
+    async def read_and_change(client: router_client.RouterClient) -> None:
+        revision, values = await _read_profile(client, name, create)
         if assignments:
             changed = assignment.apply(values, assignments)
         else:
-            changed = editor.change(f'profile {name}', values)
+            changed = editor.edit_values(f'profile {name}', values)
         if changed is None:
             click.echo('no change')
             return
-        wanted = edit.Edit(
+        new_edit = edit.Edit(
             'PUT',
             exchange.path('profiles', name),
             changed,
             revision if expect is None else expect,
             note,
         )
-        await perform.carry_out(links, wanted, wait)
+        await runner.submit_edit(client, new_edit, wait)
 
-    perform.run(work)
+    runner.run(read_and_change)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/request.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/request.py
@@ -6,7 +6,14 @@
 
 import click
 
-from quetzalsill_cli import exchange, failure, option, output, perform, routers
+from quetzalsill_cli import (
+    exchange,
+    failure,
+    option,
+    output,
+    router_client,
+    runner,
+)
 
 __all__ = ['group']
 
@@ -16,7 +23,9 @@
     """Requests of callers."""
 
 
-async def _ask(links: routers.Routers, method: str, request: str) -> Any:
+async def _call_routers(
+    client: router_client.RouterClient, method: str, request: str
+) -> Any:
     """Asks the routers in turn until one knows the request.
 
     A request that is not durable is known only to the router that took it.
@@ -27,31 +36,31 @@
       UnreachableError: None could serve the call.
     """
     call = exchange.Call(method, exchange.path('requests', request))
-    unsure, lines, unknown = [], [], None
-    for url in links.urls:
+    unconfirmed, errors, not_found = [], [], None
+    for url in client.urls:
         try:
-            answer = await links.ask(url, call)
+            resp = await client.send(url, call)
         except exchange.NotSentError as exc:
-            lines.append(exc.detail)
+            errors.append(exc.detail)
             continue
-        except exchange.AnswerLostError as exc:
-            unsure.append(exc.detail)
+        except exchange.ResponseLostError as exc:
+            unconfirmed.append(exc.detail)
             continue
-        if answer.status == 404:
-            unknown = failure.from_answer(answer.status, answer.body)
-        elif answer.status == 503:
-            reason = failure.from_answer(answer.status, answer.body)
-            lines.append(f'{url}: {reason.message}')
+        if resp.status == 404:
+            not_found = failure.from_response(resp.status, resp.body)
+        elif resp.status == 503:
+            reason = failure.from_response(resp.status, resp.body)
+            errors.append(f'{url}: {reason.message}')
         else:
-            return routers.accepted(answer)
-    if unsure and method != 'GET':
+            return router_client.require_success(resp)
+    if unconfirmed and method != 'GET':
         raise failure.OutcomeUnknownError(
-            '\n'.join(['the cancellation was not confirmed:', *unsure]),
+            '\n'.join(['the cancellation was not confirmed:', *unconfirmed]),
             'Cancel it again: a request is cancelled once at most.',
         )
-    if unknown is not None and not lines and not unsure:
-        raise unknown
-    raise routers.unreachable([*lines, *unsure])
+    if not_found is not None and not errors and not unconfirmed:
+        raise not_found
+    raise router_client.unreachable_error([*errors, *unconfirmed])
 
 
 @group.command()
@@ -59,16 +68,16 @@
 @option.json_output
 def show(request: str, as_json: bool) -> None:
     """Show the state of a request."""
-    body = perform.run(lambda links: _ask(links, 'GET', request))
+    body = runner.run(lambda client: _call_routers(client, 'GET', request))
     if as_json:
         output.print_json(body)
     else:
-        output.pairs(body)
+        output.key_values(body)
 
 
 @group.command()
 @click.argument('request')
 def cancel(request: str) -> None:
     """Cancel a request and stop its work on the upstream."""
-    body = perform.run(lambda links: _ask(links, 'DELETE', request))
+    body = runner.run(lambda client: _call_routers(client, 'DELETE', request))
     click.echo(f'request {request}: {body["code"] or body["state"]}')
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/status.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/status.py
@@ -10,22 +10,22 @@
     exchange,
     option,
     output,
-    perform,
     rollout,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['command']
 
 
-async def _read(links: routers.Routers) -> dict[str, Any]:
+async def _read(client: router_client.RouterClient) -> dict[str, Any]:
     """Reads one router's summary, and from all of them who is behind.
 
     What a router knows of the others' revisions lags by some seconds; each
     knows its own.
     """
-    body = await links.read(exchange.path('status'))
-    fleet = await rollout.look(links)
+    body = await client.get(exchange.path('status'))
+    fleet = await rollout.fetch_fleet(client)
     behind = fleet.behind(body['revision'])
     return body | {'behind': [node.name for node in behind]}
 
@@ -34,8 +34,8 @@
 @option.json_output
 def command(as_json: bool) -> None:
     """Show a summary: nodes, work, store, and who is behind."""
-    body = perform.run(_read)
+    body = runner.run(_read)
     if as_json:
         output.print_json(body)
     else:
-        output.pairs(body)
+        output.key_values(body)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/upstream.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/upstream.py
@@ -13,14 +13,14 @@
     failure,
     option,
     output,
-    perform,
     rollout,
-    routers,
+    router_client,
+    runner,
 )
 
 __all__ = ['group']
 
-_CONFLICT_TRIES = 5
+_MAX_CONFLICT_ATTEMPTS = 5
 
 
 @click.group(name='upstream')
@@ -29,10 +29,10 @@
 
 
 async def _read(
-    links: routers.Routers,
+    client: router_client.RouterClient,
 ) -> tuple[dict[str, Any], rollout.Fleet]:
     return await asyncio.gather(
-        links.read(exchange.path('upstreams')), rollout.look(links)
+        client.get(exchange.path('upstreams')), rollout.fetch_fleet(client)
     )
 
 
@@ -58,14 +58,14 @@
 @option.json_output
 def list_upstreams(as_json: bool) -> None:
     """List the upstreams with their state and load."""
-    body, fleet = perform.run(_read)
+    body, fleet = runner.run(_read)
     nodes = {n.name: n for n in fleet.nodes if n.kind == 'sidecar'}
     if as_json:
         output.print_json(
-            {**body, 'nodes': {n: nodes[n].plain() for n in sorted(nodes)}}
+            {**body, 'nodes': {n: nodes[n].to_json() for n in sorted(nodes)}}
         )
         return
-    heads = (
+    headers = (
         'NAME',
         'KIND',
         'ZONE',
@@ -81,11 +81,15 @@
         _row(name, upstream, nodes.get(name))
         for name, upstream in sorted(body['value'].items())
     )
-    output.table(heads, rows)
+    output.table(headers, rows)
 
 
-async def _set(
-    links: routers.Routers, name: str, action: str, note: str, wait: bool
+async def _set_draining(
+    client: router_client.RouterClient,
+    name: str,
+    action: str,
+    note: str,
+    wait: bool,
 ) -> None:
     """Drains or undrains an upstream, whatever else is edited meanwhile.
 
@@ -93,9 +97,9 @@
     that comes first is no reason to refuse it: it is made again from the
     newer revision.
     """
-    for tries_left in reversed(range(_CONFLICT_TRIES)):
-        body = await links.read(exchange.path('upstreams', name))
-        wanted = edit.Edit(
+    for attempts_left in reversed(range(_MAX_CONFLICT_ATTEMPTS)):
+        body = await client.get(exchange.path('upstreams', name))
+        new_edit = edit.Edit(
             'POST',
             exchange.path('upstreams', name, action),
             None,
@@ -103,9 +107,9 @@
             note,
         )
         try:
-            return await perform.carry_out(links, wanted, wait)
+            return await runner.submit_edit(client, new_edit, wait)
         except failure.ConflictError:
-            if not tries_left:
+            if not attempts_left:
                 raise
     return None
 
@@ -116,7 +120,7 @@
 @option.wait
 def drain(name: str, note: str, wait: bool) -> None:
     """Give an upstream no new work; what runs there runs on."""
-    perform.run(lambda links: _set(links, name, 'drain', note, wait))
+    runner.run(lambda client: _set_draining(client, name, 'drain', note, wait))
 
 
 @group.command()
@@ -125,4 +129,6 @@
 @option.wait
 def undrain(name: str, note: str, wait: bool) -> None:
     """Give an upstream new work again."""
-    perform.run(lambda links: _set(links, name, 'undrain', note, wait))
+    runner.run(
+        lambda client: _set_draining(client, name, 'undrain', note, wait)
+    )
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
@@ -14,7 +14,7 @@
 __all__ = ['load', 'read']
 
 
-def _failure(
+def _command_error(
     exc: schema_error.InvalidDocumentError,
 ) -> failure.InvalidDocumentError:
     return failure.InvalidDocumentError('\n'.join(exc.lines()))
@@ -28,14 +28,14 @@
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
-        plain = schema_load.parse_text(text, path)
+        data = schema_load.parse_text(text, path)
     except schema_error.InvalidDocumentError as exc:
-        raise _failure(exc) from exc
+        raise _command_error(exc) from exc
     except (OSError, UnicodeDecodeError) as exc:
         raise failure.InvalidDocumentError(f'{path}: {exc}') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         raise failure.InvalidDocumentError(f'{path}: not a JSON object')
-    return plain
+    return data
 
 
 def load(path: str) -> model.Configuration:
@@ -48,5 +48,5 @@
         cfg = schema_check.check(model.Configuration, read(path), path)
         reference.check_references(cfg)
     except schema_error.InvalidDocumentError as exc:
-        raise _failure(exc) from exc
+        raise _command_error(exc) from exc
     return cfg
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/edit.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/edit.py
@@ -8,17 +8,17 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Any
 
-from quetzalsill_cli import exchange, failure, routers
+from quetzalsill_cli import exchange, failure, router_client
 
 if TYPE_CHECKING:
-    from quetzalsill_cli import routers as cli_routers
+    from quetzalsill_cli import router_client as client_lib
 
 __all__ = ['Accepted', 'Edit', 'submit']
 
-_ROUNDS = 3
-_PAUSE_S = 0.5
-_UNAVAILABLE = 503
-_CREDENTIAL = frozenset({401, 403})
+_MAX_ROUNDS = 3
+_PAUSE_STEP_S = 0.5
+_UNAVAILABLE_STATUS = 503
+_CREDENTIAL_STATUSES = frozenset({401, 403})
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -37,14 +37,14 @@
     method: str
     path: str
     body: Any
-    expected: int
+    expected_revision: int
     note: str = ''
     id: str = dataclasses.field(default_factory=lambda: uuid.uuid4().hex)
 
     def call(self) -> exchange.Call:
         """Makes the call that carries the edit."""
         headers = [
-            ('If-Match', f'"{self.expected}"'),
+            ('If-Match', f'"{self.expected_revision}"'),
             ('X-Edit-Id', self.id),
         ]
         if self.note:
@@ -65,18 +65,18 @@
 
     revision: int
     edit: str
-    lost: int
-    earlier: bool
+    lost_responses: int
+    already_accepted: bool
 
 
-def _tries(urls: tuple[str, ...]) -> Iterator[tuple[str, float]]:
+def _attempts(urls: tuple[str, ...]) -> Iterator[tuple[str, float]]:
     """Yields the routers in turn, each with the pause before it."""
-    for number in range(_ROUNDS):
+    for round_number in range(_MAX_ROUNDS):
         for index, url in enumerate(urls):
-            yield url, _PAUSE_S * number if index == 0 else 0.0
+            yield url, _PAUSE_STEP_S * round_number if index == 0 else 0.0
 
 
-async def submit(links: cli_routers.Routers, edit: Edit) -> Accepted:
+async def submit(client: client_lib.RouterClient, edit: Edit) -> Accepted:
     """Sends an edit until a router tells its outcome.
 
     A repetition carries the same id and the same expected revision, so that
@@ -90,48 +90,50 @@
       OutcomeUnknownError: It was sent, and no router tells its outcome.
     """
     lost: list[str] = []
-    refused: list[str] = []
-    for url, pause_s in _tries(links.urls):
+    unavailable: list[str] = []
+    for url, pause_s in _attempts(client.urls):
         await asyncio.sleep(pause_s)
         try:
-            answer = await links.ask(url, edit.call())
+            resp = await client.send(url, edit.call())
         except exchange.NotSentError as exc:
-            refused.append(exc.detail)
+            unavailable.append(exc.detail)
             continue
-        except exchange.AnswerLostError as exc:
+        except exchange.ResponseLostError as exc:
             lost.append(exc.detail)
             continue
-        if answer.status == _UNAVAILABLE:
-            refused.append(_line(answer))
-        elif _undecided(answer, bool(lost)):
-            lost.append(_line(answer))
+        if resp.status == _UNAVAILABLE_STATUS:
+            unavailable.append(_describe(resp))
+        elif _is_outcome_unknown(resp, bool(lost)):
+            lost.append(_describe(resp))
         else:
-            body = routers.accepted(answer)
+            body = router_client.require_success(resp)
             return Accepted(
                 body['revision'], body['edit'], len(lost), body['earlier']
             )
     if lost:
-        raise _unknown(edit, lost)
-    raise routers.unreachable(list(dict.fromkeys(refused)))
+        raise _outcome_unknown_error(edit, lost)
+    raise router_client.unreachable_error(list(dict.fromkeys(unavailable)))
 
 
-def _undecided(answer: exchange.Answer, repeated: bool) -> bool:
+def _is_outcome_unknown(resp: exchange.Response, is_retry: bool) -> bool:
     """Tells whether the edit may have been accepted despite the answer.
 
     An edit may take away the credential that it was made with. If its answer
     is lost, the repetition is refused although the edit is in force.
     """
-    if answer.status in _CREDENTIAL:
-        return repeated
-    return answer.status >= 500
+    if resp.status in _CREDENTIAL_STATUSES:
+        return is_retry
+    return resp.status >= 500
 
 
-def _line(answer: exchange.Answer) -> str:
-    reason = failure.from_answer(answer.status, answer.body)
-    return f'{answer.router}: {reason.message}'
+def _describe(resp: exchange.Response) -> str:
+    reason = failure.from_response(resp.status, resp.body)
+    return f'{resp.router}: {reason.message}'
 
 
-def _unknown(edit: Edit, lost: list[str]) -> failure.OutcomeUnknownError:
+def _outcome_unknown_error(
+    edit: Edit, lost: list[str]
+) -> failure.OutcomeUnknownError:
     return failure.OutcomeUnknownError(
         '\n'.join(
             [
@@ -140,6 +142,6 @@
             ]
         ),
         f'Look for {edit.id} in `quetzalsill config history` when the store '
-        f'answers again: revision {edit.expected + 1} is the only one that '
-        'it can have made.',
+        f'answers again: revision {edit.expected_revision + 1} is the only '
+        'one that it can have made.',
     )
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/editor.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/editor.py
@@ -11,10 +11,10 @@
 from quetzalsill.schema import load
 from quetzalsill_cli import failure
 
-__all__ = ['change']
+__all__ = ['edit_values']
 
 
-def change(title: str, values: dict[str, Any]) -> dict[str, Any] | None:
+def edit_values(title: str, values: dict[str, Any]) -> dict[str, Any] | None:
     """Opens $EDITOR on the values.
 
     Returns:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
@@ -17,13 +17,13 @@
     from quetzalsill.net import client
 
 __all__ = [
-    'Answer',
-    'AnswerLostError',
     'Call',
     'ExchangeError',
     'NotSentError',
+    'Response',
+    'ResponseLostError',
     'path',
-    'perform',
+    'send',
 ]
 
 _PREFIX = '/admin/v1'
@@ -42,7 +42,7 @@
     code = 'not_sent'
 
 
-class AnswerLostError(ExchangeError):
+class ResponseLostError(ExchangeError):
     """The call was sent, or in part, and no whole answer came."""
 
     code = 'answer_lost'
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Answer:
+class Response:
     """What a router answered.
 
     Attributes:
@@ -83,8 +83,10 @@
 def path(*parts: str, **query: Any) -> str:
     """Joins quoted parts to a path; query values of None are left out."""
     joined = ''.join(f'/{url_parse.quote(part, safe="")}' for part in parts)
-    given = {name: value for name, value in query.items() if value is not None}
-    return f'{joined}?{url_parse.urlencode(given)}' if given else joined
+    present = {
+        name: value for name, value in query.items() if value is not None
+    }
+    return f'{joined}?{url_parse.urlencode(present)}' if present else joined
 
 
 def _request(router: str, token: str, call: Call) -> blacksheep.Request:
@@ -100,20 +102,20 @@
     return req.with_content(blacksheep.Content(_JSON, data))
 
 
-def _decode(data: bytes | None) -> Any:
+def _parse_json(data: bytes | None) -> Any:
     try:
         return json.loads(data or b'')
     except ValueError:
         return None
 
 
-async def perform(
+async def send(
     session: client.Session,
     router: str,
     token: str,
     call: Call,
     timeout_s: float,
-) -> Answer:
+) -> Response:
     """Sends a call to a router and reads the whole answer.
 
     Raises:
@@ -127,9 +129,9 @@
     except (net_error.ConnectFailedError, net_error.RequestInvalidError) as exc:
         raise NotSentError(f'{router}: {exc.detail}') from exc
     except net_error.NetError as exc:
-        raise AnswerLostError(f'{router}: {exc.detail}') from exc
+        raise ResponseLostError(f'{router}: {exc.detail}') from exc
     except TimeoutError as exc:
-        raise AnswerLostError(
+        raise ResponseLostError(
             f'{router}: no whole answer within {timeout_s:g} s'
         ) from exc
-    return Answer(router, resp.status, _decode(data))
+    return Response(router, resp.status, _parse_json(data))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/failure.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/failure.py
@@ -15,11 +15,11 @@
     'ExitCode',
     'InvalidDocumentError',
     'NotFoundError',
-    'NotInForceError',
     'OutcomeUnknownError',
     'RefusedError',
+    'RolloutIncompleteError',
     'UnreachableError',
-    'from_answer',
+    'from_response',
 ]
 
 
@@ -34,7 +34,7 @@
     UNREACHABLE = 5
     REFUSED = 6
     UNKNOWN = 7
-    NOT_IN_FORCE = 8
+    ROLLOUT_INCOMPLETE = 8
 
 
 class CommandError(click.ClickException):
@@ -95,10 +95,10 @@
     exit_code = ExitCode.UNKNOWN
 
 
-class NotInForceError(CommandError):
+class RolloutIncompleteError(CommandError):
     """The edit is accepted, but some live node does not show it yet."""
 
-    exit_code = ExitCode.NOT_IN_FORCE
+    exit_code = ExitCode.ROLLOUT_INCOMPLETE
 
 
 _BY_STATUS: dict[int, type[CommandError]] = {
@@ -123,7 +123,7 @@
         )
 
 
-def from_answer(status: int, body: Any) -> CommandError:
+def from_response(status: int, body: Any) -> CommandError:
     """Makes the failure that a router's answer tells of."""
     cls = _BY_STATUS.get(status, CommandError)
     error = body.get('error') if isinstance(body, dict) else None
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/history.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/history.py
@@ -7,7 +7,7 @@
 
 import click
 
-from quetzalsill_cli import exchange, output, perform
+from quetzalsill_cli import exchange, output, runner
 
 __all__ = ['limit', 'show', 'show_changes']
 
@@ -22,8 +22,8 @@
 
 def show(path: str | None, count: int, as_json: bool) -> None:
     """Prints the newest revisions; with a path, those that changed it."""
-    body = perform.run(
-        lambda links: links.read(
+    body = runner.run(
+        lambda client: client.get(
             exchange.path('history', limit=count, path=path)
         )
     )
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/ledger.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/ledger.py
@@ -13,13 +13,13 @@
 import enum
 from collections.abc import Iterable, Iterator
 
-from quetzalsill_cli import story
+from quetzalsill_cli import request_log
 
-__all__ = ['Entry', 'Ledger', 'Verdict', 'build', 'table']
+__all__ = ['Entry', 'Ledger', 'Verdict', 'build', 'format_table']
 
 # Held at admission for this share of the time to its first event, a generation
 # was late for want of memory; below, for its prompt or its engine.
-HELD_SHARE = 0.5
+MIN_MEMORY_WAIT_SHARE = 0.5
 
 
 class Verdict(enum.Enum):
@@ -62,17 +62,19 @@
     """
 
     entries: list[Entry]
-    unread: int
+    unreadable_lines: int
 
 
 def build(texts: Iterable[str]) -> Ledger:
     """Returns the account of the lines of any number of gateways."""
-    unread = 0
-    by_request: dict[str, list[story.Line]] = collections.defaultdict(list)
+    unreadable_lines = 0
+    by_request: dict[str, list[request_log.LogLine]] = collections.defaultdict(
+        list
+    )
     for text in texts:
-        line = story.parse(text)
+        line = request_log.parse(text)
         if line is None:
-            unread += 'event=' in text
+            unreadable_lines += 'event=' in text
             continue
         request = line.fields.get('request')
         if request:
@@ -83,80 +85,85 @@
             entries.append(_entry(request, lines))
         except ValueError:
             # Of another version, or cut off in the middle of a figure.
-            unread += len(lines)
-    return Ledger(entries, unread)
+            unreadable_lines += len(lines)
+    return Ledger(entries, unreadable_lines)
 
 
-def _entry(request: str, lines: list[story.Line]) -> Entry:
+def _entry(request: str, lines: list[request_log.LogLine]) -> Entry:
     last = lines[-1]
     refused = [line for line in lines if line.event == 'request_refused']
     ends = [line for line in lines if line.event == 'request_ended']
     if refused:
-        verdict, cause = _refusal(refused[-1])
+        verdict, cause = _classify_refusal(refused[-1])
         return Entry(request, '', verdict, cause, last.at, 0)
     if not ends:
-        route = _first(lines, 'route')
-        tokens = int(_first(lines, 'needs_tokens') or 0)
+        route = _first_value(lines, 'route')
+        tokens = int(_first_value(lines, 'needs_tokens') or 0)
         lost = Verdict.LOST
         return Entry(request, route, lost, 'its gateway died', last.at, tokens)
     end = ends[-1]
     if 'tokens' not in end.fields:
         # The last field: a line without it was cut off, and would be misjudged.
         raise ValueError('the end of the line is missing')
-    verdict, cause = _judge(end, lines)
+    verdict, cause = _classify(end, lines)
     route = end.fields.get('route', '')
     tokens = int(end.fields.get('tokens') or 0)
     return Entry(request, route, verdict, cause, end.at, tokens)
 
 
-def _refusal(line: story.Line) -> tuple[Verdict, str]:
+def _classify_refusal(line: request_log.LogLine) -> tuple[Verdict, str]:
     reason = line.fields.get('reason', '')
     if reason == 'no_configuration':
         return Verdict.LOST, 'its gateway had no configuration'
     return Verdict.NOT_OWED, reason
 
 
-def _judge(end: story.Line, lines: list[story.Line]) -> tuple[Verdict, str]:
+def _classify(
+    end: request_log.LogLine, lines: list[request_log.LogLine]
+) -> tuple[Verdict, str]:
     outcome = end.fields.get('outcome', '')
     if outcome == 'served':
-        return _served(end)
+        return _classify_served(end)
     if outcome in ('cut', 'failed'):
-        return Verdict.LOST, _broken(lines)
-    return Verdict.LOST, _OUTCOMES.get(outcome, outcome)
+        return Verdict.LOST, _interruption_cause(lines)
+    return Verdict.LOST, _OUTCOME_CAUSES.get(outcome, outcome)
 
 
-def _served(end: story.Line) -> tuple[Verdict, str]:
-    objective_ms = _number(end, 'objective_ms')
-    first_ms = _number(end, 'first_ms')
-    if first_ms is None:
-        took_ms = _number(end, 'took_ms') or 0.0
+def _classify_served(end: request_log.LogLine) -> tuple[Verdict, str]:
+    objective_ms = _float_field(end, 'objective_ms')
+    first_event_ms = _float_field(end, 'first_ms')
+    if first_event_ms is None:
+        took_ms = _float_field(end, 'took_ms') or 0.0
         if objective_ms and took_ms > objective_ms:
             return Verdict.LATE, 'answer: its upstream took long'
         return Verdict.IN_TIME, ''
-    if objective_ms and first_ms > objective_ms:
-        held_ms = _number(end, 'held_ms') or 0.0
-        if held_ms >= HELD_SHARE * first_ms:
+    if objective_ms and first_event_ms > objective_ms:
+        held_ms = _float_field(end, 'held_ms') or 0.0
+        if held_ms >= MIN_MEMORY_WAIT_SHARE * first_event_ms:
             return Verdict.LATE, 'first event: waited for memory'
         return Verdict.LATE, 'first event: waited at its engine'
-    most_ms = _number(end, 'most_gap_ms')
-    gap_ms = _number(end, 'widest_gap_ms') or 0.0
-    if most_ms and gap_ms > most_ms:
+    max_gap_ms = _float_field(end, 'most_gap_ms')
+    gap_ms = _float_field(end, 'widest_gap_ms') or 0.0
+    if max_gap_ms and gap_ms > max_gap_ms:
         cause = end.fields.get('gap_cause') or 'its engine was busy'
         return Verdict.LATE, f'pause: {cause}'
     return Verdict.IN_TIME, ''
 
 
-def _broken(lines: list[story.Line]) -> str:
-    legs = [line for line in lines if line.event == 'leg_ended']
-    newest = legs[-1].fields if legs else {}
-    if newest.get('leaving', '').lower() == 'true':
+def _interruption_cause(lines: list[request_log.LogLine]) -> str:
+    segments = [line for line in lines if line.event == 'leg_ended']
+    last_segment = segments[-1].fields if segments else {}
+    if last_segment.get('leaving', '').lower() == 'true':
         return 'its engine left'
-    if newest.get('result', '') in ('upstream_silent', 'upstream_unreachable'):
+    if last_segment.get('result', '') in (
+        'upstream_silent',
+        'upstream_unreachable',
+    ):
         return 'its engine fell silent'
     return 'its upstream broke off'
 
 
-_OUTCOMES = {
+_OUTCOME_CAUSES = {
     'refused': 'told to come back',
     'not_sent': 'no upstream took it in time',
     'upstream_failed': "its upstream's own failure",
@@ -167,30 +174,30 @@
 }
 
 
-def _first(lines: list[story.Line], field: str) -> str:
+def _first_value(lines: list[request_log.LogLine], field: str) -> str:
     return next(
         (line.fields[field] for line in lines if line.fields.get(field)), ''
     )
 
 
-def _number(line: story.Line, field: str) -> float | None:
+def _float_field(line: request_log.LogLine, field: str) -> float | None:
     text = line.fields.get(field, '')
     return None if text in ('', 'None') else float(text)
 
 
-def table(ledger: Ledger) -> Iterator[str]:
+def format_table(ledger: Ledger) -> Iterator[str]:
     """Yields the lines of the account: per route, per cause."""
     by_route: dict[str, list[Entry]] = collections.defaultdict(list)
     for entry in ledger.entries:
         if entry.verdict is not Verdict.NOT_OWED:
             by_route[entry.route or '(not known)'].append(entry)
     for route, entries in sorted(by_route.items()):
-        yield from _of_route(route, entries)
-    if ledger.unread:
-        yield f'{ledger.unread} lines could not be read'
+        yield from _format_route(route, entries)
+    if ledger.unreadable_lines:
+        yield f'{ledger.unreadable_lines} lines could not be read'
 
 
-def _of_route(route: str, entries: list[Entry]) -> Iterator[str]:
+def _format_route(route: str, entries: list[Entry]) -> Iterator[str]:
     verdicts = collections.Counter(entry.verdict for entry in entries)
     yield (
         f'{route}: owed {len(entries)}, '
@@ -206,14 +213,15 @@
         causes.items(), key=lambda item: -len(item[1])
     ):
         share = sum(entry.tokens for entry in found) / max(1, tokens)
-        moments = _moments(found)
+        busiest_seconds = _busiest_seconds(found)
         yield (
             f'  {len(found):5}  {100 * len(found) / len(entries):5.1f} in 100'
-            f'  {100 * share:5.1f} of tokens  {verdict}, {cause}  {moments}'
+            f'  {100 * share:5.1f} of tokens  {verdict}, {cause}'
+            f'  {busiest_seconds}'
         )
 
 
-def _moments(entries: list[Entry], most: int = 3) -> str:
+def _busiest_seconds(entries: list[Entry], limit: int = 3) -> str:
     """Names the seconds in which most of them ended."""
     counts = collections.Counter(f'{entry.at:%H:%M:%S}' for entry in entries)
-    return ' '.join(f'{at}x{n}' for at, n in counts.most_common(most))
+    return ' '.join(f'{at}x{n}' for at, n in counts.most_common(limit))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/option.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/option.py
@@ -19,15 +19,15 @@
     'assignments',
     'expect',
     'json_output',
-    'make',
+    'build_options',
     'note',
-    'root',
+    'root_options',
     'wait',
 ]
 
 DEFAULT_ROUTER = 'http://127.0.0.1:7100'
 TOKEN_VARIABLE = 'QUETZALSILL_TOKEN'
-_TOKEN = re.compile(r'[\x21-\x7e]{1,512}')
+_TOKEN_PATTERN = re.compile(r'[\x21-\x7e]{1,512}')
 _DEFAULT_TIMEOUT_S = 5.0
 
 F = TypeVar('F', bound=Callable[..., Any])
@@ -66,7 +66,7 @@
     return text.strip()
 
 
-def _is_router(url: str) -> bool:
+def _is_router_url(url: str) -> bool:
     if not re.fullmatch(r'https?://[!-~]+', url):
         return False
     try:
@@ -79,14 +79,14 @@
     ctx: click.Context, param: click.Parameter, value: tuple[str, ...]
 ) -> tuple[str, ...]:
     for url in value:
-        if not _is_router(url):
+        if not _is_router_url(url):
             raise click.BadParameter(
                 f'{url!r} is not a URL such as {DEFAULT_ROUTER}', ctx, param
             )
     return tuple(url.rstrip('/') for url in value)
 
 
-def make(
+def build_options(
     routers: tuple[str, ...],
     file_token: str,
     timeout_s: float,
@@ -96,7 +96,7 @@
 ) -> Options:
     """Checks and joins the options of the root command."""
     token = file_token or os.environ.get(TOKEN_VARIABLE, '').strip()
-    if token and not _TOKEN.fullmatch(token):
+    if token and not _TOKEN_PATTERN.fullmatch(token):
         raise click.UsageError('the token holds characters that none may have')
     if bool(certificate) != bool(key):
         raise click.UsageError('--certificate and --key go together')
@@ -105,7 +105,7 @@
     )
 
 
-def root(command: F) -> F:
+def root_options(command: F) -> F:
     """Adds the shared options to the root command."""
     decorators = (
         click.option(
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
@@ -8,9 +8,9 @@
 
 import click
 
-__all__ = ['cell', 'pairs', 'print_json', 'table']
+__all__ = ['cell', 'key_values', 'print_json', 'table']
 
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 
 def cell(value: Any) -> str:
@@ -33,17 +33,17 @@
     click.echo(json.dumps(value, indent=2, sort_keys=True))
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
+def table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
     """Prints rows below their heads in columns as wide as needed."""
-    lines = [list(heads), *([cell(value) for value in row] for row in rows)]
+    lines = [list(headers), *([cell(value) for value in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         padded = (
             text.ljust(width) for text, width in zip(line, widths, strict=True)
         )
-        click.echo(_GAP.join(padded).rstrip())
+        click.echo(_COLUMN_GAP.join(padded).rstrip())
 
 
-def pairs(values: dict[str, Any]) -> None:
+def key_values(values: dict[str, Any]) -> None:
     """Prints the keys and values of one object, a line each."""
     table(('KEY', 'VALUE'), values.items())
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/plot.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/plot.py
@@ -8,11 +8,11 @@
 
 __all__ = ['draw']
 
-BINS = 60
-INCHES = (10, 5)
+HISTOGRAM_BINS = 60
+FIGURE_SIZE_INCHES = (10, 5)
 
 
-def draw(found: ledger.Ledger, path: str) -> None:
+def draw(result: ledger.Ledger, path: str) -> None:
     """Writes the picture; its form follows from the suffix of the file.
 
     Raises:
@@ -26,27 +26,29 @@
             '--plot needs matplotlib, which is not installed',
             'Install it by `pip install matplotlib`, or leave out --plot.',
         ) from exc
-    by_cause: dict[str, list[float]] = collections.defaultdict(list)
-    first = min(entry.at for entry in found.entries)
-    for entry in found.entries:
+    times_by_cause: dict[str, list[float]] = collections.defaultdict(list)
+    first = min(entry.at for entry in result.entries)
+    for entry in result.entries:
         if entry.cause and entry.verdict is not ledger.Verdict.NOT_OWED:
             name = f'{entry.verdict.value}, {entry.cause}'
-            by_cause[name].append((entry.at - first).total_seconds())
-    picture = figure_lib.Figure(figsize=INCHES, layout='constrained')
-    axes = picture.subplots()
-    if by_cause:
-        names = sorted(by_cause, key=lambda name: -len(by_cause[name]))
+            times_by_cause[name].append((entry.at - first).total_seconds())
+    figure = figure_lib.Figure(figsize=FIGURE_SIZE_INCHES, layout='constrained')
+    axes = figure.subplots()
+    if times_by_cause:
+        causes = sorted(
+            times_by_cause, key=lambda name: -len(times_by_cause[name])
+        )
         axes.hist(
-            [by_cause[name] for name in names],
-            bins=BINS,
+            [times_by_cause[name] for name in causes],
+            bins=HISTOGRAM_BINS,
             stacked=True,
-            label=names,
+            label=causes,
         )
         axes.legend(fontsize='small')
     axes.set_xlabel('seconds since the first request')
     axes.set_ylabel('requests')
     try:
-        picture.savefig(path)
+        figure.savefig(path)
     except (OSError, ValueError) as exc:
         raise failure.BadArgumentError(
             f'--plot {path}: {exc}',
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/story.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/request_log.py
@@ -8,17 +8,17 @@
 import shlex
 from collections.abc import Iterable, Iterator
 
-__all__ = ['Line', 'cause', 'parse', 'read', 'select']
+__all__ = ['LogLine', 'explain_outcome', 'parse', 'read', 'select']
 
-FIELD = re.compile(r'(\w+)(?:=("(?:[^"\\]|\\.)*"|\S*))?')
-HEAD = ('timestamp', 'level', 'event', 'node', 'role', 'module')
+FIELD_PATTERN = re.compile(r'(\w+)(?:=("(?:[^"\\]|\\.)*"|\S*))?')
+HEADER_FIELDS = ('timestamp', 'level', 'event', 'node', 'role', 'module')
 # Events that say what an upstream did, by the field that names it.
-OF_UPSTREAM = ('upstream_leaving', 'upstream_removed', 'migration_started')
-STORE = ('store_lost', 'store_regained')
+UPSTREAM_EVENTS = ('upstream_leaving', 'upstream_removed', 'migration_started')
+STORE_EVENTS = ('store_lost', 'store_regained')
 
 
 @dataclasses.dataclass(slots=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -40,7 +40,7 @@
         return f'{self.event} {fields}'
 
 
-def parse(text: str) -> Line | None:
+def parse(text: str) -> LogLine | None:
     """Returns the line that a text holds, None if it holds none.
 
     What stands before the timestamp, as a collector of logs may write, is
@@ -50,22 +50,23 @@
     if start < 0:
         return None
     fields = {
-        name: _unquoted(value) for name, value in FIELD.findall(text[start:])
+        name: _unquote(value)
+        for name, value in FIELD_PATTERN.findall(text[start:])
     }
     try:
         at = datetime.datetime.fromisoformat(fields['timestamp'])
     except ValueError:
         return None
-    own = {k: v for k, v in fields.items() if k not in HEAD}
-    return Line(at, fields.get('node', ''), fields.get('event', ''), own)
+    own = {k: v for k, v in fields.items() if k not in HEADER_FIELDS}
+    return LogLine(at, fields.get('node', ''), fields.get('event', ''), own)
 
 
-def read(texts: Iterable[str]) -> list[Line]:
+def read(texts: Iterable[str]) -> list[LogLine]:
     """Returns the lines that texts hold; what is none is left out."""
     return [line for text in texts if (line := parse(text)) is not None]
 
 
-def select(parsed: list[Line], request: str) -> list[Line]:
+def select(parsed: list[LogLine], request: str) -> list[LogLine]:
     """Returns what concerns a request, in the order of the processes' clocks.
 
     Besides its own lines these are, from its gateway and while it lasted, what
@@ -81,24 +82,24 @@
         for name in ('upstream', 'source', 'target')
         if line.fields.get(name)
     }
-    first, last = _span(own)
-    around = [
+    first, last = _time_span(own)
+    related = [
         line
         for line in parsed
         if line.node in nodes
         and first <= line.at <= last
         and 'request' not in line.fields
-        and _concerns(line, upstreams)
+        and _is_relevant(line, upstreams)
     ]
-    found = [*own, *around]
+    found = [*own, *related]
     if not any(line.event == 'request_ended' for line in own):
-        found += _next_starts(parsed, nodes, last)
+        found += _next_process_starts(parsed, nodes, last)
     return sorted(found, key=lambda line: line.at)
 
 
-def _next_starts(
-    parsed: list[Line], nodes: set[str], since: datetime.datetime
-) -> Iterator[Line]:
+def _next_process_starts(
+    parsed: list[LogLine], nodes: set[str], since: datetime.datetime
+) -> Iterator[LogLine]:
     """Yields when the gateways of a request without an end started anew."""
     for node in nodes:
         starts = [
@@ -111,12 +112,12 @@
         yield from sorted(starts, key=lambda line: line.at)[:1]
 
 
-def cause(lines: list[Line]) -> str:
+def explain_outcome(lines: list[LogLine]) -> str:
     """Returns in a sentence why a request ended as it did."""
     ends = [line for line in lines if line.event == 'request_ended']
     refusals = [line for line in lines if line.event == 'request_refused']
     if refusals:
-        return _REFUSALS.get(
+        return _REFUSAL_SENTENCES.get(
             refusals[-1].fields.get('reason', ''),
             'It was refused; the reason is in its line.',
         )
@@ -135,10 +136,10 @@
     results = [
         line for line in lines if line.event in ('attempt_ended', 'leg_ended')
     ]
-    newest = results[-1].fields if results else {}
-    away = any(line.event == 'store_lost' for line in lines)
+    last_attempt = results[-1].fields if results else {}
+    was_store_lost = any(line.event == 'store_lost' for line in lines)
     if outcome == 'served':
-        return _served(ends[-1])
+        return _explain_served(ends[-1])
     held = [line for line in lines if line.event == 'request_held']
     if outcome == 'refused' and held and _is_false(held[-1], 'admitted'):
         return (
@@ -146,43 +147,49 @@
             f'{held[-1].fields["waited_ms"]} ms and told to come back.'
         )
     if outcome in ('cut', 'failed'):
-        return _broken(newest, lines, away)
-    return _OUTCOMES.get(outcome, f'It ended as {outcome}.')
+        return _explain_interrupted(last_attempt, lines, was_store_lost)
+    return _OUTCOME_SENTENCES.get(outcome, f'It ended as {outcome}.')
 
 
-def _is_false(line: Line, field: str) -> bool:
+def _is_false(line: LogLine, field: str) -> bool:
     return line.fields.get(field, '').lower() == 'false'
 
 
-def _served(end: Line) -> str:
+def _explain_served(end: LogLine) -> str:
     gap = end.fields.get('widest_gap_ms')
     if gap and gap != 'None' and float(gap) > 180:
         return f'It was served, with a pause of {gap} ms between two events.'
     return 'It was served.'
 
 
-def _broken(newest: dict[str, str], lines: list[Line], away: bool) -> str:
-    upstream = newest.get('upstream', 'its upstream')
-    result = newest.get('result', 'an unknown result')
+def _explain_interrupted(
+    last_attempt: dict[str, str], lines: list[LogLine], was_store_lost: bool
+) -> str:
+    upstream = last_attempt.get('upstream', 'its upstream')
+    result = last_attempt.get('result', 'an unknown result')
     moved = [line for line in lines if line.event == 'run_ordered']
-    if newest.get('leaving') in ('true', 'True', ''):
-        tried = (
+    if last_attempt.get('leaving') in ('true', 'True', ''):
+        migration = (
             'and its memory could not be moved in time'
             if moved
             else 'before its memory was moved'
         )
-        text = f'{upstream} left and took the work along, {tried} ({result}).'
+        text = (
+            f'{upstream} left and took the work along, {migration} ({result}).'
+        )
     else:
         text = (
             f'{upstream} broke off without a notice that reached this gateway '
             f'({result}); work that must not run twice is not sent again.'
         )
-    if away:
+    if was_store_lost:
         text += ' The store was away meanwhile, so that notices came late.'
     return text
 
 
-def _span(own: list[Line]) -> tuple[datetime.datetime, datetime.datetime]:
+def _time_span(
+    own: list[LogLine],
+) -> tuple[datetime.datetime, datetime.datetime]:
     first = min(line.at for line in own)
     last = max(line.at for line in own)
     for line in own:
@@ -192,16 +199,16 @@
     return first, last
 
 
-def _concerns(line: Line, upstreams: set[str]) -> bool:
-    if line.event in OF_UPSTREAM:
+def _is_relevant(line: LogLine, upstreams: set[str]) -> bool:
+    if line.event in UPSTREAM_EVENTS:
         return line.fields.get('upstream') in upstreams
-    return line.event in STORE or line.event in (
+    return line.event in STORE_EVENTS or line.event in (
         'configuration_installed',
         'stopping',
     )
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
@@ -210,7 +217,7 @@
         return value
 
 
-_REFUSALS = {
+_REFUSAL_SENTENCES = {
     'no_configuration': (
         'Its gateway had no configuration yet: it had just started and the '
         'store did not answer. Nothing ran.'
@@ -219,7 +226,7 @@
     'unknown_key': 'The configuration in force knows no such key.',
     'no_id': 'The request carried no id of its own.',
 }
-_OUTCOMES = {
+_OUTCOME_SENTENCES = {
     'refused': (
         'No upstream took it: those that were asked said that it has not run, '
         'or could not be reached. It was told to come back.'
@@ -243,7 +250,7 @@
 }
 
 
-def nodes_apart(lines: list[Line]) -> Iterator[str]:
+def node_names(lines: list[LogLine]) -> Iterator[str]:
     """Yields the names of the processes whose lines are mixed by clock."""
     seen: set[str] = set()
     for line in lines:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
@@ -11,12 +11,12 @@
 from quetzalsill_cli import exchange
 
 if TYPE_CHECKING:
-    from quetzalsill_cli import routers as cli_routers
+    from quetzalsill_cli import router_client
 
-__all__ = ['BOUND_S', 'Fleet', 'Node', 'look', 'wait']
+__all__ = ['WAIT_TIMEOUT_S', 'Fleet', 'Node', 'fetch_fleet', 'wait']
 
-BOUND_S = 14.0
-_POLL_S = 0.25
+WAIT_TIMEOUT_S = 14.0
+_POLL_INTERVAL_S = 0.25
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -43,15 +43,15 @@
     revision: int
     load: Any
 
-    def plain(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Gives the node as JSON data."""
         return dataclasses.asdict(self)
 
-    def place(self) -> tuple[str, str]:
+    def key(self) -> tuple[str, str]:
         """Gives what tells the node from all others."""
         return self.kind, self.name
 
-    def age(self) -> tuple[bool, int, int]:
+    def freshness(self) -> tuple[bool, int, int]:
         """Orders views of the same node, the newest last."""
         return self.state != 'unlinked', self.incarnation, self.revision
 
@@ -81,40 +81,40 @@
         return [node for node in self.linked() if node.revision < revision]
 
 
-def _views(body: Any) -> Iterator[Node]:
+def _parse_nodes(body: Any) -> Iterator[Node]:
     """Yields the nodes of one answer; a router knows itself best."""
-    for plain in body['nodes']:
-        node = Node(**plain)
-        if node.place() == ('router', body['node']):
+    for data in body['nodes']:
+        node = Node(**data)
+        if node.key() == ('router', body['node']):
             node = dataclasses.replace(node, revision=body['revision'])
         yield node
 
 
-def _merge(views: Iterable[Node]) -> list[Node]:
+def _merge(nodes: Iterable[Node]) -> list[Node]:
     newest: dict[tuple[str, str], Node] = {}
-    for node in views:
-        known = newest.get(node.place())
-        if known is None or known.age() < node.age():
-            newest[node.place()] = node
-    return [newest[place] for place in sorted(newest)]
+    for node in nodes:
+        known = newest.get(node.key())
+        if known is None or known.freshness() < node.freshness():
+            newest[node.key()] = node
+    return [newest[key] for key in sorted(newest)]
 
 
-async def look(links: cli_routers.Routers) -> Fleet:
+async def fetch_fleet(client: router_client.RouterClient) -> Fleet:
     """Asks every router named and merges what they see.
 
     Raises:
       CommandError: None of them gave an answer.
     """
-    answers = await links.read_each(exchange.path('nodes'))
-    good = [answer.body for answer in answers if answer.status == 200]
-    if not good:
-        good = [await links.read(exchange.path('nodes'))]
-    nodes = _merge(node for body in good for node in _views(body))
-    return Fleet(nodes, any(body['complete'] for body in good))
+    responses = await client.get_from_all(exchange.path('nodes'))
+    bodies = [resp.body for resp in responses if resp.status == 200]
+    if not bodies:
+        bodies = [await client.get(exchange.path('nodes'))]
+    nodes = _merge(node for body in bodies for node in _parse_nodes(body))
+    return Fleet(nodes, any(body['complete'] for body in bodies))
 
 
 async def wait(
-    links: cli_routers.Routers, revision: int, bound_s: float
+    client: router_client.RouterClient, revision: int, timeout_s: float
 ) -> tuple[Fleet, list[Node]]:
     """Looks until every linked node shows a revision, or the bound is up.
 
@@ -125,17 +125,17 @@
     Returns:
       The fleet at the last look, and the nodes that do not show it.
     """
-    deadline = time.monotonic() + bound_s
-    seen: set[tuple[str, str]] = set()
+    deadline = time.monotonic() + timeout_s
+    known_linked: set[tuple[str, str]] = set()
     while True:
-        fleet = await look(links)
-        seen.update(node.place() for node in fleet.linked())
+        fleet = await fetch_fleet(client)
+        known_linked.update(node.key() for node in fleet.linked())
         behind = [
             node
             for node in fleet.nodes
-            if node.place() in seen and node.revision < revision
+            if node.key() in known_linked and node.revision < revision
         ]
         done = fleet.complete and not behind
-        if done or time.monotonic() + _POLL_S > deadline:
+        if done or time.monotonic() + _POLL_INTERVAL_S > deadline:
             return fleet, behind
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/routers.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/router_client.py
@@ -14,14 +14,16 @@
 if TYPE_CHECKING:
     from quetzalsill_cli import option
 
-__all__ = ['Routers', 'connect']
+__all__ = ['RouterClient', 'connect']
 
-_NO_TOKEN = 'no operator token: give --token-file or set QUETZALSILL_TOKEN'
+_NO_TOKEN_MESSAGE = (
+    'no operator token: give --token-file or set QUETZALSILL_TOKEN'
+)
 # Statuses by which a router says that it cannot serve, while another might.
-_TRY_NEXT = frozenset({502, 503})
+_TRY_NEXT_STATUSES = frozenset({502, 503})
 
 
-class Routers:
+class RouterClient:
     """Asks routers in the order of the options.
 
     Attributes:
@@ -37,7 +39,7 @@
         self._options = options
         self._sessions = sessions
 
-    async def ask(self, url: str, call: exchange.Call) -> exchange.Answer:
+    async def send(self, url: str, call: exchange.Call) -> exchange.Response:
         """Asks one router.
 
         Raises:
@@ -45,11 +47,11 @@
           AnswerLostError: It did not answer.
         """
         options = self._options
-        return await exchange.perform(
+        return await exchange.send(
             self._sessions[url], url, options.token, call, options.timeout_s
         )
 
-    async def read(self, path: str) -> Any:
+    async def get(self, path: str) -> Any:
         """Reads from the first router that can serve the call.
 
         Raises:
@@ -59,44 +61,44 @@
         lines = []
         for url in self.urls:
             try:
-                answer = await self.ask(url, exchange.Call('GET', path))
+                resp = await self.send(url, exchange.Call('GET', path))
             except exchange.ExchangeError as exc:
                 lines.append(exc.detail)
                 continue
-            if answer.status not in _TRY_NEXT:
-                return accepted(answer)
-            reason = failure.from_answer(answer.status, answer.body)
+            if resp.status not in _TRY_NEXT_STATUSES:
+                return require_success(resp)
+            reason = failure.from_response(resp.status, resp.body)
             lines.append(f'{url}: {reason.message}')
-        raise unreachable(lines)
+        raise unreachable_error(lines)
 
-    async def read_each(self, path: str) -> list[exchange.Answer]:
+    async def get_from_all(self, path: str) -> list[exchange.Response]:
         """Reads from all routers at once; gives the answers that came."""
         call = exchange.Call('GET', path)
         results = await asyncio.gather(
-            *(self.ask(url, call) for url in self.urls),
+            *(self.send(url, call) for url in self.urls),
             return_exceptions=True,
         )
-        return list(_answers(results))
+        return list(_responses(results))
 
 
-def _answers(results: list[Any]) -> Any:
+def _responses(results: list[Any]) -> Any:
     for result in results:
-        if isinstance(result, exchange.Answer):
+        if isinstance(result, exchange.Response):
             yield result
         elif not isinstance(result, exchange.ExchangeError):
             raise result
 
 
-def accepted(answer: exchange.Answer) -> Any:
+def require_success(resp: exchange.Response) -> Any:
     """Gives the body of a good answer; raises `CommandError` otherwise."""
-    if answer.status != 200:
-        raise failure.from_answer(answer.status, answer.body)
-    if not isinstance(answer.body, dict):
-        raise failure.CommandError(f'{answer.router} answered with no JSON')
-    return answer.body
+    if resp.status != 200:
+        raise failure.from_response(resp.status, resp.body)
+    if not isinstance(resp.body, dict):
+        raise failure.CommandError(f'{resp.router} answered with no JSON')
+    return resp.body
 
 
-def unreachable(lines: list[str]) -> failure.UnreachableError:
+def unreachable_error(lines: list[str]) -> failure.UnreachableError:
     """Makes the failure of a call that no router could serve."""
     return failure.UnreachableError(
         '\n'.join(['no router could serve the call:', *lines]),
@@ -105,14 +107,14 @@
 
 
 @contextlib.asynccontextmanager
-async def connect(options: option.Options) -> AsyncIterator[Routers]:
+async def connect(options: option.Options) -> AsyncIterator[RouterClient]:
     """Opens a session for each router and closes them at the end.
 
     Raises:
       RefusedError: No token was given.
     """
     if not options.token:
-        raise failure.RefusedError(_NO_TOKEN)
+        raise failure.RefusedError(_NO_TOKEN_MESSAGE)
     tls = section.Tls(options.certificate, options.key, options.authority)
     async with contextlib.AsyncExitStack() as stack:
         sessions = {
@@ -121,4 +123,4 @@
             )
             for url in options.routers
         }
-        yield Routers(options, sessions)
+        yield RouterClient(options, sessions)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
@@ -34,11 +34,11 @@
     """Makes the root command with every command that is registered."""
 
     @click.group(name='quetzalsill', epilog=_EPILOG)
-    @option.root
+    @option.root_options
     @click.pass_context
     def root(ctx: click.Context, **values: object) -> None:
         """Operates quetzalsill through the administration API of a router."""
-        ctx.obj = option.make(**values)
+        ctx.obj = option.build_options(**values)
 
     for plugin in plugins.plugins('command'):
         root.add_command(plugin.value, plugin.name)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/perform.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/runner.py
@@ -15,23 +15,23 @@
     option,
     output,
     rollout,
-    routers,
+    router_client,
 )
 
-__all__ = ['carry_out', 'run', 'show']
+__all__ = ['run', 'show', 'submit_edit']
 
 T = TypeVar('T')
 
 
-def run(work: Callable[[routers.Routers], Awaitable[T]]) -> T:
+def run(command: Callable[[router_client.RouterClient], Awaitable[T]]) -> T:
     """Runs work with the routers that the options name."""
     options = click.get_current_context().find_object(option.Options)
 
-    async def connected() -> T:
-        async with routers.connect(options) as links:
-            return await work(links)
+    async def run_connected() -> T:
+        async with router_client.connect(options) as client:
+            return await command(client)
 
-    return asyncio.run(connected())
+    return asyncio.run(run_connected())
 
 
 def show(*parts: str, as_json: bool) -> None:
@@ -41,15 +41,15 @@
       *parts: Path of the part below the configuration API.
       as_json: Print the whole answer as JSON.
     """
-    body = run(lambda links: links.read(exchange.path(*parts)))
+    body = run(lambda client: client.get(exchange.path(*parts)))
     if as_json:
         output.print_json(body)
     else:
-        output.pairs(body['value'])
+        output.key_values(body['value'])
 
 
-async def carry_out(
-    links: routers.Routers, wanted: edit.Edit, wait: bool
+async def submit_edit(
+    client: router_client.RouterClient, new_edit: edit.Edit, wait: bool
 ) -> None:
     """Submits an edit, says what became of it, and waits if asked to.
 
@@ -57,32 +57,39 @@
       NotInForceError: Accepted, but not yet in force on every live node.
       CommandError: As `edit.submit` does.
     """
-    accepted = await edit.submit(links, wanted)
-    if accepted.lost:
-        _say_what_was_found(accepted)
+    accepted = await edit.submit(client, new_edit)
+    if accepted.lost_responses:
+        _report_lost_responses(accepted)
     click.echo(f'revision {accepted.revision} accepted (edit {accepted.edit})')
     if wait:
-        await _wait(links, accepted.revision)
+        await _wait_until_active(client, accepted.revision)
 
 
-def _say_what_was_found(accepted: edit.Accepted) -> None:
-    found = (
+def _report_lost_responses(accepted: edit.Accepted) -> None:
+    outcome = (
         'the edit had taken effect'
-        if accepted.earlier
+        if accepted.already_accepted
         else 'the edit had not taken effect and was made now'
     )
-    click.echo(f'answers lost: {accepted.lost}; asked again: {found}', err=True)
+    click.echo(
+        f'answers lost: {accepted.lost_responses}; asked again: {outcome}',
+        err=True,
+    )
 
 
-async def _wait(links: routers.Routers, revision: int) -> None:
+async def _wait_until_active(
+    client: router_client.RouterClient, revision: int
+) -> None:
     try:
-        fleet, behind = await rollout.wait(links, revision, rollout.BOUND_S)
+        fleet, behind = await rollout.wait(
+            client, revision, rollout.WAIT_TIMEOUT_S
+        )
     except failure.CommandError as exc:
-        raise failure.NotInForceError(
+        raise failure.RolloutIncompleteError(
             f'revision {revision} is accepted, but no router tells who has '
             f'it in force: {exc.message}'
         ) from exc
-    _check(fleet, behind, revision)
+    _require_complete(fleet, behind, revision)
     click.echo(f'in force on {len(fleet.linked())} nodes')
     unlinked = ', '.join(node.name for node in fleet.unlinked())
     if unlinked:
@@ -92,27 +99,27 @@
         )
 
 
-def _line(node: rollout.Node) -> str:
-    shown = (
+def _describe_node(node: rollout.Node) -> str:
+    state = (
         'lost its link'
         if node.state == 'unlinked'
         else f'revision {node.revision}'
     )
-    return f'  {node.kind} {node.name} ({node.availability_zone}): {shown}'
+    return f'  {node.kind} {node.name} ({node.availability_zone}): {state}'
 
 
-def _check(
+def _require_complete(
     fleet: rollout.Fleet, behind: list[rollout.Node], revision: int
 ) -> None:
-    lines = [_line(node) for node in behind]
+    lines = [_describe_node(node) for node in behind]
     if not fleet.complete:
         lines.append('  the store does not tell which routers are live')
     if lines:
-        raise failure.NotInForceError(
+        raise failure.RolloutIncompleteError(
             '\n'.join(
                 [
                     f'revision {revision} is accepted, but within '
-                    f'{rollout.BOUND_S:g} s it was not in force on:',
+                    f'{rollout.WAIT_TIMEOUT_S:g} s it was not in force on:',
                     *lines,
                 ]
             ),
--- a/tests/quetzalsill_cli/fixture.py
+++ b/tests/quetzalsill_cli/fixture.py
@@ -17,10 +17,10 @@
 from quetzalsill_cli import plugin, run
 from tests.quetzalsill_router.admin import fake
 
-BOUND_S = 30
+TIMEOUT_S = 30
 
 
-class Lossy:
+class LossyApp:
     """Serves an application and cuts some answers off after the effect.
 
     Attributes:
@@ -30,19 +30,19 @@
 
     def __init__(self, app):
         self._app = app
-        self.lose = 0
-        self.seen = []
+        self.responses_to_lose = 0
+        self.calls = []
 
     async def __call__(self, scope, receive, send):
         if scope['type'] != 'http':
             return await self._app(scope, receive, send)
         headers = dict(scope['headers'])
         edit = headers.get(b'x-edit-id', b'').decode()
-        self.seen.append((scope['method'], scope['path'], edit))
-        if scope['method'] == 'GET' or not self.lose:
+        self.calls.append((scope['method'], scope['path'], edit))
+        if scope['method'] == 'GET' or not self.responses_to_lose:
             return await self._app(scope, receive, send)
-        self.lose -= 1
-        await self._app(scope, receive, _ignore)
+        self.responses_to_lose -= 1
+        await self._app(scope, receive, _discard)
         await send({
             'type': 'http.response.start',
             'status': 200,
@@ -51,19 +51,19 @@
         return None
 
 
-async def _ignore(message):
+async def _discard(message):
     """Takes a message that the client must not see."""
 
 
-class Served:
+class ServedRouter:
     """One router with its listener."""
 
     def __init__(self, router, tls):
         self.router = router
-        self.lossy = Lossy(router.app)
+        self.app = LossyApp(router.app)
         self._scheme = 'https' if tls else 'http'
         self._server = server.HttpServer(
-            self.lossy, section.Listen('127.0.0.1', 0), tls
+            self.app, section.Listen('127.0.0.1', 0), tls
         )
 
     async def start(self):
@@ -74,7 +74,7 @@
         await self._server.stop(1)
 
 
-class Routers:
+class RouterThread:
     """Routers on an event loop in a thread of its own."""
 
     def __init__(self):
@@ -85,13 +85,13 @@
 
     def run(self, coroutine):
         fut = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
-        return fut.result(BOUND_S)
+        return fut.result(TIMEOUT_S)
 
     def add(self, router, tls=None):
         return self.run(self._add(router, tls))
 
     async def _add(self, router, tls):
-        served = Served(router, tls)
+        served = ServedRouter(router, tls)
         await served.start()
         self._served.append(served)
         return served
@@ -100,7 +100,7 @@
         for served in self._served:
             self.run(served.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(BOUND_S)
+        self._thread.join(TIMEOUT_S)
         self._loop.close()
 
 
@@ -111,19 +111,19 @@
         return f'http://127.0.0.1:{sock.getsockname()[1]}'
 
 
-class FollowingPeer(fake.Peer):
+class LaggingPeer(fake.Peer):
     """A sidecar that has in force what its router has, after a while."""
 
-    def __init__(self, router, looks=0):
+    def __init__(self, router, stale_reads=0):
         super().__init__('ikeja-1')
         self._router = router
-        self.looks_left = looks
+        self.stale_reads_left = stale_reads
 
     @property
     def load(self):
         """Gives a load, for some looks at revision 1."""
-        if self.looks_left:
-            self.looks_left -= 1
+        if self.stale_reads_left:
+            self.stale_reads_left -= 1
             return fake.load(1)
         return fake.load(self._router.holder.revision)
 
@@ -132,15 +132,15 @@
         """Ignores the default of the field."""
 
 
-class CommandCase(unittest.TestCase):
+class CommandTestCase(unittest.TestCase):
     """Runs commands against one router with a first configuration."""
 
     def setUp(self):
-        self.routers = Routers()
+        self.routers = RouterThread()
         self.addCleanup(self.routers.close)
         self.router = fake.Router()
         self.router.install()
-        self.router.peers = [FollowingPeer(self.router)]
+        self.router.peers = [LaggingPeer(self.router)]
         self.served = self.routers.add(self.router)
         plugins = registry.Registry()
         plugin.register(plugins)
@@ -158,13 +158,13 @@
 
     def invoke(self, *arguments, urls=None, token=fake.OPERATOR, **options):
         """Runs a command; gives its result."""
-        named = [
+        router_options = [
             word for url in urls or [self.served.url]
             for word in ('--router', url)
         ]  # fmt: skip
         return testing.CliRunner().invoke(
             self.command,
-            [*named, '--timeout', '5', *arguments],
+            [*router_options, '--timeout', '5', *arguments],
             env={'QUETZALSILL_TOKEN': token, 'QUETZALSILL_ROUTER': None},
             **options,
         )
--- a/tests/quetzalsill_cli/test_edit.py
+++ b/tests/quetzalsill_cli/test_edit.py
@@ -13,7 +13,7 @@
 from tests.quetzalsill_router.admin import fake
 
 
-class EditTest(fixture.CommandCase):
+class EditTest(fixture.CommandTestCase):
     """Edits and their outcomes."""
 
     def test_a_profile_edit_is_in_force_when_the_command_ends(self):
@@ -102,10 +102,10 @@
                 self.assertEqual(failure.ExitCode.INVALID, result.exit_code)
 
 
-class RaceTest(fixture.CommandCase):
+class RaceTest(fixture.CommandTestCase):
     """Edits that race, or whose answers are lost."""
 
-    def test_a_lost_race_names_the_winner_and_the_mend(self):
+    def test_a_conflict_names_the_author_and_the_remedy(self):
         """Two operators read revision 1; the other one is accepted first.
 
         The loser must see the current revision, who made it and what to do;
@@ -122,7 +122,7 @@
         for text in ('revision 2', 'obi', 'Read the current revision'):
             self.assertIn(text, result.stderr)
 
-    def test_a_drain_is_made_again_after_an_edit_of_something_else(self):
+    def test_a_drain_is_retried_after_a_conflicting_edit(self):
         """An operator edits a profile between the drain's read and write.
 
         The drain concerns one upstream only; refused, it would leave an
@@ -135,23 +135,23 @@
         self.assertEqual(0, result.exit_code, result.output)
         self.assertIn('revision 3 accepted', result.stdout)
 
-    def test_a_lost_answer_is_asked_for_again(self):
+    def test_a_lost_response_is_retried(self):
         """The connection dies after the edit took effect.
 
         Sent again with the same id, the edit must be found, not doubled.
         """
-        self.served.lossy.lose = 1
+        self.served.app.responses_to_lose = 1
         result = self.invoke('profile', 'edit', 'prompt', '--set', 'retries=1')
         self.assertEqual(0, result.exit_code, result.output)
         self.assertIn('asked again: the edit had taken effect', result.stderr)
-        writes = [call for call in self.served.lossy.seen if call[0] == 'PUT']
+        writes = [call for call in self.served.app.calls if call[0] == 'PUT']
         self.assertEqual(2, len(writes))
         self.assertEqual(writes[0], writes[1])
         self.assertEqual(2, self.router.holder.revision)
 
-    def test_a_lost_answer_is_asked_for_at_another_router(self):
+    def test_a_lost_response_is_retried_at_another_router(self):
         second = self.add_router()
-        self.served.lossy.lose = 9
+        self.served.app.responses_to_lose = 9
         result = self.invoke(
             'profile', 'edit', 'prompt', '--set', 'retries=1', '--no-wait',
             urls=[self.served.url, second.url],
@@ -160,14 +160,14 @@
         self.assertEqual(2, second.router.holder.revision)
 
     def test_an_outcome_that_stays_unknown(self):
-        self.served.lossy.lose = 9
+        self.served.app.responses_to_lose = 9
         result = self.invoke('profile', 'edit', 'prompt', '--set', 'retries=1')
         self.assertEqual(failure.ExitCode.UNKNOWN, result.exit_code)
-        edit = self.served.lossy.seen[-1][2]
+        edit = self.served.app.calls[-1][2]
         self.assertIn(edit, result.stderr)
         self.assertIn(edit, self.invoke('config', 'history').stdout)
 
-    def test_a_refused_repetition_does_not_hide_an_accepted_edit(self):
+    def test_a_refused_retry_does_not_hide_an_accepted_edit(self):
         """An edit takes away its own credential and its answer is lost.
 
         The repetition is refused as unauthorized although the edit is in
@@ -175,7 +175,7 @@
         """
         plain = fake.sample_configuration()
         del plain['operators']['ada']
-        self.served.lossy.lose = 1
+        self.served.app.responses_to_lose = 1
         result = self.invoke('config', 'apply', self.file(json.dumps(plain)))
         self.assertEqual(failure.ExitCode.UNKNOWN, result.exit_code)
 
@@ -186,7 +186,7 @@
         self.assertIn('nothing was changed', result.stderr)
 
 
-class WaitTest(fixture.CommandCase):
+class WaitTest(fixture.CommandTestCase):
     """Waiting until an edit is in force everywhere."""
 
     def test_a_node_that_stays_behind_is_named(self):
@@ -196,11 +196,11 @@
         node does not have it yet.
         """
         self.router.peers = [fake.Peer('ikeja-1', load=fake.load(1))]
-        with mock.patch.object(rollout, 'BOUND_S', 0.3):
+        with mock.patch.object(rollout, 'WAIT_TIMEOUT_S', 0.3):
             result = self.invoke(
                 'profile', 'edit', 'prompt', '--set', 'retries=1'
             )
-        self.assertEqual(failure.ExitCode.NOT_IN_FORCE, result.exit_code)
+        self.assertEqual(failure.ExitCode.ROLLOUT_INCOMPLETE, result.exit_code)
         self.assertIn('sidecar ikeja-1 (ikeja-hall): revision 1', result.stderr)
         self.assertIn('revision 2 accepted', result.stdout)
 
@@ -212,26 +212,26 @@
         """
         peer = fake.Peer('ikeja-1', load=fake.load(1))
         self.router.peers = [peer]
-        looks = iter(range(2))
+        linked_reads = iter(range(2))
 
         def peers():
-            peer.linked = next(looks, None) is not None
+            peer.linked = next(linked_reads, None) is not None
             return [peer]
 
         self.router.context.peers = peers
-        with mock.patch.object(rollout, 'BOUND_S', 1.5):
+        with mock.patch.object(rollout, 'WAIT_TIMEOUT_S', 1.5):
             result = self.invoke(
                 'profile', 'edit', 'prompt', '--set', 'retries=1'
             )
-        self.assertEqual(failure.ExitCode.NOT_IN_FORCE, result.exit_code)
+        self.assertEqual(failure.ExitCode.ROLLOUT_INCOMPLETE, result.exit_code)
         self.assertIn('ikeja-1 (ikeja-hall): lost its link', result.stderr)
 
     def test_the_wait_ends_when_the_last_node_has_it(self):
-        peer = fixture.FollowingPeer(self.router, looks=5)
+        peer = fixture.LaggingPeer(self.router, stale_reads=5)
         self.router.peers = [peer]
         result = self.invoke('profile', 'edit', 'prompt', '--set', 'retries=1')
         self.assertEqual(0, result.exit_code, result.output)
-        self.assertEqual(0, peer.looks_left)
+        self.assertEqual(0, peer.stale_reads_left)
 
     def test_views_of_several_routers_are_merged(self):
         second = self.add_router()
--- a/tests/quetzalsill_cli/test_explain.py
+++ b/tests/quetzalsill_cli/test_explain.py
@@ -9,21 +9,21 @@
 
 from click import testing
 
-from quetzalsill_cli import story
+from quetzalsill_cli import request_log
 from quetzalsill_cli.commands import explain
 from quetzalsill_gateway import event
 
 START = 'timestamp=2026-12-02T10:00:{:09.6f}Z level=info'
 
 
-def line(at_s, told, node='entry-1'):
+def line(at_s, event_value, node='entry-1'):
     """Returns the line of an event, as its process writes it."""
-    fields = dataclasses.asdict(told)
+    fields = dataclasses.asdict(event_value)
     shown = ' '.join(
         f'{name}="{value}"' if ' ' in str(value) else f'{name}={value}'
         for name, value in fields.items()
     )
-    name = event.name_of(type(told))
+    name = event.name_of(type(event_value))
     return f'{START.format(at_s)} event={name} node={node} role=gateway {shown}'
 
 
@@ -39,11 +39,11 @@
     )
 
 
-def leg(request, result, *, leaving, upstream='u-1'):
+def segment_ended(request, result, *, leaving, upstream='u-1'):
     return event.LegEnded(request, upstream, leaving, False, result, 9, '', '')
 
 
-STORY = [
+LOG_LINES = [
     line(1.0, chosen('r-1')),
     line(1.1, chosen('r-2', 'u-2')),
     line(1.2, event.UpstreamLeaving('u-1', 'membership', 13)),
@@ -64,19 +64,19 @@
             120.0,
         ),
     ),
-    line(1.8, leg('r-1', 'answer_truncated', leaving=True)),
+    line(1.8, segment_ended('r-1', 'answer_truncated', leaving=True)),
     line(1.85, ended('r-1', 'cut')),
     line(2.0, ended('r-2', 'served', 250.0)),
     'a line of another program',
 ]
 
 
-class StoryTest(unittest.TestCase):
+class RequestLogTest(unittest.TestCase):
     """Which lines tell of a request, and what they come to."""
 
     def test_its_lines_and_what_its_gateway_learned(self):
-        lines = story.read('12.3 entry-1 ' + text for text in STORY)
-        found = story.select(lines, 'r-1')
+        lines = request_log.read('12.3 entry-1 ' + text for text in LOG_LINES)
+        found = request_log.select(lines, 'r-1')
         self.assertEqual(
             [part.event for part in found],
             [
@@ -88,40 +88,48 @@
             ],
         )
         self.assertEqual({part.node for part in found}, {'entry-1'})
-        self.assertIn('could not be moved in time', story.cause(found))
+        self.assertIn(
+            'could not be moved in time', request_log.explain_outcome(found)
+        )
 
-    def test_a_pause_is_told(self):
-        found = story.select(story.read(STORY), 'r-2')
-        self.assertIn('a pause of 250.0 ms', story.cause(found))
+    def test_a_pause_is_reported(self):
+        found = request_log.select(request_log.read(LOG_LINES), 'r-2')
+        self.assertIn('a pause of 250.0 ms', request_log.explain_outcome(found))
 
     def test_an_upstream_without_notice(self):
         lines = [
             line(1, chosen('r-1')),
             line(2, event.StoreLost('servers', 'rows: 503')),
-            line(3, leg('r-1', 'answer_truncated', leaving=False)),
+            line(3, segment_ended('r-1', 'answer_truncated', leaving=False)),
             line(3, ended('r-1', 'cut')),
         ]
-        cause = story.cause(story.select(story.read(lines), 'r-1'))
+        cause = request_log.explain_outcome(
+            request_log.select(request_log.read(lines), 'r-1')
+        )
         self.assertIn('broke off without a notice', cause)
 
     def test_every_reason_and_outcome_has_a_cause(self):
         """A new outcome without a sentence would explain nothing."""
-        reasons = _named(event.RequestRefused, 'reason')
-        self.assertEqual(set(story._REFUSALS), reasons)
-        outcomes = _named(event.RequestEnded, 'outcome')
-        known = {*story._OUTCOMES, 'served', 'failed', 'cut'}
+        reasons = _documented_values(event.RequestRefused, 'reason')
+        self.assertEqual(set(request_log._REFUSAL_SENTENCES), reasons)
+        outcomes = _documented_values(event.RequestEnded, 'outcome')
+        known = {*request_log._OUTCOME_SENTENCES, 'served', 'failed', 'cut'}
         self.assertEqual(known, outcomes)
 
     def test_an_end_that_was_not_logged(self):
-        found = story.select(story.read([line(1, chosen('r-9'))]), 'r-9')
-        self.assertIn('was not logged', story.cause(found))
+        found = request_log.select(
+            request_log.read([line(1, chosen('r-9'))]), 'r-9'
+        )
+        self.assertIn('was not logged', request_log.explain_outcome(found))
 
     def test_a_gateway_that_died_with_it_is_named(self):
         """Its log just ends; the next line of that host is a new start."""
         start = f'{START.format(4)} event=process_started node=entry-1'
         other = f'{START.format(3)} event=process_started node=entry-2'
         lines = [line(1, chosen('r-9')), other, start]
-        cause = story.cause(story.select(story.read(lines), 'r-9'))
+        cause = request_log.explain_outcome(
+            request_log.select(request_log.read(lines), 'r-9')
+        )
         self.assertIn('entry-1 died with it', cause)
         self.assertIn('10:00:04', cause)
 
@@ -130,7 +138,9 @@
             'r-9', 812.5, 2300.0, 3, admitted=False, come_back_ms=4000.0
         )
         lines = [line(1, held), line(1, ended('r-9', 'refused'))]
-        cause = story.cause(story.select(story.read(lines), 'r-9'))
+        cause = request_log.explain_outcome(
+            request_log.select(request_log.read(lines), 'r-9')
+        )
         self.assertIn('held for 812.5 ms', cause)
 
 
@@ -141,11 +151,11 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / 'entry-1.log'
-        self.path.write_text('\n'.join(STORY))
+        self.path.write_text('\n'.join(LOG_LINES))
 
-    def run_with(self, *arguments, **more):
+    def run_with(self, *arguments, **options):
         return testing.CliRunner().invoke(
-            explain.command, list(arguments), **more
+            explain.command, list(arguments), **options
         )
 
     def test_one_request_from_files_or_standard_input(self):
@@ -155,17 +165,17 @@
         self.assertEqual(by_file.output, by_input.output)
         self.assertIn('leg_ended', by_file.output)
 
-    def test_clocks_that_may_differ_are_told(self):
-        lines = [*STORY, line(1.3, chosen('r-1'), 'entry-2')]
-        told = self.run_with('r-1', input='\n'.join(lines)).output
-        self.assertIn('Lines of 2 processes', told)
+    def test_clocks_that_may_differ_are_reported(self):
+        lines = [*LOG_LINES, line(1.3, chosen('r-1'), 'entry-2')]
+        output = self.run_with('r-1', input='\n'.join(lines)).output
+        self.assertIn('Lines of 2 processes', output)
 
     def test_all_that_failed(self):
-        told = self.run_with('--failed', '--log', str(self.path)).output
-        self.assertIn('r-1  u-1 left', told)
-        self.assertNotIn('r-2', told)
+        output = self.run_with('--failed', '--log', str(self.path)).output
+        self.assertIn('r-1  u-1 left', output)
+        self.assertNotIn('r-2', output)
 
-    def test_bad_arguments_are_told_with_their_mend(self):
+    def test_bad_arguments_are_reported_with_advice(self):
         for arguments in (
             (),
             ('r-1', '--failed'),
@@ -173,12 +183,12 @@
             ('r-1', '--log', '/nowhere/at/all'),
         ):
             with self.subTest(arguments):
-                told = self.run_with(*arguments, input='')
-                self.assertNotEqual(told.exit_code, 0)
-                self.assertGreater(len(told.output.splitlines()), 1)
+                result = self.run_with(*arguments, input='')
+                self.assertNotEqual(result.exit_code, 0)
+                self.assertGreater(len(result.output.splitlines()), 1)
 
 
-def _named(cls, field):
+def _documented_values(cls, field):
     """Returns the values that an event's text names for a field."""
     text = cls.__doc__.partition(f'      {field}: ')[2]
     text = text.partition('\n      sends:')[0].partition('\n      status:')[0]
--- a/tests/quetzalsill_cli/test_ledger.py
+++ b/tests/quetzalsill_cli/test_ledger.py
@@ -17,9 +17,9 @@
 line = test_explain.line
 
 
-def ended(request, outcome='served', **more):
+def ended(request, outcome='served', **changes):
     """Returns the end of a generation, in time unless `more` says so."""
-    told = {
+    fields = {
         'route': 'plan',
         'kind': 'stream',
         'service': 's',
@@ -33,7 +33,7 @@
         'most_gap_ms': 180.0,
         'tokens': 4000,
     }
-    return event.RequestEnded(request, outcome=outcome, **(told | more))
+    return event.RequestEnded(request, outcome=outcome, **(fields | changes))
 
 
 LOG = [
@@ -43,7 +43,10 @@
     line(1.3, ended('moved', widest_gap_ms=400.0, gap_cause='move')),
     line(1.4, ended('busy', widest_gap_ms=400.0)),
     line(1.5, test_explain.chosen('died')),
-    line(1.6, test_explain.leg('left', 'answer_truncated', leaving=True)),
+    line(
+        1.6,
+        test_explain.segment_ended('left', 'answer_truncated', leaving=True),
+    ),
     line(1.7, ended('left', 'cut')),
     line(1.8, ended('told', 'refused')),
     line(
@@ -81,20 +84,20 @@
     def test_lines_that_cannot_be_read_are_counted(self):
         """A collector cut lines off, and one is of another version."""
         cut = LOG[0][: LOG[0].index('event=') + 9].replace('timestamp', 'time')
-        odd = (
+        malformed = (
             LOG[1]
             .replace('took_ms=900.0', 'took_ms=900.0')
             .replace('first_ms=2500.0', 'first_ms=soon')
         )
-        found = ledger.build([cut, 'no log line at all', odd, *LOG[2:]])
-        self.assertEqual(found.unread, 2)
+        found = ledger.build([cut, 'no log line at all', malformed, *LOG[2:]])
+        self.assertEqual(found.unreadable_lines, 2)
         self.assertEqual(len(found.entries), len(self.causes()) - 2)
 
     def test_every_cut_of_a_log_is_read(self):
         """Whatever the byte at which a log breaks off, the rest is told."""
-        whole = '\n'.join(LOG)
-        for end in range(0, len(whole), 7):
-            found = ledger.build(whole[:end].splitlines())
+        complete = '\n'.join(LOG)
+        for end in range(0, len(complete), 7):
+            found = ledger.build(complete[:end].splitlines())
             counts = collections.Counter(e.verdict for e in found.entries)
             self.assertLessEqual(counts[ledger.Verdict.IN_TIME], 1)
 
@@ -102,15 +105,15 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'gateway.log')
             path.write_text('\n'.join(log))
-            picture = pathlib.Path(folder, 'ledger.png')
-            args = [str(picture) if arg == 'PNG' else arg for arg in args]
+            plot_path = pathlib.Path(folder, 'ledger.png')
+            args = [str(plot_path) if arg == 'PNG' else arg for arg in args]
             result = testing.CliRunner().invoke(
                 explain.command, [*args, '--log', str(path)]
             )
-            drawn = picture.exists() and picture.stat().st_size
+            drawn = plot_path.exists() and plot_path.stat().st_size
         return result, drawn
 
-    def test_the_table_tells_counts_and_shares(self):
+    def test_the_table_shows_counts_and_shares(self):
         result, _ = self.run_command('--ledger')
         self.assertIn('plan: owed 7, in time 1, late 4, lost 2', result.output)
         self.assertIn('late, pause: move', result.output)
--- a/tests/quetzalsill_cli/test_read.py
+++ b/tests/quetzalsill_cli/test_read.py
@@ -32,7 +32,7 @@
 )
 
 
-class ReadTest(fixture.CommandCase):
+class ReadTest(fixture.CommandTestCase):
     """Reads, as tables and as JSON."""
 
     def setUp(self):
@@ -97,9 +97,9 @@
             )  # fmt: skip
             self.assertEqual(code, result.exit_code, result.output)
             self.assertEqual(
-                code is failure.ExitCode.OK, bool(served.lossy.seen)
+                code is failure.ExitCode.OK, bool(served.app.calls)
             )
-            served.lossy.seen.clear()
+            served.app.calls.clear()
 
     def test_routers_that_demand_a_certificate(self):
         """The routers' TLS names an authority, so operators must show theirs.
@@ -152,14 +152,14 @@
         result = self.invoke('status', urls=[fresh.url])
         self.assertEqual(failure.ExitCode.UNREACHABLE, result.exit_code)
 
-    def test_credentials_that_do_not_do(self):
+    def test_rejected_credentials(self):
         for token in ('', 'unknown'):
             result = self.invoke('status', token=token)
             self.assertEqual(failure.ExitCode.REFUSED, result.exit_code)
         result = self.invoke('upstream', 'drain', 'ikeja-1', token=fake.VIEWER)
         self.assertEqual(failure.ExitCode.REFUSED, result.exit_code)
 
-    def test_a_token_file_goes_before_the_environment(self):
+    def test_a_token_file_overrides_the_environment(self):
         path = self.file(f'{fake.OPERATOR}\n', 'token')
         result = self.invoke('--token-file', path, 'status', token='unknown')
         self.assertEqual(0, result.exit_code, result.output)
--- a/tests/quetzalsill_router/admin/test_write.py
+++ b/tests/quetzalsill_router/admin/test_write.py
@@ -37,7 +37,7 @@
 class EditTest(fake.ApiTestCase):
     """Valid and invalid edits."""
 
-    async def test_an_accepted_edit_is_in_force_and_told_at_once(self):
+    async def test_an_accepted_edit_is_active_and_announced_at_once(self):
         announced = []
         self.router.holder.on_change(lambda cfg: announced.append(cfg.revision))
         status, body, resp = await self.call(
@@ -219,7 +219,7 @@
         self.assertEqual(409, status)
 
 
-class LostAnswerTest(fake.ApiTestCase):
+class LostResponseTest(fake.ApiTestCase):
     """Edits while the store fails or its response is lost."""
 
     async def test_a_repeated_edit_is_accepted_once(self):
