--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/access.py
@@ -38,7 +38,7 @@
 
     Attributes:
       name: Name in the configuration, or `bootstrap`.
-      role: Role that the configuration grants.
+      role: Granted role.
     """
 
     name: str
