--- a/packages/quetzalsill-cli/src/quetzalsill_cli/__init__.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of operators."""
+"""The operators' command line, `quetzalsill`."""
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
@@ -1,4 +1,4 @@
-"""Values given as KEY=VALUE on the command line."""
+"""Parses KEY=VALUE assignments of the command line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _parse_value(text: str) -> Any:
-    """Reads JSON; what is no JSON is a string."""
+    """Parses a JSON value; other text is taken as a string."""
     try:
         return json.loads(text)
     except ValueError:
@@ -22,7 +22,7 @@
 def apply(values: dict[str, Any], assignments: Iterable[str]) -> dict[str, Any]:
     """Returns a copy of the values with each `KEY=VALUE` applied.
 
-    Whether the key exists and the value fits is the router's to check.
+    The router checks whether the key exists and the value is allowed.
 
     Raises:
       click.UsageError: An assignment has no `=`.
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/__init__.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Command groups; each registers itself under the kind `command`."""
+"""Built-in commands and command groups of `quetzalsill`."""
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/account.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/account.py
@@ -53,7 +53,7 @@
 
 
 def _token_count(tokens: object) -> object:
-    """Counts the tokens; viewers get a mask in their place."""
+    """Returns the number of tokens, or the mask that viewers receive."""
     return len(tokens) if isinstance(tokens, list) else tokens
 
 
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
@@ -1,4 +1,4 @@
-"""`quetzalsill completion`: completion scripts of shells."""
+"""`quetzalsill completion`: shell completion scripts."""
 
 from __future__ import annotations
 
@@ -23,5 +23,5 @@
     script = cls(
         ctx.find_root().command, {}, _PROGRAM_NAME, _COMPLETION_VARIABLE
     )
-    # The method of bash's own class starts a shell to learn its version.
+    # `BashComplete.source` would start a shell to check its version.
     click.echo(shell_completion.ShellComplete.source(script))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/config.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/config.py
@@ -1,4 +1,4 @@
-"""`quetzalsill config`: the shared configuration as a whole."""
+"""`quetzalsill config`: the complete shared configuration."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
 async def _base_revision(
     client: router_client.RouterClient, data: dict[str, Any], expect: int | None
 ) -> int:
-    """Chooses the revision that an edit is made from.
+    """Returns the revision that an edit is based on.
 
-    That is the one named, else the one that `config show` wrote into the
-    file, else the current one.
+    This is the one of --expect, else the one that `config show` wrote into
+    the file, else the current one.
     """
     if expect is not None:
         return expect
@@ -121,7 +121,7 @@
 
 
 def _compare(file: str) -> dict[str, Any]:
-    """Compares a file with the configuration in force."""
+    """Compares a file with the active configuration."""
     wanted = document.load(file)
     data = runner.run(lambda client: client.get(exchange.path('config')))
     try:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/explain.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""`quetzalsill explain`: the story of one request, from the logs."""
+"""`quetzalsill explain`: explains outcomes of requests from the logs."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
 
 
 def _unserved_requests(lines: list[request_log.LogLine]) -> list[str]:
-    """Returns the ids of requests without a good end, in order."""
+    """Returns the ids of requests that were not served, in order."""
     requests: dict[str, None] = {}
     served = set()
     for line in lines:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/model.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/model.py
@@ -1,4 +1,4 @@
-"""`quetzalsill model`: the models that callers name."""
+"""`quetzalsill model`: models by the names that callers use."""
 
 from __future__ import annotations
 
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/profile.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/profile.py
@@ -1,4 +1,4 @@
-"""`quetzalsill profile`: profiles, which promise how traffic is served."""
+"""`quetzalsill profile`: profiles, which define how requests are served."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 async def _read_profile(
     client: router_client.RouterClient, name: str, create: bool
 ) -> tuple[int, dict[str, Any]]:
-    """Reads the profile and its revision; a new one has no values."""
+    """Returns the revision and a profile's values; a new one has none."""
     body = await client.get(exchange.path('profiles'))
     profiles = body['value']
     if name not in profiles and not create:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/request.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/request.py
@@ -1,4 +1,4 @@
-"""`quetzalsill request`: requests of callers."""
+"""`quetzalsill request`: shows and cancels callers' requests."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 async def _call_routers(
     client: router_client.RouterClient, method: str, request: str
 ) -> Any:
-    """Asks the routers in turn until one knows the request.
+    """Queries the routers in turn until one knows the request.
 
-    A request that is not durable is known only to the router that took it.
+    A request that is not durable is known only to the router that accepted it.
 
     Raises:
-      NotFoundError: None of them knows it.
-      OutcomeUnknownError: A cancellation was sent and not confirmed.
-      UnreachableError: None could serve the call.
+      NotFoundError: No router knows the request.
+      OutcomeUnknownError: A cancellation was sent but not confirmed.
+      UnreachableError: No router could serve the call.
     """
     call = exchange.Call(method, exchange.path('requests', request))
     unconfirmed, errors, not_found = [], [], None
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/status.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/status.py
@@ -19,10 +19,10 @@
 
 
 async def _read(client: router_client.RouterClient) -> dict[str, Any]:
-    """Reads one router's summary, and from all of them who is behind.
+    """Reads one router's summary, and queries all for nodes that are behind.
 
-    What a router knows of the others' revisions lags by some seconds; each
-    knows its own.
+    A router knows its own revision, but learns those of other routers some
+    seconds late.
     """
     body = await client.get(exchange.path('status'))
     fleet = await rollout.fetch_fleet(client)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/upstream.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/upstream.py
@@ -1,4 +1,4 @@
-"""`quetzalsill upstream`: model servers and app servers."""
+"""`quetzalsill upstream`: state and draining of upstreams."""
 
 from __future__ import annotations
 
@@ -91,11 +91,10 @@
     note: str,
     wait: bool,
 ) -> None:
-    """Drains or undrains an upstream, whatever else is edited meanwhile.
+    """Drains or undrains an upstream, with retries after conflicts.
 
-    A drain says something of one upstream only, so an edit of another part
-    that comes first is no reason to refuse it: it is made again from the
-    newer revision.
+    Draining concerns one upstream only, so a concurrent edit of another part
+    must not prevent it: it is retried from the newer revision.
     """
     for attempts_left in reversed(range(_MAX_CONFLICT_ATTEMPTS)):
         body = await client.get(exchange.path('upstreams', name))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
@@ -1,4 +1,4 @@
-"""Configuration files on the operator's host."""
+"""Reads and checks local configuration files."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 def read(path: str) -> dict[str, Any]:
-    """Reads a file of JSON with comments, without checking its keys.
+    """Reads a JSON file with comments, without checking its keys.
 
     Raises:
-      InvalidDocumentError: It is no JSON object.
+      InvalidDocumentError: The file cannot be read or is not a JSON object.
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
@@ -39,10 +39,10 @@
 
 
 def load(path: str) -> model.Configuration:
-    """Reads a configuration file and checks it whole.
+    """Reads a configuration file and checks keys, values and references.
 
     Raises:
-      InvalidDocumentError: With every fault that was found.
+      InvalidDocumentError: The file is invalid; lists every fault.
     """
     try:
         cfg = schema_check.check(model.Configuration, read(path), path)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/edit.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/edit.py
@@ -1,4 +1,4 @@
-"""Sends an edit until its outcome is known."""
+"""Submits edits, with retries until the outcome is known."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
     Attributes:
       method: HTTP method.
       path: Path below `/admin/v1`.
-      body: JSON data; None if the path says it all.
-      expected: Revision that the edit was made from.
-      note: Why, for the history.
-      id: The same in every repetition, by which a router knows it again.
+      body: JSON data; None for no body.
+      expected_revision: Revision that the edit is based on.
+      note: Reason, for the history.
+      id: Sent with every attempt, so that routers recognize a retry.
     """
 
     method: str
@@ -42,7 +42,7 @@
     id: str = dataclasses.field(default_factory=lambda: uuid.uuid4().hex)
 
     def call(self) -> exchange.Call:
-        """Makes the call that carries the edit."""
+        """Returns the call that submits the edit."""
         headers = [
             ('If-Match', f'"{self.expected_revision}"'),
             ('X-Edit-Id', self.id),
@@ -54,13 +54,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Accepted:
-    """An edit that is accepted.
+    """The result of an accepted edit.
 
     Attributes:
-      revision: Revision that it made.
+      revision: Revision that the edit created.
       edit: Id of the edit.
-      lost: Answers that were lost before the outcome was known.
-      earlier: It had been accepted before the last repetition.
+      lost_responses: Number of attempts whose outcome was unknown.
+      already_accepted: An earlier attempt had been accepted before the last.
     """
 
     revision: int
@@ -70,24 +70,25 @@
 
 
 def _attempts(urls: tuple[str, ...]) -> Iterator[tuple[str, float]]:
-    """Yields the routers in turn, each with the pause before it."""
+    """Yields router URLs in turn, each with the pause before the attempt."""
     for round_number in range(_MAX_ROUNDS):
         for index, url in enumerate(urls):
             yield url, _PAUSE_STEP_S * round_number if index == 0 else 0.0
 
 
 async def submit(client: client_lib.RouterClient, edit: Edit) -> Accepted:
-    """Sends an edit until a router tells its outcome.
+    """Sends an edit until a router reports its outcome.
 
-    A repetition carries the same id and the same expected revision, so that
-    the routers accept the edit once however often it arrives, and a lost
-    answer is settled by asking again.
+    Each retry carries the same id and expected revision, so that the routers
+    accept the edit once however often it arrives, and a retry after a lost
+    response returns the outcome.
 
     Raises:
-      ConflictError: Another edit was first.
-      InvalidDocumentError: The document would not pass the check.
-      UnreachableError: No router took the edit; it did not take effect.
-      OutcomeUnknownError: It was sent, and no router tells its outcome.
+      ConflictError: Another edit was accepted first.
+      InvalidDocumentError: The edited document would be invalid.
+      UnreachableError: No router accepted the edit; it has no effect.
+      OutcomeUnknownError: The edit was sent, but no router reported its
+        outcome.
     """
     lost: list[str] = []
     unavailable: list[str] = []
@@ -116,10 +117,10 @@
 
 
 def _is_outcome_unknown(resp: exchange.Response, is_retry: bool) -> bool:
-    """Tells whether the edit may have been accepted despite the answer.
+    """Whether the edit may have been accepted despite this response.
 
-    An edit may take away the credential that it was made with. If its answer
-    is lost, the repetition is refused although the edit is in force.
+    An edit may revoke the credential that it is sent with. If its response is
+    lost, the retry is refused although the edit was accepted.
     """
     if resp.status in _CREDENTIAL_STATUSES:
         return is_retry
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/editor.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/editor.py
@@ -1,4 +1,4 @@
-"""Lets the operator change values in an editor."""
+"""Opens values in the operator's text editor."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def edit_values(title: str, values: dict[str, Any]) -> dict[str, Any] | None:
-    """Opens $EDITOR on the values.
+    """Opens $EDITOR with the values as commented JSON.
 
     Returns:
-      The changed values; None if the file was closed unchanged.
+      The changed values; None if the text was not changed.
 
     Raises:
-      InvalidDocumentError: What was saved is not a JSON object.
+      InvalidDocumentError: The saved text is not a JSON object.
     """
     text = f'// {title}\n{json.dumps(values, indent=2)}\n'
     edited = click.edit(text, extension='.json5')
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with one router."""
+"""Sends one HTTP request to one router."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 class ExchangeError(base.QuetzalsillError):
-    """A router gave no answer."""
+    """No complete response was received from a router."""
 
     code = 'no_answer'
 
 
 class NotSentError(ExchangeError):
-    """No connection came about, so the router saw nothing of the call."""
+    """The connection failed, so the router did not receive the call."""
 
     code = 'not_sent'
 
 
 class ResponseLostError(ExchangeError):
-    """The call was sent, or in part, and no whole answer came."""
+    """The call may have been sent, but no complete response arrived."""
 
     code = 'answer_lost'
 
@@ -67,12 +67,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Response:
-    """What a router answered.
+    """A router's response.
 
     Attributes:
       router: Base URL of the router.
       status: HTTP status.
-      body: JSON data; None if the answer was no JSON.
+      body: JSON data; None if the body is not JSON.
     """
 
     router: str
@@ -81,7 +81,7 @@
 
 
 def path(*parts: str, **query: Any) -> str:
-    """Joins quoted parts to a path; query values of None are left out."""
+    """Builds a path of quoted parts; query values of None are omitted."""
     joined = ''.join(f'/{url_parse.quote(part, safe="")}' for part in parts)
     present = {
         name: value for name, value in query.items() if value is not None
@@ -116,11 +116,11 @@
     call: Call,
     timeout_s: float,
 ) -> Response:
-    """Sends a call to a router and reads the whole answer.
+    """Sends a call to a router and reads the complete response.
 
     Raises:
-      NotSentError: No connection came about.
-      AnswerLostError: The connection failed or was silent after that.
+      NotSentError: The connection failed or the request is invalid.
+      ResponseLostError: The connection failed or timed out after that.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/failure.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/failure.py
@@ -1,4 +1,4 @@
-"""Failures of a command, each with the exit code of the process."""
+"""Errors of commands, each with an exit code."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 class CommandError(click.ClickException):
-    """A command did not do what was asked.
+    """A command failed.
 
     Attributes:
-      advice: What the operator can do about it; empty if nothing.
+      advice: What the operator can do about it; may be empty.
     """
 
     exit_code = ExitCode.FAILED
@@ -51,28 +51,28 @@
         self.advice = advice
 
     def format_message(self) -> str:
-        """Gives the message with the advice below it."""
+        """Returns the message, followed by the advice."""
         return f'{self.message}\n{self.advice}' if self.advice else self.message
 
 
 class BadArgumentError(CommandError):
-    """The router can't take an argument."""
+    """An argument is not valid."""
 
     exit_code = ExitCode.USAGE
 
 
 class NotFoundError(BadArgumentError):
-    """An argument names nothing that exists."""
+    """An argument names something that does not exist."""
 
 
 class InvalidDocumentError(CommandError):
-    """A document does not pass the check; nothing was changed."""
+    """A document is invalid; nothing was changed."""
 
     exit_code = ExitCode.INVALID
 
 
 class ConflictError(CommandError):
-    """Another edit was first; nothing was changed."""
+    """Another edit was accepted first; nothing was changed."""
 
     exit_code = ExitCode.CONFLICT
 
@@ -84,19 +84,19 @@
 
 
 class RefusedError(CommandError):
-    """The credential is unknown, or its role does not permit the call."""
+    """The credential is missing, unknown or lacks the required role."""
 
     exit_code = ExitCode.REFUSED
 
 
 class OutcomeUnknownError(CommandError):
-    """A write was sent and nothing tells whether it took effect."""
+    """A write was sent, but it is unknown whether it took effect."""
 
     exit_code = ExitCode.UNKNOWN
 
 
 class RolloutIncompleteError(CommandError):
-    """The edit is accepted, but some live node does not show it yet."""
+    """The edit was accepted, but is not yet active on every live node."""
 
     exit_code = ExitCode.ROLLOUT_INCOMPLETE
 
@@ -124,7 +124,7 @@
 
 
 def from_response(status: int, body: Any) -> CommandError:
-    """Makes the failure that a router's answer tells of."""
+    """Converts a router's error response to an exception."""
     cls = _BY_STATUS.get(status, CommandError)
     error = body.get('error') if isinstance(body, dict) else None
     if not isinstance(error, dict):
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/history.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/history.py
@@ -1,4 +1,4 @@
-"""Shows who made which revision."""
+"""Prints revisions with their authors and changes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def show(path: str | None, count: int, as_json: bool) -> None:
-    """Prints the newest revisions; with a path, those that changed it."""
+    """Prints the latest revisions; with a path, those that changed it."""
     body = runner.run(
         lambda client: client.get(
             exchange.path('history', limit=count, path=path)
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/ledger.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/ledger.py
@@ -1,8 +1,8 @@
-"""Where requests were lost or late, and why: one account of a whole log.
+"""Classifies all requests of a log: served in time, late or lost, and why.
 
-Each request of the gateways' logs gets one verdict and one cause. What the
-logs cannot tell (a caller that could not connect, a request whose gateway died
-before it chose an upstream) is not in the account.
+Each request in the gateways' logs gets one verdict and one cause. Requests
+that left no log line are not counted: those of callers that could not connect,
+and those whose gateway died before it chose an upstream.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 __all__ = ['Entry', 'Ledger', 'Verdict', 'build', 'format_table']
 
-# Held at admission for this share of the time to its first event, a generation
-# was late for want of memory; below, for its prompt or its engine.
+# A late generation that spent at least this share of its time to first event at
+# admission waited for memory; otherwise for its prefill or its engine.
 MIN_MEMORY_WAIT_SHARE = 0.5
 
 
 class Verdict(enum.Enum):
-    """What became of a request, for its caller."""
+    """The outcome of a request for its caller."""
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -33,15 +33,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Entry:
-    """One request.
+    """The classification of one request.
 
     Attributes:
       request: Id of the request.
-      route: Route taken; empty if the logs do not tell.
-      verdict: What became of it.
-      cause: Why it was late or lost; empty if it was not.
-      at: Time of day of its end, or of the last that was heard of it.
-      tokens: Memory that it was expected to need; 0 if not known.
+      route: Its route; empty if unknown.
+      verdict: Its outcome.
+      cause: Why it was late, lost or not counted; empty if in time.
+      at: Time of its end, or of its last log line.
+      tokens: Expected size in the KV cache, in tokens; 0 if unknown.
     """
 
     request: str
@@ -54,11 +54,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Ledger:
-    """The account of a log.
+    """All classified requests of a log.
 
     Attributes:
-      entries: One per request, in the order in which they were first seen.
-      unread: Lines that name an event but cannot be read.
+      entries: One per request, in order of first appearance.
+      unreadable_lines: Number of lines with an event that cannot be parsed.
     """
 
     entries: list[Entry]
@@ -66,7 +66,7 @@
 
 
 def build(texts: Iterable[str]) -> Ledger:
-    """Returns the account of the lines of any number of gateways."""
+    """Classifies the requests in the log lines of any number of gateways."""
     unreadable_lines = 0
     by_request: dict[str, list[request_log.LogLine]] = collections.defaultdict(
         list
@@ -84,7 +84,7 @@
         try:
             entries.append(_entry(request, lines))
         except ValueError:
-            # Of another version, or cut off in the middle of a figure.
+            # Written by another version, or truncated within a number.
             unreadable_lines += len(lines)
     return Ledger(entries, unreadable_lines)
 
@@ -103,7 +103,7 @@
         return Entry(request, route, lost, 'its gateway died', last.at, tokens)
     end = ends[-1]
     if 'tokens' not in end.fields:
-        # The last field: a line without it was cut off, and would be misjudged.
+        # `tokens` is the last field; a truncated line would be misclassified.
         raise ValueError('the end of the line is missing')
     verdict, cause = _classify(end, lines)
     route = end.fields.get('route', '')
@@ -186,7 +186,7 @@
 
 
 def format_table(ledger: Ledger) -> Iterator[str]:
-    """Yields the lines of the account: per route, per cause."""
+    """Yields the table's lines: a summary per route, then its causes."""
     by_route: dict[str, list[Entry]] = collections.defaultdict(list)
     for entry in ledger.entries:
         if entry.verdict is not Verdict.NOT_OWED:
@@ -222,6 +222,6 @@
 
 
 def _busiest_seconds(entries: list[Entry], limit: int = 3) -> str:
-    """Names the seconds in which most of them ended."""
+    """Formats the seconds in which the most entries ended."""
     counts = collections.Counter(f'{entry.at:%H:%M:%S}' for entry in entries)
     return ' '.join(f'{at}x{n}' for at, n in counts.most_common(limit))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/option.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/option.py
@@ -1,4 +1,4 @@
-"""Options that all commands share."""
+"""Options shared by the commands."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Options:
-    """Where and how to reach the routers.
+    """Connection options for the routers.
 
     Attributes:
       routers: Base URLs, tried in order.
       token: Bearer token of the operator; empty if none was given.
-      timeout_s: Longest wait for one answer of one router.
-      authority: File of the certificate authority; empty for the system's.
-      certificate: File of the own certificate chain; empty for none.
-      key: File of its private key.
+      timeout_s: Timeout of one request to one router.
+      authority: CA certificate file; empty for the system's CAs.
+      certificate: Client certificate chain file; empty for none.
+      key: Private key file of the client certificate.
     """
 
     routers: tuple[str, ...]
@@ -94,7 +94,7 @@
     certificate: str | None,
     key: str | None,
 ) -> Options:
-    """Checks and joins the options of the root command."""
+    """Validates and combines the options of the root command."""
     token = file_token or os.environ.get(TOKEN_VARIABLE, '').strip()
     if token and not _TOKEN_PATTERN.fullmatch(token):
         raise click.UsageError('the token holds characters that none may have')
@@ -173,7 +173,7 @@
 
 
 def assignments(text: str) -> Callable[[F], F]:
-    """Adds the repeatable `--set KEY=VALUE`, with a help text of its own."""
+    """Adds the repeatable option `--set KEY=VALUE` with the given help."""
     return click.option(
         '--set',
         'assignments',
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
@@ -1,4 +1,4 @@
-"""Prints what a command found: JSON, or aligned columns."""
+"""Prints results as JSON or as tables."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def cell(value: Any) -> str:
-    """Renders a value for one cell of a table."""
+    """Formats a value for a table cell."""
     if value is None or value == '' or value == []:
         return '-'
     if isinstance(value, bool):
@@ -24,7 +24,8 @@
     if isinstance(value, dict):
         return json.dumps(value, sort_keys=True)
     text = str(value)
-    # Text of other operators, such as a note, may hold terminal controls.
+    # Text by other operators, such as a note, may contain terminal control
+    # sequences.
     return text if text.isprintable() else ascii(text)
 
 
@@ -34,7 +35,7 @@
 
 
 def table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Prints rows below their heads in columns as wide as needed."""
+    """Prints a table with columns as wide as their widest cell."""
     lines = [list(headers), *([cell(value) for value in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
@@ -45,5 +46,5 @@
 
 
 def key_values(values: dict[str, Any]) -> None:
-    """Prints the keys and values of one object, a line each."""
+    """Prints an object as a table with a row for each key."""
     table(('KEY', 'VALUE'), values.items())
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/plot.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/plot.py
@@ -1,4 +1,4 @@
-"""Draws a ledger: late and lost requests over time, by cause."""
+"""Plots late and lost requests of a ledger over time, by cause."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def draw(result: ledger.Ledger, path: str) -> None:
-    """Writes the picture; its form follows from the suffix of the file.
+    """Writes the plot to a file; the file suffix selects the format.
 
     Raises:
-      failure.BadArgumentError: The plotting library is missing, or the file
-        cannot be written.
+      failure.BadArgumentError: Matplotlib is not installed, or the file cannot
+        be written.
     """
     try:
         from matplotlib import figure as figure_lib
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/plugin.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/plugin.py
@@ -1,4 +1,4 @@
-"""Registers the command groups that ship with the command line."""
+"""Registers the built-in commands."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def register(registry: plugin_registry.Registry) -> None:
-    """Adds each command group under the kind `command`."""
+    """Registers each command under the kind `command`."""
     for command in _COMMANDS:
         registry.add(
             'command', command.name, command, command.get_short_help_str()
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/request_log.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/request_log.py
@@ -1,4 +1,4 @@
-"""What became of one request, out of the log lines of all processes."""
+"""Finds the log lines of one request and explains its outcome."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 FIELD_PATTERN = re.compile(r'(\w+)(?:=("(?:[^"\\]|\\.)*"|\S*))?')
 HEADER_FIELDS = ('timestamp', 'level', 'event', 'node', 'role', 'module')
-# Events that say what an upstream did, by the field that names it.
+# Events about an upstream, which is named in their field `upstream`.
 UPSTREAM_EVENTS = ('upstream_leaving', 'upstream_removed', 'migration_started')
 STORE_EVENTS = ('store_lost', 'store_regained')
 
 
 @dataclasses.dataclass(slots=True)
 class LogLine:
-    """One log line.
+    """A parsed log line.
 
     Attributes:
-      at: Time of day at its process.
-      node: Process that wrote it.
+      at: Time by the clock of the process that wrote it.
+      node: Node that wrote it.
       event: Name of the event.
-      fields: The event's own fields.
+      fields: Fields of the event, without the common header fields.
     """
 
     at: datetime.datetime
@@ -35,16 +35,15 @@
 
     @property
     def text(self) -> str:
-        """The event with its fields, as it was written."""
+        """The event and its fields in log format."""
         fields = ' '.join(f'{k}={v}' for k, v in self.fields.items())
         return f'{self.event} {fields}'
 
 
 def parse(text: str) -> LogLine | None:
-    """Returns the line that a text holds, None if it holds none.
+    """Parses a log line; returns None for other text.
 
-    What stands before the timestamp, as a collector of logs may write, is
-    left out.
+    Ignores any prefix before the timestamp, such as a log collector adds.
     """
     start = text.find('timestamp=')
     if start < 0:
@@ -62,15 +61,15 @@
 
 
 def read(texts: Iterable[str]) -> list[LogLine]:
-    """Returns the lines that texts hold; what is none is left out."""
+    """Parses log lines and skips other text."""
     return [line for text in texts if (line := parse(text)) is not None]
 
 
 def select(parsed: list[LogLine], request: str) -> list[LogLine]:
-    """Returns what concerns a request, in the order of the processes' clocks.
+    """Returns the lines that concern a request, in timestamp order.
 
-    Besides its own lines these are, from its gateway and while it lasted, what
-    the gateway learned of the upstreams that had it, of its store and peers.
+    Besides the request's own lines, these are lines of its gateways during the
+    request about its upstreams, the store, the configuration and shutdown.
     """
     own = [line for line in parsed if line.fields.get('request') == request]
     if not own:
@@ -100,7 +99,7 @@
 def _next_process_starts(
     parsed: list[LogLine], nodes: set[str], since: datetime.datetime
 ) -> Iterator[LogLine]:
-    """Yields when the gateways of a request without an end started anew."""
+    """Yields the next start of each gateway after a request without an end."""
     for node in nodes:
         starts = [
             line
@@ -113,7 +112,7 @@
 
 
 def explain_outcome(lines: list[LogLine]) -> str:
-    """Returns in a sentence why a request ended as it did."""
+    """Explains in a sentence or two why a request ended as it did."""
     ends = [line for line in lines if line.event == 'request_ended']
     refusals = [line for line in lines if line.event == 'request_refused']
     if refusals:
@@ -251,7 +250,7 @@
 
 
 def node_names(lines: list[LogLine]) -> Iterator[str]:
-    """Yields the names of the processes whose lines are mixed by clock."""
+    """Yields the distinct node names in order of first appearance."""
     seen: set[str] = set()
     for line in lines:
         if line.node not in seen:
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
@@ -1,4 +1,4 @@
-"""Which live node has which revision in force."""
+"""Tracks which revision is active on each node."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Node:
-    """A process as the routers that were asked see it.
+    """A router or sidecar, as seen by the queried routers.
 
     Attributes:
       name: Node name of a router; upstream name of a sidecar.
       kind: `router` or `sidecar`.
       state: `live`, `leaving` or `unlinked`.
-      availability_zone: Where it runs.
-      address: IP:PORT where it listens.
-      incarnation: Number of its present start; 0 if unknown.
-      revision: Configuration in force there; 0 if unknown.
-      load: Newest load of a sidecar, as JSON data; None if unknown.
+      availability_zone: Availability zone of the node.
+      address: IP:PORT that it listens on.
+      incarnation: Incarnation number of the process; 0 if unknown.
+      revision: Revision that is active there; 0 if unknown.
+      load: Latest load of a sidecar, as JSON data; None if unknown.
     """
 
     name: str
@@ -44,45 +44,45 @@
     load: Any
 
     def to_json(self) -> dict[str, Any]:
-        """Gives the node as JSON data."""
+        """Returns the node as JSON data."""
         return dataclasses.asdict(self)
 
     def key(self) -> tuple[str, str]:
-        """Gives what tells the node from all others."""
+        """Returns the unique key of the node: its kind and name."""
         return self.kind, self.name
 
     def freshness(self) -> tuple[bool, int, int]:
-        """Orders views of the same node, the newest last."""
+        """Returns a sort key for views of the same node, the latest last."""
         return self.state != 'unlinked', self.incarnation, self.revision
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fleet:
-    """All nodes that are known.
+    """All known nodes.
 
     Attributes:
-      nodes: By kind and name.
-      complete: The store confirmed to some router which routers are live.
+      nodes: Sorted by kind and name.
+      complete: Some router could read the live routers from the store.
     """
 
     nodes: list[Node]
     complete: bool
 
     def linked(self) -> list[Node]:
-        """Gives the nodes that some router sees now."""
+        """Returns the nodes that are linked to some queried router."""
         return [node for node in self.nodes if node.state != 'unlinked']
 
     def unlinked(self) -> list[Node]:
-        """Gives the sidecars that no asked router holds a link to."""
+        """Returns the sidecars that are linked to no queried router."""
         return [node for node in self.nodes if node.state == 'unlinked']
 
     def behind(self, revision: int) -> list[Node]:
-        """Gives the linked nodes that do not show the revision yet."""
+        """Returns the linked nodes with an older revision."""
         return [node for node in self.linked() if node.revision < revision]
 
 
 def _parse_nodes(body: Any) -> Iterator[Node]:
-    """Yields the nodes of one answer; a router knows itself best."""
+    """Yields the nodes of a response; takes a router's revision from itself."""
     for data in body['nodes']:
         node = Node(**data)
         if node.key() == ('router', body['node']):
@@ -100,10 +100,10 @@
 
 
 async def fetch_fleet(client: router_client.RouterClient) -> Fleet:
-    """Asks every router named and merges what they see.
+    """Queries all routers and merges their views.
 
     Raises:
-      CommandError: None of them gave an answer.
+      CommandError: No router responded successfully.
     """
     responses = await client.get_from_all(exchange.path('nodes'))
     bodies = [resp.body for resp in responses if resp.status == 200]
@@ -116,14 +116,14 @@
 async def wait(
     client: router_client.RouterClient, revision: int, timeout_s: float
 ) -> tuple[Fleet, list[Node]]:
-    """Looks until every linked node shows a revision, or the bound is up.
+    """Polls until every linked node has a revision, or the timeout expires.
 
-    A node that was linked at some look and lost its link before it showed
-    the revision still counts: a paused process is dropped from the links,
-    and wakes later with the old configuration.
+    A node that was linked at some poll and lost its link before it had the
+    revision still counts as behind: a paused process loses its links, and
+    resumes later with the old configuration.
 
     Returns:
-      The fleet at the last look, and the nodes that do not show it.
+      The fleet at the last poll, and the nodes that have an older revision.
     """
     deadline = time.monotonic() + timeout_s
     known_linked: set[tuple[str, str]] = set()
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/router_client.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/router_client.py
@@ -1,4 +1,4 @@
-"""The routers that a command may ask, one after the other or each."""
+"""Client of the administration API of several routers."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 _NO_TOKEN_MESSAGE = (
     'no operator token: give --token-file or set QUETZALSILL_TOKEN'
 )
-# Statuses by which a router says that it cannot serve, while another might.
+# Statuses of a router that cannot serve the call while another one might.
 _TRY_NEXT_STATUSES = frozenset({502, 503})
 
 
 class RouterClient:
-    """Asks routers in the order of the options.
+    """Sends calls to the routers in the order of the options.
 
     Attributes:
-      urls: Base URLs, in order.
+      urls: Base URLs of the routers, in order.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._sessions = sessions
 
     async def send(self, url: str, call: exchange.Call) -> exchange.Response:
-        """Asks one router.
+        """Sends a call to one router.
 
         Raises:
-          NotSentError: It could not be reached.
-          AnswerLostError: It did not answer.
+          NotSentError: The router could not be reached.
+          ResponseLostError: No complete response arrived.
         """
         options = self._options
         return await exchange.send(
@@ -52,11 +52,11 @@
         )
 
     async def get(self, path: str) -> Any:
-        """Reads from the first router that can serve the call.
+        """Gets a path from the first router that can serve it.
 
         Raises:
-          UnreachableError: None could.
-          CommandError: A router answered with a failure.
+          UnreachableError: No router could serve the call.
+          CommandError: A router responded with an error.
         """
         lines = []
         for url in self.urls:
@@ -72,7 +72,7 @@
         raise unreachable_error(lines)
 
     async def get_from_all(self, path: str) -> list[exchange.Response]:
-        """Reads from all routers at once; gives the answers that came."""
+        """Gets a path from all routers concurrently; omits lost responses."""
         call = exchange.Call('GET', path)
         results = await asyncio.gather(
             *(self.send(url, call) for url in self.urls),
@@ -90,7 +90,7 @@
 
 
 def require_success(resp: exchange.Response) -> Any:
-    """Gives the body of a good answer; raises `CommandError` otherwise."""
+    """Returns the body of a 200 response; else raises `CommandError`."""
     if resp.status != 200:
         raise failure.from_response(resp.status, resp.body)
     if not isinstance(resp.body, dict):
@@ -99,7 +99,7 @@
 
 
 def unreachable_error(lines: list[str]) -> failure.UnreachableError:
-    """Makes the failure of a call that no router could serve."""
+    """Returns the error of a call that no router could serve."""
     return failure.UnreachableError(
         '\n'.join(['no router could serve the call:', *lines]),
         'Name other routers with --router; nothing was changed.',
@@ -108,7 +108,7 @@
 
 @contextlib.asynccontextmanager
 async def connect(options: option.Options) -> AsyncIterator[RouterClient]:
-    """Opens a session for each router and closes them at the end.
+    """Opens a session for each router and closes the sessions on exit.
 
     Raises:
       RefusedError: No token was given.
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
@@ -1,4 +1,4 @@
-"""Entry point `quetzalsill`."""
+"""Entry point of the `quetzalsill` command."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def build(plugins: plugin_registry.Registry) -> click.Group:
-    """Makes the root command with every command that is registered."""
+    """Builds the root command with all registered commands."""
 
     @click.group(name='quetzalsill', epilog=_EPILOG)
     @option.root_options
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/runner.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/runner.py
@@ -1,4 +1,4 @@
-"""Runs the asynchronous part of a command, and sees an edit through."""
+"""Runs the asynchronous part of commands and submits edits."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def run(command: Callable[[router_client.RouterClient], Awaitable[T]]) -> T:
-    """Runs work with the routers that the options name."""
+    """Runs a command with a client for the routers in the options."""
     options = click.get_current_context().find_object(option.Options)
 
     async def run_connected() -> T:
@@ -35,11 +35,11 @@
 
 
 def show(*parts: str, as_json: bool) -> None:
-    """Prints every key of one part of the configuration.
+    """Prints all keys of one part of the configuration.
 
     Args:
-      *parts: Path of the part below the configuration API.
-      as_json: Print the whole answer as JSON.
+      *parts: Path segments of the part below `/admin/v1`.
+      as_json: Print the complete response body as JSON.
     """
     body = run(lambda client: client.get(exchange.path(*parts)))
     if as_json:
@@ -51,11 +51,11 @@
 async def submit_edit(
     client: router_client.RouterClient, new_edit: edit.Edit, wait: bool
 ) -> None:
-    """Submits an edit, says what became of it, and waits if asked to.
+    """Submits an edit, prints its outcome and optionally waits for rollout.
 
     Raises:
-      NotInForceError: Accepted, but not yet in force on every live node.
-      CommandError: As `edit.submit` does.
+      RolloutIncompleteError: Accepted, but not yet active on every live node.
+      CommandError: As for `edit.submit`.
     """
     accepted = await edit.submit(client, new_edit)
     if accepted.lost_responses:
