--- a/tests/quetzalsill_cli/fixture.py
+++ b/tests/quetzalsill_cli/fixture.py
@@ -1,4 +1,4 @@
-"""Routers with the administration API, served to the command line."""
+"""Test fixtures: routers with the administration API for the command line."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 
 
 class LossyApp:
-    """Serves an application and cuts some answers off after the effect.
+    """Wraps an application and truncates responses to writes.
 
     Attributes:
-      lose: So many writes are carried out and their answers cut off.
-      seen: Method, path and edit id of each call.
+      responses_to_lose: How many of the next writes take effect with their
+        responses truncated.
+      calls: Method, path and edit id of each call.
     """
 
     def __init__(self, app):
@@ -52,11 +53,11 @@
 
 
 async def _discard(message):
-    """Takes a message that the client must not see."""
+    """Drops a message of the response that is to be lost."""
 
 
 class ServedRouter:
-    """One router with its listener."""
+    """A router with its listener."""
 
     def __init__(self, router, tls):
         self.router = router
@@ -75,7 +76,7 @@
 
 
 class RouterThread:
-    """Routers on an event loop in a thread of its own."""
+    """Runs routers on an event loop in a separate thread."""
 
     def __init__(self):
         self._loop = asyncio.new_event_loop()
@@ -105,14 +106,14 @@
 
 
 def unused_url():
-    """Gives a URL at which nothing listens."""
+    """Returns a URL that nothing listens on."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return f'http://127.0.0.1:{sock.getsockname()[1]}'
 
 
 class LaggingPeer(fake.Peer):
-    """A sidecar that has in force what its router has, after a while."""
+    """A sidecar that reports revision 1 first, then its router's revision."""
 
     def __init__(self, router, stale_reads=0):
         super().__init__('ikeja-1')
@@ -121,7 +122,7 @@
 
     @property
     def load(self):
-        """Gives a load, for some looks at revision 1."""
+        """A load with revision 1 for the first `stale_reads` reads."""
         if self.stale_reads_left:
             self.stale_reads_left -= 1
             return fake.load(1)
@@ -129,11 +130,11 @@
 
     @load.setter
     def load(self, value):
-        """Ignores the default of the field."""
+        """Ignores the default value that the dataclass sets."""
 
 
 class CommandTestCase(unittest.TestCase):
-    """Runs commands against one router with a first configuration."""
+    """Runs commands against a router with a first configuration."""
 
     def setUp(self):
         self.routers = RouterThread()
@@ -157,7 +158,7 @@
         return self.routers.add(router)
 
     def invoke(self, *arguments, urls=None, token=fake.OPERATOR, **options):
-        """Runs a command; gives its result."""
+        """Runs a command and returns its result."""
         router_options = [
             word for url in urls or [self.served.url]
             for word in ('--router', url)
@@ -170,7 +171,7 @@
         )
 
     def file(self, text, name='configuration.json5'):
-        """Writes a file; gives its path."""
+        """Writes a file and returns its path."""
         path = self.folder / name
         path.write_text(text, encoding='utf-8')
         return str(path)
--- a/tests/quetzalsill_cli/test_edit.py
+++ b/tests/quetzalsill_cli/test_edit.py
@@ -1,4 +1,4 @@
-"""Tests of edits of the command line: races, lost answers and the wait."""
+"""Tests of edits: conflicts, lost responses and waiting for rollout."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EditTest(fixture.CommandTestCase):
-    """Edits and their outcomes."""
+    """Valid and invalid edits."""
 
     def test_a_profile_edit_is_in_force_when_the_command_ends(self):
         result = self.invoke(
@@ -103,13 +103,13 @@
 
 
 class RaceTest(fixture.CommandTestCase):
-    """Edits that race, or whose answers are lost."""
+    """Concurrent edits and lost responses."""
 
     def test_a_conflict_names_the_author_and_the_remedy(self):
-        """Two operators read revision 1; the other one is accepted first.
+        """A conflict reports the current revision, its author and a remedy.
 
-        The loser must see the current revision, who made it and what to do;
-        the winner's edit stays.
+        Two operators read revision 1 and the other operator's edit is
+        accepted first.
         """
         data, revision = self.router.store.put(
             fake.sample_configuration(), 'obi'
@@ -123,10 +123,10 @@
             self.assertIn(text, result.stderr)
 
     def test_a_drain_is_retried_after_a_conflicting_edit(self):
-        """An operator edits a profile between the drain's read and write.
+        """An edit of a profile between a drain's read and write is no obstacle.
 
-        The drain concerns one upstream only; refused, it would leave an
-        upstream in use that is about to go.
+        If the drain were refused, an upstream that is about to be stopped
+        would stay in use.
         """
         rivals = [fake.sample_configuration()]
         store = self.router.store
@@ -136,9 +136,10 @@
         self.assertIn('revision 3 accepted', result.stdout)
 
     def test_a_lost_response_is_retried(self):
-        """The connection dies after the edit took effect.
+        """A retry with the same id finds the accepted edit.
 
-        Sent again with the same id, the edit must be found, not doubled.
+        The connection is closed after the edit took effect; the retry must
+        not apply it again.
         """
         self.served.app.responses_to_lose = 1
         result = self.invoke('profile', 'edit', 'prompt', '--set', 'retries=1')
@@ -168,10 +169,10 @@
         self.assertIn(edit, self.invoke('config', 'history').stdout)
 
     def test_a_refused_retry_does_not_hide_an_accepted_edit(self):
-        """An edit takes away its own credential and its answer is lost.
+        """An edit that revokes its own credential has an unknown outcome.
 
-        The repetition is refused as unauthorized although the edit is in
-        force; "refused" would be a lie.
+        The response is lost, and the retry is refused as unauthorized
+        although the edit was accepted; to report it as refused would be wrong.
         """
         plain = fake.sample_configuration()
         del plain['operators']['ada']
@@ -187,13 +188,13 @@
 
 
 class WaitTest(fixture.CommandTestCase):
-    """Waiting until an edit is in force everywhere."""
+    """Waiting until an edit is active on every live node."""
 
     def test_a_node_that_stays_behind_is_named(self):
-        """A sidecar is paused while an operator edits a profile.
+        """The command names a live node that does not get the revision.
 
-        The edit is accepted and stays; the operator must hear that this
-        node does not have it yet.
+        A sidecar is paused while an operator edits a profile. The edit
+        stays accepted, but this node does not have it yet.
         """
         self.router.peers = [fake.Peer('ikeja-1', load=fake.load(1))]
         with mock.patch.object(rollout, 'WAIT_TIMEOUT_S', 0.3):
@@ -205,10 +206,11 @@
         self.assertIn('revision 2 accepted', result.stdout)
 
     def test_a_node_that_loses_its_link_meanwhile_is_named(self):
-        """A sidecar is paused; the router drops its link after a while.
+        """A node that loses its link during the wait counts as behind.
 
-        It wakes with the old configuration, so that "in force" would be
-        wrong although no linked node is behind.
+        A sidecar is paused until the router drops its link. It resumes with
+        the old configuration, so the rollout is incomplete although no
+        linked node is behind.
         """
         peer = fake.Peer('ikeja-1', load=fake.load(1))
         self.router.peers = [peer]
--- a/tests/quetzalsill_cli/test_explain.py
+++ b/tests/quetzalsill_cli/test_explain.py
@@ -1,4 +1,4 @@
-"""A failed request is explained from log lines alone."""
+"""Tests of `quetzalsill explain`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def line(at_s, event_value, node='entry-1'):
-    """Returns the line of an event, as its process writes it."""
+    """Formats an event as a log line."""
     fields = dataclasses.asdict(event_value)
     shown = ' '.join(
         f'{name}="{value}"' if ' ' in str(value) else f'{name}={value}'
@@ -72,7 +72,7 @@
 
 
 class RequestLogTest(unittest.TestCase):
-    """Which lines tell of a request, and what they come to."""
+    """Selection of a request's lines and explanation of its outcome."""
 
     def test_its_lines_and_what_its_gateway_learned(self):
         lines = request_log.read('12.3 entry-1 ' + text for text in LOG_LINES)
@@ -109,7 +109,7 @@
         self.assertIn('broke off without a notice', cause)
 
     def test_every_reason_and_outcome_has_a_cause(self):
-        """A new outcome without a sentence would explain nothing."""
+        """Guards against a new outcome without an explanation."""
         reasons = _documented_values(event.RequestRefused, 'reason')
         self.assertEqual(set(request_log._REFUSAL_SENTENCES), reasons)
         outcomes = _documented_values(event.RequestEnded, 'outcome')
@@ -123,7 +123,7 @@
         self.assertIn('was not logged', request_log.explain_outcome(found))
 
     def test_a_gateway_that_died_with_it_is_named(self):
-        """Its log just ends; the next line of that host is a new start."""
+        """The log has no end of the request, but a restart of its gateway."""
         start = f'{START.format(4)} event=process_started node=entry-1'
         other = f'{START.format(3)} event=process_started node=entry-2'
         lines = [line(1, chosen('r-9')), other, start]
@@ -145,7 +145,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    """The command line around it."""
+    """The command with its arguments and output."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -189,7 +189,7 @@
 
 
 def _documented_values(cls, field):
-    """Returns the values that an event's text names for a field."""
+    """Returns the values that an event's docstring lists for a field."""
     text = cls.__doc__.partition(f'      {field}: ')[2]
     text = text.partition('\n      sends:')[0].partition('\n      status:')[0]
     return {part for part in text.split('`')[1::2] if part.isidentifier()}
--- a/tests/quetzalsill_cli/test_ledger.py
+++ b/tests/quetzalsill_cli/test_ledger.py
@@ -1,4 +1,4 @@
-"""The account of a log: each request one verdict and one cause."""
+"""Tests of `quetzalsill explain --ledger`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def ended(request, outcome='served', **changes):
-    """Returns the end of a generation, in time unless `more` says so."""
+    """Returns the end of a generation that is in time unless changed."""
     fields = {
         'route': 'plan',
         'kind': 'stream',
@@ -57,7 +57,7 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """An engineer asks where a bad hour was lost."""
+    """Classification of requests, and the table and plot of the results."""
 
     def causes(self, log=LOG):
         return {
@@ -82,7 +82,7 @@
         )
 
     def test_lines_that_cannot_be_read_are_counted(self):
-        """A collector cut lines off, and one is of another version."""
+        """One line is truncated and one has a malformed number."""
         cut = LOG[0][: LOG[0].index('event=') + 9].replace('timestamp', 'time')
         malformed = (
             LOG[1]
@@ -94,7 +94,7 @@
         self.assertEqual(len(found.entries), len(self.causes()) - 2)
 
     def test_every_cut_of_a_log_is_read(self):
-        """Whatever the byte at which a log breaks off, the rest is told."""
+        """A log that is truncated at any byte can still be classified."""
         complete = '\n'.join(LOG)
         for end in range(0, len(complete), 7):
             found = ledger.build(complete[:end].splitlines())
--- a/tests/quetzalsill_cli/test_read.py
+++ b/tests/quetzalsill_cli/test_read.py
@@ -1,4 +1,4 @@
-"""Tests of reads, options and credentials of the command line."""
+"""Tests of read commands, options and credentials."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ReadTest(fixture.CommandTestCase):
-    """Reads, as tables and as JSON."""
+    """Read commands, connection options and credentials."""
 
     def setUp(self):
         super().setUp()
@@ -78,9 +78,10 @@
         self.assertEqual(0, result.exit_code, result.output)
 
     def test_only_a_router_of_the_authority_gets_the_token(self):
-        """Someone answers at the router's address with another certificate.
+        """The token is sent only over a verified TLS connection.
 
-        The token must not be sent there.
+        A server at the router's address with a certificate of another
+        authority must not receive it.
         """
         own, other = (
             certificate.Authority(self.folder, name) for name in ('a', 'b')
@@ -102,9 +103,10 @@
             served.app.calls.clear()
 
     def test_routers_that_demand_a_certificate(self):
-        """The routers' TLS names an authority, so operators must show theirs.
+        """Routers that verify client certificates accept that of --certificate.
 
-        The command line had no way to.
+        Operators need the option if the routers' TLS settings name a
+        certificate authority.
         """
         own, other = (
             certificate.Authority(self.folder, name) for name in ('a', 'b')
@@ -142,9 +144,10 @@
         self.assertEqual(failure.ExitCode.UNREACHABLE, result.exit_code)
 
     def test_a_router_without_configuration_is_passed_over(self):
-        """A router started while the store was down knows no operator.
+        """A router that started while the store was down is skipped.
 
-        "Unknown token" would send the operator to look for a lost credential.
+        It knows no operators yet. To report the token as unknown would make
+        the operator search for an error in the credential.
         """
         fresh = self.routers.add(fake.Router(name='entry-3'))
         result = self.invoke('status', urls=[fresh.url, self.served.url])
