--- a/tests/quetzalsill_cli/test_edit.py
+++ b/tests/quetzalsill_cli/test_edit.py
@@ -128,9 +128,11 @@
         If the drain were refused, an upstream that is about to be stopped
         would stay in use.
         """
-        rivals = [fake.sample_configuration()]
+        conflicting = [fake.sample_configuration()]
         store = self.router.store
-        store.before_publish = lambda: rivals and store.put(rivals.pop(), 'obi')
+        store.before_publish = lambda: (
+            conflicting and store.put(conflicting.pop(), 'obi')
+        )
         result = self.invoke('upstream', 'drain', 'ikeja-1')
         self.assertEqual(0, result.exit_code, result.output)
         self.assertIn('revision 3 accepted', result.stdout)
