--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/read.py
@@ -90,11 +90,11 @@
     call: admin_call.Call, entries: Iterable[revision.Revision], path: str
 ) -> AsyncIterator[dict[str, Any]]:
     """Yields the history entries that changed a path, with the changes."""
-    newer = None
+    before = None
     for entry in entries:
-        new = newer or await _load_revision(call, entry.revision)
-        newer = await _load_revision(call, entry.revision - 1)
-        changes = _changes_under(difference.difference(newer, new), path)
+        after = before or await _load_revision(call, entry.revision)
+        before = await _load_revision(call, entry.revision - 1)
+        changes = _changes_under(difference.difference(before, after), path)
         if changes:
             yield {**_entry_data(entry), 'changes': changes}
 
