--- a/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/commands/completion.py
@@ -1,4 +1,4 @@
-"""`quetzalsill completion`: completion scripts of shells."""
+"""`quetzalsill completion`: shell completion scripts."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 __all__ = ['command']
 
-_PROGRAM = 'quetzalsill'
-_VARIABLE = '_QUETZALSILL_COMPLETE'
+_PROGRAM_NAME = 'quetzalsill'
+_COMPLETION_VARIABLE = '_QUETZALSILL_COMPLETE'
 
 
 @click.command(name='completion')
@@ -20,6 +20,8 @@
     For bash, put it in a file and source that from ~/.bashrc.
     """
     cls = shell_completion.get_completion_class(shell)
-    script = cls(ctx.find_root().command, {}, _PROGRAM, _VARIABLE)
-    # The method of bash's own class starts a shell to learn its version.
+    script = cls(
+        ctx.find_root().command, {}, _PROGRAM_NAME, _COMPLETION_VARIABLE
+    )
+    # `BashComplete.source` would start a shell to check its version.
     click.echo(shell_completion.ShellComplete.source(script))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/document.py
@@ -1,4 +1,4 @@
-"""Configuration files on the operator's host."""
+"""Reads and checks local configuration files."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 __all__ = ['load', 'read']
 
 
-def _failure(
+def _command_error(
     exc: schema_error.InvalidDocumentError,
 ) -> failure.InvalidDocumentError:
     return failure.InvalidDocumentError('\n'.join(exc.lines()))
 
 
 def read(path: str) -> dict[str, Any]:
-    """Reads a file of JSON with comments, without checking its keys.
+    """Reads a JSON file with comments, without checking its keys.
 
     Raises:
-      InvalidDocumentError: It is no JSON object.
+      InvalidDocumentError: The file cannot be read or is not a JSON object.
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
-        plain = schema_load.parse_text(text, path)
+        data = schema_load.parse_text(text, path)
     except schema_error.InvalidDocumentError as exc:
-        raise _failure(exc) from exc
+        raise _command_error(exc) from exc
     except (OSError, UnicodeDecodeError) as exc:
         raise failure.InvalidDocumentError(f'{path}: {exc}') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         raise failure.InvalidDocumentError(f'{path}: not a JSON object')
-    return plain
+    return data
 
 
 def load(path: str) -> model.Configuration:
-    """Reads a configuration file and checks it whole.
+    """Reads a configuration file and checks keys, values and references.
 
     Raises:
-      InvalidDocumentError: With every fault that was found.
+      InvalidDocumentError: The file is invalid; lists every fault.
     """
     try:
         cfg = schema_check.check(model.Configuration, read(path), path)
         reference.check_references(cfg)
     except schema_error.InvalidDocumentError as exc:
-        raise _failure(exc) from exc
+        raise _command_error(exc) from exc
     return cfg
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/run.py
@@ -1,4 +1,4 @@
-"""Entry point `quetzalsill`."""
+"""Entry point of the `quetzalsill` command."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def build(plugins: plugin_registry.Registry) -> click.Group:
-    """Makes the root command with every command that is registered."""
+    """Builds the root command with all registered commands."""
 
     @click.group(name='quetzalsill', epilog=_EPILOG)
-    @option.root
+    @option.root_options
     @click.pass_context
     def root(ctx: click.Context, **values: object) -> None:
         """Operates quetzalsill through the administration API of a router."""
-        ctx.obj = option.make(**values)
+        ctx.obj = option.build_options(**values)
 
     for plugin in plugins.plugins('command'):
         root.add_command(plugin.value, plugin.name)
