--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/load.py
@@ -1,4 +1,4 @@
-"""What the sidecar knows of its upstream, told to every router."""
+"""Reports the load of the upstream to all routers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from quetzalsill_sidecar.upstream import engine
 
 if TYPE_CHECKING:
-    from quetzalsill_sidecar import parts
+    from quetzalsill_sidecar import context
 
 __all__ = ['LoadReporter']
 
-LOOK_INTERVAL_S = 0.1
-CORRECTION = 0.1
-PROMPT_RANK = 0
+CHECK_INTERVAL_S = 0.1
+FOREIGN_SMOOTHING = 0.1
+HIGHEST_RANK = 0
 
 queued_gauge = metric.gauge(
     'quetzalsill_sidecar_queued', 'Attempts waiting in the sidecar.'
@@ -34,30 +34,30 @@
 
 
 class LoadReporter:
-    """Polls the engine and reports to routers.
+    """Polls the engine and reports its load to routers.
 
     Attributes:
-      report: The engine's newest word; it lags.
-      healthy: The upstream answered the last time.
+      report: Latest report of the engine, which lags behind its real state.
+      healthy: Whether the upstream responded to the last poll.
     """
 
-    def __init__(self, sidecar: parts.Parts) -> None:
-        """Reports on the parts of `sidecar`."""
+    def __init__(self, sidecar: context.SidecarContext) -> None:
+        """Creates a reporter for `sidecar`."""
         self.report = engine.EngineReport()
         self.healthy = True
         self._sidecar = sidecar
         self._changed = asyncio.Event()
-        self._beyond = 0.0
+        self._foreign_mean = 0.0
 
-    def note_change(self) -> None:
-        """Something that routers should know has changed."""
+    def mark_changed(self) -> None:
+        """Marks the load as changed, so that it is reported."""
         self._changed.set()
 
-    def message(self) -> message.Load:
-        """Returns the present state."""
+    def build_message(self) -> message.Load:
+        """Returns a message with the current load."""
         sidecar = self._sidecar
         queue = sidecar.queue
-        wait_s = queue.expected_wait_s(PROMPT_RANK)
+        wait_s = queue.expected_wait_s(HIGHEST_RANK)
         return message.Load(
             queued=queue.queued,
             running=queue.running,
@@ -66,57 +66,60 @@
             expected_wait_ms=round(wait_s * 1000),
             token_ms=float(self.report.token_ms),
             models=list(self.report.models),
-            leaving=bool(sidecar.leaving.refusal()),
+            leaving=bool(sidecar.leaving.refusal_reason()),
             healthy=self.healthy,
             revision=sidecar.configuration.revision,
             engine=self.report.incarnation,
         )
 
     async def run(self) -> None:
-        """Reports changes, the more of them the larger they are."""
+        """Reports changes; larger changes are reported sooner."""
         clock = asyncio.get_running_loop().time
-        told, told_at = self.message(), clock()
+        reported, reported_at = self.build_message(), clock()
         while True:
             await self._changed.wait()
             self._changed.clear()
-            msg = self.message()
+            msg = self.build_message()
             self._set_gauges(msg)
-            kind = load_change.change(told, msg)
+            kind = load_change.classify(reported, msg)
             links = self._sidecar.link_count
-            wait_s = told_at + load_change.interval_s(kind, links) - clock()
+            wait_s = (
+                reported_at + load_change.min_interval_s(kind, links) - clock()
+            )
             if kind is not load_change.Change.NONE and wait_s <= 0:
-                self._sidecar.send_to_all(msg)
-                told, told_at = msg, clock()
+                self._sidecar.broadcast(msg)
+                reported, reported_at = msg, clock()
             elif kind is not load_change.Change.NONE:
                 self._changed.set()
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def poll(self) -> None:
-        """Fetches the engine's report again and again."""
+        """Polls the engine for its report until cancelled."""
         interval_s = self._sidecar.settings.timing.poll_s
         while True:
             try:
-                self._take(await self._sidecar.runs.engine.report())
+                self._apply_report(await self._sidecar.runner.engine.report())
             except error.ExchangeError as exc:
                 self._set_healthy(False, exc.detail)
             await asyncio.sleep(interval_s)
 
-    def _take(self, report: engine.EngineReport) -> None:
+    def _apply_report(self, report: engine.EngineReport) -> None:
         self._set_healthy(True, '')
         self.report = report
         queue = self._sidecar.queue
         queue.capacity_tokens = report.capacity_tokens
-        # The report lags: what was just started is not in it yet and what
-        # just ended still is. Both signs cancel out in the mean; cut off at
-        # zero before that, the lag would pass for memory held by others.
+        # The report lags: it misses attempts that have just started and still
+        # includes those that have just ended. Both errors cancel out in the
+        # mean. If single samples were clamped at zero, the lag would count as
+        # memory held by others.
         own = queue.used_tokens - queue.foreign_tokens
-        beyond = report.used_tokens - own
-        self._beyond += (beyond - self._beyond) * CORRECTION
-        queue.foreign_tokens = max(0, round(self._beyond))
+        foreign = report.used_tokens - own
+        self._foreign_mean += (foreign - self._foreign_mean) * FOREIGN_SMOOTHING
+        queue.foreign_tokens = max(0, round(self._foreign_mean))
         preemptions_gauge.set({}, report.preemptions)
         if report.leaving:
             self._sidecar.leave('engine is leaving')
-        self.note_change()
+        self.mark_changed()
 
     def _set_healthy(self, healthy: bool, detail: str) -> None:
         if healthy != self.healthy:
@@ -124,7 +127,7 @@
             event.note(
                 event.EngineHealthChanged(healthy=healthy, detail=detail)
             )
-            self.note_change()
+            self.mark_changed()
 
     def _set_gauges(self, msg: message.Load) -> None:
         queued_gauge.set({}, msg.queued)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/placement/placer.py
@@ -101,8 +101,8 @@
 
     async def _step(self) -> None:
         """Reads the engine's state and sends the first command that is due."""
-        report = await self._sidecar.runs.engine.report()
-        leaving = report.leaving or bool(self._sidecar.leaving.refusal())
+        report = await self._sidecar.runner.engine.report()
+        leaving = report.leaving or bool(self._sidecar.leaving.refusal_reason())
         # The report lags and may still show a model that was just unloaded;
         # an upstream that relied on it would unload the last copy.
         self._unloaded &= set(report.models)
@@ -187,7 +187,7 @@
         self._unloaded.add(command.name)
         try:
             await self._send(command, cfg)
-        except (error.AnswerRejectedError, error.OrderWithheldError):
+        except (error.UpstreamStatusError, error.OrderWithheldError):
             self._unloaded.discard(command.name)
             raise
         return True
@@ -220,7 +220,7 @@
                     'the configuration is no longer current'
                 )
 
-        engine = self._sidecar.runs.engine
+        engine = self._sidecar.runner.engine
         outcome = 'failed'
         try:
             async with self._renewing(
@@ -251,7 +251,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timing.read_back_s):
                 while True:
-                    report = await self._sidecar.runs.engine.report()
+                    report = await self._sidecar.runner.engine.report()
                     if _is_applied(report, command):
                         return
                     await asyncio.sleep(self._timing.interval_s)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/session.py
@@ -1,4 +1,4 @@
-"""One link of a router, served by one task."""
+"""Handles the messages of one router link, in one task."""
 
 from __future__ import annotations
 
@@ -17,13 +17,12 @@
 
     from quetzalsill.config import holder
     from quetzalsill.wire import link as link_lib
-    from quetzalsill_sidecar import fetch as fetch_lib
-    from quetzalsill_sidecar import intake
+    from quetzalsill_sidecar import config_fetcher, intake
     from quetzalsill_sidecar.attempt import table
 
 __all__ = ['Session']
 
-# What ends an attempt. Routers acknowledge only some of them.
+# Messages that end an attempt. Routers acknowledge only some of them.
 TERMINALS = (
     message.Refused,
     message.Withdrawn,
@@ -33,12 +32,12 @@
 
 
 class Session:
-    """Acts on the messages of one router.
+    """Handles the messages of one router.
 
     Attributes:
       link: The link that is served.
-      is_going_away: Whether the router has said that it ends.
-      terminals: How many terminal messages were sent.
+      is_going_away: Whether the router has announced its shutdown.
+      terminal_count: Number of terminal messages sent.
     """
 
     def __init__(
@@ -47,16 +46,16 @@
         intake: intake.Intake,
         attempts: table.Attempts,
         configuration: holder.Holder,
-        fetch: fetch_lib.ConfigFetch,
+        fetcher: config_fetcher.ConfigFetcher,
     ) -> None:
-        """Takes a link whose handshake is done."""
+        """Creates a session on a link whose handshake is complete."""
         self.link = link
         self.is_going_away = False
-        self.terminals = 0
+        self.terminal_count = 0
         self._intake = intake
         self._attempts = attempts
         self._configuration = configuration
-        self._fetch = fetch
+        self._config_fetcher = fetcher
         self._handlers: dict[type, Callable[..., None]] = {
             message.Dispatch: self._on_dispatch,
             message.Body: self._on_body,
@@ -71,13 +70,13 @@
         }
 
     async def serve(self) -> None:
-        """Acts on messages until the link ends.
+        """Handles messages until the link closes.
 
         Raises:
-          WireError: The link ended or broke the protocol.
+          WireError: The link closed or broke the protocol.
         """
-        self.link.on_revision = self._see
-        self._see(self.link.peer.revision)
+        self.link.on_revision = self._offer_revision
+        self._offer_revision(self.link.peer.revision)
         try:
             async for msg in self.link.messages():
                 self._handle(msg)
@@ -85,8 +84,8 @@
             self._detach()
 
     def put(self, msg: message.Message) -> None:
-        """Sends to the router; a link that is gone is noticed by `serve`."""
-        self.terminals += isinstance(msg, TERMINALS)
+        """Sends to the router; `serve` detects that the link is closed."""
+        self.terminal_count += isinstance(msg, TERMINALS)
         with contextlib.suppress(wire_error.LinkClosedError):
             self.link.send_nowait(msg)
 
@@ -102,18 +101,18 @@
             return
         handler(msg)
 
-    def _see(self, revision: int) -> None:
-        self._fetch.offer(self, revision)
+    def _offer_revision(self, revision: int) -> None:
+        self._config_fetcher.offer(self, revision)
 
     def _detach(self) -> None:
-        self._fetch.forget(self)
+        self._config_fetcher.remove_source(self)
         now = asyncio.get_running_loop().time()
         for attempt in self._attempts.of_link(self):
             attempt.detach(now)
-            self._intake.cut_body(attempt)
+            self._intake.stop_incomplete_call(attempt)
 
     def _on_dispatch(self, msg: message.Dispatch) -> None:
-        self._see(msg.revision)
+        self._offer_revision(msg.revision)
         self._intake.dispatch(msg, self, self.put)
 
     def _on_body(self, msg: message.Body) -> None:
@@ -123,8 +122,8 @@
 
     def _on_credit(self, msg: message.Credit) -> None:
         attempt = self._attempts.get(msg.attempt)
-        # A link that was replaced may still deliver; its credit was counted
-        # anew by the Resume on the other link.
+        # A replaced link may still deliver messages. Its credit is void: the
+        # Resume on the new link has reset the count.
         if attempt is not None and attempt.link is self:
             attempt.tail.grant(msg.seq, msg.items)
             attempt.flush()
@@ -159,7 +158,7 @@
                     detail=str(exc),
                 )
             )
-        self._fetch.answered(self)
+        self._config_fetcher.record_reply(self)
 
     def _on_go_away(self, msg: message.GoAway) -> None:
         self.is_going_away = True
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: its parts and its background work."""
+"""The sidecar: its components and background tasks."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from quetzalsill.net import tls as net_tls
 from quetzalsill.wire import listen, message, pace
 from quetzalsill_sidecar import (
+    config_fetcher,
     event,
-    fetch,
     intake,
-    leave,
+    leaving_state,
     load,
     runner,
     session,
@@ -33,27 +33,29 @@
 
 __all__ = ['Sidecar', 'new_incarnation']
 
-RANDOM_BITS = 16
-DRAIN_TICK_S = 0.05
-# Time beyond the bounds of a link in which a router dials it anew.
-REDIAL_S = 3.0
+INCARNATION_RANDOM_BITS = 16
+DRAIN_POLL_S = 0.05
+# Time in which a router reconnects, in addition to the timeouts of the link.
+RECONNECT_MARGIN_S = 3.0
 
 
 def new_incarnation() -> int:
-    """Returns a number that no earlier start of this process had."""
+    """Returns a number that no earlier start of this process has used."""
     started_ms = time.time_ns() // 1_000_000
-    return (started_ms << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
+    return (started_ms << INCARNATION_RANDOM_BITS) | secrets.randbits(
+        INCARNATION_RANDOM_BITS
+    )
 
 
 class Sidecar:
-    """The only path to one upstream.
+    """A proxy through which routers reach one upstream.
 
     Attributes:
       incarnation: Number of this start of the process.
-      configuration: Configuration in force here.
-      attempts: All attempts known.
-      queue: What waits and what runs.
-      leaving: Whether new work is taken.
+      configuration: The active configuration.
+      attempts: All known attempts.
+      queue: Waiting and running attempts.
+      leaving: Whether new work is accepted.
     """
 
     def __init__(
@@ -61,17 +63,18 @@
         settings: settings_lib.SidecarSettings,
         registry: registry_lib.Registry,
     ) -> None:
-        """Builds the parts; `start` opens the listener."""
+        """Creates the components; `start` opens the listener."""
         clock = asyncio.get_running_loop().time
         self.incarnation = new_incarnation()
         self.configuration = holder.Holder()
         self.attempts = table.Attempts(settings.bounds.tombstones, clock)
         self._settings = settings
         self._sessions: set[session.Session] = set()
-        self._told: list[tuple[link_lib.Link, int]] = []
-        # When the link of a router ended that may dial again, by its node.
-        self._lost: dict[str, float] = {}
-        self._links_taken = 0
+        self._pending_echoes: list[tuple[link_lib.Link, int]] = []
+        # Times at which links closed, by node name, for routers that may
+        # reconnect.
+        self._lost_links: dict[str, float] = {}
+        self._links_accepted = 0
         policies = self.configuration.current.policies
         self.queue = schedule.Schedule(
             registry.get('fairness', policies.fairness)(),
@@ -79,11 +82,11 @@
             settings.bounds.running,
             clock,
         )
-        self.leaving = leave.Leave(
-            settings.upstream.name, self.configuration, self._say_leaving
+        self.leaving = leaving_state.LeavingState(
+            settings.upstream.name, self.configuration, self._announce_leaving
         )
-        self.runs = runner.Runner(
-            settings, self.attempts, self.queue, self._changed
+        self.runner = runner.Runner(
+            settings, self.attempts, self.queue, self._schedule_pump
         )
         self.intake = intake.Intake(
             settings,
@@ -91,40 +94,40 @@
             self.configuration,
             self.attempts,
             self.queue,
-            self.runs,
+            self.runner,
             self.leaving,
             registry,
-            self._changed,
+            self._schedule_pump,
         )
         self.load = load.LoadReporter(self)
-        self._fetch = fetch.ConfigFetch(self.configuration)
+        self._config_fetcher = config_fetcher.ConfigFetcher(self.configuration)
         self._pump_due = False
         self._background: set[asyncio.Task[None]] = set()
         self._server = listen.LinkServer(
             settings.listen,
             settings.credential,
-            self._welcome,
+            self._make_welcome,
             self._on_link,
             settings.link,
             net_tls.server_context(settings.tls),
             revision=lambda: self.configuration.revision,
             stretch=lambda: pace.listened(self.link_count),
         )
-        self.configuration.on_change(self.intake.adopt)
+        self.configuration.on_change(self.intake.apply_configuration)
 
     @property
     def port(self) -> int:
-        """Port that routers dial."""
+        """Port that routers connect to."""
         return self._server.port
 
     @property
     def links(self) -> list[link_lib.Link]:
-        """Links of the routers that are linked now."""
-        return [one.link for one in self._sessions]
+        """Links of the connected routers."""
+        return [each.link for each in self._sessions]
 
     @property
     def link_count(self) -> int:
-        """Routers that are linked now."""
+        """Number of connected routers."""
         return len(self._sessions)
 
     @property
@@ -133,10 +136,10 @@
         return self._settings
 
     async def start(self) -> None:
-        """Opens the listener and starts the background work.
+        """Opens the listener and starts the background tasks.
 
         Raises:
-          OSError: The address can't be listened at.
+          OSError: The address can't be bound.
         """
         await self._server.start()
         self._spawn(sweep.run(self))
@@ -152,99 +155,108 @@
         )
 
     def leave(self, reason: str) -> None:
-        """Takes nothing new from now on; running work goes to its end."""
-        self.leaving.begin(reason)
+        """Refuses new work from now on; running work is completed."""
+        self.leaving.start(reason)
 
-    async def drained(self) -> bool:
-        """Waits until nothing runs and routers have taken all answers.
+    async def wait_drained(self) -> bool:
+        """Waits until nothing runs and routers have received all answers.
 
         Returns:
-          False if something was left after `grace_s`.
+          False if work was left after `grace_s`.
         """
         now = asyncio.get_running_loop().time()
-        limit = now + self._settings.timing.grace_s
-        if not await self._wait_until(self._is_drained, limit):
+        deadline = now + self._settings.timing.grace_s
+        if not await self._wait_until(self._is_drained, deadline):
             self._log_unfinished()
             return False
-        # Routers acknowledge no refusal. Should one still be on its way when
-        # this end closes, whatever the router writes meanwhile has the link
-        # reset, which may take the refusal with it: its caller is told that
-        # the outcome is unknown. An echo says that the router has all of them.
-        # Whoever has dialed again, or was told more, meanwhile is asked again.
+        # Routers do not acknowledge refusals. If a refusal is still in transit
+        # when this side closes the link, any write of the router resets the
+        # connection and may discard the refusal; the caller then gets an
+        # unknown outcome. An echo proves that the router has received all
+        # messages. Echoes are requested again if a router has reconnected or
+        # further messages were sent in the meantime.
         sent = None
-        while sent != self._sent_so_far():
-            sent = self._sent_so_far()
-            self._ask_for_echoes()
-            if not await self._wait_until(self._is_drained, limit):
+        while sent != self._sent_counts():
+            sent = self._sent_counts()
+            self._request_echoes()
+            if not await self._wait_until(self._is_drained, deadline):
                 return False
         return True
 
     async def stop(self) -> None:
-        """Closes everything at once."""
+        """Closes the listener and cancels all tasks immediately."""
         await self._server.stop()
         for task in self._background:
             task.cancel()
         await asyncio.gather(*self._background, return_exceptions=True)
-        await self.runs.stop()
+        await self.runner.stop()
 
-    def send_to_all(self, msg: message.Message) -> None:
-        """Sends to every router."""
-        for one in self._sessions:
-            one.put(msg)
+    def broadcast(self, msg: message.Message) -> None:
+        """Sends a message to every connected router."""
+        for each in self._sessions:
+            each.put(msg)
 
-    def _sent_so_far(self) -> tuple[int, int]:
-        """Returns how many links were taken and terminal messages sent."""
-        return self._links_taken, sum(one.terminals for one in self._sessions)
+    def _sent_counts(self) -> tuple[int, int]:
+        """Returns the numbers of accepted links and sent terminal messages."""
+        return self._links_accepted, sum(
+            each.terminal_count for each in self._sessions
+        )
 
-    def _ask_for_echoes(self) -> None:
-        """Has each router echo once it has taken all that was sent so far."""
-        self._told = [(link, link.ping()) for link in self.links]
+    def _request_echoes(self) -> None:
+        """Asks each router for an echo of all messages sent so far."""
+        self._pending_echoes = [(link, link.ping()) for link in self.links]
 
     def _is_drained(self) -> bool:
-        """Whether routers know of the leaving and have all their answers.
+        """Whether routers know of the shutdown and have all their answers.
 
-        A Dispatch that was under way when this process ended would leave its
-        caller with an unknown outcome. Routers send none once they have taken
-        GoAway, and by their echo all that they sent before has been read.
+        A Dispatch in transit when this process exits would leave its caller
+        with an unknown outcome. Routers send none after they have received
+        GoAway, and their echo proves that everything sent before was read.
         """
         links = self.links
-        told = all(
-            link.echoed >= echo for link, echo in self._told if link in links
+        all_echoed = all(
+            link.echoed >= echo
+            for link, echo in self._pending_echoes
+            if link in links
         )
         # A Dispatch or a refusal may have been lost with a link.
         return (
-            told
-            and all(map(self._is_given_up, self._lost.values()))
-            and all(map(self._is_over, self.attempts))
+            all_echoed
+            and all(map(self._has_reconnect_expired, self._lost_links.values()))
+            and all(map(self._is_done, self.attempts))
         )
 
-    def _is_over(self, attempt: state.Attempt) -> bool:
-        """Whether an attempt has ended and nobody comes back for it."""
+    def _is_done(self, attempt: state.Attempt) -> bool:
+        """Whether an attempt has ended and no router will resume it."""
         if attempt.terminal is None or attempt.link is not None:
             return False
-        return self._is_given_up(attempt.detached)
+        return self._has_reconnect_expired(attempt.detached)
 
-    def _is_given_up(self, lost: float) -> bool:
-        """Whether a router has had time to come back since a link ended.
+    def _has_reconnect_expired(self, lost_at: float) -> bool:
+        """Whether a router has had time to reconnect since its link closed.
 
-        One that was paused, or whose link fell silent, finds that after
-        `silence_s` and dials anew; its caller would lose the answer.
+        A router that was paused, or whose link went silent, detects that after
+        `silence_s` and reconnects. If the sidecar has exited by then, the
+        caller loses its answer.
 
         Args:
-          lost: When the link ended, in seconds of the event loop.
+          lost_at: When the link closed, in event loop time (seconds).
         """
         timing = self._settings.link
-        lost_s = asyncio.get_running_loop().time() - lost
-        return lost_s >= timing.silence_s + timing.connect_s + REDIAL_S
+        elapsed_s = asyncio.get_running_loop().time() - lost_at
+        return (
+            elapsed_s
+            >= timing.silence_s + timing.connect_s + RECONNECT_MARGIN_S
+        )
 
     async def _wait_until(
-        self, condition: Callable[[], bool], limit: float
+        self, condition: Callable[[], bool], deadline: float
     ) -> bool:
         loop = asyncio.get_running_loop()
         while not condition():
-            if loop.time() >= limit:
+            if loop.time() >= deadline:
                 return False
-            await asyncio.sleep(DRAIN_TICK_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         return True
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
@@ -252,7 +264,7 @@
         self._background.add(task)
         task.add_done_callback(_log_crash)
 
-    def _welcome(self, hello: message.Hello) -> message.Welcome:
+    def _make_welcome(self, hello: message.Hello) -> message.Welcome:
         del hello
         return message.Welcome(
             version=message.VERSION,
@@ -261,48 +273,48 @@
             upstream=self._settings.upstream.name,
             availability_zone=self._settings.node.availability_zone,
             revision=self.configuration.revision,
-            leaving=bool(self.leaving.refusal()),
+            leaving=bool(self.leaving.refusal_reason()),
         )
 
     async def _on_link(self, link: link_lib.Link) -> None:
-        one = session.Session(
+        router_session = session.Session(
             link,
             self.intake,
             self.attempts,
             self.configuration,
-            self._fetch,
+            self._config_fetcher,
         )
         node = link.peer.node
-        self._sessions.add(one)
-        self._links_taken += 1
-        self._lost.pop(node, None)
+        self._sessions.add(router_session)
+        self._links_accepted += 1
+        self._lost_links.pop(node, None)
         event.note(event.RouterLinked(router=node))
         try:
-            one.put(self.load.message())
+            router_session.put(self.load.build_message())
             if self.leaving.reason:
-                one.put(self._leaving_message(self.leaving.reason))
-                one.put(message.GoAway(self.leaving.reason))
-            await one.serve()
+                router_session.put(self._leaving_message(self.leaving.reason))
+                router_session.put(message.GoAway(self.leaving.reason))
+            await router_session.serve()
         finally:
-            self._sessions.discard(one)
+            self._sessions.discard(router_session)
             nodes = [other.link.peer.node for other in self._sessions]
-            if not one.is_going_away and node not in nodes:
-                self._lost[node] = asyncio.get_running_loop().time()
+            if not router_session.is_going_away and node not in nodes:
+                self._lost_links[node] = asyncio.get_running_loop().time()
             event.note(event.RouterUnlinked(router=node))
 
-    def _say_leaving(self, reason: str) -> None:
-        self.send_to_all(self._leaving_message(reason))
-        self.send_to_all(message.GoAway(reason))
-        self._ask_for_echoes()
-        self.intake.refuse_waiting()
-        self._changed()
+    def _announce_leaving(self, reason: str) -> None:
+        self.broadcast(self._leaving_message(reason))
+        self.broadcast(message.GoAway(reason))
+        self._request_echoes()
+        self.intake.refuse_unstarted()
+        self._schedule_pump()
 
     def _leaving_message(self, reason: str) -> message.Leaving:
         return message.Leaving(self._settings.upstream.name, reason)
 
-    def _changed(self) -> None:
-        """Lets the queue move once this loop tick is over."""
-        self.load.note_change()
+    def _schedule_pump(self) -> None:
+        """Schedules a run of the queue for the next event loop iteration."""
+        self.load.mark_changed()
         if not self._pump_due:
             self._pump_due = True
             asyncio.get_running_loop().call_soon(self._pump)
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/sweep.py
@@ -1,4 +1,4 @@
-"""Ends what has run out of time."""
+"""Periodically ends attempts whose time has run out."""
 
 from __future__ import annotations
 
@@ -11,59 +11,60 @@
 from quetzalsill_sidecar.attempt import state
 
 if TYPE_CHECKING:
-    from quetzalsill_sidecar import parts
+    from quetzalsill_sidecar import context
     from quetzalsill_sidecar import settings as settings_lib
 
 __all__ = ['run', 'sweep']
 
-INTERVAL_S = 0.1
-EXPIRY_S = 5.0
-WAITING = (state.Stage.RECEIVED, state.Stage.QUEUED)
+SWEEP_INTERVAL_S = 0.1
+TOMBSTONE_EXPIRY_INTERVAL_S = 5.0
+UNSTARTED_STAGES = (state.Stage.RECEIVED, state.Stage.QUEUED)
 
 
-async def run(sidecar: parts.Parts) -> None:
-    """Sweeps for ever."""
+async def run(sidecar: context.SidecarContext) -> None:
+    """Sweeps periodically until cancelled."""
     clock = asyncio.get_running_loop().time
-    expiry = clock()
-    turns = ticker.Ticker()
+    next_expiry = clock()
+    ticks = ticker.Ticker()
     while True:
-        # A router may have taken work over during a pause.
-        if not await turns.wait(INTERVAL_S):
+        # After a pause of this process, sweep one interval later: a router may
+        # have taken over work in the meantime, and its messages come first.
+        if not await ticks.wait(SWEEP_INTERVAL_S):
             continue
         sweep(sidecar, clock())
-        if clock() >= expiry:
-            expiry = clock() + EXPIRY_S
+        if clock() >= next_expiry:
+            next_expiry = clock() + TOMBSTONE_EXPIRY_INTERVAL_S
             sidecar.attempts.tombstones.expire()
 
 
-def sweep(sidecar: parts.Parts, now: float) -> None:
-    """Ends what is past its bound at `now`, and lets the queue move."""
+def sweep(sidecar: context.SidecarContext, now: float) -> None:
+    """Ends attempts that have expired at `now`, and runs the queue."""
     for attempt in sidecar.attempts:
         _sweep_attempt(sidecar, attempt, now)
     sidecar.intake.pump()
 
 
 def _sweep_attempt(
-    sidecar: parts.Parts, attempt: state.Attempt, now: float
+    sidecar: context.SidecarContext, attempt: state.Attempt, now: float
 ) -> None:
     timing = sidecar.settings.timing
     if attempt.stage is state.Stage.ENDED:
-        # A slow caller may still take it item by item over a live link; it
-        # would see its answer break off long after the engine was done.
-        being_taken = attempt.link is not None and now < attempt.deadline
-        if now - attempt.ended >= timing.retention_s and not being_taken:
+        # A slow caller may still be reading the answer over a live link; its
+        # answer would be cut off long after the engine has finished.
+        is_being_read = attempt.link is not None and now < attempt.deadline
+        if now - attempt.ended >= timing.retention_s and not is_being_read:
             sidecar.attempts.forget(attempt)
-    elif attempt.stage in WAITING:
+    elif attempt.stage in UNSTARTED_STAGES:
         _sweep_waiting(sidecar, attempt, now, timing)
     elif attempt.link is None and now - attempt.detached >= attempt.orphan_s:
-        # Its router is gone or has given it up; nobody would take the
-        # answer, and its memory on the engine is needed. Nobody has cancelled
-        # it: whoever takes it over later may run it again if that is allowed.
+        # The router is gone or has abandoned the attempt, and the memory on
+        # the engine is needed. It counts as failed, not as cancelled: a router
+        # that takes the request over later may run it again if allowed.
         sidecar.intake.stop(attempt, request_error.UpstreamFailedError.code)
 
 
 def _sweep_waiting(
-    sidecar: parts.Parts,
+    sidecar: context.SidecarContext,
     attempt: state.Attempt,
     now: float,
     timing: settings_lib.Timing,
@@ -74,7 +75,7 @@
             attempt, request_error.OverloadedError.code, round(wait_s * 1000)
         )
         return
-    lost_s = now - attempt.detached if attempt.link is None else 0.0
-    if lost_s >= timing.queued_orphan_s:
+    detached_s = now - attempt.detached if attempt.link is None else 0.0
+    if detached_s >= timing.queued_orphan_s:
         sidecar.queue.remove(attempt.id)
         sidecar.attempts.end(attempt, message.Withdrawn(attempt.id))
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/call.py
@@ -72,7 +72,7 @@
             write_task.cancel()
             with contextlib.suppress(
                 asyncio.CancelledError,
-                error.AnswerLostError,
+                error.ResponseLostError,
                 error.RequestMalformedError,
             ):
                 await write_task
@@ -105,7 +105,7 @@
     is_idempotent = attempt.dispatch.idempotent
     try:
         head = await conn.read_head()
-    except error.AnswerLostError as exc:
+    except error.ResponseLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.OutcomeUnknownError.code,
@@ -118,7 +118,7 @@
         while data := await conn.read_data():
             attempt.deliver(_split_items(data))
             await attempt.tail.wait_for_room()
-    except error.AnswerLostError as exc:
+    except error.ResponseLostError as exc:
         return outcome.failed(
             attempt.id,
             request_error.UpstreamFailedError.code,
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/engine.py
@@ -105,8 +105,8 @@
 
         Raises:
           UpstreamConnectError: not reached.
-          AnswerLostError: no complete response was received.
-          AnswerRejectedError: the engine refused.
+          ResponseLostError: no complete response was received.
+          UpstreamStatusError: the engine refused.
         """
         response = await self._request(
             'POST', f'{_request_path(attempt)}/cancel'
@@ -162,9 +162,11 @@
                 head = await conn.read_head()
                 body = await conn.read_all(MAX_RESPONSE_BYTES)
         except TimeoutError as exc:
-            raise error.AnswerLostError(f'{target}: no answer in time') from exc
+            raise error.ResponseLostError(
+                f'{target}: no answer in time'
+            ) from exc
         if head.status != 200:
-            raise error.AnswerRejectedError(head.status, body)
+            raise error.UpstreamStatusError(head.status, body)
         return _parse_object(body)
 
 
@@ -172,7 +174,7 @@
     """Writes the request that starts a generation.
 
     Raises:
-      AnswerLostError: the connection broke; the engine may have the request.
+      ResponseLostError: the connection broke; the engine may have the request.
     """
     await conn.send_request('POST', PATHS[kind], JSON_HEADERS, body)
 
@@ -181,7 +183,7 @@
     """Writes the request for the events from number `first` on.
 
     Raises:
-      AnswerLostError: the connection broke.
+      ResponseLostError: the connection broke.
     """
     target = f'{_request_path(attempt)}/stream?from={first}'
     await conn.send_request('GET', target, [])
@@ -215,7 +217,7 @@
     try:
         response = json.loads(body)
     except ValueError as exc:
-        raise error.AnswerLostError(f'answer is no JSON: {exc}') from exc
+        raise error.ResponseLostError(f'answer is no JSON: {exc}') from exc
     if not isinstance(response, dict):
-        raise error.AnswerLostError('answer is no JSON object')
+        raise error.ResponseLostError('answer is no JSON object')
     return response
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generate.py
@@ -55,7 +55,7 @@
             ):
                 return message.Finished(attempt.id, attempt.tail.end)
         await progress.resume()
-    except error.AnswerRejectedError as exc:
+    except error.UpstreamStatusError as exc:
         return outcome.from_status(attempt.id, exc)
     except error.GenerationGoneError as exc:
         # The request may still be in transit to an engine that does not know
@@ -142,7 +142,7 @@
     try:
         await engine_lib.write_start(conn, kind, body)
         await progress.read(conn)
-    except (error.AnswerLostError, TimeoutError):
+    except (error.ResponseLostError, TimeoutError):
         return False
     return True
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/generation.py
@@ -99,7 +99,7 @@
                     conn, self._attempt, self.received
                 )
                 await self.read(conn)
-        except error.AnswerRejectedError as exc:
+        except error.UpstreamStatusError as exc:
             if exc.status == NOT_FOUND:
                 raise error.GenerationGoneError(exc.detail) from exc
             return False
@@ -107,7 +107,7 @@
             if not exc.refused:
                 self._record_contact()
             return False
-        except (error.AnswerLostError, TimeoutError):
+        except (error.ResponseLostError, TimeoutError):
             self._record_contact()
             return False
         return True
@@ -129,8 +129,8 @@
         """Reads from a connection on which the request was written.
 
         Raises:
-          AnswerLostError: the stream broke; `resume` may continue.
-          AnswerRejectedError: the engine refused.
+          ResponseLostError: the stream broke; `resume` may continue.
+          UpstreamStatusError: the engine refused.
           GenerationGoneError: the engine gave up the generation, or continues
             with another one.
           TimeoutError: the stream stalled; `resume` may continue.
@@ -139,7 +139,7 @@
             head = await conn.read_head()
             if head.status != OK:
                 body = await conn.read_all(ERROR_BODY_BYTES)
-                raise error.AnswerRejectedError(head.status, body)
+                raise error.UpstreamStatusError(head.status, body)
         self._record_response()
         parser = sse.EventParser()
         checked = False
@@ -150,7 +150,7 @@
             async with deadline.timeout(self._timeouts.stall_s):
                 data = await conn.read_data()
             if not data:
-                raise error.AnswerLostError('stream ended before its mark')
+                raise error.ResponseLostError('stream ended before its mark')
             self._record_response()
             events = parser.feed(data)
             last = events[-1] if events else b''
@@ -172,7 +172,7 @@
         """Checks that a new connection continues where the last one ended.
 
         Raises:
-          AnswerLostError: the event is not the next one.
+          ResponseLostError: the event is not the next one.
           GenerationGoneError: the event is of another generation.
         """
         fields = _fields(event)
@@ -185,7 +185,7 @@
             )
         index = fields.get('index')
         if index is not None and index != self.received:
-            raise error.AnswerLostError(f'event {index}, not {self.received}')
+            raise error.ResponseLostError(f'event {index}, not {self.received}')
 
     def _record_response(self) -> None:
         self._record_contact()
@@ -201,5 +201,5 @@
     try:
         fields = json.loads(event)
     except ValueError as exc:
-        raise error.AnswerLostError(f'event is no JSON: {exc}') from exc
+        raise error.ResponseLostError(f'event is no JSON: {exc}') from exc
     return fields if isinstance(fields, dict) else {}
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -112,19 +112,19 @@
         """Writes bytes, waiting while the send buffer is full.
 
         Raises:
-          AnswerLostError: the connection broke.
+          ResponseLostError: the connection broke.
         """
         try:
             self._writer.write(data)
             await self._writer.drain()
         except OSError as exc:
-            raise error.AnswerLostError(f'write failed: {exc}') from exc
+            raise error.ResponseLostError(f'write failed: {exc}') from exc
 
     async def write_body(self, data: bytes) -> None:
         """Writes a piece of the body.
 
         Raises:
-          AnswerLostError: the connection broke.
+          ResponseLostError: the connection broke.
           RequestMalformedError: the body is longer than declared.
         """
         if data:
@@ -149,7 +149,7 @@
         """Reads the final status and headers.
 
         Raises:
-          AnswerLostError: the connection broke before they were received.
+          ResponseLostError: the connection broke before they were received.
         """
         while self._response.head is None:
             await self._receive()
@@ -159,7 +159,7 @@
         """Reads the next data of the body; empty at its proper end.
 
         Raises:
-          AnswerLostError: the connection broke before the end.
+          ResponseLostError: the connection broke before the end.
         """
         data = self._response.take()
         while not data and not self._response.is_whole:
@@ -191,9 +191,9 @@
         try:
             self._response.feed(await self._reader.read(READ_BYTES))
         except OSError as exc:
-            raise error.AnswerLostError(f'read failed: {exc}') from exc
+            raise error.ResponseLostError(f'read failed: {exc}') from exc
         except net_error.AnswerLostError as exc:
-            raise error.AnswerLostError(exc.detail) from exc
+            raise error.ResponseLostError(exc.detail) from exc
 
 
 async def connect(origin: Origin, timeout_s: float) -> Connection:
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/outcome.py
@@ -33,7 +33,7 @@
     return message.Failed(attempt, code, detail, ran.value, gone)
 
 
-def from_status(attempt: str, exc: error.AnswerRejectedError) -> message.Failed:
+def from_status(attempt: str, exc: error.UpstreamStatusError) -> message.Failed:
     """Returns the terminal for an error status in response to a start."""
     status = exc.status
     if status == 409 and FORBIDDEN in exc.body:
