--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/queue/lengths.py
@@ -19,7 +19,7 @@
 MAX_TOKENS = 1_000_000
 SIGNIFICANT_FIGURES = 2
 # Building the cumulative counts takes milliseconds, so they are rebuilt only
-# once the observations since the last build exceed this fraction of theirs.
+# once this fraction of the observations is newer than the last build.
 MAX_STALE_FRACTION = 0.05
 ROTATE_COUNT = 512
 ROTATE_S = 900.0
