--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/scenario.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/scenario.py
@@ -7,7 +7,7 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from quetzalsill_dev import board, operate
+from quetzalsill_dev import board, operator_cli
 from quetzalsill_dev.demo import ask, check, table
 
 if TYPE_CHECKING:
@@ -104,10 +104,12 @@
         )
         urls = [router.url for router in self._cluster.routers.values()]
         change = f'--set=max_output_tokens={CUT_TOKENS}'
-        ended = await operate.operate(urls, 'profile', 'edit', 'prompt', change)
-        if ended.status:
-            raise StepFailedError(ended.complaint)
-        fleet = await operate.read(urls, 'config', 'status')
+        ended = await operator_cli.run(
+            urls, 'profile', 'edit', 'prompt', change
+        )
+        if ended.exit_status:
+            raise StepFailedError(ended.stderr)
+        fleet = await operator_cli.run_json(urls, 'config', 'status')
         revisions = {node['revision'] for node in fleet['nodes']}
         self.tell(
             f'in force on {len(fleet["nodes"])} processes, revision '
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/operate.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/operator_cli.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ['CommandFailedError', 'Ended', 'operate', 'read']
+__all__ = ['CommandFailedError', 'CommandResult', 'run', 'run_json']
 
 BINARY = pathlib.Path(sys.executable).with_name('quetzalsill')
-BOUND_S = 60.0
+TIMEOUT_S = 60.0
 
 
 class CommandFailedError(Exception):
@@ -26,32 +26,32 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ended:
-    """An ended command.
+class CommandResult:
+    """Result of an ended command.
 
     Attributes:
-      status: Exit status; `quetzalsill --help` says what each means.
-      output: What it printed on standard output.
-      complaint: What it printed on standard error.
+      exit_status: Exit status; `quetzalsill --help` says what each means.
+      stdout: What it printed on standard output.
+      stderr: What it printed on standard error.
     """
 
-    status: int
-    output: str
-    complaint: str
+    exit_status: int
+    stdout: str
+    stderr: str
 
 
-async def operate(
+async def run(
     routers: Iterable[str], *args: str, token: str = board.OPERATOR_TOKEN
-) -> Ended:
+) -> CommandResult:
     """Runs `quetzalsill ARGS` against routers, given by their URLs.
 
     Raises:
       TimeoutError: It did not end within the bound, and was killed.
     """
-    named = [f'--router={url}' for url in routers]
+    router_options = [f'--router={url}' for url in routers]
     process = await asyncio.create_subprocess_exec(
         BINARY,
-        *named,
+        *router_options,
         *args,
         env=os.environ | {'QUETZALSILL_TOKEN': token},
         stdin=asyncio.subprocess.DEVNULL,
@@ -59,22 +59,22 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        async with asyncio.timeout(BOUND_S):
-            output, complaint = await process.communicate()
+        async with asyncio.timeout(TIMEOUT_S):
+            stdout, stderr = await process.communicate()
     except TimeoutError:
         process.kill()
         await process.wait()
         raise
-    return Ended(process.returncode, output.decode(), complaint.decode())
+    return CommandResult(process.returncode, stdout.decode(), stderr.decode())
 
 
-async def read(routers: Iterable[str], *args: str) -> Any:
+async def run_json(routers: Iterable[str], *args: str) -> Any:
     """Runs a reading command with `--json` and returns what it tells.
 
     Raises:
       CommandFailedError: It ended with another exit status than 0.
     """
-    ended = await operate(routers, *args, '--json')
-    if ended.status:
-        raise CommandFailedError(ended.complaint)
-    return json.loads(ended.output)
+    result = await run(routers, *args, '--json')
+    if result.exit_status:
+        raise CommandFailedError(result.stderr)
+    return json.loads(result.stdout)
--- a/tests/failure/test_bad_input.py
+++ b/tests/failure/test_bad_input.py
@@ -16,7 +16,7 @@
 from quetzalsill.config import document
 from quetzalsill.settings import section
 from quetzalsill.wire import codec, dial, frame, message
-from quetzalsill_dev import board, caller, operate, process_settings
+from quetzalsill_dev import board, caller, operator_cli, process_settings
 from tests.failure import relayed
 
 TOKENS = 50
@@ -361,16 +361,16 @@
             COMMANDS, commands, strict=True
         ):
             with self.subTest(words):
-                self.assertEqual(ended.status, status, ended)
-                self.assertIn(names, ended.complaint)
-                self.assertNotIn('Traceback', ended.complaint)
+                self.assertEqual(ended.exit_status, status, ended)
+                self.assertIn(names, ended.stderr)
+                self.assertNotIn('Traceback', ended.stderr)
 
     async def command(self, case, file):
         """Runs a command; no more than a few at once."""
         words, token, *_ = case
         told = [word.replace('FILE', file) for word in words]
         async with self.commands:
-            return await operate.operate([self.router.url], *told, token=token)
+            return await operator_cli.run([self.router.url], *told, token=token)
 
     async def until_logged(self, process, text, least=1):
         """Waits until the process has logged a text so many times."""
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -9,7 +9,7 @@
 import asyncio
 import unittest
 
-from quetzalsill_dev import board, caller, operate, relay
+from quetzalsill_dev import board, caller, operator_cli, relay
 from tests.failure import asking, fixture
 
 LONG = 400
@@ -78,8 +78,8 @@
         """Bounds answers by an edit, which must be in force when it ends."""
         change = f'--set=max_output_tokens={tokens}'
         args = ('profile', 'edit', 'prompt', change, *options)
-        ended = await operate.operate(urls or self.urls, *args)
-        self.assertEqual(ended.status, 0, ended.complaint)
+        ended = await operator_cli.run(urls or self.urls, *args)
+        self.assertEqual(ended.exit_status, 0, ended.stderr)
         return tokens
 
     async def look(self, router):
@@ -162,14 +162,16 @@
                 if value != ROUNDS[-1]:
                     args += ('--no-wait',)
                 ended = None
-                while ended is None or ended.status == CONFLICT:
-                    ended = await operate.operate(urls, *args)
-                self.assertEqual(ended.status, 0, ended.complaint)
+                while ended is None or ended.exit_status == CONFLICT:
+                    ended = await operator_cli.run(urls, *args)
+                self.assertEqual(ended.exit_status, 0, ended.stderr)
 
         await asyncio.gather(*(operate_on(n, k) for n, k in enumerate(keys)))
-        profile = await operate.read(self.urls, 'profile', 'show', 'prompt')
+        profile = await operator_cli.run_json(
+            self.urls, 'profile', 'show', 'prompt'
+        )
         self.assertEqual({profile['value'][k] for k in keys}, {ROUNDS[-1]})
-        told = await operate.read(
+        told = await operator_cli.run_json(
             self.urls, 'profile', 'history', 'prompt', '--limit=9'
         )
         made = [
@@ -265,8 +267,8 @@
         sidecar.stop()
         await self.until_unlinked(name, self.first, self.second)
         await self.edit(61)
-        drain = await operate.operate(self.urls, 'upstream', 'drain', name)
-        self.assertEqual(drain.status, 0, drain.complaint)
+        drain = await operator_cli.run(self.urls, 'upstream', 'drain', name)
+        self.assertEqual(drain.exit_status, 0, drain.stderr)
         await self.cluster.switch(self.cluster.store, down=True)
         runs = len((await self.cluster.audit(name))['runs'])
         sidecar.cont()
@@ -277,8 +279,8 @@
         self.assertEqual(len((await self.cluster.audit(name))['runs']), runs)
         self.assertTrue((await self.cluster.audit(other))['runs'])
         await self.cluster.switch(self.cluster.store, down=False)
-        undrain = await operate.operate(self.urls, 'upstream', 'undrain', name)
-        self.assertEqual(undrain.status, 0, undrain.complaint)
+        undrain = await operator_cli.run(self.urls, 'upstream', 'undrain', name)
+        self.assertEqual(undrain.exit_status, 0, undrain.stderr)
 
 
 if __name__ == '__main__':
--- a/tests/failure/test_through_any_router.py
+++ b/tests/failure/test_through_any_router.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from quetzalsill_dev import board, caller, operate
+from quetzalsill_dev import board, caller, operator_cli
 from tests.failure import asking, fixture
 
 BODY = {'model': board.MODEL, 'prompt': 'A long plan. [[tokens=4000]]'}
@@ -59,11 +59,15 @@
         """
         answer, task = await self.begin()
         urls = [self.second.url]
-        shown = await operate.read(urls, 'request', 'show', answer.request)
+        shown = await operator_cli.run_json(
+            urls, 'request', 'show', answer.request
+        )
         self.assertEqual(shown['request'], answer.request)
         self.assertEqual(shown['state'], 'running')
-        ended = await operate.operate(urls, 'request', 'cancel', answer.request)
-        self.assertEqual(ended.status, 0, ended.complaint)
+        ended = await operator_cli.run(
+            urls, 'request', 'cancel', answer.request
+        )
+        self.assertEqual(ended.exit_status, 0, ended.stderr)
         await self.assert_cancelled(answer, task)
 
     @fixture.on_cluster
@@ -86,12 +90,12 @@
         Sidecars heard of it by the next heartbeat only.
         """
         *_, router = self.cluster.routers.values()
-        ended = await operate.operate(
+        ended = await operator_cli.run(
             [router.url],
             *('profile', 'edit', 'prompt', '--set', 'max_output_tokens=500'),
         )
-        self.assertEqual(ended.status, 0, ended.complaint)
-        self.assertIn('in force on 4 nodes', ended.output)
+        self.assertEqual(ended.exit_status, 0, ended.stderr)
+        self.assertIn('in force on 4 nodes', ended.stdout)
 
     @fixture.on_cluster
     async def test_silent_router_is_named(self):
