--- a/packages/quetzalsill-dev/src/quetzalsill_dev/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, demo and benches for development; never in production."""
+"""Stand-ins, demo and benchmarks for development; not for production."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/ablation.py
@@ -1,9 +1,10 @@
-"""Copies of the checkout with one deciding mechanism switched off.
+"""Copies of the checkout with one decision mechanism disabled.
 
 Usage: `python -m quetzalsill_dev.ablation NAME FOLDER`; `list` as the name
-prints all. Measured against the whole, such a copy shows what its mechanism is
-worth (docs/DECISIONS.md). The switches stand here, as edits of the sources, so
-that no process in use can be started without a mechanism.
+prints all mechanisms. Benchmarking such a copy against the full system shows
+the effect of its mechanism (docs/DECISIONS.md). Mechanisms are disabled by
+source edits kept here rather than by settings, so that no deployed process can
+be started without one.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 __all__ = ['MECHANISMS', 'Edit', 'EditError', 'apply']
 
 ROOT = pathlib.Path(__file__).resolve().parents[4]
-# What the users' platform builds and starts.
-COPIED = ('packages', 'platform', 'deploy')
-CONSTRAINTS = 'constraints.txt'
+# Folders that the users' platform builds from and starts.
+COPIED_FOLDERS = ('packages', 'platform', 'deploy')
+CONSTRAINTS_FILE = 'constraints.txt'
 IGNORED = shutil.ignore_patterns('__pycache__', '*.egg-info')
 GATEWAY = 'packages/quetzalsill-gateway/src/quetzalsill_gateway/'
 
 
 class EditError(Exception):
-    """The text to edit does not stand in its module exactly once."""
+    """The text to replace does not occur exactly once in its module."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Edit:
-    """One replacement that switches a mechanism off.
+    """A source replacement that disables one mechanism.
 
     Attributes:
-      module: Path of the module below the checkout.
-      old: Text that stands there once.
-      new: Text in its place.
+      module: Path of the module relative to the checkout.
+      old: Text to replace; must occur exactly once.
+      new: Replacement text.
     """
 
     module: str
@@ -148,29 +149,29 @@
 
 
 def apply(edit: Edit, root: pathlib.Path) -> None:
-    """Switches a mechanism off in a checkout.
+    """Disables a mechanism in a checkout.
 
     Raises:
-      EditError: The module has changed; the edit has to be mended.
+      EditError: The module has changed and the edit must be updated.
     """
     path = root / edit.module
     text = path.read_text(encoding='utf-8')
     if text.count(edit.old) != 1:
         raise EditError(
-            f'{edit.module}: {edit.old!r} stands there {text.count(edit.old)} '
-            'times; mend the edit in quetzalsill_dev.ablation'
+            f'{edit.module}: {edit.old!r} occurs {text.count(edit.old)} times, '
+            'expected once; update the edit in quetzalsill_dev.ablation'
         )
     path.write_text(text.replace(edit.old, edit.new), encoding='utf-8')
 
 
 def _copy(folder: pathlib.Path) -> None:
-    for part in COPIED:
+    for part in COPIED_FOLDERS:
         shutil.copytree(ROOT / part, folder / part, ignore=IGNORED)
-    shutil.copyfile(ROOT / CONSTRAINTS, folder / CONSTRAINTS)
+    shutil.copyfile(ROOT / CONSTRAINTS_FILE, folder / CONSTRAINTS_FILE)
 
 
 def main(args: list[str]) -> int:
-    """Lists the mechanisms, or makes a copy without one of them."""
+    """Lists the mechanisms, or creates a copy with one disabled."""
     if args == ['list']:
         print('\n'.join(MECHANISMS))
         return 0
@@ -183,7 +184,7 @@
         return 2
     folder = pathlib.Path(args[1])
     if folder.exists():
-        print(f'{folder} exists; name a new folder', file=sys.stderr)
+        print(f'{folder} already exists; specify a new folder', file=sys.stderr)
         return 2
     _copy(folder)
     apply(MECHANISMS[args[0]], folder)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/board.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/board.py
@@ -1,4 +1,4 @@
-"""The Board's fleet and configuration, as the demo and the tests use them."""
+"""Fleet and configuration of the Board, the demo's and tests' example user."""
 
 from __future__ import annotations
 
@@ -31,44 +31,44 @@
 def board_layout(
     engines: int = 3, services: int = 1, routers: int = 2
 ) -> layout.Layout:
-    """A fleet spread over the three availability zones."""
+    """Returns a fleet spread over the three availability zones."""
     return layout.Layout(
         engines=[
             layout.EngineSpec(f'model-{zone}-{number}', zone, models=[MODEL])
-            for number, zone in _spread(engines)
+            for number, zone in _assign_zones(engines)
         ],
         services=[
             layout.ServiceSpec(f'app-{zone}-{number}', zone, [SERVICE])
-            for number, zone in _spread(services)
+            for number, zone in _assign_zones(services)
         ],
         routers=[
             layout.RouterSpec(f'entry-{zone}-{number}', zone)
-            for number, zone in _spread(routers)
+            for number, zone in _assign_zones(routers)
         ],
     )
 
 
-def _spread(count: int) -> list[tuple[int, str]]:
-    """Numbers from 1 with a zone each."""
+def _assign_zones(count: int) -> list[tuple[int, str]]:
+    """Returns numbers from 1, each with an availability zone."""
     return [(i + 1, ZONES[i % len(ZONES)]) for i in range(count)]
 
 
 def configuration() -> model.Configuration:
-    """The Board's configuration, without upstreams."""
+    """Returns the configuration of the Board, without upstreams."""
     return model.Configuration(
         profiles=_profiles(),
         models={MODEL: model.Model(profile='')},
-        services={SERVICE: _ordering()},
+        services={SERVICE: _ordering_service()},
         accounts={
             'depot-clerks': _account('depot-clerks', 'patient'),
             'retailers': _account('retailers', 'prompt'),
         },
         operators={
             'depot-operator': model.Operator(
-                token_sha256=_digest(OPERATOR_TOKEN), role='operator'
+                token_sha256=_sha256(OPERATOR_TOKEN), role='operator'
             ),
             'depot-viewer': model.Operator(
-                token_sha256=_digest(VIEWER_TOKEN), role='viewer'
+                token_sha256=_sha256(VIEWER_TOKEN), role='viewer'
             ),
         },
     )
@@ -94,7 +94,7 @@
     return {'patient': patient, 'verdict': verdict, 'prompt': prompt}
 
 
-def _ordering() -> model.Service:
+def _ordering_service() -> model.Service:
     reads = model.Route(path='/', methods=['GET'], idempotent=True)
     orders = model.Route(path='/orders', methods=['POST'], idempotent=False)
     other = model.Route(path='/echo', methods=[], idempotent=False)
@@ -103,9 +103,9 @@
 
 def _account(name: str, profile: str) -> model.Account:
     return model.Account(
-        token_sha256=[_digest(TOKENS[name])], default_profile=profile
+        token_sha256=[_sha256(TOKENS[name])], default_profile=profile
     )
 
 
-def _digest(token: str) -> str:
+def _sha256(token: str) -> str:
     return hashlib.sha256(token.encode()).hexdigest()
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/event_table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/event_table.py
@@ -1,4 +1,4 @@
-"""Prints the tables of all events, for docs/OPERATIONS.md.
+"""Prints the tables of all log events for docs/OPERATIONS.md.
 
 Usage: `python -m quetzalsill_dev.event_table`.
 """
@@ -13,7 +13,7 @@
 
 __all__ = ['PACKAGES', 'rows']
 
-# Packages that write events, with the page's word for who writes them.
+# Packages that log events, with the name of their process on the page.
 PACKAGES = {
     'quetzalsill_gateway': 'gateway',
     'quetzalsill_router': 'router',
@@ -23,12 +23,12 @@
 
 
 def rows(package: str) -> Iterator[str]:
-    """Yields one row of the table for each event of a package."""
+    """Yields a Markdown table row for each event of a package."""
     importlib.import_module(f'{package}.event')
     for name, cls in sorted(event.EVENTS[package].items()):
         fields = ', '.join(field.name for field in dataclasses.fields(cls))
-        says = cls.__doc__.partition('\n')[0]
-        yield f'| `{name}` | {says} | {fields} |'
+        summary = cls.__doc__.partition('\n')[0]
+        yield f'| `{name}` | {summary} | {fields} |'
 
 
 if __name__ == '__main__':
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/layout.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/layout.py
@@ -1,4 +1,4 @@
-"""Which processes a cluster has."""
+"""Description of the processes of a cluster."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
     Attributes:
       name: Name of the upstream.
-      availability_zone: Where it stands.
-      models: Models loaded.
-      capacity_tokens: Key-value memory.
-      max_batch: Sequences in a batch.
-      token_s: Time of an unloaded step, in seconds.
-      checks_fence: It refuses orders with an old fencing number.
+      availability_zone: Availability zone of its host.
+      models: Names of the loaded models.
+      capacity_tokens: Capacity of the KV cache, in tokens.
+      max_batch: Largest number of sequences in a batch.
+      token_s: Duration of a decoding step without load, in seconds.
+      checks_fence: Whether it rejects commands with an old fencing number.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Layout:
-    """All of a cluster, besides the platform's two stand-ins."""
+    """All processes of a cluster except the two platform stand-ins."""
 
     engines: list[EngineSpec]
     services: list[ServiceSpec]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/operator_cli.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/operator_cli.py
@@ -22,7 +22,7 @@
 
 
 class CommandFailedError(Exception):
-    """A command ended with another exit status than 0."""
+    """A command ended with an exit status other than 0."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,8 +31,8 @@
 
     Attributes:
       exit_status: Exit status; `quetzalsill --help` says what each means.
-      stdout: What it printed on standard output.
-      stderr: What it printed on standard error.
+      stdout: Text written to standard output.
+      stderr: Text written to standard error.
     """
 
     exit_status: int
@@ -46,7 +46,7 @@
     """Runs `quetzalsill ARGS` against routers, given by their URLs.
 
     Raises:
-      TimeoutError: It did not end within the bound, and was killed.
+      TimeoutError: The command did not end within TIMEOUT_S and was killed.
     """
     router_options = [f'--router={url}' for url in routers]
     process = await asyncio.create_subprocess_exec(
@@ -69,10 +69,10 @@
 
 
 async def run_json(routers: Iterable[str], *args: str) -> Any:
-    """Runs a reading command with `--json` and returns what it tells.
+    """Runs a read-only command with `--json` and returns its output.
 
     Raises:
-      CommandFailedError: It ended with another exit status than 0.
+      CommandFailedError: The command ended with an exit status other than 0.
     """
     result = await run(routers, *args, '--json')
     if result.exit_status:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/process_settings.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/process_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of routers and sidecars that the launcher starts."""
+"""Settings files for the routers and sidecars that the launcher starts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def router(
     name: str, availability_zone: str, port: int, platform: dict[str, Any]
 ) -> dict[str, Any]:
-    """Settings of a router."""
+    """Returns the settings of a router."""
     return {
         'node': {'name': name, 'availability_zone': availability_zone},
         'listen': {'host': '127.0.0.1', 'port': port},
@@ -34,7 +34,7 @@
     upstream_url: str,
     kind: str,
 ) -> dict[str, Any]:
-    """Settings of the sidecar beside an upstream."""
+    """Returns the settings of the sidecar of an upstream."""
     return {
         'node': {'name': name, 'availability_zone': availability_zone},
         'listen': {'host': '127.0.0.1', 'port': port},
@@ -45,15 +45,15 @@
 
 
 def merge(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """Returns `base` with the keys of `changes`, section by section."""
+    """Merges `changes` into a copy of `base` recursively, by section."""
     merged = dict(base)
     for name, value in changes.items():
-        before = merged.get(name)
-        nested = isinstance(before, dict) and isinstance(value, dict)
-        merged[name] = merge(before, value) if nested else value
+        current = merged.get(name)
+        nested = isinstance(current, dict) and isinstance(value, dict)
+        merged[name] = merge(current, value) if nested else value
     return merged
 
 
 def write(path: pathlib.Path, settings: dict[str, Any]) -> None:
-    """Writes a settings file."""
+    """Writes settings to a JSON file."""
     path.write_text(json.dumps(settings, indent=2))
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/serve.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/serve.py
@@ -1,7 +1,7 @@
-"""Runs a stand-in's HTTP application until the process is told to stop.
+"""Serves the HTTP application of a stand-in until SIGTERM.
 
-It does not use `quetzalsill.net`, so that a fault there is not repeated on
-the other side of the tests.
+It does not use `quetzalsill.net`, so that a fault there is not also present
+on the other side of the connection, where it would hide from the tests.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 __all__ = ['announce', 'run']
 
 BACKLOG = 2048
-GRACE_S = 1
-KEEP_ALIVE_S = 300
+SHUTDOWN_GRACE_S = 1
+KEEP_ALIVE_TIMEOUT_S = 300
 
 
 def announce(port: int) -> None:
-    """Prints the line that the launcher waits for."""
+    """Prints the readiness line that the launcher waits for."""
     print(f'ready port={port}', flush=True)
 
 
@@ -34,12 +34,12 @@
     port: int,
     protocol: type[asyncio.Protocol] = httptools_impl.HttpToolsProtocol,
 ) -> None:
-    """Serves `app`; port 0 lets the kernel choose. Returns at SIGTERM."""
+    """Serves `app` until SIGTERM; port 0 selects a free port."""
     asyncio.run(_serve(app, host, port, protocol))
 
 
 class _AnnouncingServer(uvicorn.Server):
-    """A server that prints its port once it takes connections."""
+    """Server that prints its port once it accepts connections."""
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
         await super().startup(sockets)
@@ -54,9 +54,10 @@
     protocol: type[asyncio.Protocol],
 ) -> None:
     listener = socket.create_server((host, port), backlog=BACKLOG)
-    # asyncio turns Nagle's delay off only on sockets made for TCP by name,
-    # which those that this listener accepts are not: each first token would
-    # wait up to 40 ms for the acknowledgement of the head before it.
+    # asyncio disables Nagle's algorithm only on sockets created with an
+    # explicit TCP protocol number, which sockets accepted by this listener are
+    # not: each first token would wait up to 40 ms for the acknowledgement of
+    # the response head.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     cfg = uvicorn.Config(
         app,
@@ -65,7 +66,7 @@
         ws='none',
         log_level='warning',
         access_log=False,
-        timeout_keep_alive=KEEP_ALIVE_S,
-        timeout_graceful_shutdown=GRACE_S,
+        timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
+        timeout_graceful_shutdown=SHUTDOWN_GRACE_S,
     )
     await _AnnouncingServer(cfg).serve([listener])
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/variants.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/variants.py
@@ -1,9 +1,11 @@
-"""Variants of a site file of the users' bench, with other engines and notices.
+"""Variants of a site file of the users' benchmark.
 
-Usage: `python -m quetzalsill_dev.variants SITE.toml FOLDER`. Writes one file a
-variant into a new folder, with what stands beside the site file. Played on the
-code and on the code before it, they show whether a policy has been fitted to
-the figures of one sheet: none may do worse, and none may break a rule.
+Usage: `python -m quetzalsill_dev.variants SITE.toml FOLDER`.
+
+Copies the folder of the site file and adds one file per variant, with other
+engine parameters or other notice times. Comparing two revisions of the code on
+all variants shows whether a policy is overfitted to the figures of one site: no
+variant may do worse, and none may break a rule.
 """
 
 from __future__ import annotations
@@ -14,89 +16,91 @@
 import sys
 from collections.abc import Callable
 
-__all__ = ['VARIANTS', 'vary']
+__all__ = ['VARIANTS', 'make_variant']
 
 Change = Callable[[str], str]
-NUMBER = r'([0-9.]+)'
+NUMBER_PATTERN = r'([0-9.]+)'
 
 
-def _scaled(field: str, factor: float, *, whole: bool = False) -> Change:
-    """Returns what multiplies every figure of a field."""
+def _scale_field(
+    field: str, factor: float, *, as_integer: bool = False
+) -> Change:
+    """Returns a change that multiplies every value of a field."""
 
     def change(text: str) -> str:
-        def scale(found: re.Match[str]) -> str:
-            value = float(found.group(1)) * factor
-            shown = max(1, round(value)) if whole else round(value, 4)
-            return f'{field} = {shown}'
+        def scale(match: re.Match[str]) -> str:
+            value = float(match.group(1)) * factor
+            scaled = max(1, round(value)) if as_integer else round(value, 4)
+            return f'{field} = {scaled}'
 
-        return re.sub(rf'\b{field} = {NUMBER}', scale, text)
+        return re.sub(rf'\b{field} = {NUMBER_PATTERN}', scale, text)
 
     return change
 
 
-def _in_engines(change: Change) -> Change:
-    """Returns a change that applies to what model engines have, only."""
+def _engines_only(change: Change) -> Change:
+    """Restricts a change to the settings of model engines."""
 
-    def inner(text: str) -> str:
+    def change_matches(text: str) -> str:
         return re.sub(r'llm = \{.*?\}', lambda m: change(m.group(0)), text)
 
-    return inner
+    return change_matches
 
 
-def _notices(factor: float) -> Change:
-    """Returns what multiplies the notices of engines that are taken away."""
+def _scale_notices(factor: float) -> Change:
+    """Returns a change that multiplies the notice times of spot reclaims."""
 
-    def inner(text: str) -> str:
+    def change_matches(text: str) -> str:
         return re.sub(
             r'\{[^{}]*how = "spot"[^{}]*\}',
-            lambda m: _scaled('x', factor)(m.group(0)),
+            lambda m: _scale_field('x', factor)(m.group(0)),
             text,
         )
 
-    return inner
+    return change_matches
 
 
 VARIANTS: dict[str, Change] = {
-    'token-bytes-quarter': _in_engines(_scaled('kv_bytes', 0.25)),
-    'token-bytes-double': _in_engines(_scaled('kv_bytes', 2.0)),
-    'links-half': _in_engines(_scaled('link_mbps', 0.5)),
-    'memory-three-quarters': _in_engines(
-        _scaled('kv_tokens', 0.75, whole=True)
+    'token-bytes-quarter': _engines_only(_scale_field('kv_bytes', 0.25)),
+    'token-bytes-double': _engines_only(_scale_field('kv_bytes', 2.0)),
+    'links-half': _engines_only(_scale_field('link_mbps', 0.5)),
+    'memory-three-quarters': _engines_only(
+        _scale_field('kv_tokens', 0.75, as_integer=True)
     ),
-    'batch-half': _in_engines(_scaled('batch', 0.5, whole=True)),
-    'steps-slower': _in_engines(_scaled('step_ms', 1.4)),
-    'notices-longer': _notices(1.5),
-    'notices-shorter': _notices(0.8),
+    'batch-half': _engines_only(_scale_field('batch', 0.5, as_integer=True)),
+    'steps-slower': _engines_only(_scale_field('step_ms', 1.4)),
+    'notices-longer': _scale_notices(1.5),
+    'notices-shorter': _scale_notices(0.8),
 }
 
 
-def vary(text: str, name: str) -> str:
-    """Returns the text of a site file in a variant.
+def make_variant(text: str, name: str) -> str:
+    """Applies a variant to the text of a site file.
 
     Raises:
-      ValueError: The file has nothing that the variant changes.
+      ValueError: The variant does not change the file.
     """
     changed = VARIANTS[name](text)
     if changed == text:
-        raise ValueError(f'the site file has nothing that {name!r} changes')
-    named = re.compile(r'^name = "([^"]+)"', re.MULTILINE)
-    return named.sub(rf'name = "\1-{name}"', changed, count=1)
+        raise ValueError(f'variant {name!r} does not change the site file')
+    name_line = re.compile(r'^name = "([^"]+)"', re.MULTILINE)
+    return name_line.sub(rf'name = "\1-{name}"', changed, count=1)
 
 
 def main(args: list[str]) -> int:
-    """Writes every variant of a site file."""
+    """Writes all variants of a site file to a new folder."""
     if len(args) != 2:
         print(__doc__.splitlines()[2], file=sys.stderr)
         return 2
     site, folder = map(pathlib.Path, args)
     if not site.is_file() or folder.exists():
-        print('SITE.toml must exist, and FOLDER must not', file=sys.stderr)
+        print('SITE.toml must exist and FOLDER must not exist', file=sys.stderr)
         return 2
     shutil.copytree(site.parent, folder)
     for name in VARIANTS:
         text = site.read_text(encoding='utf-8')
         path = folder / f'{site.stem}-{name}.toml'
-        path.write_text(vary(text, name), encoding='utf-8')
+        path.write_text(make_variant(text, name), encoding='utf-8')
         print(path)
     return 0
 
--- a/tests/quetzalsill_dev/test_ablation.py
+++ b/tests/quetzalsill_dev/test_ablation.py
@@ -1,4 +1,4 @@
-"""Switching a mechanism off, for measurements only."""
+"""Tests of disabling mechanisms in copies of the checkout."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class AblationTest(unittest.TestCase):
-    """A module changes, and its switch silently switches nothing off."""
+    """Guards against a changed module whose edit silently disables nothing."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.root = pathlib.Path(folder.name)
 
-    def copied(self, module):
+    def copy_module(self, module):
         target = self.root / module
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(ablation.ROOT / module, target)
@@ -27,7 +27,7 @@
     def test_every_edit_fits_its_module(self):
         for name, edit in ablation.MECHANISMS.items():
             with self.subTest(name):
-                path = self.copied(edit.module)
+                path = self.copy_module(edit.module)
                 before = path.read_text()
                 ablation.apply(edit, self.root)
                 self.assertNotEqual(path.read_text(), before)
@@ -35,7 +35,7 @@
 
     def test_an_edit_that_does_not_fit_is_an_error(self):
         edit = ablation.Edit('platform/run.py', 'no such text', '')
-        self.copied(edit.module)
+        self.copy_module(edit.module)
         with self.assertRaises(ablation.EditError):
             ablation.apply(edit, self.root)
 
--- a/tests/quetzalsill_dev/test_examples.py
+++ b/tests/quetzalsill_dev/test_examples.py
@@ -1,4 +1,4 @@
-"""The files of docs/example must pass the checks that README shows."""
+"""Tests that the files of docs/example are valid and match README."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """What README tells its reader to use."""
+    """Settings, configuration and client that README tells readers to use."""
 
     def test_settings_and_configuration_pass(self):
         load.load_file(router_settings.RouterSettings, EXAMPLES / 'router.json')
@@ -30,8 +30,10 @@
     def test_readme_shows_the_example_client(self):
         readme = (ROOT / 'README.md').read_text()
         code = (EXAMPLES / 'client.py').read_text()
-        shown = code.partition('import openai')[2].removesuffix('print()\n')
-        self.assertIn(shown, readme)
+        client_code = code.partition('import openai')[2].removesuffix(
+            'print()\n'
+        )
+        self.assertIn(client_code, readme)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_dev/test_profiles_page.py
+++ b/tests/quetzalsill_dev/test_profiles_page.py
@@ -1,4 +1,4 @@
-"""docs/PROFILES.md tells every knob as the code has it."""
+"""Tests that docs/PROFILES.md agrees with the configuration model."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ProfilesPageTest(unittest.TestCase):
-    """An operator goes by the page."""
+    """Operators configure profiles from the page, so it must be complete."""
 
     def test_each_key_with_what_is_allowed_its_default_and_its_doc(self):
         page = PAGE.read_text()
--- a/tests/quetzalsill_dev/test_variants.py
+++ b/tests/quetzalsill_dev/test_variants.py
@@ -1,4 +1,4 @@
-"""Site files with other engines and notices."""
+"""Tests of the site file variants."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 
 class VariantsTest(unittest.TestCase):
-    """Only what a variant names is another in it."""
+    """A variant changes only what its name says."""
 
     def test_only_links_of_engines_change(self):
-        text = variants.vary(SITE, 'links-half')
+        text = variants.make_variant(SITE, 'links-half')
         self.assertIn('link_mbps = 1350.0', text)
         self.assertIn('link_mbps = 1000.0', text)
         self.assertIn('name = "site-links-half"', text)
         self.assertIn('name = "quiet-1"', text)
 
     def test_only_notices_change(self):
-        text = variants.vary(SITE, 'notices-shorter')
+        text = variants.make_variant(SITE, 'notices-shorter')
         self.assertIn('how = "spot", x = 1.6', text)
         self.assertIn('kind = "release", x = 1.0', text)
 
     def test_every_variant_changes_something(self):
         for name in variants.VARIANTS:
             with self.subTest(name):
-                self.assertNotEqual(variants.vary(SITE, name), SITE)
+                self.assertNotEqual(variants.make_variant(SITE, name), SITE)
 
     def test_a_site_without_engines_is_an_error(self):
         with self.assertRaises(ValueError):
-            variants.vary('name = "site"', 'batch-half')
+            variants.make_variant('name = "site"', 'batch-half')
 
 
 if __name__ == '__main__':
