--- a/packages/quetzalsill-dev/src/quetzalsill_dev/compare/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/compare/__init__.py
@@ -1,1 +1,1 @@
-"""Compares ways of deciding on the same days and seeds of the users' bench."""
+"""Compares revisions of the code on the users' benchmark."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/compare/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/compare/__main__.py
@@ -1,7 +1,7 @@
-"""Compares ways on the same days and seeds: `make compare`.
+"""Compares checkouts on the same days and seeds: `make compare`.
 
-A way is a checkout; the first is the one that stands. Reports are kept in a
-folder, so that a comparison that was cut off goes on where it was.
+The first checkout is the baseline. Reports are kept in a folder, so that an
+interrupted comparison resumes without repeating finished runs.
 """
 
 from __future__ import annotations
@@ -13,26 +13,25 @@
 
 import click
 
-from quetzalsill_dev.compare import play as play_lib
-from quetzalsill_dev.compare import summary
+from quetzalsill_dev.compare import benchmark_run, summary
 
 __all__ = ['main']
 
-Results = dict[play_lib.Play, play_lib.Figures]
-# A count that differs by less is not worth a line.
-LEAST_PRICE = 0.0005
-LEAST_COUNT = 0.5
+Results = dict[benchmark_run.Run, benchmark_run.Figures]
+# Smaller changes of a price or a count are not printed.
+MIN_PRICE_CHANGE = 0.0005
+MIN_COUNT_CHANGE = 0.5
 
 
 @click.command()
 @click.option('--bench', required=True, type=click.Path(path_type=pathlib.Path))
 @click.option(
     '--way',
-    'ways',
+    'checkouts',
     multiple=True,
     required=True,
     type=click.Path(exists=True, file_okay=False, path_type=pathlib.Path),
-    help='Folder of a checkout; the standing way first.',
+    help='Folder of a checkout; the baseline first.',
 )
 @click.option(
     '--site',
@@ -44,18 +43,20 @@
 @click.option('--day', 'days', multiple=True, required=True)
 @click.option('--seed', 'seeds', multiple=True, type=int, default=(7,))
 @click.option('--jobs', default=3, show_default=True)
-@click.option('--small', is_flag=True, help='Small twins of the days.')
+@click.option(
+    '--small', is_flag=True, help='Use the small variants of the days.'
+)
 @click.option('--why', default='compare', show_default=True)
 @click.option(
     '--folder',
     default='bench-results/compare',
     show_default=True,
     type=click.Path(path_type=pathlib.Path),
-    help='Where reports are kept.',
+    help='Folder in which reports are kept.',
 )
 def main(
     bench: pathlib.Path,
-    ways: tuple[pathlib.Path, ...],
+    checkouts: tuple[pathlib.Path, ...],
     sites: tuple[pathlib.Path, ...],
     days: tuple[str, ...],
     seeds: tuple[int, ...],
@@ -64,71 +65,75 @@
     why: str,
     folder: pathlib.Path,
 ) -> None:
-    """Prints what each way changes, by site and day."""
+    """Prints how each checkout differs from the baseline, by site and day."""
     folder = folder.resolve()
     folder.mkdir(parents=True, exist_ok=True)
-    plays = [
-        play_lib.Play(way.resolve(), site.resolve(), day, seed, small)
+    runs = [
+        benchmark_run.Run(checkout.resolve(), site.resolve(), day, seed, small)
         for site in sites
         for day in days
         for seed in seeds
-        for way in ways
+        for checkout in checkouts
     ]
-    results = asyncio.run(_play_all(bench.resolve(), plays, folder, why, jobs))
-    rows = _rows(results, ways)
-    for line in _table(rows, ways):
+    results = asyncio.run(_run_all(bench.resolve(), runs, folder, why, jobs))
+    rows = _rows(results, checkouts)
+    for line in _table(rows, checkouts):
         click.echo(line)
     (folder / 'summary.json').write_text(json.dumps(rows, indent=1))
 
 
-async def _play_all(
+async def _run_all(
     bench: pathlib.Path,
-    plays: list[play_lib.Play],
+    runs: list[benchmark_run.Run],
     folder: pathlib.Path,
     why: str,
     jobs: int,
 ) -> Results:
-    places = asyncio.Semaphore(jobs)
+    slots = asyncio.Semaphore(jobs)
     results: Results = {}
 
-    async def work(one: play_lib.Play) -> None:
-        async with places:
+    async def run_one(one: benchmark_run.Run) -> None:
+        async with slots:
             try:
-                found = await play_lib.play(bench, one, folder, why)
-            except play_lib.PlayError as exc:
-                click.echo(f'left out: {exc}', err=True)
+                found = await benchmark_run.run_benchmark(
+                    bench, one, folder, why
+                )
+            except benchmark_run.MissingReportError as exc:
+                click.echo(f'skipped: {exc}', err=True)
                 return
         results[one] = found
-        broken = ' '.join(found.broken)
-        click.echo(f'{one.way.name} {one.key} {found.worth:.3f} {broken}')
+        violations = ' '.join(found.violations)
+        click.echo(
+            f'{one.checkout.name} {one.key} {found.score:.3f} {violations}'
+        )
 
     async with asyncio.TaskGroup() as group:
-        for one in plays:
-            group.create_task(work(one))
+        for one in runs:
+            group.create_task(run_one(one))
     return results
 
 
 def _pairs(
-    results: Results, first: pathlib.Path, other: pathlib.Path
-) -> list[tuple[play_lib.Figures, play_lib.Figures, str]]:
-    by_way: dict[pathlib.Path, dict] = {}
+    results: Results, baseline: pathlib.Path, other: pathlib.Path
+) -> list[tuple[benchmark_run.Figures, benchmark_run.Figures, str]]:
+    by_checkout: dict[pathlib.Path, dict] = {}
     for one, found in results.items():
-        by_way.setdefault(one.way, {})[one.key] = found
-    before = by_way.get(first.resolve(), {})
-    after = by_way.get(other.resolve(), {})
+        by_checkout.setdefault(one.checkout, {})[one.key] = found
+    before = by_checkout.get(baseline.resolve(), {})
+    after = by_checkout.get(other.resolve(), {})
     return [
         (before[key], after[key], key[0])
         for key in sorted(before.keys() & after.keys())
     ]
 
 
-def _rows(results: Results, ways: tuple[pathlib.Path, ...]) -> list[dict]:
+def _rows(results: Results, checkouts: tuple[pathlib.Path, ...]) -> list[dict]:
     rows = []
-    for other in ways[1:]:
-        pairs = _pairs(results, ways[0], other)
+    for other in checkouts[1:]:
+        pairs = _pairs(results, checkouts[0], other)
         for site in sorted({site for _, _, site in pairs}):
             of_site = [(a, b) for a, b, where in pairs if where == site]
-            found = summary.between([(a.worth, b.worth) for a, b in of_site])
+            found = summary.between([(a.score, b.score) for a, b in of_site])
             rows.append(
                 {
                     'way': other.name,
@@ -137,8 +142,8 @@
                     'worth': found.mean,
                     'low': found.low,
                     'high': found.high,
-                    'before': statistics.fmean(a.worth for a, _ in of_site),
-                    'after': statistics.fmean(b.worth for _, b in of_site),
+                    'before': statistics.fmean(a.score for a, _ in of_site),
+                    'after': statistics.fmean(b.score for _, b in of_site),
                     'counts': _means(of_site),
                 }
             )
@@ -146,7 +151,7 @@
 
 
 def _means(
-    pairs: list[tuple[play_lib.Figures, play_lib.Figures]],
+    pairs: list[tuple[benchmark_run.Figures, benchmark_run.Figures]],
 ) -> dict[str, tuple[float, float]]:
     """Returns the mean of each count, before and after."""
     names = pairs[0][0].counts
@@ -159,8 +164,10 @@
     }
 
 
-def _table(rows: list[dict], ways: tuple[pathlib.Path, ...]) -> list[str]:
-    lines = [f'against {ways[0].name}; mean of pairs, and nine tenths of draws']
+def _table(rows: list[dict], checkouts: tuple[pathlib.Path, ...]) -> list[str]:
+    lines = [
+        f'against {checkouts[0].name}; mean of pairs and its 90 % interval'
+    ]
     for row in rows:
         lines.append(
             f'{row["way"]} {row["site"]} ({row["pairs"]}): '
@@ -168,8 +175,12 @@
             f'[{row["low"]:+.4f}, {row["high"]:+.4f}]'
         )
         for name, (before, after) in row['counts'].items():
-            least = LEAST_PRICE if before < 1 and after < 1 else LEAST_COUNT
-            if abs(after - before) >= least:
+            min_change = (
+                MIN_PRICE_CHANGE
+                if before < 1 and after < 1
+                else MIN_COUNT_CHANGE
+            )
+            if abs(after - before) >= min_change:
                 lines.append(f'    {name}: {before:.4g} -> {after:.4g}')
     return lines
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/compare/summary.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/compare/summary.py
@@ -1,4 +1,4 @@
-"""What two ways differ by, with how sure that is."""
+"""Mean difference of paired figures, with a bootstrap interval."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 __all__ = ['Difference', 'between']
 
-# Draws of a bootstrap; its bounds are then good to two digits.
+# Bootstrap draws; enough for interval bounds to two digits.
 DRAWS = 4000
-# Bounds of the middle nine tenths of the draws.
+# Quantiles of the draws that bound the 90 % interval.
 LOW, HIGH = 0.05, 0.95
 SEED = 1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Difference:
-    """Mean difference of pairs, and where it lies in nine cases of ten."""
+    """Mean difference of pairs, with its 90 % bootstrap interval."""
 
     mean: float
     low: float
@@ -26,24 +26,25 @@
 
     @property
     def is_clear(self) -> bool:
-        """Whether the whole interval lies on one side of nothing."""
+        """Whether the interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
 def between(pairs: Sequence[tuple[float, float]]) -> Difference:
-    """Returns by how much the second of each pair is above the first.
+    """Returns the mean difference of the second and first of each pair.
 
     Args:
-      pairs: Figures of the standing and of the other way on the same day and
-        seed; one at least.
+      pairs: Figures of the baseline and of the other checkout on the same day
+        and seed; at least one.
     """
-    found = [after - before for before, after in pairs]
+    differences = [after - before for before, after in pairs]
     rng = random.Random(SEED)
     means = sorted(
-        statistics.fmean(rng.choices(found, k=len(found))) for _ in range(DRAWS)
+        statistics.fmean(rng.choices(differences, k=len(differences)))
+        for _ in range(DRAWS)
     )
     return Difference(
-        statistics.fmean(found),
+        statistics.fmean(differences),
         means[int(LOW * DRAWS)],
         means[int(HIGH * DRAWS)],
     )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration of the whole path in separate processes."""
+"""Demo of the whole request path in separate processes."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/__main__.py
@@ -1,4 +1,4 @@
-"""`make demo`: exit status 0 only if every answer was right."""
+"""`make demo`: exits with status 0 only if every answer was correct."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 __all__ = ['main']
 
-BOUND_S = 120.0
+TIMEOUT_S = 120.0
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
 async def _run() -> bool:
-    async with launch.Launcher() as launcher, asyncio.timeout(BOUND_S):
-        _say(scenario.heading())
+    async with launch.Launcher() as launcher, asyncio.timeout(TIMEOUT_S):
+        _print_line(scenario.heading())
         started = cluster.Cluster(launcher, board.board_layout())
         await started.start()
-        demo = scenario.Demo(started, _say)
+        demo = scenario.Demo(started, _print_line)
         await demo.run()
-    right = sum(not asked.fault for asked in demo.asked)
-    _say(f'\n{table.table(demo.asked)}')
-    _say(f'\n{right} of {len(demo.asked)} answers were right')
-    return right == len(demo.asked)
+    correct = sum(not sent.failure for sent in demo.sent)
+    _print_line(f'\n{table.format_table(demo.sent)}')
+    _print_line(f'\n{correct} of {len(demo.sent)} answers were right')
+    return correct == len(demo.sent)
 
 
 def main() -> None:
-    """Runs the demo and ends everything that it started."""
+    """Runs the demo and stops all processes that it started."""
     sys.exit(0 if asyncio.run(_run()) else 1)
 
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/check.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/check.py
@@ -1,4 +1,4 @@
-"""Checks the answers against what the stand-ins say that they ran."""
+"""Checks the answers against the audits of the stand-ins."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from quetzalsill_dev.demo import ask
+    from quetzalsill_dev.demo import requests
 
 __all__ = ['check_against_audits']
 
 
 def check_against_audits(
-    asked: Iterable[ask.Asked],
+    sent: Iterable[requests.SentRequest],
     engine_audits: Iterable[dict[str, Any]],
     service_audits: Iterable[dict[str, Any]],
 ) -> None:
-    """Notes a fault in each answer that no audit accounts for.
+    """Sets the failure of each answer that the audits contradict.
 
-    A generation must have finished at an engine with as many tokens as the
-    caller got; an order must have been taken once.
+    A generation must have finished on an engine with as many tokens as the
+    caller received; an order must have been received exactly once.
     """
     finished = {
         run['generation']: run['tokens']
@@ -28,25 +28,27 @@
         for run in audit['runs']
         if run['finished']
     }
-    taken: dict[str, int] = {}
+    received: dict[str, int] = {}
     for audit in service_audits:
         for name, count in audit['orders'].items():
-            taken[name] = taken.get(name, 0) + count
-    for item in asked:
-        if not item.fault:
-            item.fault = _fault(item, finished, taken)
+            received[name] = received.get(name, 0) + count
+    for item in sent:
+        if not item.failure:
+            item.failure = _find_failure(item, finished, received)
 
 
-def _fault(
-    item: ask.Asked, finished: dict[int, int], taken: dict[str, int]
+def _find_failure(
+    item: requests.SentRequest,
+    finished: dict[int, int],
+    received: dict[str, int],
 ) -> str:
-    if item.ask.order:
-        count = taken.get(item.ask.order, 0)
-        return '' if count == 1 else f'the order was taken {count} times'
+    if item.request.order:
+        count = received.get(item.request.order, 0)
+        return '' if count == 1 else f'the order was received {count} times'
     (name,) = item.answer.generations
     tokens = finished.get(int(name.removeprefix('g')))
     if tokens is None:
         return f'no engine finished generation {name}'
     if tokens != len(item.answer.texts):
-        return f'the engine made {tokens} tokens'
+        return f'the engine generated {tokens} tokens'
     return ''
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
@@ -1,4 +1,4 @@
-"""Lines and table that the demo prints."""
+"""Formats the results of the demo."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from quetzalsill_dev.demo import ask
+    from quetzalsill_dev.demo import requests
 
-__all__ = ['HEADING', 'row', 'table']
+__all__ = ['HEADING', 'format_row', 'format_table']
 
 COLUMNS = (
     ('request', 13),
@@ -23,33 +23,33 @@
 )
 
 
-def _line(cells: Iterable[str]) -> str:
+def _format_line(cells: Iterable[str]) -> str:
     pairs = zip(cells, COLUMNS, strict=True)
     return ' '.join(cell.ljust(width) for cell, (_, width) in pairs)
 
 
-HEADING = _line(name for name, _ in COLUMNS)
+HEADING = _format_line(name for name, _ in COLUMNS)
 
 
-def row(item: ask.Asked) -> str:
-    """One answer with its stall time, worst token gap and outcome."""
+def format_row(item: requests.SentRequest) -> str:
+    """Formats one answer with its stall time, longest token gap and outcome."""
     answer = item.answer
-    generated = not item.ask.order
-    return _line(
+    is_generation = not item.request.order
+    return _format_line(
         (
-            item.ask.kind,
+            item.request.kind,
             item.router,
-            str(len(answer.texts)) if generated else '-',
+            str(len(answer.texts)) if is_generation else '-',
             f'{answer.first_token_s:.3f}',
             f'{answer.stall_s:.3f}',
-            f'{answer.worst_gap_s:.3f}' if generated else '-',
+            f'{answer.worst_gap_s:.3f}' if is_generation else '-',
             f'{answer.ended - answer.asked:.3f}',
-            item.fault or 'right',
+            item.failure or 'right',
         )
     )
 
 
-def table(asked: Iterable[ask.Asked]) -> str:
-    """All answers under a heading."""
-    rows = [row(item) for item in asked]
+def format_table(sent: Iterable[requests.SentRequest]) -> str:
+    """Formats all answers as a table with a heading."""
+    rows = [format_row(item) for item in sent]
     return '\n'.join([HEADING, '-' * len(HEADING), *rows])
--- a/tests/quetzalsill_dev/compare/test_main.py
+++ b/tests/quetzalsill_dev/compare/test_main.py
@@ -1,4 +1,4 @@
-"""The command that compares ways, on a stand-in of the bench."""
+"""Tests of the compare command with a stand-in for the benchmark."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 from quetzalsill_dev.compare import __main__ as command
 
-# Writes a report whose worth is that of the checkout's file, and counts plays.
+# Writes a report with the score in the checkout's file, and counts the runs.
 BENCH = """#!{python}
 import json, pathlib, sys
 words = sys.argv
 report = pathlib.Path(words[words.index('--report') + 1])
-worth = float(pathlib.Path('worth').read_text())
-with open('plays', 'a') as plays:
-    plays.write('x')
-if worth < 0:
-    sys.exit('it fell over')
+score = float(pathlib.Path('score').read_text())
+with open('runs', 'a') as runs:
+    runs.write('x')
+if score < 0:
+    sys.exit('it crashed')
 report.write_text(json.dumps({{
-    'G': worth, 'served': 0.9, 'classes': [], 'prices': [], 'breaks': {{}},
+    'G': score, 'served': 0.9, 'classes': [], 'prices': [], 'breaks': {{}},
     'all': {{'late': 0, 'refused': 0, 'failed': 0}},
 }}))
 """
@@ -41,14 +41,14 @@
         bench.chmod(0o755)
         (self.root / 'site.toml').write_text('')
 
-    def way(self, name, worth):
+    def add_checkout(self, name, score):
         folder = self.root / name
         folder.mkdir(exist_ok=True)
-        (folder / 'worth').write_text(str(worth))
+        (folder / 'score').write_text(str(score))
         return folder
 
-    def plays(self, name):
-        return len((self.root / name / 'plays').read_text())
+    def run_count(self, name):
+        return len((self.root / name / 'runs').read_text())
 
     def compare(self):
         words = ['--bench', str(self.root / 'bench'), '--day', 'quiet-1']
@@ -57,25 +57,27 @@
         words += ['--site', str(self.root / 'site.toml')]
         words += ['--seed', '1', '--seed', '2']
         words += ['--folder', str(self.root / 'kept')]
-        found = testing.CliRunner().invoke(command.main, words)
-        self.assertEqual(found.exit_code, 0, found.output)
-        return found.output
+        result = testing.CliRunner().invoke(command.main, words)
+        self.assertEqual(result.exit_code, 0, result.output)
+        return result.output
 
-    def test_the_difference_is_told_and_kept(self):
-        self.way('before', 0.5)
-        self.way('after', 0.6)
+    def test_difference_is_printed_and_stored(self):
+        self.add_checkout('before', 0.5)
+        self.add_checkout('after', 0.6)
         self.assertIn('0.500 -> 0.600, +0.1000', self.compare())
         [row] = json.loads((self.root / 'kept' / 'summary.json').read_text())
         self.assertEqual((row['pairs'], row['way']), (2, 'after'))
 
-    def test_what_was_played_is_not_played_again(self):
-        """A comparison of an hour is cut off near its end and begun anew."""
-        self.way('before', 0.5)
-        self.way('after', -1)
-        self.assertIn('left out', self.compare())
-        self.way('after', 0.6)
+    def test_finished_runs_are_not_repeated(self):
+        """Guards against repeating an interrupted comparison from the start."""
+        self.add_checkout('before', 0.5)
+        self.add_checkout('after', -1)
+        self.assertIn('skipped', self.compare())
+        self.add_checkout('after', 0.6)
         self.compare()
-        self.assertEqual((self.plays('before'), self.plays('after')), (2, 4))
+        self.assertEqual(
+            (self.run_count('before'), self.run_count('after')), (2, 4)
+        )
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_dev/compare/test_summary.py
+++ b/tests/quetzalsill_dev/compare/test_summary.py
@@ -1,4 +1,4 @@
-"""What two ways differ by."""
+"""Tests of the difference between two checkouts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quetzalsill_dev.compare import play, summary
+from quetzalsill_dev.compare import benchmark_run, summary
 
 FIGURE = st.floats(-1, 1)
 REPORT = {
@@ -21,7 +21,7 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """A difference is told with how sure it is."""
+    """A difference has an interval that shows whether it is significant."""
 
     @given(st.lists(st.tuples(FIGURE, FIGURE), min_size=1, max_size=8))
     def test_the_mean_lies_among_the_pairs_and_the_interval_is_one(self, pairs):
@@ -31,18 +31,19 @@
         self.assertGreaterEqual(found.mean, min(apart) - 1e-9)
         self.assertLessEqual(found.mean, max(apart) + 1e-9)
 
-    def test_a_difference_that_may_be_luck_is_not_clear(self):
-        """One of three pairs is far better, the others a little worse.
+    def test_difference_within_noise_is_not_clear(self):
+        """Guards against accepting a change because of one outlier.
 
-        Taken for a gain by its mean, a change would be kept for one lucky day.
+        One of three pairs is far better and the others a little worse, so that
+        the mean alone shows a gain.
         """
         self.assertFalse(
             summary.between([(0.5, 0.6), (0.5, 0.48), (0.5, 0.49)]).is_clear
         )
         self.assertTrue(summary.between([(0.5, 0.52)] * 3).is_clear)
 
-    def test_prices_of_the_machine_are_left_out(self):
-        found = play.read(REPORT)
+    def test_machine_dependent_prices_are_excluded(self):
+        found = benchmark_run.parse_report(REPORT)
         self.assertEqual(found.counts['price calls'], 0.2)
         self.assertNotIn('price processor seconds', found.counts)
         self.assertEqual(found.counts['lost plan'], 5)
