--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/throughput.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/throughput.py
@@ -143,5 +143,5 @@
     prompt = f'Delivery slots? [[tokens={tokens}]]'
     body = {'model': board.MODEL, 'prompt': prompt}
     answer = await caller.generate(client, body)
-    if len(answer.texts) != tokens or not answer.is_whole:
+    if len(answer.texts) != tokens or not answer.is_complete:
         raise WrongAnswerError(f'{answer.status} {answer.error}')
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
@@ -136,7 +136,7 @@
         if self._contender.knows_lengths:
             body['max_tokens'] = ask.tokens
         headers = {PROFILE_HEADER: ask.kind.profile}
-        answer = caller.Answer()
+        answer = caller.Response()
         failure = ''
         try:
             await caller.generate(client, body, headers, answer=answer)
@@ -147,10 +147,10 @@
         return Outcome(
             ask=ask,
             status=answer.status,
-            whole=answer.is_whole and len(answer.texts) == ask.tokens,
+            whole=answer.is_complete and len(answer.texts) == ask.tokens,
             stall_s=answer.stall_s,
             first_s=answer.first_token_s,
-            gap_s=answer.worst_gap_s,
+            gap_s=answer.max_gap_s,
             took_s=answer.ended - answer.asked,
             ended_s=answer.ended - began,
             tokens=len(answer.texts),
@@ -159,7 +159,7 @@
         )
 
 
-def _names_return(answer: caller.Answer) -> bool:
+def _names_return(answer: caller.Response) -> bool:
     error = answer.error or {}
     inner = error.get('error', {}) if isinstance(error, dict) else {}
     return bool(inner.get('retry_after_ms') or inner.get('advice'))
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/callers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/callers.py
@@ -150,7 +150,7 @@
 
     async def _stream(self, told: Told, headers: dict[str, str]) -> None:
         body = {'model': board.MODEL, 'prompt': told.ask.prompt}
-        answer = caller.Answer()
+        answer = caller.Response()
         try:
             await self._through(
                 lambda client: caller.generate(
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/gateway.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/gateway.py
@@ -46,10 +46,12 @@
     conn = caller.Caller('127.0.0.1', testbed.gateways[0].relay.target[1])
     count = CALLS if kind == 'safe' else STREAMS
     for _ in range(count // WIDTH):
-        answer = await conn.ask(f'/{kind}/x', method=method, deadline_ms=30_000)
-        if not answer.whole:
+        answer = await conn.request(
+            f'/{kind}/x', method=method, deadline_ms=30_000
+        )
+        if not answer.complete:
             raise click.ClickException(f'{kind} got {answer.status}, not whole')
-    conn.leave()
+    conn.disconnect()
 
 
 async def _cost_us(
@@ -71,7 +73,7 @@
             await testbed.start(http_servers=2, engines=2)
             await asyncio.sleep(1.0)
             for _ in range(WARM_UP):
-                await caller.Caller(*testbed.gateways[0].relay.target).ask(
+                await caller.Caller(*testbed.gateways[0].relay.target).request(
                     '/safe/x'
                 )
             call_us = await _cost_us(
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/path.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/path.py
@@ -58,16 +58,16 @@
     return layout.Layout([engine], [], [layout.RouterSpec(ROUTER, ZONE)])
 
 
-async def _ask(client: httpx2.AsyncClient, tokens: int) -> caller.Answer:
+async def _ask(client: httpx2.AsyncClient, tokens: int) -> caller.Response:
     prompt = f'Delivery slots? [[tokens={tokens}]]'
     body = {'model': board.MODEL, 'prompt': prompt}
     answer = await caller.generate(client, body)
-    if len(answer.texts) != tokens or not answer.is_whole:
+    if len(answer.texts) != tokens or not answer.is_complete:
         raise WrongAnswerError(f'{answer.status} {answer.error}')
     return answer
 
 
-def _sample(answer: caller.Answer) -> Sample:
+def _sample(answer: caller.Response) -> Sample:
     spread_s = answer.arrivals[-1] - answer.arrivals[0]
     gaps = len(answer.arrivals) - 1
     return Sample(1000 * answer.first_token_s, 1000 * spread_s / gaps)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     import ssl
 
-__all__ = ['Answer', 'generate', 'open_client']
+__all__ = ['Response', 'generate', 'open_client']
 
 TIMEOUT_S = 120.0
 DATA = 'data: '
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """What a caller got for a generation.
 
     Attributes:
@@ -64,13 +64,13 @@
         return max(after - before for before, after in _pairs(times))
 
     @property
-    def worst_gap_s(self) -> float:
+    def max_gap_s(self) -> float:
         """Longest time between two tokens; 0 if there are none."""
         gaps = (after - before for before, after in _pairs(self.arrivals))
         return max(gaps, default=0.0)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """One generation's tokens, each once, in order, to its end."""
         expected = [
             f'{name}.{index} '
@@ -109,8 +109,8 @@
     body: dict[str, Any],
     headers: dict[str, str] | None = None,
     path: str = '/v1/completions',
-    answer: Answer | None = None,
-) -> Answer:
+    answer: Response | None = None,
+) -> Response:
     """Asks for a generation and reads its event stream to the end.
 
     Args:
@@ -120,7 +120,7 @@
       path: Path of the completions API.
       answer: Filled as the answer comes, for who watches it meanwhile.
     """
-    answer = answer or Answer()
+    answer = answer or Response()
     answer.asked = time.monotonic()
     plain = body | {'stream': True}
     async with client.stream(
@@ -137,7 +137,7 @@
     return answer
 
 
-def _take_line(answer: Answer, line: str) -> None:
+def _take_line(answer: Response, line: str) -> None:
     """Takes one line of an event stream."""
     data = line.removeprefix(DATA)
     if data in (line, DONE):
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
@@ -28,8 +28,8 @@
 
 __all__ = ['Cluster', 'NotReadyError']
 
-READY_BOUND_S = 30.0
-READY_POLL_S = 0.05
+READY_TIMEOUT_S = 30.0
+READY_POLL_INTERVAL_S = 0.05
 ROLES = ('router', 'sidecar')
 
 
@@ -51,7 +51,7 @@
       sidecars: Sidecars by upstream name.
       routers: Routers by name.
       configuration: What `publish` stores.
-      changes: Changes to the settings of every process started from now on,
+      overrides: Changes to the settings of every process started from now on,
         by section and key; those below `router` or `sidecar` apply to that
         role alone.
       tls: Context of this process towards routers that listen with TLS.
@@ -82,12 +82,12 @@
         self.sidecars: dict[str, launch.Process] = {}
         self.routers: dict[str, launch.Process] = {}
         self.configuration = configuration or board.configuration()
-        self.changes: dict[str, Any] = {}
+        self.overrides: dict[str, Any] = {}
         self.tls: ssl.SSLContext | None = None
         self._launcher = launcher
         self._spec = spec
         self._via = via
-        self._told: dict[str, str] = {}
+        self._advertised: dict[str, str] = {}
 
     async def start(self) -> None:
         """Starts everything and waits until the routers are ready."""
@@ -108,7 +108,7 @@
     async def start_upstream(self, name: str) -> launch.Process:
         """Starts an engine or service, where it was before if it was."""
         spec = self._upstream_spec(name)
-        port = await _port_behind(self.upstreams.get(name))
+        port = await _previous_port(self.upstreams.get(name))
         if isinstance(spec, layout.EngineSpec):
             started = await self._start_engine(spec, port)
         else:
@@ -116,7 +116,7 @@
                 name, 'quetzalsill_dev.service_standin', f'--port={port}'
             )
         self.upstreams[name] = started
-        await self._tell(f'upstream:{name}', started)
+        await self._advertise(f'upstream:{name}', started)
         return started
 
     async def start_sidecar(self, name: str) -> launch.Process:
@@ -125,14 +125,14 @@
         settings = process_settings.sidecar(
             name,
             spec.availability_zone,
-            await _port_behind(self.sidecars.get(name)),
+            await _previous_port(self.sidecars.get(name)),
             self._platform(),
-            f'http://{self._told[f"upstream:{name}"]}',
+            f'http://{self._advertised[f"upstream:{name}"]}',
             'model' if isinstance(spec, layout.EngineSpec) else 'app',
         )
         started = await self._start_role('sidecar', f'sidecar-{name}', settings)
         self.sidecars[name] = started
-        await self._tell(f'sidecar:{name}', started)
+        await self._advertise(f'sidecar:{name}', started)
         return started
 
     async def start_router(self, name: str) -> launch.Process:
@@ -141,11 +141,11 @@
         settings = process_settings.router(
             name,
             spec.availability_zone,
-            await _port_behind(self.routers.get(name)),
+            await _previous_port(self.routers.get(name)),
             self._platform(),
         )
         started = await self._start_role('router', name, settings)
-        if self.changes.get('router', {}).get('tls'):
+        if self.overrides.get('router', {}).get('tls'):
             started.scheme = 'https'
         self.routers[name] = started
         return started
@@ -163,7 +163,7 @@
                 (self.routers, self.start_router),
             )
             for name, process in processes.items()
-            if not await _stays(process)
+            if not await _is_serving(process)
         ]
         await asyncio.gather(*starts)
 
@@ -180,18 +180,18 @@
             )
 
     async def set_hosts(
-        self, leaving: tuple[str, ...] = (), gone: tuple[str, ...] = ()
+        self, leaving: tuple[str, ...] = (), removed: tuple[str, ...] = ()
     ) -> None:
         """Sets the host list; the stand-in publishes it with its lag."""
-        told = [
-            _host(spec, 'upstream', self._told[f'sidecar:{spec.name}'])
+        hosts = [
+            _host(spec, 'upstream', self._advertised[f'sidecar:{spec.name}'])
             for spec in self._upstream_specs()
         ]
-        told += [
+        hosts += [
             _host(spec, 'entry', self.routers[spec.name].address)
             for spec in self._spec.routers
         ]
-        listed = [host for host in told if host['name'] not in gone]
+        listed = [host for host in hosts if host['name'] not in removed]
         for host in listed:
             host['state'] = 'leaving' if host['name'] in leaving else 'live'
         await self.switch(self.hosts, hosts=listed)
@@ -224,7 +224,7 @@
             'quetzalsill_dev.platform_standin',
             f'--part={part}',
         )
-        await self._tell(part, started)
+        await self._advertise(part, started)
         return started
 
     async def _start_engine(
@@ -247,8 +247,8 @@
         self, role: str, name: str, settings: dict[str, Any]
     ) -> launch.Process:
         path = self._launcher.folder / f'{name}.json'
-        common = {k: v for k, v in self.changes.items() if k not in ROLES}
-        own = self.changes.get(role, {})
+        common = {k: v for k, v in self.overrides.items() if k not in ROLES}
+        own = self.overrides.get(role, {})
         merged = process_settings.merge(
             process_settings.merge(settings, common), own
         )
@@ -257,12 +257,12 @@
             name, 'quetzalsill.run', role, f'--settings={path}'
         )
 
-    async def _tell(self, hop: str, process: launch.Process) -> None:
-        self._told[hop] = await self._via(hop, process.address)
+    async def _advertise(self, hop: str, process: launch.Process) -> None:
+        self._advertised[hop] = await self._via(hop, process.address)
 
     def _platform(self) -> dict[str, str]:
-        store = f'http://{self._told["store"]}'
-        hosts = f'http://{self._told["hosts"]}'
+        store = f'http://{self._advertised["store"]}'
+        hosts = f'http://{self._advertised["hosts"]}'
         return {'table': store, 'objects': store, 'hosts': hosts}
 
     def _upstream_specs(self) -> list[layout.EngineSpec | layout.ServiceSpec]:
@@ -277,7 +277,7 @@
     def _upstream(
         self, spec: layout.EngineSpec | layout.ServiceSpec
     ) -> model.Upstream:
-        address = self._told[f'sidecar:{spec.name}']
+        address = self._advertised[f'sidecar:{spec.name}']
         zone = spec.availability_zone
         if isinstance(spec, layout.ServiceSpec):
             return model.Upstream('app', address, zone, services=spec.services)
@@ -290,17 +290,17 @@
         )
 
 
-async def _port_behind(before: launch.Process | None) -> int:
+async def _previous_port(before: launch.Process | None) -> int:
     """Port of the process before, free if that has ended; 0 without one."""
     if before is None:
         return 0
-    if not await _stays(before):
+    if not await _is_serving(before):
         # A process that is about to end holds its port for a moment yet.
         await before.wait()
     return before.port
 
 
-async def _stays(process: launch.Process) -> bool:
+async def _is_serving(process: launch.Process) -> bool:
     """Whether a process runs, is not ending and takes connections."""
     if process.ending or not process.running:
         return False
@@ -324,11 +324,11 @@
 async def _wait_ready(
     process: launch.Process, tls: ssl.SSLContext | None
 ) -> None:
-    deadline = time.monotonic() + READY_BOUND_S
+    deadline = time.monotonic() + READY_TIMEOUT_S
     async with caller.open_client(process.url, tls=tls) as client:
         while time.monotonic() < deadline:
             response = await client.get('/readyz')
             if response.status_code == httpx2.codes.OK:
                 return
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
     raise NotReadyError(process.name)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/ask.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/ask.py
@@ -57,7 +57,7 @@
 
     ask: Ask
     router: str
-    answer: caller.Answer = dataclasses.field(default_factory=caller.Answer)
+    answer: caller.Response = dataclasses.field(default_factory=caller.Response)
     fault: str = ''
 
 
@@ -139,4 +139,4 @@
         return ''
     if len(answer.texts) != asked.ask.tokens:
         return f'{len(answer.texts)} tokens of {asked.ask.tokens}'
-    return '' if answer.is_whole else 'tokens twice, crossed or missing'
+    return '' if answer.is_complete else 'tokens twice, crossed or missing'
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
@@ -42,7 +42,7 @@
             str(len(answer.texts)) if generated else '-',
             f'{answer.first_token_s:.3f}',
             f'{answer.stall_s:.3f}',
-            f'{answer.worst_gap_s:.3f}' if generated else '-',
+            f'{answer.max_gap_s:.3f}' if generated else '-',
             f'{answer.ended - answer.asked:.3f}',
             item.fault or 'right',
         )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/launch.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/launch.py
@@ -25,13 +25,15 @@
 
 __all__ = ['Launcher', 'Process', 'StartFailedError']
 
-READY = re.compile(rb'(?:^ready|event=(?:\w*ready|listening))\b.*\bport=(\d+)')
-READY_BOUND_S = 30.0
-END_BOUND_S = 30.0
-LINE_LIMIT = 1024 * 1024
-LOG_TAIL = 4000
-PROBE_S = 0.05
-STEPS = 'steps.txt'
+READY_PATTERN = re.compile(
+    rb'(?:^ready|event=(?:\w*ready|listening))\b.*\bport=(\d+)'
+)
+READY_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 30.0
+MAX_LINE_BYTES = 1024 * 1024
+LOG_TAIL_CHARS = 4000
+PROBE_INTERVAL_S = 0.05
+STEPS_FILE = 'steps.txt'
 
 
 class StartFailedError(Exception):
@@ -52,7 +54,7 @@
 
     name: str
     log: pathlib.Path
-    _inner: asyncio.subprocess.Process
+    _child: asyncio.subprocess.Process
     port: int = 0
     scheme: str = 'http'
     ending: bool = False
@@ -61,7 +63,7 @@
     @property
     def pid(self) -> int:
         """Process id."""
-        return self._inner.pid
+        return self._child.pid
 
     @property
     def address(self) -> str:
@@ -76,9 +78,9 @@
     @property
     def running(self) -> bool:
         """It has not ended, nor been killed; a stopped process is running."""
-        if self._killed or self._inner.returncode is not None:
+        if self._killed or self._child.returncode is not None:
             return False
-        return not _has_ended(self.pid)
+        return not _has_exited(self.pid)
 
     def kill(self) -> None:
         """Ends it at once; `wait` tells when its port is free."""
@@ -102,36 +104,36 @@
         """Asks it to read its settings again."""
         self._signal(signal.SIGHUP)
 
-    async def wait(self, bound_s: float = END_BOUND_S) -> int:
+    async def wait(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
         """Exit status, once it has ended.
 
         Raises:
           TimeoutError: It has not ended within the bound.
         """
-        async with asyncio.timeout(bound_s):
-            return await self._inner.wait()
+        async with asyncio.timeout(timeout_s):
+            return await self._child.wait()
 
     def log_text(self) -> str:
         """Everything that it printed so far."""
         return self.log.read_text(errors='replace')
 
-    def note(self, step: str) -> None:
+    def record_step(self, step: str) -> None:
         """Adds a step to the launcher's record, with the time of the logs."""
         now = datetime.datetime.now(datetime.UTC).time().isoformat()
         # A launcher that is closed twice has no folder the second time.
         with (
             contextlib.suppress(FileNotFoundError),
-            (self.log.parent / STEPS).open('a') as file,
+            (self.log.parent / STEPS_FILE).open('a') as file,
         ):
             file.write(f'{now} {self.name} {self.pid} {step}\n')
 
     def _signal(self, number: signal.Signals) -> None:
-        self.note(number.name)
+        self.record_step(number.name)
         with contextlib.suppress(ProcessLookupError):
-            self._inner.send_signal(number)
+            self._child.send_signal(number)
 
 
-def _has_ended(pid: int) -> bool:
+def _has_exited(pid: int) -> bool:
     """Whether a child has ended, though its end may not be collected yet."""
     how = os.WEXITED | os.WNOHANG | os.WNOWAIT
     try:
@@ -156,7 +158,7 @@
             folder = pathlib.Path(self._temporary.name)
         self.folder = folder
         self.processes: list[Process] = []
-        self._pumps: list[asyncio.Task[None]] = []
+        self._tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> Self:
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -176,7 +178,7 @@
             process.kill()
         for process in self.processes:
             await process.wait()
-        await asyncio.gather(*self._pumps, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._temporary is not None:
             self._temporary.cleanup()
 
@@ -202,44 +204,46 @@
         Raises:
           StartFailedError: It ended or was not ready in time.
         """
-        inner = await asyncio.create_subprocess_exec(
+        child = await asyncio.create_subprocess_exec(
             sys.executable,
             *args,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
-            limit=LINE_LIMIT,
+            limit=MAX_LINE_BYTES,
         )
         count = sum(process.name == name for process in self.processes)
         log = self.folder / f'{name}.{count}.log'
-        process = Process(name, log, inner)
+        process = Process(name, log, child)
         self.processes.append(process)
-        process.note('start')
+        process.record_step('start')
         ready = asyncio.get_running_loop().create_future()
-        self._pumps.append(asyncio.create_task(_pump(inner, log, ready)))
+        self._tasks.append(asyncio.create_task(_copy_output(child, log, ready)))
         if port:
-            self._pumps.append(asyncio.create_task(_probe(port, ready)))
+            self._tasks.append(asyncio.create_task(_probe(port, ready)))
         try:
-            async with asyncio.timeout(READY_BOUND_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 process.port = await ready
         except TimeoutError as exc:
             raise StartFailedError(f'{name} is not ready in time') from exc
         if not process.port:
-            raise StartFailedError(f'{name}:\n{process.log_text()[-LOG_TAIL:]}')
-        process.note(f'ready port={process.port}')
+            raise StartFailedError(
+                f'{name}:\n{process.log_text()[-LOG_TAIL_CHARS:]}'
+            )
+        process.record_step(f'ready port={process.port}')
         return process
 
 
-async def _pump(
-    inner: asyncio.subprocess.Process,
+async def _copy_output(
+    child: asyncio.subprocess.Process,
     log: pathlib.Path,
     ready: asyncio.Future[int],
 ) -> None:
     """Copies what a process prints to its log; gives 0 if it never is ready."""
     with log.open('wb', buffering=0) as file:
-        while line := await _read_line(inner.stdout):
+        while line := await _read_line(child.stdout):
             file.write(line)
-            found = READY.search(line)
+            found = READY_PATTERN.search(line)
             if found and not ready.done():
                 ready.set_result(int(found[1]))
     if not ready.done():
@@ -252,7 +256,7 @@
         try:
             _, writer = await asyncio.open_connection('127.0.0.1', port)
         except OSError:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             continue
         writer.close()
         if not ready.done():
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/checks.py
@@ -67,14 +67,14 @@
             yield f'{where} was told {record.answer.status}, and ran'
         if record.kind in ('plan', 'verdict'):
             yield from _check_stream(record, where)
-        elif record.answer.status == OK and record.answer.whole:
+        elif record.answer.status == OK and record.answer.complete:
             if not record.answer.body.decode().endswith(
                 f':{record.request_id}'
             ):
                 yield f'{where} got a mismatched body: {record.answer.body!r}'
             if not runs:
                 yield f'{where} was answered but never ran'
-    for name in testbed.fleet.doubled:
+    for name in testbed.fleet.concurrent:
         if any(
             record.request_id == name and record.kind == 'plan'
             for record in records
@@ -139,7 +139,7 @@
         engine.event(record.request_id, n)
         for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
     )
-    if record.answer.whole and record.answer.body != expected:
+    if record.answer.complete and record.answer.body != expected:
         yield f'{where} looks complete but is not: {record.answer.body[-80:]!r}'
     if not expected.startswith(record.answer.body):
         yield f'{where} got unexpected events: {record.answer.body[-80:]!r}'
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/injector.py
@@ -270,17 +270,17 @@
         snapshot = store.snapshot()
         store.skip(VERSION_GAP)
         await asyncio.sleep(plan.snapshot_age_s(injection))
-        store.cuts_watches = rng.random() < CUT_WATCHES_PROBABILITY
+        store.resets_watches = rng.random() < CUT_WATCHES_PROBABILITY
         outage_s = injection.duration_s if injection.variant else 0.0
         if self._rolls_back:
             await store.restore(
                 snapshot,
                 rng,
                 down=injection.variant,
-                away_s=outage_s,
+                outage_s=outage_s,
                 rewrite_s=REWRITE_S,
-                at_once=rng.choice(IMMEDIATE_REWRITE_SHARES),
-                skipped=rng.choice(VERSION_SKIPS),
+                immediate_share=rng.choice(IMMEDIATE_REWRITE_SHARES),
+                skipped_versions=rng.choice(VERSION_SKIPS),
             )
         else:
             store.down = injection.variant
@@ -290,11 +290,11 @@
     async def _reset_on_start(self, injection: plan.Injection) -> None:
         engines = self._testbed.upstreams_of(testbed_lib.ENGINE_SERVICE)
         engine = engines[injection.target % len(engines)].server
-        engine.reset_as_begun += 1 + injection.target % MAX_RESETS
+        engine.resets_at_start += 1 + injection.target % MAX_RESETS
 
     async def _lose_store_history(self, injection: plan.Injection) -> None:
         del injection
-        self._testbed.store.lose_history()
+        self._testbed.store.compact()
 
     async def _configure(self, injection: plan.Injection) -> None:
         del injection
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/load.py
@@ -54,7 +54,7 @@
     request_id: str
     kind: str
     gateway: str
-    answer: caller.Answer
+    answer: caller.Response
     version: int = 0
     incarnation: int = 0
     sent_s: float = 0.0
@@ -64,7 +64,7 @@
     @property
     def served(self) -> bool:
         """Whether a complete and successful response was received."""
-        return self.answer.status == OK and self.answer.whole
+        return self.answer.status == OK and self.answer.complete
 
     @property
     def lost(self) -> bool:
@@ -108,7 +108,7 @@
                 await asyncio.sleep(REQUEST_INTERVAL_S)
         finally:
             for conn in connections.values():
-                conn.leave()
+                conn.disconnect()
 
     async def probe(
         self, kind: str, gateway: testbed_lib.Gateway
@@ -144,7 +144,7 @@
         record.ended_s = asyncio.get_running_loop().time()
         if record.incarnation != gateway.incarnation:
             record.incarnation = 0
-        if record.answer.whole:
+        if record.answer.complete:
             connections[gateway.name] = conn
 
     def _start_record(
@@ -154,7 +154,7 @@
             f'{next(self._request_numbers):016x}',
             kind,
             gateway.name,
-            caller.Answer(),
+            caller.Response(),
             incarnation=gateway.incarnation,
             sent_s=asyncio.get_running_loop().time(),
         )
@@ -170,16 +170,16 @@
     ) -> None:
         try:
             async with asyncio.timeout(timeout_s):
-                await conn.ask(
+                await conn.request(
                     record.path,
                     method=method,
                     body=b'order' if method == 'POST' else b'',
                     key=record.api_key,
                     deadline_ms=DEADLINE_MS,
                     request_id=record.request_id,
-                    answer=record.answer,
+                    response=record.answer,
                 )
         except (TimeoutError, OSError):
-            record.answer.whole = False
-        if not record.answer.whole:
-            conn.leave()
+            record.answer.complete = False
+        if not record.answer.complete:
+            conn.disconnect()
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
@@ -9,7 +9,7 @@
 
 import h11
 
-__all__ = ['Answer', 'Caller']
+__all__ = ['Caller', 'Response']
 
 PREFIX = 'X-Quetzalsill-'
 READ_BYTES = 65536
@@ -17,20 +17,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """What came back.
 
     Attributes:
       status: Status code; 0 if none came.
       headers: Names in lower case.
       body: What came of the body.
-      whole: Whether the answer ended as complete.
+      complete: Whether the answer ended as complete.
     """
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
 
 
 class Caller:
@@ -47,7 +47,7 @@
             *self._address
         )
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Closes the connection at once, if there is one."""
         if self._writer is not None:
             self._writer.transport.abort()
@@ -56,26 +56,26 @@
         """Writes bytes as they are."""
         self._writer.write(data)
 
-    async def ask(
+    async def request(
         self,
         target: str,
         *,
         method: str = 'GET',
-        answer: Answer | None = None,
+        response: Response | None = None,
         **more: Any,
-    ) -> Answer:
+    ) -> Response:
         """Sends one request and reads its answer.
 
         Args:
           target: Path and query.
           method: Method in capitals.
-          answer: Filled while the answer comes; a new one if None.
+          response: Filled while the response comes; a new one if None.
           more: What `send` takes.
         """
         if self._writer is None or self._writer.transport.is_closing():
             await self.open()
         self.send(target, method=method, **more)
-        return await self.read(method, answer)
+        return await self.read(method, response)
 
     def send(
         self,
@@ -106,31 +106,31 @@
         return request_id
 
     async def read(
-        self, method: str = 'GET', answer: Answer | None = None
-    ) -> Answer:
+        self, method: str = 'GET', response: Response | None = None
+    ) -> Response:
         """Reads one answer, as far as it comes."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(
             h11.Request(method=method, target='/', headers=[('host', 'h')])
         )
         parser.send(h11.EndOfMessage())
-        answer = answer or Answer()
+        response = response or Response()
         try:
-            while not answer.whole:
+            while not response.complete:
                 event = parser.next_event()
                 if event is h11.NEED_DATA:
                     parser.receive_data(await self._reader.read(READ_BYTES))
                 elif isinstance(event, h11.Response):
-                    answer.status = event.status_code
-                    answer.headers = {
+                    response.status = event.status_code
+                    response.headers = {
                         k.decode(): v.decode() for k, v in event.headers
                     }
                 elif isinstance(event, h11.Data):
-                    answer.body += bytes(event.data)
+                    response.body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    answer.whole = True
+                    response.complete = True
                 elif isinstance(event, h11.ConnectionClosed):
                     break
         except (ConnectionError, h11.RemoteProtocolError):
-            return answer
-        return answer
+            return response
+        return response
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
@@ -38,28 +38,30 @@
     Attributes:
       engines: By address.
       started: Engines on which each request began anew.
-      at_work: Engines that work on each request now.
-      doubled: Requests on which two engines worked at once.
+      running_on: Engines that work on each request now.
+      concurrent: Requests on which two engines worked at once.
       reading: Events of each request that were generated a second time.
     """
 
     engines: dict[str, Engine] = dataclasses.field(default_factory=dict)
     started: dict[str, list[str]] = dataclasses.field(default_factory=dict)
-    at_work: dict[str, set[str]] = dataclasses.field(default_factory=dict)
-    doubled: set[str] = dataclasses.field(default_factory=set)
+    running_on: dict[str, set[str]] = dataclasses.field(default_factory=dict)
+    concurrent: set[str] = dataclasses.field(default_factory=set)
 
-    def begin(self, request_id: str, engine: str, *, anew: bool) -> None:
+    def run_started(
+        self, request_id: str, engine: str, *, is_new: bool
+    ) -> None:
         """Notes that an engine works on a request."""
-        if anew:
+        if is_new:
             self.started.setdefault(request_id, []).append(engine)
-        busy = self.at_work.setdefault(request_id, set())
+        busy = self.running_on.setdefault(request_id, set())
         busy.add(engine)
         if len(busy) > 1:
-            self.doubled.add(request_id)
+            self.concurrent.add(request_id)
 
-    def end(self, request_id: str, engine: str) -> None:
+    def run_ended(self, request_id: str, engine: str) -> None:
         """Notes that an engine works on a request no more."""
-        self.at_work.get(request_id, set()).discard(engine)
+        self.running_on.get(request_id, set()).discard(engine)
 
 
 class Engine:
@@ -72,15 +74,16 @@
       leaves_ms: Time left that it tells; None if it tells none.
       full: Takes no copies.
       copy_s: Time that a copy takes.
-      last_copy_s: Time that the copy of a stopped run takes.
-      break_after: Breaks a stream off behind this event; None for never.
-      works_on_s: Works on for this long behind a connection that it broke.
+      final_copy_s: Time that the copy of a stopped run takes.
+      abort_after: Breaks a stream off behind this event; None for never.
+      keeps_running_s: Works on for this long behind a connection that it
+        broke.
       refuse: Status with which new runs are refused as not run; 0 for none.
-      reset_as_begun: How many of the next requests are reset right after
+      resets_at_start: How many of the next requests are reset right after
         their run began: nothing of an answer is sent, and the run is over.
       ignores_copies: Runs a request that names a copy which is not held from
         the beginning, where it should refuse it as not run.
-      busy_orders: How many of the next orders to copy a run are answered 409,
+      busy_moves: How many of the next orders to copy a run are answered 409,
         as if another one were under way.
       requests: Headers of each request that came.
     """
@@ -94,20 +97,20 @@
         self.leaves_ms: int | None = None
         self.full = False
         self.copy_s = 0.01
-        self.last_copy_s = 0.01
-        self.break_after: int | None = None
-        self.works_on_s = 0.0
+        self.final_copy_s = 0.01
+        self.abort_after: int | None = None
+        self.keeps_running_s = 0.0
         self.refuse = 0
-        self.reset_as_begun = 0
+        self.resets_at_start = 0
         self.ignores_copies = False
-        self.busy_orders = 0
+        self.busy_moves = 0
         self.requests: list[dict[str, str]] = []
         self.reports = 0
         self._fleet = fleet
         self._runs: dict[str, _Run] = {}
         self._copies: dict[str, _Run] = {}
         self._numbers = itertools.count(1)
-        self._unheard: list[asyncio.Task[None]] = []
+        self._detached: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Starts to serve."""
@@ -119,7 +122,7 @@
         await self.server.stop()
         for run in self._runs.values():
             run.running = False
-            self._fleet.end(run.request_id, self.id)
+            self._fleet.run_ended(run.request_id, self.id)
         self._runs.clear()
 
     def entry(self, service: str, zone: str) -> dict[str, Any]:
@@ -139,7 +142,7 @@
             await self._move(call)
         elif call.path.startswith('/-/kv-handle/'):
             self._copies.pop(call.path.rpartition('/')[2], None)
-            call.answer(200)
+            call.respond(200)
         else:
             await self._generate(call)
 
@@ -160,23 +163,23 @@
         }
         if self.leaves_ms is not None:
             body['leaves_ms'] = self.leaves_ms
-        call.answer(200, json.dumps(body).encode())
+        call.respond(200, json.dumps(body).encode())
 
     async def _move(self, call: scripted.Exchange) -> None:
         order = json.loads(call.body)
         run = self._runs.get(order['id'])
         if run is None or not run.running:
-            call.answer(404)
+            call.respond(404)
             return
-        if self.busy_orders:
-            self.busy_orders -= 1
-            call.answer(409)
+        if self.busy_moves:
+            self.busy_moves -= 1
+            call.respond(409)
             return
         if order.get('last'):
             run.running = False
-            self._fleet.end(run.request_id, self.id)
+            self._fleet.run_ended(run.request_id, self.id)
         await asyncio.sleep(
-            self.last_copy_s if order.get('last') else self.copy_s
+            self.final_copy_s if order.get('last') else self.copy_s
         )
         target = self._fleet.engines.get(order['target'])
         handle = f'h{next(self._numbers)}-{self.id}'
@@ -187,30 +190,32 @@
             self._copies[handle] = copy
         if has_room:
             target._copies[handle] = copy
-        call.answer(200 if has_room else 503, json.dumps(body).encode())
+        call.respond(200 if has_room else 503, json.dumps(body).encode())
 
     async def _generate(self, call: scripted.Exchange) -> None:
         self.requests.append(call.headers)
         request_id = call.headers[PREFIX + 'attempt-id']
         echo = {PREFIX + 'attempt-id': request_id}
         if call.headers.get(PREFIX + 'expect-instance') != self.id:
-            call.answer(421, headers={PREFIX + 'instance-id': self.id})
+            call.respond(421, headers={PREFIX + 'instance-id': self.id})
             return
         if self.refuse:
-            call.answer(
+            call.respond(
                 self.refuse, headers=echo | {PREFIX + 'not-executed': '1'}
             )
             return
         source = call.headers.get('kv-from')
         backup = call.headers.get(PREFIX + 'kv-backup')
         after = int(call.headers.get('last-event-id', 0))
-        anew = source is None
+        is_new = source is None
         if source is not None and not self._take_copy(source, request_id):
             if not self.ignores_copies:
-                call.answer(503, headers=echo | {PREFIX + 'not-executed': '1'})
+                call.respond(503, headers=echo | {PREFIX + 'not-executed': '1'})
                 return
-            after, anew = 0, True
-        await self._stream(call, request_id, after, anew=anew, backup=backup)
+            after, is_new = 0, True
+        await self._stream(
+            call, request_id, after, is_new=is_new, backup=backup
+        )
 
     def _take_copy(self, source: str, request_id: str) -> bool:
         """Uses up the copy that a request names, if it is held here."""
@@ -223,15 +228,15 @@
         request_id: str,
         after: int,
         *,
-        anew: bool,
+        is_new: bool,
         backup: str | None,
     ) -> None:
         run = self._runs[request_id] = _Run(request_id, after)
-        self._fleet.begin(request_id, self.id, anew=anew)
-        if self.reset_as_begun:
-            self.reset_as_begun -= 1
+        self._fleet.run_started(request_id, self.id, is_new=is_new)
+        if self.resets_at_start:
+            self.resets_at_start -= 1
             run.running = False
-            self._fleet.end(request_id, self.id)
+            self._fleet.run_ended(request_id, self.id)
             call.abort()
             return
         head = {
@@ -240,42 +245,44 @@
             'Content-Type': 'text/event-stream',
             'Transfer-Encoding': 'chunked',
         }
-        call.head(200, head)
+        call.send_head(200, head)
         try:
             while run.running and run.made < self.length and call.is_open:
                 await asyncio.sleep(self.event_s)
                 if not run.running:
                     break
                 run.made += 1
-                self._back_up(run, backup)
-                call.chunk(event(request_id, run.made))
-                if run.made == self.break_after:
+                self._update_backup(run, backup)
+                call.send_chunk(event(request_id, run.made))
+                if run.made == self.abort_after:
                     call.writer.write(b'10\r\nid: 999\nda')
                     await call.writer.drain()
                     call.abort()
                     return
             if run.running:
-                call.chunk(b'')
+                call.send_chunk(b'')
             else:
                 await call.writer.drain()
                 call.writer.close()
         finally:
-            if run.made == self.break_after and self.works_on_s:
-                self._unheard.append(asyncio.create_task(self._work_on(run)))
+            if run.made == self.abort_after and self.keeps_running_s:
+                self._detached.append(
+                    asyncio.create_task(self._keep_running(run))
+                )
             else:
                 run.running = False
-                self._fleet.end(request_id, self.id)
+                self._fleet.run_ended(request_id, self.id)
 
-    def _back_up(self, run: _Run, address: str | None) -> None:
+    def _update_backup(self, run: _Run, address: str | None) -> None:
         """Sends what a run has made to the engine that keeps its copy."""
         target = self._fleet.engines.get(address)
         if target is not None and not target.full:
             target._copies[run.request_id] = _Run(run.request_id, run.made)
 
-    async def _work_on(self, run: _Run) -> None:
+    async def _keep_running(self, run: _Run) -> None:
         """Works on a run that nobody hears, until it is told to stop."""
-        end_s = asyncio.get_running_loop().time() + self.works_on_s
+        end_s = asyncio.get_running_loop().time() + self.keeps_running_s
         while run.running and asyncio.get_running_loop().time() < end_s:  # noqa: ASYNC110
             await asyncio.sleep(EVENT_S)
         run.running = False
-        self._fleet.end(run.request_id, self.id)
+        self._fleet.run_ended(run.request_id, self.id)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
@@ -56,16 +56,16 @@
         echo = {PREFIX + 'attempt-id': request_id}
         expected = call.headers.get(PREFIX + 'expect-instance')
         if script == 'moved' or expected != self.id:
-            call.answer(421, headers={PREFIX + 'instance-id': 'another'})
+            call.respond(421, headers={PREFIX + 'instance-id': 'another'})
             return
         if script == 'shed':
-            call.answer(503, headers=echo | {PREFIX + 'not-executed': '1'})
+            call.respond(503, headers=echo | {PREFIX + 'not-executed': '1'})
             return
         self.runs.append((request_id, call.target, call.headers, call.body))
         receipt = echo | {PREFIX + 'server-stamp': f'{self.id}.{request_id}'}
-        await self._answer(call, script, receipt, f'{self.id}:{request_id}')
+        await self._respond(call, script, receipt, f'{self.id}:{request_id}')
 
-    async def _answer(
+    async def _respond(
         self,
         call: scripted.Exchange,
         script: str,
@@ -75,35 +75,37 @@
         body = text.encode()
         match script:
             case 'fail':
-                call.answer(500, body, receipt)
+                call.respond(500, body, receipt)
             case 'false_503':
-                call.answer(503, body, receipt)
+                call.respond(503, body, receipt)
             case 'no_receipt':
                 name = PREFIX + 'attempt-id'
-                call.answer(200, body, {name: receipt[name]})
+                call.respond(200, body, {name: receipt[name]})
             case 'reset':
                 call.abort()
             case 'hang':
                 await asyncio.Event().wait()
             case 'truncate':
-                call.head(200, receipt | {'Content-Length': str(len(body) + 9)})
+                call.send_head(
+                    200, receipt | {'Content-Length': str(len(body) + 9)}
+                )
                 call.writer.write(body)
                 await call.writer.drain()
                 call.writer.close()
             case 'garbage':
                 call.writer.write(b'\x16\x03\x01 this is no answer\r\n\r\n')
             case 'unframed':
-                call.head(200, receipt | {'Connection': 'close'})
+                call.send_head(200, receipt | {'Connection': 'close'})
                 call.writer.write(body)
                 await call.writer.drain()
                 call.writer.close()
             case 'extra':
-                call.answer(200, body, receipt)
+                call.respond(200, body, receipt)
                 other = receipt | {PREFIX + 'attempt-id': 'another'}
-                call.answer(200, b'not yours', other)
+                call.respond(200, b'not yours', other)
             case 'stale':
                 other = receipt | {PREFIX + 'attempt-id': 'another'}
-                call.answer(200, b'not yours', other)
-                call.answer(200, body, receipt)
+                call.respond(200, b'not yours', other)
+                call.respond(200, body, receipt)
             case _:
-                call.answer(200, body, receipt)
+                call.respond(200, body, receipt)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/scripted.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/scripted.py
@@ -43,13 +43,13 @@
         """The target without its query."""
         return self.target.partition('?')[0]
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def send_head(self, status: int, headers: dict[str, str]) -> None:
         """Writes a head."""
         lines = [f'HTTP/1.1 {status} {REASONS.get(status, "Status")}']
         lines += [f'{name}: {value}' for name, value in headers.items()]
         self.writer.write('\r\n'.join([*lines, '\r\n']).encode())
 
-    def answer(
+    def respond(
         self,
         status: int,
         body: bytes = b'',
@@ -57,10 +57,10 @@
     ) -> None:
         """Writes a whole answer."""
         length = {'Content-Length': str(len(body))}
-        self.head(status, (headers or {}) | length)
+        self.send_head(status, (headers or {}) | length)
         self.writer.write(body)
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Writes one chunk of a chunked body; an empty one ends it."""
         self.writer.write(b'%x\r\n%s\r\n' % (len(data), data))
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
@@ -9,7 +9,7 @@
 import urllib.parse
 from typing import TYPE_CHECKING, Any
 
-from quetzalsill_dev.users_platform import ledger, scripted
+from quetzalsill_dev.users_platform import scripted, versioned_rows
 
 if TYPE_CHECKING:
     import random
@@ -17,7 +17,7 @@
 
 __all__ = ['ERA_FAULTS', 'ERA_HEADER', 'Store']
 
-MOST_ROWS = 500
+MAX_ROWS = 500
 ERA_HEADER = 'Store-Era'
 # What a faulty store says in place of its era; None leaves the header out.
 ERA_FAULTS: dict[str, Callable[[int], str | None]] = {
@@ -41,7 +41,7 @@
         for a store that tells none.
       era_fault: Name of what is told in its place; empty for none.
       always_gone: Each watch gets 410, whatever it asks for.
-      cuts_watches: Breaks off the watches that wait as it comes back from a
+      resets_watches: Breaks off the watches that wait as it comes back from a
         copy; it answers them from what it holds then otherwise.
       calls: Calls received, by path.
     """
@@ -52,45 +52,45 @@
         self.era: int | None = None
         self.era_fault = ''
         self.always_gone = False
-        self.cuts_watches = False
+        self.resets_watches = False
         self.calls: dict[str, int] = {}
-        self._ledger = ledger.Ledger()
+        self._rows = versioned_rows.VersionedRows()
         self._changed = asyncio.Event()
-        self._returns = 0
-        self._is_away = False
+        self._restores = 0
+        self._is_down = False
 
     @property
     def version(self) -> int:
         """Version of the newest transaction."""
-        return self._ledger.version
+        return self._rows.version
 
     def put(self, table: str, key: str, value: Any) -> None:
         """Writes a row as JSON."""
-        self._note(table, key, json.dumps(value).encode())
+        self._put_row(table, key, json.dumps(value).encode())
 
     def remove(self, table: str, key: str) -> None:
         """Drops a row."""
-        self._note(table, key, None)
+        self._put_row(table, key, None)
 
-    def lose_history(self) -> None:
+    def compact(self) -> None:
         """Forgets what changed, so that watches from before get 410."""
-        self._ledger.forget()
-        self._wake()
+        self._rows.compact()
+        self._notify_watches()
 
-    def snapshot(self) -> ledger.Copy:
+    def snapshot(self) -> versioned_rows.Snapshot:
         """Returns a copy of all that is held."""
-        return self._ledger.copy()
+        return self._rows.snapshot()
 
     async def restore(
         self,
-        copy: ledger.Copy,
+        snapshot: versioned_rows.Snapshot,
         rng: random.Random,
         *,
         down: str = 'busy',
-        away_s: float = 0.3,
+        outage_s: float = 0.3,
         rewrite_s: float = 1.0,
-        at_once: float = 0.0,
-        skipped: int = 0,
+        immediate_share: float = 0.0,
+        skipped_versions: int = 0,
     ) -> None:
         """Is away, comes back from a copy, and is told again what it lost.
 
@@ -100,68 +100,71 @@
         writes again for the system's own tables.
 
         Args:
-          copy: What it comes back with.
+          snapshot: What it comes back with.
           rng: Draws order and times of what is written again.
           down: How it is away.
-          away_s: For how long, in seconds.
+          outage_s: For how long, in seconds.
           rewrite_s: Time until all is written again, in seconds.
-          at_once: Share of what is written again before it answers anybody.
-          skipped: Versions that transactions elsewhere use up then.
+          immediate_share: Share of what is written again before it
+            answers anybody.
+          skipped_versions: Versions that transactions elsewhere use up then.
         """
         self.down = down
-        self._is_away = True
-        await asyncio.sleep(away_s)
-        self.come_back(copy)
-        self._is_away = False
+        self._is_down = True
+        await asyncio.sleep(outage_s)
+        self.load_snapshot(snapshot)
+        self._is_down = False
         self.down = ''
-        places = list(self._ledger.lost())
-        rng.shuffle(places)
+        keys = list(self._rows.missing())
+        rng.shuffle(keys)
         times = sorted(
-            0.0 if rng.random() < at_once else rng.uniform(0.0, rewrite_s)
-            for _ in places
+            0.0
+            if rng.random() < immediate_share
+            else rng.uniform(0.0, rewrite_s)
+            for _ in keys
         )
-        at_times = dict(zip(places, times, strict=True))
-        await self._write_again(at_times, skipped)
+        at_times = dict(zip(keys, times, strict=True))
+        await self._rewrite_missing(at_times, skipped_versions)
 
-    def come_back(self, copy: ledger.Copy) -> None:
+    def load_snapshot(self, snapshot: versioned_rows.Snapshot) -> None:
         """Holds what a copy holds, under the next era."""
-        self._ledger.go_back(copy)
-        self._returns += 1
+        self._rows.restore(snapshot)
+        self._restores += 1
         if self.era is not None:
             self.era += 1
-        self._wake()
+        self._notify_watches()
 
     def skip(self, count: int) -> None:
         """Uses versions up, as transactions elsewhere do."""
-        self._ledger.skip(count)
+        self._rows.skip(count)
 
-    async def _write_again(
-        self, times: dict[ledger.Place, float], skipped: int
+    async def _rewrite_missing(
+        self, times: dict[versioned_rows.RowKey, float], skipped_versions: int
     ) -> None:
         begun_s = time.monotonic()
-        for place in [place for place, at_s in times.items() if not at_s]:
-            self._write_lost(place)
-        self.skip(skipped)
-        for place, at_s in times.items():
+        for key in [key for key, at_s in times.items() if not at_s]:
+            self._rewrite_row(key)
+        self.skip(skipped_versions)
+        for key, at_s in times.items():
             if at_s:
                 delay_s = begun_s + at_s - time.monotonic()
                 await asyncio.sleep(max(0.0, delay_s))
-                self._write_lost(place)
+                self._rewrite_row(key)
 
-    def _write_lost(self, place: ledger.Place) -> None:
+    def _rewrite_row(self, key: versioned_rows.RowKey) -> None:
         # Written meanwhile, or lost again, in a return that overlaps.
-        lost = self._ledger.lost()
-        if place in lost:
-            self._note(*place, lost[place])
+        lost = self._rows.missing()
+        if key in lost:
+            self._put_row(*key, lost[key])
 
-    def _note(self, table: str, key: str, value: bytes | None) -> None:
-        if self._is_away:
-            self._ledger.intend((table, key), value)
+    def _put_row(self, table: str, key: str, value: bytes | None) -> None:
+        if self._is_down:
+            self._rows.set_intended((table, key), value)
             return
-        self._ledger.write({(table, key): value})
-        self._wake()
+        self._rows.write({(table, key): value})
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -186,46 +189,47 @@
             self._reply(call, 404)
 
     def _get(self, call: scripted.Exchange, query: dict[str, str]) -> None:
-        limit = min(MOST_ROWS, int(query.get('limit', MOST_ROWS)))
-        rows = self._ledger.table(query['table'], query.get('from', ''))
-        self._answer(call, 200, rows[:limit], truncated=len(rows) > limit)
+        limit = min(MAX_ROWS, int(query.get('limit', MAX_ROWS)))
+        rows = self._rows.table(query['table'], query.get('from', ''))
+        self._send_rows(call, 200, rows[:limit], truncated=len(rows) > limit)
 
     def _write(self, call: scripted.Exchange) -> None:
         order = json.loads(call.body)
-        values = {_place(row): None for row in order.get('remove', ())}
+        values = {_row_key(row): None for row in order.get('remove', ())}
         for row in order.get('writes', ()):
-            values[_place(row)] = base64.b64decode(row['value'])
-        if any(table in ledger.OPERATED for table, _ in values):
+            values[_row_key(row)] = base64.b64decode(row['value'])
+        if any(table in versioned_rows.EXTERNAL_TABLES for table, _ in values):
             self._reply(call, 403)
             return
         expected = {
-            _place(row): row['ver'] for row in order.get('expectedRevision', ())
+            _row_key(row): row['ver']
+            for row in order.get('expectedRevision', ())
         }
-        held = {place: self._ledger.get(place) for place in expected}
+        held = {key: self._rows.get(key) for key in expected}
         if any(
-            (found.version if found else 0) != expected[place]
-            for place, found in held.items()
+            (found.version if found else 0) != expected[key]
+            for key, found in held.items()
         ):
-            self._answer(call, 412, [row for row in held.values() if row])
+            self._send_rows(call, 412, [row for row in held.values() if row])
             return
-        self._ledger.write(values)
-        self._wake()
-        self._answer(call, 200, [])
+        self._rows.write(values)
+        self._notify_watches()
+        self._send_rows(call, 200, [])
 
     async def _feed(
         self, call: scripted.Exchange, query: dict[str, str]
     ) -> None:
         after = int(query['after'])
         end = time.monotonic() + int(query['waitMs']) / 1000
-        returns = self._returns
+        restores = self._restores
         while True:
-            if self.cuts_watches and returns != self._returns:
+            if self.resets_watches and restores != self._restores:
                 call.abort()
                 return
-            if self._is_gone(after):
+            if self._is_compacted(after):
                 self._reply(call, 410)
                 return
-            rows = self._ledger.since(query['table'], after)
+            rows = self._rows.since(query['table'], after)
             left_s = end - time.monotonic()
             if rows or left_s <= 0:
                 break
@@ -236,25 +240,25 @@
                 continue
         if self.down:
             await asyncio.Event().wait()
-        self._answer(call, 200, rows)
+        self._send_rows(call, 200, rows)
 
-    def _is_gone(self, after: int) -> bool:
+    def _is_compacted(self, after: int) -> bool:
         """Whether a watch from a version cannot be told what came behind it."""
         # A store without eras never goes back: such a version was never its
         # own, and the watch waits until it is.
         is_ahead = self.era is not None and after > self.version
-        return self.always_gone or is_ahead or after < self._ledger.oldest
+        return self.always_gone or is_ahead or after < self._rows.oldest
 
-    def _answer(
+    def _send_rows(
         self,
         call: scripted.Exchange,
         status: int,
-        rows: list[ledger.Change],
+        rows: list[versioned_rows.Change],
         *,
         truncated: bool = False,
     ) -> None:
         body = {
-            'rows': [row.plain() for row in rows],
+            'rows': [row.to_json() for row in rows],
             'truncated': truncated,
             'ver': self.version,
             'nowMs': int(time.monotonic() * 1000),
@@ -265,7 +269,7 @@
         self, call: scripted.Exchange, status: int, body: bytes = b''
     ) -> None:
         """Answers, with the era where one is told."""
-        call.answer(status, body, self._era_header())
+        call.respond(status, body, self._era_header())
 
     def _era_header(self) -> dict[str, str]:
         if self.era is None:
@@ -275,5 +279,5 @@
         return {} if told is None else {ERA_HEADER: told}
 
 
-def _place(row: dict[str, Any]) -> ledger.Place:
+def _row_key(row: dict[str, Any]) -> versioned_rows.RowKey:
     return row['table'], row['key']
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/ledger.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/versioned_rows.py
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ['OPERATED', 'Change', 'Copy', 'Ledger', 'Place']
+__all__ = ['EXTERNAL_TABLES', 'Change', 'RowKey', 'Snapshot', 'VersionedRows']
 
 # Tables that only operators and servers write.
-OPERATED = ('op', 'servers')
+EXTERNAL_TABLES = ('op', 'servers')
 # Table and key of a row.
-Place = tuple[str, str]
+RowKey = tuple[str, str]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -33,7 +33,7 @@
     key: str
     value: bytes | None
 
-    def plain(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Returns the row as answers carry it."""
         row = {'table': self.table, 'part': '', 'key': self.key}
         row['ver'] = self.version
@@ -43,16 +43,16 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Copy:
+class Snapshot:
     """All that a ledger held at one moment."""
 
     version: int
     oldest: int
-    rows: dict[Place, Change]
+    rows: dict[RowKey, Change]
     changes: tuple[Change, ...]
 
 
-class Ledger:
+class VersionedRows:
     """Rows under one counter of versions.
 
     Attributes:
@@ -63,45 +63,45 @@
     def __init__(self) -> None:
         self.version = 0
         self.oldest = 0
-        self._rows: dict[Place, Change] = {}
+        self._rows: dict[RowKey, Change] = {}
         self._changes: list[Change] = []
         # What operators and servers wrote last; it outlives a copy, as they do.
-        self._intended: dict[Place, bytes | None] = {}
+        self._intended: dict[RowKey, bytes | None] = {}
 
-    def write(self, values: Mapping[Place, bytes | None]) -> None:
+    def write(self, values: Mapping[RowKey, bytes | None]) -> None:
         """Writes and drops rows in one transaction."""
         self.version += 1
-        for place, value in values.items():
-            change = Change(self.version, *place, value)
+        for key, value in values.items():
+            change = Change(self.version, *key, value)
             self._changes.append(change)
             if value is None:
-                self._rows.pop(place, None)
+                self._rows.pop(key, None)
             else:
-                self._rows[place] = change
-            if place[0] in OPERATED:
-                self._intended[place] = value
+                self._rows[key] = change
+            if key[0] in EXTERNAL_TABLES:
+                self._intended[key] = value
 
-    def intend(self, place: Place, value: bytes | None) -> None:
+    def set_intended(self, key: RowKey, value: bytes | None) -> None:
         """Notes what its writer could not write; it is lost until then."""
-        self._intended[place] = value
+        self._intended[key] = value
 
     def skip(self, count: int) -> None:
         """Uses versions up, as transactions in other tables do."""
         self.version += count
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Drops the history, and keeps the rows."""
         self._changes.clear()
         self.oldest = self.version
 
-    def get(self, place: Place) -> Change | None:
+    def get(self, key: RowKey) -> Change | None:
         """Returns a row, None if there is none."""
-        return self._rows.get(place)
+        return self._rows.get(key)
 
     def table(self, name: str, first: str = '') -> list[Change]:
         """Returns the rows of a table from a key on, in order of keys."""
-        places = sorted(place for place in self._rows if place[0] == name)
-        return [self._rows[place] for place in places if place[1] >= first]
+        keys = sorted(key for key in self._rows if key[0] == name)
+        return [self._rows[key] for key in keys if key[1] >= first]
 
     def since(self, name: str, after: int) -> list[Change]:
         """Returns what changed in a table behind a version, in order."""
@@ -111,26 +111,26 @@
             if change.version > after and change.table == name
         ]
 
-    def copy(self) -> Copy:
+    def snapshot(self) -> Snapshot:
         """Returns a copy of all rows and their history."""
-        return Copy(
+        return Snapshot(
             self.version, self.oldest, dict(self._rows), tuple(self._changes)
         )
 
-    def go_back(self, copy: Copy) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """Holds what a copy holds, and gives its next versions out again."""
-        self.version, self.oldest = copy.version, copy.oldest
-        self._rows = dict(copy.rows)
-        self._changes = list(copy.changes)
+        self.version, self.oldest = snapshot.version, snapshot.oldest
+        self._rows = dict(snapshot.rows)
+        self._changes = list(snapshot.changes)
 
-    def lost(self) -> dict[Place, bytes | None]:
+    def missing(self) -> dict[RowKey, bytes | None]:
         """Returns what operators and servers wrote that is not held."""
         return {
-            place: self._intended[place]
-            for place in sorted(self._intended)
-            if self._intended[place] != self._value(place)
+            key: self._intended[key]
+            for key in sorted(self._intended)
+            if self._intended[key] != self._value(key)
         }
 
-    def _value(self, place: Place) -> bytes | None:
-        held = self._rows.get(place)
+    def _value(self, key: RowKey) -> bytes | None:
+        held = self._rows.get(key)
         return held.value if held else None
--- a/tests/failure/fixture.py
+++ b/tests/failure/fixture.py
@@ -48,7 +48,7 @@
     Attributes:
       LAYOUT: Processes of the cluster; a subclass may set its own.
       CHANGES: Changes to the settings of routers and sidecars; see
-        `cluster.Cluster.changes`.
+        `cluster.Cluster.overrides`.
     """
 
     LAYOUT = board.board_layout(engines=1, services=1, routers=1)
@@ -64,7 +64,7 @@
             configuration=self.configuration(),
             via=self.via,
         )
-        self.cluster.changes = dict(self.CHANGES)
+        self.cluster.overrides = dict(self.CHANGES)
         await self.cluster.start()
 
     def configuration(self):
@@ -84,7 +84,7 @@
 
     Attributes:
       LAYOUT: Processes of the cluster.
-      CHANGES: Changes to the settings; see `cluster.Cluster.changes`.
+      CHANGES: Changes to the settings; see `cluster.Cluster.overrides`.
       TLS: Context towards the routers, if they listen with TLS.
     """
 
@@ -103,7 +103,7 @@
             configuration=cls.configuration(),
             via=cls.via,
         )
-        cls.cluster.changes = dict(cls.CHANGES)
+        cls.cluster.overrides = dict(cls.CHANGES)
         cls.cluster.tls = cls.TLS
         cls.runner.run(cls.cluster.start())
 
--- a/tests/failure/relayed.py
+++ b/tests/failure/relayed.py
@@ -81,7 +81,7 @@
 
     def ask(self, tokens, name='plan', profile='prompt', router=0, **headers):
         """Asks in the background; gives the answer as it grows, and a task."""
-        answer = caller.Answer()
+        answer = caller.Response()
         token = board.TOKENS['retailers']
         sent = {k.replace('_', '-'): v for k, v in headers.items()}
         sent['x-quetzalsill-profile'] = profile
@@ -131,7 +131,7 @@
     async def is_served(self):
         """Each router answers."""
         answers = [await self.ask(1, router=i)[1] for i in self._routers()]
-        return all(answer.is_whole for answer in answers)
+        return all(answer.is_complete for answer in answers)
 
     def _routers(self):
         return range(len(self.cluster.routers))
@@ -169,5 +169,5 @@
     def assert_whole(self, answer, tokens):
         """The answer is whole, from one generation, and as long as asked."""
         self.assertEqual(answer.status, 200, answer.error)
-        self.assertTrue(answer.is_whole, (answer.error, answer.texts[-3:]))
+        self.assertTrue(answer.is_complete, (answer.error, answer.texts[-3:]))
         self.assertEqual(len(answer.texts), tokens)
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -68,7 +68,7 @@
             lose_only='',
         )
         seeds = [process.address for process in self.cluster.sidecars.values()]
-        self.cluster.changes['router']['seeds'] = seeds
+        self.cluster.overrides['router']['seeds'] = seeds
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
         self.urls = [self.first.url, self.second.url]
--- a/tests/failure/test_leaving.py
+++ b/tests/failure/test_leaving.py
@@ -186,7 +186,7 @@
         for name, answer in zip(names, answers, strict=True):
             with self.subTest(name):
                 self.assertEqual(answer.status, 200, answer.error)
-                self.assertTrue(answer.is_whole, answer)
+                self.assertTrue(answer.is_complete, answer)
                 self.assertEqual(len(answer.texts), PLAN_TOKENS)
                 ran = finished[traffic.digest(name, PLAN_TOKENS)]
                 self.assertEqual(ran, 1)
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -95,7 +95,7 @@
             await self.until_used()
         for task, answer in asked:
             await task
-            self.assertTrue(answer.is_whole, answer.error)
+            self.assertTrue(answer.is_complete, answer.error)
 
     @fixture.on_cluster
     async def test_host_list_says_leaving(self):
@@ -166,7 +166,7 @@
         old.cont()
         for task, answer in asked:
             await task
-            self.assertTrue(answer.is_whole, answer.error)
+            self.assertTrue(answer.is_complete, answer.error)
             self.assertEqual(len(answer.texts), TOKENS)
         self.assertEqual(await self.late_dispatch(before), 'superseded')
         ran = [run['request_id'] for run in await self.runs()]
--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -140,7 +140,7 @@
         token = board.TOKENS['retailers']
         async with caller.open_client(router.url, token) as client:
             answer = await caller.generate(client, body)
-        self.assertTrue(answer.is_whole, answer.error)
+        self.assertTrue(answer.is_complete, answer.error)
         self.assertEqual(len(await self.orders(IGNORES)), before + 1)
         await self.cluster.switch(self.cluster.store, down=False)
         await self.until_shown(IGNORES, [board.MODEL], ['x1', 'x2'])
--- a/tests/failure/test_restart.py
+++ b/tests/failure/test_restart.py
@@ -47,7 +47,7 @@
         second = await self.ask()
         for answer in (first, second):
             self.assertEqual(answer.status, 200, answer.error)
-            self.assertTrue(answer.is_whole)
+            self.assertTrue(answer.is_complete)
         runs = (await self.cluster.audit(self.name))['runs']
         self.assertEqual([run['tokens'] for run in runs], [5, 5])
 
--- a/tests/failure/test_shutdown.py
+++ b/tests/failure/test_shutdown.py
@@ -73,7 +73,7 @@
         for task, answer in streams + plans:
             await task
             self.assertEqual(answer.status, 200, answer.error)
-            self.assertTrue(answer.is_whole, answer)
+            self.assertTrue(answer.is_complete, answer)
             self.assertEqual(len(answer.texts), TOKENS)
         for process in ending:
             self.assertEqual(await process.wait(), 0)
@@ -117,7 +117,7 @@
         )
         self.first.cont()
         await task
-        self.assertTrue(answer.is_whole, (answer.error, len(answer.texts)))
+        self.assertTrue(answer.is_complete, (answer.error, len(answer.texts)))
         self.assertEqual(len(answer.texts), SHORT)
         self.assertEqual(await sidecar.wait(), 0)
 
@@ -194,15 +194,15 @@
             await self.cluster.switch(self.cluster.upstreams[name], stall=False)
         for task, answer in held:
             await task
-            self.assertTrue(answer.is_whole, answer.error)
+            self.assertTrue(answer.is_complete, answer.error)
         later = await asking.settled(self.second, key='hanging-plan')
         self.assertTrue(later.answered, later)
 
     async def restart_with_grace(self):
         """Starts a router and the engines' sidecars with a short grace."""
-        self.addCleanup(self.cluster.changes.update, self.CHANGES)
-        self.cluster.changes['router'] = {'stop': {'grace_s': GRACE_S}}
-        self.cluster.changes['sidecar'] = {'timing': {'grace_s': GRACE_S}}
+        self.addCleanup(self.cluster.overrides.update, self.CHANGES)
+        self.cluster.overrides['router'] = {'stop': {'grace_s': GRACE_S}}
+        self.cluster.overrides['sidecar'] = {'timing': {'grace_s': GRACE_S}}
         await self.end_those_of_short_grace()
         self.addCleanup(self.runner.run, self.end_those_of_short_grace())
         await self.restore()
--- a/tests/failure/test_silent_connections.py
+++ b/tests/failure/test_silent_connections.py
@@ -166,7 +166,7 @@
             await task
             if answer.status == 503:
                 self.assertIs(answer.error['error']['not_run'], True)
-            return answer.is_whole
+            return answer.is_complete
 
         async with asyncio.timeout(STORE_S * SLACK):
             await self.until(lambda: accepted('patient'))
--- a/tests/failure/test_through_any_router.py
+++ b/tests/failure/test_through_any_router.py
@@ -29,7 +29,7 @@
     async def begin(self):
         """Starts a streamed request at the first router."""
         self.first, self.second = self.cluster.routers.values()
-        answer = caller.Answer()
+        answer = caller.Response()
         task = asyncio.create_task(self.stream(answer))
 
         async def begun():
--- a/tests/failure/test_tls.py
+++ b/tests/failure/test_tls.py
@@ -64,7 +64,7 @@
         await super().restore()
 
     def ask(self, tokens, name='plan', profile='prompt', router=0, **headers):
-        answer = caller.Answer()
+        answer = caller.Response()
         task = asyncio.create_task(self.stream(answer, tokens, self.caller))
         return answer, task
 
@@ -116,7 +116,7 @@
         for name, tls in self.strangers().items():
             with self.subTest(name):
                 with self.assertRaises(httpx2.TransportError):
-                    await self.stream(caller.Answer(), 3, tls)
+                    await self.stream(caller.Response(), 3, tls)
                 with self.assertRaises(wire_error.WireError):
                     await self.dial(context(tls))
         with self.assertRaises(wire_error.WireError):
@@ -146,7 +146,7 @@
         middle.cut()
         await self.until(self.is_served)
         with self.assertRaises(httpx2.TransportError):
-            await self.stream(caller.Answer(), 3, old)
+            await self.stream(caller.Response(), 3, old)
 
     async def until_refused(self):
         found = []
--- a/tests/failure/traffic.py
+++ b/tests/failure/traffic.py
@@ -48,7 +48,7 @@
 
 def ask(*args, **named):
     """Asks in a task; gives it with the answer that it fills meanwhile."""
-    answer = caller.Answer()
+    answer = caller.Response()
     task = asyncio.create_task(generate(*args, answer=answer, **named))
     return task, answer
 
@@ -96,7 +96,7 @@
         """Checks that every caller got its whole answer."""
         for answer in self.answers:
             case.assertEqual(answer.status, 200, answer.error)
-            case.assertTrue(answer.is_whole, answer)
+            case.assertTrue(answer.is_complete, answer)
         for name, told in self.orders.items():
             case.assertTrue(told.answered, (name, told))
 
--- a/tests/quetzalsill_dev/soak/test_soak.py
+++ b/tests/quetzalsill_dev/soak/test_soak.py
@@ -23,16 +23,16 @@
 def record(
     kind, status=200, body=b'', request_id='a', *, whole=True, **options
 ):
-    answer = caller.Answer(status, {}, body, whole)
+    answer = caller.Response(status, {}, body, whole)
     return load.RequestRecord(request_id, kind, 'entry-0', answer, **options)
 
 
-def testbed(runs=(), started=(), doubled=()):
+def testbed(runs=(), started=(), concurrent=()):
     """Returns a testbed on which these requests ran."""
     server = types.SimpleNamespace(runs=[(name, '', {}, b'') for name in runs])
     fleet = engine.Fleet(
         started={name: ['e'] * started.count(name) for name in started},
-        doubled=set(doubled),
+        concurrent=set(concurrent),
     )
     return types.SimpleNamespace(http_servers=[server], fleet=fleet)
 
@@ -136,7 +136,7 @@
             for n in range(1, testbed_lib.EVENTS_PER_STREAM + 1)
         )
         request = record('plan', body=whole)
-        found = self.violations(request, started=['a'], doubled=['a'])
+        found = self.violations(request, started=['a'], concurrent=['a'])
         self.assertIn('two engines', found[0])
 
     def test_a_process_goes_back_to_a_configuration_before(self):
--- a/tests/quetzalsill_dev/test_launch.py
+++ b/tests/quetzalsill_dev/test_launch.py
@@ -70,9 +70,9 @@
         async with caller.open_client(engine.url) as client:
             answer = await caller.generate(client, body)
         self.assertEqual(len(answer.texts), 20)
-        self.assertTrue(answer.is_whole)
+        self.assertTrue(answer.is_complete)
         answer.texts[3] = 'g1.3 '
-        self.assertFalse(answer.is_whole)
+        self.assertFalse(answer.is_complete)
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_dev/users_platform/test_engine.py
+++ b/tests/quetzalsill_dev/users_platform/test_engine.py
@@ -7,7 +7,7 @@
 
 from quetzalsill_dev.users_platform import caller, engine
 
-BOUND_S = 5.0
+TIMEOUT_S = 5.0
 NOT_EXECUTED = 'x-quetzalsill-not-executed'
 
 
@@ -23,20 +23,20 @@
 
     async def ask(self, request_id, **headers):
         conn = caller.Caller(*self.engine.server.address)
-        self.addCleanup(conn.leave)
+        self.addCleanup(conn.disconnect)
         expected = {'X-Quetzalsill-Expect-Instance': self.engine.id}
-        async with asyncio.timeout(BOUND_S):
-            return await conn.ask(
+        async with asyncio.timeout(TIMEOUT_S):
+            return await conn.request(
                 '/plan/x', request_id=request_id, headers=expected | headers
             )
 
     async def test_requests_are_reset_as_they_begin(self):
-        self.engine.reset_as_begun = 2
+        self.engine.resets_at_start = 2
         for name in ('a', 'b'):
-            self.assertEqual(await self.ask(name), caller.Answer())
+            self.assertEqual(await self.ask(name), caller.Response())
         self.assertEqual((await self.ask('c')).status, 200)
         self.assertEqual(set(self.fleet.started), {'a', 'b', 'c'})
-        self.assertEqual(self.fleet.at_work['a'], set())
+        self.assertEqual(self.fleet.running_on['a'], set())
 
     async def test_a_copy_that_is_not_held_is_refused_as_not_run(self):
         copy = {'Kv-From': '127.0.0.1:1/h1', 'Last-Event-Id': '4'}
--- a/tests/quetzalsill_dev/users_platform/test_store.py
+++ b/tests/quetzalsill_dev/users_platform/test_store.py
@@ -10,7 +10,7 @@
 
 from quetzalsill_dev.users_platform import caller, store
 
-BOUND_S = 5.0
+TIMEOUT_S = 5.0
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
@@ -24,11 +24,11 @@
     async def call(self, target, body=None):
         """Returns the answer to a call on a connection of its own."""
         conn = caller.Caller(*self.store.server.address)
-        self.addCleanup(conn.leave)
+        self.addCleanup(conn.disconnect)
         raw = b'' if body is None else json.dumps(body).encode()
         method = 'GET' if body is None else 'POST'
-        async with asyncio.timeout(BOUND_S):
-            return await conn.ask(f'/-/{target}', method=method, body=raw)
+        async with asyncio.timeout(TIMEOUT_S):
+            return await conn.request(f'/-/{target}', method=method, body=raw)
 
     async def feed(self, after, table='servers', wait_ms=0):
         query = f'table={table}&after={after}&waitMs={wait_ms}'
@@ -52,9 +52,9 @@
             for row in found['rows']
         }
 
-    async def back(self, copy, **more):
+    async def restore(self, copy, **more):
         """Comes back from a copy, with no time between."""
-        more = {'away_s': 0.0, 'rewrite_s': 0.0} | more
+        more = {'outage_s': 0.0, 'rewrite_s': 0.0} | more
         await self.store.restore(copy, random.Random(1), **more)
 
 
@@ -117,7 +117,7 @@
     async def test_every_answer_tells_it(self):
         self.store.era = 4
         self.assertEqual(await self.eras(), ['4'] * 6)
-        await self.back(self.store.snapshot())
+        await self.restore(self.store.snapshot())
         self.assertEqual(await self.eras(), ['5'] * 6)
 
     async def test_each_fault_is_told_in_its_place(self):
@@ -141,18 +141,18 @@
         self.store.era = 1
         for key in ('a', 'b'):
             self.store.put('servers', key, {'n': 1})
-        self.copy = self.store.snapshot()
+        self.snapshot = self.store.snapshot()
 
     async def test_versions_are_given_out_again(self):
         self.store.put('servers', 'c', {'n': 2})
-        self.store.come_back(self.copy)
+        self.store.load_snapshot(self.snapshot)
         self.store.put('servers', 'd', {'n': 3})
         [row] = json.loads((await self.feed(2)).body)['rows']
         self.assertEqual((row['key'], row['ver']), ('d', 3))
 
     async def test_a_watch_behind_the_copy_is_gone(self):
         self.store.put('servers', 'c', {'n': 2})
-        self.store.come_back(self.copy)
+        self.store.load_snapshot(self.snapshot)
         self.assertEqual((await self.feed(3)).status, 410)
         self.assertEqual((await self.feed(2)).status, 200)
 
@@ -167,14 +167,16 @@
         self.store.remove('servers', 'b')
         self.store.put('op', 'evacuate/z', {})
         await self.write('mine', b'1')
-        await self.back(self.copy)
+        await self.restore(self.snapshot)
         self.assertEqual(await self.rows('servers'), {'a': {'n': 2}})
         self.assertEqual(await self.rows('op'), {'evacuate/z': {}})
         self.assertEqual(await self.rows('status'), {})
 
     async def test_what_is_written_meanwhile_stays(self):
         self.store.put('servers', 'a', {'n': 2})
-        returning = asyncio.create_task(self.back(self.copy, rewrite_s=0.2))
+        returning = asyncio.create_task(
+            self.restore(self.snapshot, rewrite_s=0.2)
+        )
         await asyncio.sleep(0.01)
         self.store.put('servers', 'a', {'n': 3})
         await returning
@@ -184,7 +186,7 @@
         for key in 'cdefgh':
             self.store.put('servers', key, {'n': 2})
         held = await self.rows('servers')
-        returns = [self.back(self.copy, rewrite_s=0.2) for _ in range(2)]
+        returns = [self.restore(self.snapshot, rewrite_s=0.2) for _ in range(2)]
         await asyncio.gather(*returns)
         self.assertEqual(await self.rows('servers'), held)
         self.assertEqual(self.store.era, 3)
@@ -195,7 +197,7 @@
         orders = []
         for seed in (1, 1, 2):
             await self.store.restore(
-                self.copy, random.Random(seed), away_s=0.0, rewrite_s=0.0
+                self.snapshot, random.Random(seed), outage_s=0.0, rewrite_s=0.0
             )
             found = json.loads((await self.feed(2)).body)['rows']
             orders.append([row['key'] for row in found])
@@ -203,13 +205,15 @@
         self.assertNotEqual(orders[0], orders[2])
 
     async def test_it_is_away_first(self):
-        returning = asyncio.create_task(self.back(self.copy, away_s=2.0))
+        returning = asyncio.create_task(
+            self.restore(self.snapshot, outage_s=2.0)
+        )
         await asyncio.sleep(0.02)
         self.assertEqual((await self.feed(0)).status, 503)
         await returning
         self.assertEqual((await self.feed(0)).status, 200)
         returning = asyncio.create_task(
-            self.back(self.copy, down='reset', away_s=2.0)
+            self.restore(self.snapshot, down='reset', outage_s=2.0)
         )
         await asyncio.sleep(0.02)
         self.assertEqual((await self.feed(0)).status, 0)
@@ -224,7 +228,12 @@
         waiting = asyncio.create_task(self.feed(7, wait_ms=300))
         await asyncio.sleep(0.05)
         returning = asyncio.create_task(
-            self.back(self.copy, away_s=0.1, at_once=1.0, skipped=9)
+            self.restore(
+                self.snapshot,
+                outage_s=0.1,
+                immediate_share=1.0,
+                skipped_versions=9,
+            )
         )
         await asyncio.sleep(0.05)
         self.store.put('servers', 'd', {'n': 4})
@@ -238,10 +247,10 @@
     async def test_watches_that_wait_are_cut_or_answered(self):
         self.store.put('servers', 'c', {'n': 2})
         for cuts, status in ((True, 0), (False, 410)):
-            self.store.cuts_watches = cuts
+            self.store.resets_watches = cuts
             waiting = asyncio.create_task(self.feed(3, wait_ms=4000))
             await asyncio.sleep(0.05)
-            self.store.come_back(self.copy)
+            self.store.load_snapshot(self.snapshot)
             self.assertEqual((await waiting).status, status)
             self.store.put('servers', 'c', {'n': 2})
 
@@ -251,7 +260,12 @@
         self.store.put('servers', 'd', {'n': 2})
         self.store.skip(4)
         returning = asyncio.create_task(
-            self.back(self.copy, at_once=0.5, skipped=9, rewrite_s=0.1)
+            self.restore(
+                self.snapshot,
+                immediate_share=0.5,
+                skipped_versions=9,
+                rewrite_s=0.1,
+            )
         )
         await returning
         answer = await self.feed(8)
--- a/tests/quetzalsill_platform/drill.py
+++ b/tests/quetzalsill_platform/drill.py
@@ -54,7 +54,7 @@
         """
         self.store.down = 'busy'
         await self.wait_until(lambda: self.process.core.health.is_down)
-        self.store.come_back(snapshot)
+        self.store.load_snapshot(snapshot)
 
     def drill(self, snapshot, **kwargs):
         """Starts a restore drill in the background and returns its task."""
--- a/tests/quetzalsill_platform/fixture.py
+++ b/tests/quetzalsill_platform/fixture.py
@@ -186,13 +186,13 @@
     def caller(self):
         """Returns a client of the gateway that is not connected yet."""
         client = caller.Caller('127.0.0.1', self.process.callers.port)
-        self.addCleanup(lambda: client._writer and client.leave())
+        self.addCleanup(lambda: client._writer and client.disconnect())
         return client
 
     async def request(self, target, **kwargs):
         """Sends a request on a new connection and returns the response."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            return await self.caller().ask(target, **kwargs)
+            return await self.caller().request(target, **kwargs)
 
     def script(self, *scripts):
         """Sets how the next requests fail, whichever server gets them."""
--- a/tests/quetzalsill_platform/test_ambiguous_responses.py
+++ b/tests/quetzalsill_platform/test_ambiguous_responses.py
@@ -23,12 +23,12 @@
 class _Unframed(scripted.Exchange):
     """A response without length or chunks, which ends with its connection."""
 
-    def head(self, status, headers):
+    def send_head(self, status, headers):
         unframed_headers = dict(headers)
         unframed_headers.pop('Transfer-Encoding', None)
-        super().head(status, unframed_headers)
+        super().send_head(status, unframed_headers)
 
-    def chunk(self, data):
+    def send_chunk(self, data):
         if data:
             self.writer.write(data)
         else:
@@ -66,11 +66,11 @@
         is_running = run is not None and run.running
         if is_running and command.get('last'):
             if self.breaks_at_stop:
-                self.break_after = run.made + 1
+                self.abort_after = run.made + 1
             await asyncio.sleep(self.stop_delay_s)
             if self.drops_stop_response:
                 run.running = False
-                self._fleet.end(run.request_id, self.id)
+                self._fleet.run_ended(run.request_id, self.id)
                 call.abort()
                 return
             if self.keeps_running and not self.refusal_count:
@@ -78,7 +78,7 @@
                 return
             if self.keeps_running:
                 self.refusal_count -= 1
-                call.answer(409, self.refusal_body)
+                call.respond(409, self.refusal_body)
                 time.sleep(self.pause_s)
                 return
         await super()._move(call)
@@ -112,19 +112,22 @@
         an engine that looks for the copy late would start the run again.
         """
         for replica in self.engines:
-            replica.break_after, replica.full = 1, True
+            replica.abort_after, replica.full = 1, True
             replica.ignores_copies = True
         response = await self.stream(
             request_id='n1', headers=test_backups.LONG_HEADERS
         )
-        self.assertFalse(response.whole)
+        self.assertFalse(response.complete)
         self.assertEqual(len(self.fleet.started['n1']), 1)
 
     async def interrupt_stream(self, request_id):
         """Breaks a stream whose engine keeps running; returns the response."""
         for replica in self.engines:
-            replica.length, replica.break_after = 80, 20
-            replica.works_on_s, replica.keeps_running = KEEPS_RUNNING_S, True
+            replica.length, replica.abort_after = 80, 20
+            replica.keeps_running_s, replica.keeps_running = (
+                KEEPS_RUNNING_S,
+                True,
+            )
         pending = asyncio.create_task(
             self.stream(
                 request_id=request_id, headers=test_backups.LONG_HEADERS
@@ -133,7 +136,7 @@
         source = await self.wait_until_working()
         for replica in self.engines:
             if replica is not source:
-                replica.break_after = None
+                replica.abort_after = None
         return await pending
 
     async def test_a_refusal_in_plain_text_counts(self):
@@ -146,8 +149,8 @@
         for replica in self.engines:
             replica.refusal_body = b'another order is under way\n'
         response = await self.interrupt_stream('n2')
-        self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(response.whole)
+        self.assertEqual(self.fleet.concurrent, set())
+        self.assertFalse(response.complete)
 
     async def test_a_refusal_that_races_the_timeout(self):
         """A refusal and the command's timeout are due in one loop iteration.
@@ -159,8 +162,8 @@
         for replica in self.engines:
             replica.pause_s = PAUSE_S
         response = await self.interrupt_stream('n3')
-        self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(response.whole)
+        self.assertEqual(self.fleet.concurrent, set())
+        self.assertFalse(response.complete)
 
     async def test_a_refusal_counts_though_the_next_order_is_lost(self):
         """An engine refuses one stop command and resets the next one.
@@ -171,8 +174,8 @@
         for replica in self.engines:
             replica.refusal_count = 1
         response = await self.interrupt_stream('n8')
-        self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(response.whole)
+        self.assertEqual(self.fleet.concurrent, set())
+        self.assertFalse(response.complete)
 
     async def test_a_refusal_that_comes_late(self):
         """An engine keeps running and is slow to refuse the stop command.
@@ -183,8 +186,8 @@
         for replica in self.engines:
             replica.stop_delay_s = STOP_DELAY_S
         response = await self.interrupt_stream('n4')
-        self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(response.whole)
+        self.assertEqual(self.fleet.concurrent, set())
+        self.assertFalse(response.complete)
 
 
 async def drain_engine_with_run(test, request_id):
@@ -210,11 +213,14 @@
         and two engines would work on it.
         """
         for replica in self.engines:
-            replica.breaks_at_stop, replica.works_on_s = True, KEEPS_RUNNING_S
+            replica.breaks_at_stop, replica.keeps_running_s = (
+                True,
+                KEEPS_RUNNING_S,
+            )
             replica.stop_delay_s, replica.keeps_running = STOP_DELAY_S, True
         response = await drain_engine_with_run(self, 'n5')
-        self.assertEqual(self.fleet.doubled, set())
-        self.assertFalse(response.whole)
+        self.assertEqual(self.fleet.concurrent, set())
+        self.assertFalse(response.complete)
 
     async def test_a_stopped_run_whose_answer_was_lost_is_not_whole(self):
         """A run is stopped, and the response to the command is lost.
@@ -226,7 +232,7 @@
         for replica in self.engines:
             replica.is_framed, replica.drops_stop_response = False, True
         response = await drain_engine_with_run(self, 'n6')
-        if response.whole:
+        if response.complete:
             self.assertEqual(response.body, self.expected_stream('n6', LENGTH))
 
     async def test_a_stopped_run_that_may_not_switch_is_not_whole(self):
@@ -241,7 +247,7 @@
         for replica in self.engines:
             replica.is_framed = False
         response = await drain_engine_with_run(self, 'n7')
-        if response.whole:
+        if response.complete:
             self.assertEqual(response.body, self.expected_stream('n7', LENGTH))
 
     async def test_a_reservation_for_a_move_is_released(self):
@@ -257,7 +263,7 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         for replica in self.engines:
-            replica.length, replica.last_copy_s = LENGTH, PAUSE_S
+            replica.length, replica.final_copy_s = LENGTH, PAUSE_S
         caller = self.caller()
         await caller.open()
         headers = test_streams.PROMPT
@@ -266,7 +272,7 @@
         source.leaving, source.leaves_ms = True, 1900
         self.register(source)
         await self.wait_until(lambda: self.working_engine() is None)
-        caller.leave()
+        caller.disconnect()
         await self.wait_until(lambda: any(e._copies for e in self.engines))
         core = self.process.core
         moving = self.process._gateway._migration._moving
--- a/tests/quetzalsill_platform/test_backups.py
+++ b/tests/quetzalsill_platform/test_backups.py
@@ -39,7 +39,7 @@
         source = await self.crash('b1')
         self.assert_complete(await pending, 'b1', 80)
         self.assertEqual(self.fleet.started['b1'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_a_run_whose_connection_broke_is_stopped_first(self):
         """The connection to an engine is reset, and the engine keeps running.
@@ -48,17 +48,17 @@
         so the engine gets a stop command first.
         """
         for replica in self.engines:
-            replica.length, replica.break_after = 80, 20
-            replica.works_on_s = 5.0
+            replica.length, replica.abort_after = 80, 20
+            replica.keeps_running_s = 5.0
         pending = asyncio.create_task(
             self.stream(request_id='b2', headers=LONG_HEADERS)
         )
         source = await self.wait_until_working()
         for replica in self.engines:
             if replica is not source:
-                replica.break_after = None
+                replica.abort_after = None
         self.assert_complete(await pending, 'b2', 80)
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_without_a_copy_the_stream_is_cut_and_not_run_again(self):
         """Engine and backup are lost; the run must not start again."""
@@ -68,7 +68,7 @@
             self.stream(request_id='b3', headers=LONG_HEADERS)
         )
         source = await self.crash('b3')
-        self.assertFalse((await pending).whole)
+        self.assertFalse((await pending).complete)
         self.assertEqual(self.fleet.started['b3'], [source.id])
 
     async def test_a_short_run_is_not_backed_up(self):
--- a/tests/quetzalsill_platform/test_deadline.py
+++ b/tests/quetzalsill_platform/test_deadline.py
@@ -16,8 +16,8 @@
 class _PausedServer(plain_server.PlainServer):
     """A server whose process pauses right after it responds."""
 
-    async def _answer(self, call, *args):
-        await super()._answer(call, *args)
+    async def _respond(self, call, *args):
+        await super()._respond(call, *args)
         time.sleep(DEADLINE_S)
 
 
@@ -51,19 +51,19 @@
     async def test_an_order_that_was_answered(self):
         """A confirmed order would be reported as timed out."""
         response = await self.send('/unsafe/', 'o1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['o1'])
 
     async def test_a_plan_that_is_complete(self):
         """A stream would be cut off although its last event has arrived."""
         response = await self.send('/plan/', 'p1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual(response.body, self.expected_stream('p1'))
 
     async def test_a_query_that_was_answered(self):
         """A query would be retried although its response has arrived."""
         response = await self.send('/safe/', 'q1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['q1'])
 
 
--- a/tests/quetzalsill_platform/test_era.py
+++ b/tests/quetzalsill_platform/test_era.py
@@ -135,7 +135,7 @@
 
     async def answer(self, call):
         body = {'rows': [], 'ver': self.version} | self.extra_fields
-        call.answer(self.status, json.dumps(body).encode(), self.headers)
+        call.respond(self.status, json.dumps(body).encode(), self.headers)
 
     def events_of(self, kind):
         events = [call.args[0] for call in self.note.call_args_list]
@@ -203,11 +203,11 @@
         async def answer(call):
             body = json.dumps({'rows': [], 'ver': 5}).encode()
             if 'slow' not in str(call.target):
-                call.answer(200, body, {'Store-Era': '2'})
+                call.respond(200, body, {'Store-Era': '2'})
                 return
             at_server.set()
             await released.wait()
-            call.answer(200, body, {'Store-Era': '1'})
+            call.respond(200, body, {'Store-Era': '1'})
 
         self.server._handler = answer
         slow = asyncio.create_task(self.store.read('slow'))
--- a/tests/quetzalsill_platform/test_moves.py
+++ b/tests/quetzalsill_platform/test_moves.py
@@ -45,7 +45,7 @@
         if is_last:
             await asyncio.sleep(self.stop_delay_s)
         if is_last and self.crash_delay_s:
-            self.last_copy_s = 10 * self.crash_delay_s
+            self.final_copy_s = 10 * self.crash_delay_s
             call_later = asyncio.get_running_loop().call_later
             call_later(
                 self.crash_delay_s, lambda: asyncio.ensure_future(self.crash())
@@ -85,11 +85,11 @@
         stream would be cut off although its KV cache is at another engine.
         """
         for replica in self.engines:
-            replica.last_copy_s, replica.pause_s = FINAL_COPY_S, PAUSE_S
+            replica.final_copy_s, replica.pause_s = FINAL_COPY_S, PAUSE_S
         source, pending = await self.drain_engine_with_run('p1', LENGTH)
         self.assert_complete(await pending, 'p1', LENGTH)
         self.assertEqual(self.fleet.started['p1'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_a_run_that_ends_before_the_order_to_stop_it(self):
         """A run completes while the stop command is in transit.
@@ -121,7 +121,7 @@
         source, pending = await self.drain_engine_with_run('p3', LENGTH)
         self.assert_complete(await pending, 'p3', LENGTH)
         self.assertEqual(self.fleet.started['p3'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_process.py
+++ b/tests/quetzalsill_platform/test_process.py
@@ -21,7 +21,7 @@
 
     async def fetch_from_readiness_port(self, path):
         client = caller.Caller('127.0.0.1', self.process.readiness.port)
-        return await client.ask(path)
+        return await client.request(path)
 
     async def test_readiness_and_metrics(self):
         self.assertEqual(
@@ -48,7 +48,7 @@
             async with asyncio.timeout(fixture.WAIT_TIMEOUT_S):
                 await self.process.stop()
                 response = await streaming
-        self.assertFalse(response.whole)
+        self.assertFalse(response.complete)
         logged = [call.args[0] for call in note.call_args_list]
         request_ends = [
             record
@@ -85,7 +85,7 @@
         self.assertIn('retry-after', long.headers)
         self.assertNotIn('p3', self.fleet.started)
         short = await self.request('/plan/', method='POST', request_id='p4')
-        self.assertEqual((short.status, short.whole), (200, True))
+        self.assertEqual((short.status, short.complete), (200, True))
         await stopping
 
     async def test_a_graceful_stop_cuts_no_request(self):
@@ -106,10 +106,10 @@
         await asyncio.sleep(0.02)
         self.assertFalse(self.process.is_ready())
         late = await self.request('/safe/')
-        self.assertEqual((late.status, late.whole), (200, True))
+        self.assertEqual((late.status, late.complete), (200, True))
         self.assertEqual(late.headers['connection'], 'close')
         response = await streaming
-        self.assertTrue(response.whole)
+        self.assertTrue(response.complete)
         self.assertEqual(response.body, self.expected_stream('p1', 50))
         async with asyncio.timeout(fixture.WAIT_TIMEOUT_S):
             await stopping
--- a/tests/quetzalsill_platform/test_run_once.py
+++ b/tests/quetzalsill_platform/test_run_once.py
@@ -22,23 +22,23 @@
         completed at none. The caller gets 502.
         """
         for replica in self.engines:
-            replica.reset_as_begun, replica.ignores_copies = 9, True
+            replica.resets_at_start, replica.ignores_copies = 9, True
         response = await self.stream(
             request_id='o1', headers=test_backups.LONG_HEADERS
         )
         self.assertEqual(response.status, 502)
         self.assertEqual(len(self.fleet.started['o1']), 1)
 
-    async def interrupt_stream(self, request_id, busy_orders):
+    async def interrupt_stream(self, request_id, busy_moves):
         """Breaks a stream whose engine keeps running; returns the response.
 
         Args:
           request_id: Id of the request.
-          busy_orders: Number of stop commands that the engine refuses.
+          busy_moves: Number of stop commands that the engine refuses.
         """
         for replica in self.engines:
-            replica.length, replica.break_after = 80, 20
-            replica.works_on_s, replica.busy_orders = 5.0, busy_orders
+            replica.length, replica.abort_after = 80, 20
+            replica.keeps_running_s, replica.busy_moves = 5.0, busy_moves
         pending = asyncio.create_task(
             self.stream(
                 request_id=request_id, headers=test_backups.LONG_HEADERS
@@ -47,7 +47,7 @@
         source = await self.wait_until_working()
         for replica in self.engines:
             if replica is not source:
-                replica.break_after = None
+                replica.abort_after = None
         return await pending
 
     async def test_a_run_that_was_not_stopped_does_not_go_on(self):
@@ -57,15 +57,15 @@
         progress. If the gateway resumed at the backup, two engines would work
         on the run. The caller's stream ends, visibly incomplete.
         """
-        response = await self.interrupt_stream('o2', busy_orders=1_000_000)
-        self.assertFalse(response.whole)
-        self.assertEqual(self.fleet.doubled, set())
+        response = await self.interrupt_stream('o2', busy_moves=1_000_000)
+        self.assertFalse(response.complete)
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_a_refused_stop_command_is_repeated(self):
         """The command in progress ends, and a later stop command succeeds."""
-        response = await self.interrupt_stream('o3', busy_orders=2)
+        response = await self.interrupt_stream('o3', busy_moves=2)
         self.assert_complete(response, 'o3', 80)
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_platform/test_sent_once.py
+++ b/tests/quetzalsill_platform/test_sent_once.py
@@ -62,7 +62,7 @@
     async def test_a_plan_that_may_have_run_does_not_begin_again(self):
         """An engine resets a run when it starts it; the route allows three."""
         for replica in self.engines:
-            replica.reset_as_begun = 9
+            replica.resets_at_start = 9
         response = await self.stream(request_id='t2')
         self.assertEqual(response.status, 502)
         self.assertEqual(len(self.fleet.started['t2']), 1)
@@ -102,7 +102,7 @@
         """Whether a response means that the engine may still have the run."""
 
         async def response(call):
-            call.answer(status, body)
+            call.respond(status, body)
 
         server = scripted.ScriptedServer(response)
         await server.start()
--- a/tests/quetzalsill_platform/test_store_drill.py
+++ b/tests/quetzalsill_platform/test_store_drill.py
@@ -82,7 +82,7 @@
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
         await self.wait_for_marker('before')
-        self.store.come_back(snapshot)
+        self.store.load_snapshot(snapshot)
         document = fixture.configuration(9, accounts=WITHOUT_KEY_1)
         self.store.put('op', 'config', document)
         self.store.skip(2 * drill_lib.VERSION_GAP)
@@ -162,7 +162,7 @@
         snapshot = self.store.snapshot()
         self.drain()
         await self.wait_until_drained()
-        drill = self.drill(snapshot, away_s=0.3, rewrite_s=1.0)
+        drill = self.drill(snapshot, outage_s=0.3, rewrite_s=1.0)
         while not drill.done():
             self.assertEqual(await self.served_by(), {'desk-2'})
         await self.wait_for_marker('after')
@@ -215,7 +215,7 @@
         snapshot = self.store.snapshot()
         self.store.skip(drill_lib.VERSION_GAP)
         await self.wait_for_marker('before')
-        self.store.come_back(snapshot)
+        self.store.load_snapshot(snapshot)
         self.drain()
         self.store.skip(2 * drill_lib.VERSION_GAP)
         await self.wait_for_marker('after')
@@ -247,7 +247,7 @@
     async def test_withdrawn_just_before_the_copy(self):
         """The snapshot holds the newest configuration: nothing changes."""
         await self.withdraw()
-        drill = self.drill(self.store.snapshot(), away_s=0.3, rewrite_s=1.0)
+        drill = self.drill(self.store.snapshot(), outage_s=0.3, rewrite_s=1.0)
         await self.assert_refused_until_done(drill)
 
     async def test_withdrawn_just_after_the_copy(self):
@@ -258,7 +258,7 @@
         """
         snapshot = self.store.snapshot()
         await self.withdraw()
-        drill = self.drill(snapshot, away_s=0.3, rewrite_s=1.0)
+        drill = self.drill(snapshot, outage_s=0.3, rewrite_s=1.0)
         await self.assert_refused_until_done(drill)
         self.store.put('op', 'config', fixture.configuration(8))
         await self.wait_until(lambda: self.version() == 8)
@@ -270,9 +270,9 @@
         """The second drill starts while rows are rewritten after the first."""
         snapshot = self.store.snapshot()
         await self.withdraw()
-        first = self.drill(snapshot, away_s=0.2, rewrite_s=2.0)
+        first = self.drill(snapshot, outage_s=0.2, rewrite_s=2.0)
         await asyncio.sleep(1.0)
-        second = self.drill(snapshot, down='reset', away_s=0.2, rewrite_s=1.0)
+        second = self.drill(snapshot, down='reset', outage_s=0.2, rewrite_s=1.0)
         await self.assert_refused_until_done(second)
         await first
         await self.wait_for_marker('after')
@@ -297,7 +297,7 @@
             failed += [
                 response.status
                 for response in responses
-                if response.status != drill_lib.OK or not response.whole
+                if response.status != drill_lib.OK or not response.complete
             ]
         return failed
 
@@ -327,7 +327,7 @@
         outage = asyncio.create_task(self.outage(0.5))
         lost_in_outage = await self.failures_during(outage)
         await self.wait_until(lambda: not self.process.core.health.is_down)
-        drill = self.drill(snapshot, away_s=0.5, rewrite_s=1.5)
+        drill = self.drill(snapshot, outage_s=0.5, rewrite_s=1.5)
         failed = await self.failures_during(drill)
         self.assertLessEqual(len(failed), len(lost_in_outage), failed)
 
@@ -338,7 +338,7 @@
         If the snapshot were applied at once, no server would be left.
         """
         snapshot = await self.register_all_after_snapshot()
-        drill = self.drill(snapshot, away_s=0.5, rewrite_s=1.5)
+        drill = self.drill(snapshot, outage_s=0.5, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_an_unnoticed_drill_removes_no_server(self):
@@ -348,14 +348,14 @@
         outage after which entries would get time to be registered again.
         """
         snapshot = await self.register_all_after_snapshot()
-        drill = self.drill(snapshot, down='', away_s=0.0, rewrite_s=1.5)
+        drill = self.drill(snapshot, down='', outage_s=0.0, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_broken_watches_remove_no_server(self):
         """As above, but the connections of waiting watches are broken."""
-        self.store.cuts_watches = True
+        self.store.resets_watches = True
         snapshot = await self.register_all_after_snapshot()
-        drill = self.drill(snapshot, down='reset', away_s=0.1, rewrite_s=1.5)
+        drill = self.drill(snapshot, down='reset', outage_s=0.1, rewrite_s=1.5)
         self.assertEqual(await self.failures_during(drill), [])
 
     async def test_an_entry_that_is_missing_in_the_end_is_gone(self):
--- a/tests/quetzalsill_platform/test_store_eras.py
+++ b/tests/quetzalsill_platform/test_store_eras.py
@@ -93,7 +93,7 @@
         self.assertLess(
             await self.call_rate_while_serving(), drill_lib.MAX_CALLS_PER_S
         )
-        self.store.come_back(snapshot)
+        self.store.load_snapshot(snapshot)
         self.store.remove('servers', 'desk-1')
         await self.wait_until(lambda: self.known_servers() == {'desk-2'})
 
@@ -101,7 +101,7 @@
         """A restore without any writes since the snapshot."""
         before = self.process.core.upstreams.all()
         for _ in range(3):
-            self.store.come_back(self.store.snapshot())
+            self.store.load_snapshot(self.store.snapshot())
             self.assertLess(
                 await self.call_rate_while_serving(), drill_lib.MAX_CALLS_PER_S
             )
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -56,7 +56,7 @@
         self.assertEqual(self.version(), 5)
 
     async def test_dropped_history_is_recovered_from(self):
-        self.store.lose_history()
+        self.store.compact()
         self.store.put('op', 'config', fixture.configuration(11))
         await self.wait_until_version(11)
 
@@ -108,7 +108,7 @@
         other servers for as long as they are stored.
         """
         for raw in (b'\xff\x00', b'{', b'7', b'[' * 5000, b'null'):
-            self.store._note('servers', 'desk-1', raw)
+            self.store._put_row('servers', 'desk-1', raw)
             await self.wait_until(lambda: self.available_ids() == {'desk-2'})
             self.assertEqual((await self.request('/safe/')).status, 200)
             server = self.http_servers[0]
--- a/tests/quetzalsill_platform/test_streams.py
+++ b/tests/quetzalsill_platform/test_streams.py
@@ -25,7 +25,7 @@
         )
 
     def assert_complete(self, response, request_id, length=10):
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual(
             response.body, self.expected_stream(request_id, length)
         )
@@ -36,8 +36,8 @@
             (
                 e
                 for e in self.engines
-                if any(self.fleet.at_work.values())
-                and any(e.id in busy for busy in self.fleet.at_work.values())
+                if any(self.fleet.running_on.values())
+                and any(e.id in busy for busy in self.fleet.running_on.values())
             ),
             None,
         )
@@ -65,9 +65,9 @@
         visibly incomplete end.
         """
         for replica in self.engines:
-            replica.break_after = 4
+            replica.abort_after = 4
         response = await self.stream(request_id='s2')
-        self.assertFalse(response.whole)
+        self.assertFalse(response.complete)
         self.assertEqual(response.body, self.expected_stream('s2', 4))
         self.assertEqual(len(self.fleet.started['s2']), 1)
 
@@ -77,12 +77,12 @@
         The caller gets one response with each event once and in order.
         """
         for replica in self.engines:
-            replica.break_after = 4
+            replica.abort_after = 4
         pending = asyncio.create_task(self.stream('/verdict/', request_id='s3'))
         await self.wait_until(lambda: self.fleet.started.get('s3'))
         for replica in self.engines:
             if replica.id != self.first_engine_of('s3'):
-                replica.break_after = None
+                replica.abort_after = None
         response = await pending
         self.assert_complete(response, 's3')
         self.assertEqual(len(self.fleet.started['s3']), 2)
@@ -131,7 +131,7 @@
         response = await pending
         self.assert_complete(response, 's5', 100)
         self.assertEqual(self.fleet.started['s5'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
         destinations = [
             e.id
             for e in self.engines
@@ -147,7 +147,7 @@
         of pausing until the link is free.
         """
         for replica in self.engines:
-            replica.length, replica.last_copy_s = 80, 60.0
+            replica.length, replica.final_copy_s = 80, 60.0
         # With the usual timeout of a switch, the copy would miss the deadline.
         patcher = mock.patch.object(continuation, 'STOP_TIMEOUT_S', 60.0)
         patcher.start()
@@ -158,7 +158,7 @@
         self.register(source)
         self.assert_complete(await pending, 'm1', 80)
         self.assertEqual(self.fleet.started['m1'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_a_full_destination_sends_the_run_back(self):
         """No engine has room for a copy when the source drains.
@@ -193,7 +193,7 @@
         response = await pending
         self.assert_complete(response, 's7', 100)
         self.assertEqual(self.fleet.started['s7'], [source.id])
-        self.assertEqual(self.fleet.doubled, set())
+        self.assertEqual(self.fleet.concurrent, set())
 
     async def test_no_engine_is_asked_while_the_store_answers(self):
         response = await self.stream(request_id='s8')
@@ -208,7 +208,7 @@
         await caller.open()
         caller.send('/plan/', method='POST', body=b'x', headers=PROMPT)
         await self.wait_until_working()
-        caller.leave()
+        caller.disconnect()
         await self.wait_until(lambda: self.working_engine() is None)
         live = self.process.core.live
         await self.wait_until(
--- a/tests/quetzalsill_platform/test_unary_calls.py
+++ b/tests/quetzalsill_platform/test_unary_calls.py
@@ -18,7 +18,7 @@
         response = await self.request(
             target, method='POST', body=b'\x00\xff body', request_id='r1'
         )
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         [(request_id, seen, headers, body)] = self.runs
         self.assertEqual((request_id, seen), ('r1', target))
         self.assertEqual(body, b'\x00\xff body')
@@ -76,7 +76,7 @@
             with self.subTest(target=target, kwargs=kwargs):
                 response = await self.request(target, **kwargs)
                 self.assertEqual(
-                    (response.status, response.whole), (status, True)
+                    (response.status, response.complete), (status, True)
                 )
 
     async def test_pipelined_requests_are_answered_in_order(self):
@@ -111,7 +111,9 @@
             with self.subTest(script):
                 self.script(script)
                 response = await self.request('/safe/')
-                self.assertEqual((response.status, response.whole), (200, True))
+                self.assertEqual(
+                    (response.status, response.complete), (200, True)
+                )
 
     async def test_what_is_turned_away_counts_as_sent_again(self):
         """A restarted server rejects a request for its previous incarnation.
@@ -153,7 +155,7 @@
     async def test_a_servers_own_failure_is_handed_on_unchanged(self):
         self.script('fail')
         response = await self.request('/unsafe/', request_id='r7')
-        self.assertEqual((response.status, response.whole), (500, True))
+        self.assertEqual((response.status, response.complete), (500, True))
         self.assertIn(PREFIX + 'server-stamp', response.headers)
         self.assertTrue(response.body.endswith(b':r7'))
 
@@ -192,12 +194,12 @@
     async def test_an_answer_without_length_is_whole_at_its_end(self):
         self.script('unframed')
         response = await self.request('/unsafe/')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
 
     async def test_a_missing_response_ends_at_the_deadline(self):
         self.script('hang', 'hang', 'hang')
         response = await self.request('/unsafe/', deadline_ms=200)
-        self.assertEqual((response.status, response.whole), (504, True))
+        self.assertEqual((response.status, response.complete), (504, True))
         self.assertEqual(len(self.runs), 1)
 
     async def test_a_caller_that_leaves_ends_the_work(self):
@@ -212,7 +214,7 @@
         await self.wait_until(lambda: self.runs)
         stats_table = self.process.core.stats_table
         upstreams = self.process.core.upstreams.available('desk')
-        caller.leave()
+        caller.disconnect()
         await self.wait_until(
             lambda: (
                 not any(
@@ -274,7 +276,7 @@
         await self.wait_until(lambda: len(self.runs) == 4)
         waiting = asyncio.create_task(self.request('/unsafe/'))
         await asyncio.sleep(0.02)
-        callers[0].leave()
+        callers[0].disconnect()
         self.assertEqual((await waiting).status, 200)
 
 
--- a/tests/quetzalsill_platform/test_zone_drain.py
+++ b/tests/quetzalsill_platform/test_zone_drain.py
@@ -85,7 +85,7 @@
         await self.wait_until(lambda: live.of(engine))
         await self.drain('zone-b')
         response = await caller.read()
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
 
     async def test_the_value_of_a_drain_is_ignored(self):
         """The value may come from any writer; only the key counts."""
