--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/body.py
@@ -1,4 +1,4 @@
-"""Reads the JSON body of a write."""
+"""Reads the JSON body of a write request."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 __all__ = ['read_object']
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Builds an object; a key that stands twice would lose one of them."""
-    found = dict(pairs)
-    if len(found) != len(pairs):
+def _build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Rejects duplicate keys, of which `dict` would keep only the last."""
+    result = dict(pairs)
+    if len(result) != len(pairs):
         raise ValueError('a key stands twice in one object')
-    return found
+    return result
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f'{name} is not JSON')
 
 
 def _parse(data: bytes) -> Any:
-    plain = json.loads(
-        data, object_pairs_hook=_unique, parse_constant=_no_constant
+    value = json.loads(
+        data, object_pairs_hook=_build_object, parse_constant=_reject_constant
     )
-    # A lone surrogate written as an escape parses, but is no character: it
-    # would be stored and fail whoever prints the configuration in UTF-8.
-    json.dumps(plain, ensure_ascii=False).encode()
-    return plain
+    # An escaped lone surrogate parses but cannot be encoded. Once stored, it
+    # would break every client that prints the configuration as UTF-8.
+    json.dumps(value, ensure_ascii=False).encode()
+    return value
 
 
 async def read_object(req: blacksheep.Request) -> dict[str, Any]:
     """Reads a JSON object.
 
     Raises:
-      TooLargeError: The body is larger than a document may be.
-      BadRequestError: It is not JSON, or not an object.
-      CallerLeftError: The connection closed within the body.
+      TooLargeError: The body exceeds the maximum size of a document.
+      BadRequestError: The body is not JSON, or not an object.
+      CallerDisconnectedError: The connection was closed before the body ended.
     """
     data = await http_body.read(req, document.MAX_DOCUMENT_BYTES)
     try:
-        plain = _parse(data)
+        value = _parse(data)
     except (ValueError, RecursionError) as exc:
         raise request_error.BadRequestError(
             f'the body is not JSON: {exc}'
         ) from exc
-    if not isinstance(plain, dict):
+    if not isinstance(value, dict):
         raise request_error.BadRequestError(
-            f'the body is {type(plain).__name__}, not a JSON object'
+            f'the body is {type(value).__name__}, not a JSON object'
         )
-    return plain
+    return value
--- a/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/admin/change.py
@@ -1,7 +1,7 @@
-"""Changes of the configuration document, as plain JSON data.
+"""Changes of the configuration document as JSON data.
 
-A change is a function from the document that the operator saw to the one
-that the operator wants; it is applied to a copy and checked afterwards.
+A change is a function that takes the document of the expected revision and
+returns the new document. It is applied to a copy, and the result is validated.
 """
 
 from __future__ import annotations
@@ -13,77 +13,77 @@
 
 __all__ = [
     'Change',
-    'Plain',
+    'JsonObject',
     'put_entry',
     'put_limits',
     'put_policies',
     'remove_entry',
-    'replace',
+    'replace_document',
     'set_draining',
 ]
 
-Plain = dict[str, Any]
-Change = Callable[[Plain], Plain]
+JsonObject = dict[str, Any]
+Change = Callable[[JsonObject], JsonObject]
 
 
-def _entry(document: Plain, section: str, name: str) -> Plain:
-    entries = document.get(section, {})
+def _existing_entry(config: JsonObject, section: str, name: str) -> JsonObject:
+    entries = config.get(section, {})
     if name not in entries:
         raise request_error.NotFoundError(f'no {section}.{name}')
     return entries[name]
 
 
-def replace(wanted: Plain) -> Change:
-    """Replaces the whole document."""
-    return lambda _: wanted
+def replace_document(document: JsonObject) -> Change:
+    """Replaces the complete document."""
+    return lambda _: document
 
 
-def put_entry(section: str, name: str, value: Plain) -> Change:
+def put_entry(section: str, name: str, value: JsonObject) -> Change:
     """Adds or replaces one entry of a section such as `profiles`."""
 
-    def apply(document: Plain) -> Plain:
-        document.setdefault(section, {})[name] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        config.setdefault(section, {})[name] = value
+        return config
 
     return apply
 
 
 def remove_entry(section: str, name: str) -> Change:
-    """Removes one entry of a section; it must be there."""
+    """Removes one entry of a section; the entry must exist."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, section, name)
-        del document[section][name]
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, section, name)
+        del config[section][name]
+        return config
 
     return apply
 
 
-def put_limits(account: str, value: Plain) -> Change:
-    """Replaces the limits of one client account; it must be there."""
+def put_limits(account: str, value: JsonObject) -> Change:
+    """Replaces the limits of one client account; the account must exist."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, 'accounts', account)['limits'] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, 'accounts', account)['limits'] = value
+        return config
 
     return apply
 
 
-def put_policies(value: Plain) -> Change:
-    """Replaces the policies."""
+def put_policies(value: JsonObject) -> Change:
+    """Replaces the `policies` section."""
 
-    def apply(document: Plain) -> Plain:
-        document['policies'] = value
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        config['policies'] = value
+        return config
 
     return apply
 
 
 def set_draining(upstream: str, draining: bool) -> Change:
-    """Starts or ends the drain of one upstream; it must be there."""
+    """Starts or stops draining an upstream; the upstream must exist."""
 
-    def apply(document: Plain) -> Plain:
-        _entry(document, 'upstreams', upstream)['draining'] = draining
-        return document
+    def apply(config: JsonObject) -> JsonObject:
+        _existing_entry(config, 'upstreams', upstream)['draining'] = draining
+        return config
 
     return apply
--- a/packages/quetzalsill-router/src/quetzalsill_router/membership.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/membership.py
@@ -1,4 +1,4 @@
-"""Keeps the router's peers and configuration in step with the system."""
+"""Follows the host list, and fetches configuration from sidecars."""
 
 from __future__ import annotations
 
@@ -28,66 +28,66 @@
     from quetzalsill_router.peer import peers as peers_module
 
 __all__ = [
-    'Puller',
-    'follow_hosts',
-    'list_interval_s',
-    'newest_of_seeds',
-    'routers',
+    'ConfigPuller',
+    'fetch_newest_from_seeds',
+    'list_routers',
+    'poll_hosts',
+    'poll_interval_s',
 ]
 
-SEED_ANSWER_S = 3.0
-# The list is a hint: a sidecar itself says that it is leaving, and an edit
-# gives a new address within seconds. So it may cost a third of what a node
-# has for control.
-HOST_BYTES = 112
-LIST_BYTES_PER_S = 1000
+SEED_TIMEOUT_S = 3.0
+# The host list is only a hint: a sidecar announces its own departure, and a
+# configuration edit announces a new address within seconds. Reading it may use
+# a third of a node's bandwidth for control traffic.
+BYTES_PER_HOST = 112
+MAX_LIST_BYTES_PER_S = 1000
 
 
-async def follow_hosts(
+async def poll_hosts(
     hosts: platform_hosts.HostList,
     holder: config_holder.Holder,
     peers: peers_module.Peers,
     interval_s: float,
 ) -> None:
-    """Reconciles the peers with the host list, until cancelled.
+    """Reconciles the peers with the host list until cancelled.
 
-    The list lags and may be down; the peers then go on as they are. A long
-    list is read more rarely, since it comes whole each time.
+    The list may be stale. While it is unavailable, the peers stay unchanged.
+    A long list is polled less often, as each poll transfers all of it.
     """
     down = False
     while True:
-        wait_s = interval_s
+        delay_s = interval_s
         try:
-            found = await hosts.fetch()
+            listed = await hosts.fetch()
         except platform_error.PlatformError as exc:
             if not down:
                 event.note(event.HostListDown(detail=exc.detail))
             down = True
-            found = None
+            listed = None
         else:
             down = False
-            wait_s = list_interval_s(interval_s, len(found))
-        peers.reconcile(holder.current, found)
-        await asyncio.sleep(wait_s)
+            delay_s = poll_interval_s(interval_s, len(listed))
+        peers.reconcile(holder.current, listed)
+        await asyncio.sleep(delay_s)
 
 
-def list_interval_s(least_s: float, hosts: int) -> float:
-    """Gives the time between two reads of a list of so many hosts, in s."""
-    return max(least_s, hosts * HOST_BYTES / LIST_BYTES_PER_S)
+def poll_interval_s(min_s: float, hosts: int) -> float:
+    """Returns the poll interval in s for a list of `hosts` hosts."""
+    return max(min_s, hosts * BYTES_PER_HOST / MAX_LIST_BYTES_PER_S)
 
 
-class Puller:
-    """Fetches a newer configuration from the sidecar that named it.
+class ConfigPuller:
+    """Fetches a newer configuration from the sidecar that announced it.
 
-    The store may be down while a peer has the newest revision already.
+    A peer may have the newest revision while the store is unavailable.
     """
 
     def __init__(self, holder: config_holder.Holder) -> None:
         self._holder = holder
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    def notice(self, revision: int, peer: peer_module.Peer) -> None:
-        """Starts one fetch from a peer that has a newer revision."""
+    def on_newer_revision(self, revision: int, peer: peer_module.Peer) -> None:
+        """Starts a fetch from a peer with a newer revision, unless running."""
         if peer.upstream in self._tasks:
             return
         task = asyncio.get_running_loop().create_task(self._pull(peer))
@@ -109,15 +109,15 @@
             )
 
 
-async def routers(
+async def list_routers(
     registration: durable_registration.Registration, table: platform_table.Table
 ) -> list[view.NodeView]:
-    """Reads the live routers, with the revisions that their rows name now.
+    """Returns the live routers, with the revisions in their current rows.
 
     Raises:
-      PlatformUnavailableError: The table does not answer.
+      PlatformUnavailableError: The table is unavailable.
     """
-    rows = [found.row for found in await durable_row.scan(table)]
+    rows = [item.row for item in await durable_row.scan(table)]
     revisions = {(row.node, row.incarnation): row.revision for row in rows}
     return [
         view.NodeView(
@@ -136,16 +136,16 @@
     ]
 
 
-async def newest_of_seeds(
+async def fetch_newest_from_seeds(
     settings: settings_module.RouterSettings,
     incarnation: int,
     tls: ssl.SSLContext | None,
 ) -> message.ConfigReply | None:
-    """Asks all seeds at once and returns the newest configuration.
+    """Queries all seeds concurrently and returns the newest configuration.
 
-    A router that starts while the store is down could otherwise serve
-    under a revision that was superseded long ago: the newest of several
-    is what was last in force wherever an accepted edit arrived.
+    With a single seed, a router that starts while the store is down could
+    serve with a revision that was superseded long ago. The newest of several
+    includes every accepted edit that reached one of the seeds.
 
     Returns:
       None if no seed has a configuration.
@@ -159,23 +159,26 @@
         0,
     )
     replies = await asyncio.gather(
-        *(_ask(seed, hello, settings, tls) for seed in settings.seeds)
+        *(
+            _fetch_from_seed(seed, hello, settings, tls)
+            for seed in settings.seeds
+        )
     )
-    known = [reply for reply in replies if reply is not None]
-    return max(known, key=lambda reply: reply.revision, default=None)
+    received = [reply for reply in replies if reply is not None]
+    return max(received, key=lambda reply: reply.revision, default=None)
 
 
-async def _ask(
+async def _fetch_from_seed(
     seed: str,
     hello: message.Hello,
     settings: settings_module.RouterSettings,
     tls: ssl.SSLContext | None,
 ) -> message.ConfigReply | None:
-    """Returns the configuration of one seed; None if it has or says none."""
+    """Returns a seed's configuration; None if it has none or fails."""
     try:
         async with (
-            asyncio.timeout(SEED_ANSWER_S),
-            _linked(seed, hello, settings, tls) as messages,
+            asyncio.timeout(SEED_TIMEOUT_S),
+            _open_link(seed, hello, settings, tls) as messages,
         ):
             async for msg in messages:
                 if isinstance(msg, message.ConfigReply):
@@ -186,13 +189,13 @@
 
 
 @contextlib.asynccontextmanager
-async def _linked(
+async def _open_link(
     seed: str,
     hello: message.Hello,
     settings: settings_module.RouterSettings,
     tls: ssl.SSLContext | None,
 ) -> AsyncIterator[AsyncIterator[message.Message]]:
-    """Opens a link to a seed and asks for its configuration."""
+    """Opens a link to a seed and requests its configuration."""
     host, _, port = seed.rpartition(':')
     link = await dial.dial(host, int(port), hello, settings.links, tls)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/plugin.py
@@ -16,7 +16,7 @@
 
 
 def register(registry: registry.Registry) -> None:
-    """Adds everything that this package brings."""
+    """Registers the router's role and its policies."""
     registry.add(
         'role',
         'router',
@@ -43,6 +43,6 @@
     registry.add(
         'limits',
         'shares',
-        shares.shares,
+        shares.make_limiter,
         'Even parts of each limit for the live routers.',
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/upstream/http.py
@@ -83,7 +83,7 @@
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
-        self._response = parser.AnswerParser('GET')
+        self._response = parser.ResponseParser('GET')
 
     def build_head(self, method: str, target: str, headers: Headers) -> bytes:
         """Returns the encoded head of the request, to be written next.
@@ -91,7 +91,7 @@
         Raises:
           RequestMalformedError: the head can't be encoded as HTTP.
         """
-        self._response = parser.AnswerParser(method)
+        self._response = parser.ResponseParser(method)
         lines = [
             (b'host', self.origin.authority.encode()),
             *headers,
@@ -161,10 +161,10 @@
         Raises:
           ResponseLostError: the connection broke before the end.
         """
-        data = self._response.take()
-        while not data and not self._response.is_whole:
+        data = self._response.take_body()
+        while not data and not self._response.is_complete:
             await self._receive()
-            data = self._response.take()
+            data = self._response.take_body()
         return data
 
     async def read_all(self, limit: int) -> bytes:
@@ -192,7 +192,7 @@
             self._response.feed(await self._reader.read(READ_BYTES))
         except OSError as exc:
             raise error.ResponseLostError(f'read failed: {exc}') from exc
-        except net_error.AnswerLostError as exc:
+        except net_error.ResponseLostError as exc:
             raise error.ResponseLostError(exc.detail) from exc
 
 
@@ -212,7 +212,7 @@
             f'{origin.authority}: {exc or "connect timed out"}',
             refused=isinstance(exc, ConnectionRefusedError),
         ) from exc
-    keepalive.tune(writer.transport)
+    keepalive.enable(writer.transport)
     return Connection(origin, reader, writer)
 
 
--- a/packages/quetzalsill/src/quetzalsill/platform/exchange.py
+++ b/packages/quetzalsill/src/quetzalsill/platform/exchange.py
@@ -201,5 +201,5 @@
     length = response.get_first_header(b'content-length')
     if length and int(length) > MAX_RESPONSE_BYTES:
         conn.abort()
-        raise net_error.AnswerLostError(f'answer of {int(length)} bytes')
+        raise net_error.ResponseLostError(f'answer of {int(length)} bytes')
     return Reply(response.status, await response.read() or b'')
--- a/tests/quetzalsill_router/admin/test_read.py
+++ b/tests/quetzalsill_router/admin/test_read.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API: reads and credentials."""
+"""Tests of reads, credentials and roles of the administration API."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.quetzalsill_router.admin import fake
 
 
-class ReadTest(fake.ApiCase):
-    """Reads of configuration, history, nodes and requests."""
+class ReadTest(fake.ApiTestCase):
+    """Reading the configuration, history, nodes and requests."""
 
     async def test_a_viewer_reads_with_secrets_masked(self):
         status, body, resp = await self.call(
@@ -30,10 +30,11 @@
         self.assertEqual((200, 2), (status, accepted['revision']))
 
     async def test_reads_catch_up_with_another_router(self):
-        """An operator edits through one router and reads through another.
+        """A read returns the latest revision, not the one last polled.
 
-        The second router's follower has not looked yet. Shown the old
-        revision, the operator would edit that and lose against the own edit.
+        An operator edits through one router and reads through another that
+        has not polled the store since. An edit of the old revision would
+        conflict with the operator's own.
         """
         other = await fake.Router(self.router.store, 'entry-2').client()
         await self.call('put', '/profiles/quick', {}, If_Match='1')
@@ -104,8 +105,8 @@
         self.assertEqual(404, (await self.call('get', '/requests/r2'))[0])
 
 
-class AccessTest(fake.ApiCase):
-    """Credentials and roles."""
+class AccessTest(fake.ApiTestCase):
+    """Tokens, roles and unknown paths."""
 
     async def test_missing_and_unknown_tokens_are_refused(self):
         for token in ('', 'x', 'lagos-token', fake.OPERATOR + 'x'):
@@ -135,7 +136,7 @@
     async def test_the_first_configuration_needs_the_bootstrap_token(self):
         router = fake.Router()
         call = await router.client()
-        wanted = fake.plain_configuration()
+        wanted = fake.sample_configuration()
         status, _, _ = await call('put', '/config', wanted, If_Match='0')
         self.assertEqual(503, status)
         status, body, _ = await call(
