--- a/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
@@ -1,8 +1,8 @@
-"""A whole cluster of processes on the loopback address.
+"""A cluster of processes on the loopback address.
 
-Two platform stand-ins (store, host list), an engine or service stand-in with
-its sidecar per upstream, and routers. Each process can be killed, paused and
-started again at the address that it had.
+It consists of two platform stand-ins (store, host list), an engine or service
+stand-in with its sidecar for each upstream, and routers. Each process can be
+killed, paused and restarted at its previous address.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class NotReadyError(Exception):
-    """The cluster did not get ready in time."""
+    """A router was not ready in time."""
 
 
 async def _direct(hop: str, address: str) -> str:
@@ -42,7 +42,7 @@
 
 
 class Cluster:
-    """Processes by name.
+    """The processes of a cluster, by name.
 
     Attributes:
       store: Stand-in of table and object store.
@@ -50,11 +50,11 @@
       upstreams: Engine and service stand-ins by upstream name.
       sidecars: Sidecars by upstream name.
       routers: Routers by name.
-      configuration: What `publish` stores.
-      overrides: Changes to the settings of every process started from now on,
-        by section and key; those below `router` or `sidecar` apply to that
-        role alone.
-      tls: Context of this process towards routers that listen with TLS.
+      configuration: Configuration that `publish` stores.
+      overrides: Settings that override those of each process started from now
+        on, by section and key; those below `router` or `sidecar` apply to that
+        role only.
+      tls: Client context for routers that listen with TLS.
     """
 
     store: launch.Process
@@ -67,16 +67,16 @@
         configuration: model.Configuration | None = None,
         via: Via = _direct,
     ) -> None:
-        """Prepares a cluster; `start` starts it.
+        """Initializes a cluster; `start` starts its processes.
 
         Args:
-          launcher: Starts and ends the processes.
-          spec: Which processes.
-          configuration: First configuration without upstreams; the Board's
-            if there is none.
+          launcher: Starts and terminates the processes.
+          spec: Processes to start.
+          configuration: First configuration, without upstreams; that of
+            `board` by default.
           via: Called with a hop (`store`, `hosts`, `upstream:NAME` or
-            `sidecar:NAME`) and its address; gives the address that the
-            other processes are told, such as that of a relay.
+            `sidecar:NAME`) and its address; returns the address that the
+            other processes use for it, such as that of a relay.
         """
         self.upstreams: dict[str, launch.Process] = {}
         self.sidecars: dict[str, launch.Process] = {}
@@ -90,7 +90,7 @@
         self._advertised: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Starts everything and waits until the routers are ready."""
+        """Starts all processes and waits until the routers are ready."""
         self.store, self.hosts = await asyncio.gather(
             self._start_platform('store'), self._start_platform('hosts')
         )
@@ -106,7 +106,7 @@
         await self.wait_ready()
 
     async def start_upstream(self, name: str) -> launch.Process:
-        """Starts an engine or service, where it was before if it was."""
+        """Starts an engine or service, at its previous port if it had one."""
         spec = self._upstream_spec(name)
         port = await _previous_port(self.upstreams.get(name))
         if isinstance(spec, layout.EngineSpec):
@@ -120,7 +120,7 @@
         return started
 
     async def start_sidecar(self, name: str) -> launch.Process:
-        """Starts the sidecar of an upstream, where it was before."""
+        """Starts an upstream's sidecar, at its previous port if it had one."""
         spec = self._upstream_spec(name)
         settings = process_settings.sidecar(
             name,
@@ -136,7 +136,7 @@
         return started
 
     async def start_router(self, name: str) -> launch.Process:
-        """Starts a router, where it was before."""
+        """Starts a router, at its previous port if it had one."""
         (spec,) = (s for s in self._spec.routers if s.name == name)
         settings = process_settings.router(
             name,
@@ -151,10 +151,10 @@
         return started
 
     async def restart_ended(self) -> None:
-        """Starts the sidecars and routers that have ended, where they were.
+        """Restarts the sidecars and routers that have exited.
 
-        Those that are about to end count as ended: nobody may be at their port
-        any more, and soon nobody will be.
+        Processes that are terminating are restarted too, as they no longer
+        accept connections or will soon stop doing so. Ports stay the same.
         """
         starts = [
             start(name)
@@ -168,7 +168,7 @@
         await asyncio.gather(*starts)
 
     async def publish(self, note: str = 'by the launcher') -> int:
-        """Stores `configuration` as the next revision, which it returns."""
+        """Stores `configuration` and returns its revision."""
         data = document.render(self.configuration)
         store, hosts = self.store.url, self.hosts.url
         cfg = section.Platform(store, store, hosts)
@@ -182,7 +182,7 @@
     async def set_hosts(
         self, leaving: tuple[str, ...] = (), removed: tuple[str, ...] = ()
     ) -> None:
-        """Sets the host list; the stand-in publishes it with its lag."""
+        """Sets the host list, which the stand-in serves after its lag."""
         hosts = [
             _host(spec, 'upstream', self._advertised[f'sidecar:{spec.name}'])
             for spec in self._upstream_specs()
@@ -197,22 +197,22 @@
         await self.switch(self.hosts, hosts=listed)
 
     async def switch(self, process: launch.Process, **switches: Any) -> None:
-        """Sets switches of a stand-in."""
+        """Sets switches of a stand-in's process."""
         async with caller.open_client(process.url) as client:
             response = await client.post('/stand-in', json=switches)
             response.raise_for_status()
 
     async def audit(self, name: str) -> dict[str, Any]:
-        """Audit of an upstream's stand-in."""
+        """Returns the audit of an upstream's stand-in."""
         async with caller.open_client(self.upstreams[name].url) as client:
             response = await client.get('/stand-in/audit')
             return response.raise_for_status().json()
 
     async def wait_ready(self) -> None:
-        """Waits until every router that runs says that it is ready.
+        """Waits until every running router reports that it is ready.
 
         Raises:
-          NotReadyError: Not within the bound.
+          NotReadyError: A router was not ready in time.
         """
         for process in self.routers.values():
             if process.running and not process.ending:
@@ -291,17 +291,20 @@
 
 
 async def _previous_port(before: launch.Process | None) -> int:
-    """Port of the process before, free if that has ended; 0 without one."""
+    """Returns the port of the previous process; 0 if there was none.
+
+    The port is free on return if that process has exited or is terminating.
+    """
     if before is None:
         return 0
     if not await _is_serving(before):
-        # A process that is about to end holds its port for a moment yet.
+        # A terminating process keeps its port until it has exited.
         await before.wait()
     return before.port
 
 
 async def _is_serving(process: launch.Process) -> bool:
-    """Whether a process runs, is not ending and takes connections."""
+    """Whether a process runs, isn't terminating and accepts connections."""
     if process.ending or not process.running:
         return False
     try:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/launch.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/launch.py
@@ -1,9 +1,9 @@
-"""Starts the processes of a test or demo, and ends every one of them.
+"""Starts the processes of a test or demo, and terminates all of them.
 
 A process counts as started once it has printed `ready port=N`, or a log line
-whose event is `listening` or ends in `ready` and that holds the port.
-Everything that it prints goes to a log file in the launcher's folder, and
-`steps.txt` there has what the launcher did to each process, in order.
+that contains the port and whose event is `listening` or ends in `ready`. Its
+output goes to a log file in the launcher's folder; `steps.txt` there lists what
+the launcher did to each process, in order.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class StartFailedError(Exception):
-    """A process ended or stayed silent before it was ready."""
+    """A process exited or timed out before it was ready."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,11 +45,11 @@
     """A started process.
 
     Attributes:
-      name: Name given by the launcher's user.
-      log: File with everything that it printed.
-      port: Port that it said it listens on; 0 if it said none.
+      name: Name passed to the launcher.
+      log: File with its output.
+      port: Port that it reported to listen on; 0 if it reported none.
       scheme: `https` if it listens with TLS.
-      ending: It was sent a signal to end, at once or gracefully.
+      ending: Whether SIGKILL or SIGTERM was sent to it.
     """
 
     name: str
@@ -67,60 +67,63 @@
 
     @property
     def address(self) -> str:
-        """IP:PORT where it listens."""
+        """IP:PORT that it listens on."""
         return f'127.0.0.1:{self.port}'
 
     @property
     def url(self) -> str:
-        """Base URL, if it speaks HTTP."""
+        """Base URL, if it serves HTTP."""
         return f'{self.scheme}://{self.address}'
 
     @property
     def running(self) -> bool:
-        """It has not ended, nor been killed; a stopped process is running."""
+        """Whether it has neither exited nor been killed.
+
+        A process stopped by SIGSTOP counts as running.
+        """
         if self._killed or self._child.returncode is not None:
             return False
         return not _has_exited(self.pid)
 
     def kill(self) -> None:
-        """Ends it at once; `wait` tells when its port is free."""
+        """Sends SIGKILL; its port is free once `wait` has returned."""
         self.ending = self._killed = True
         self._signal(signal.SIGKILL)
 
     def terminate(self) -> None:
-        """Asks it to end gracefully."""
+        """Sends SIGTERM, for a graceful shutdown."""
         self.ending = True
         self._signal(signal.SIGTERM)
 
     def stop(self) -> None:
-        """Pauses it."""
+        """Sends SIGSTOP, which pauses the process."""
         self._signal(signal.SIGSTOP)
 
     def cont(self) -> None:
-        """Lets it go on after a pause."""
+        """Sends SIGCONT, which resumes a paused process."""
         self._signal(signal.SIGCONT)
 
     def hang_up(self) -> None:
-        """Asks it to read its settings again."""
+        """Sends SIGHUP, which makes it reload its settings."""
         self._signal(signal.SIGHUP)
 
     async def wait(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
-        """Exit status, once it has ended.
+        """Waits until it exits and returns its exit status.
 
         Raises:
-          TimeoutError: It has not ended within the bound.
+          TimeoutError: It did not exit in time.
         """
         async with asyncio.timeout(timeout_s):
             return await self._child.wait()
 
     def log_text(self) -> str:
-        """Everything that it printed so far."""
+        """Its output so far."""
         return self.log.read_text(errors='replace')
 
     def record_step(self, step: str) -> None:
-        """Adds a step to the launcher's record, with the time of the logs."""
+        """Appends a step to `steps.txt`, with a timestamp as in the logs."""
         now = datetime.datetime.now(datetime.UTC).time().isoformat()
-        # A launcher that is closed twice has no folder the second time.
+        # The folder is gone if the launcher is closed a second time.
         with (
             contextlib.suppress(FileNotFoundError),
             (self.log.parent / STEPS_FILE).open('a') as file,
@@ -134,7 +137,7 @@
 
 
 def _has_exited(pid: int) -> bool:
-    """Whether a child has ended, though its end may not be collected yet."""
+    """Whether a child has exited, even if it has not been reaped yet."""
     how = os.WEXITED | os.WNOHANG | os.WNOWAIT
     try:
         return os.waitid(os.P_PID, pid, how) is not None
@@ -146,9 +149,9 @@
     """Starts processes; used as an asynchronous context manager.
 
     Attributes:
-      folder: Folder for settings files and logs. It is removed at the end if
-        the launcher made it.
-      processes: Every process started, in order.
+      folder: Folder for settings files and logs. A folder that the launcher
+        created itself is removed when it is closed.
+      processes: All started processes, in order.
     """
 
     def __init__(self, folder: pathlib.Path | None = None) -> None:
@@ -173,7 +176,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Ends every process that is left, by its id."""
+        """Kills all processes by their ids and waits for them."""
         for process in self.processes:
             process.kill()
         for process in self.processes:
@@ -186,7 +189,7 @@
         """Starts `python -m MODULE ARGS` and waits until it is ready.
 
         Raises:
-          StartFailedError: It ended or was not ready in time.
+          StartFailedError: It exited or was not ready in time.
         """
         return await self.start_python(name, '-m', module, *args)
 
@@ -196,13 +199,13 @@
         """Starts `python ARGS` and waits until it is ready.
 
         Args:
-          name: Names the process and its log.
+          name: Name of the process and its log.
           *args: Arguments of the interpreter.
-          port: Where it will listen, if it does not say so; it is ready once
-            it takes a connection there.
+          port: Port to probe, for a process that does not report its port; it
+            is ready once it accepts a connection.
 
         Raises:
-          StartFailedError: It ended or was not ready in time.
+          StartFailedError: It exited or was not ready in time.
         """
         child = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -225,7 +228,7 @@
             async with asyncio.timeout(READY_TIMEOUT_S):
                 process.port = await ready
         except TimeoutError as exc:
-            raise StartFailedError(f'{name} is not ready in time') from exc
+            raise StartFailedError(f'{name} was not ready in time') from exc
         if not process.port:
             raise StartFailedError(
                 f'{name}:\n{process.log_text()[-LOG_TAIL_CHARS:]}'
@@ -239,7 +242,10 @@
     log: pathlib.Path,
     ready: asyncio.Future[int],
 ) -> None:
-    """Copies what a process prints to its log; gives 0 if it never is ready."""
+    """Copies the output of a process to its log until it ends.
+
+    Sets `ready` to the reported port, or to 0 if the output ends without one.
+    """
     with log.open('wb', buffering=0) as file:
         while line := await _read_line(child.stdout):
             file.write(line)
@@ -251,7 +257,7 @@
 
 
 async def _probe(port: int, ready: asyncio.Future[int]) -> None:
-    """Connects until it is let in, or nobody waits any longer."""
+    """Tries to connect until it succeeds or `ready` is done."""
     while not ready.done():
         try:
             _, writer = await asyncio.open_connection('127.0.0.1', port)
@@ -267,5 +273,5 @@
     try:
         return await stream.readline()
     except ValueError:
-        # A line over the limit; what was read of it is dropped.
+        # The line exceeds the limit; `readline` has dropped what it read.
         return b'(line too long)\n'
--- a/tests/quetzalsill_dev/test_cluster.py
+++ b/tests/quetzalsill_dev/test_cluster.py
@@ -1,4 +1,4 @@
-"""Tests of the cluster, with a router as the process that is killed."""
+"""Tests of restarting processes of a cluster."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ClusterTest(unittest.IsolatedAsyncioTestCase):
-    """A router and an engine."""
+    """Restarts of the router in a cluster of one router and one engine."""
 
     async def asyncSetUp(self):
         launcher = launch.Launcher()
@@ -22,10 +22,10 @@
         await self.cluster.start()
 
     async def test_restart_right_after_a_kill(self):
-        """A test fails in its first step, where nobody listens.
+        """A killed router is restarted before its exit has been noticed.
 
-        The test before it has killed a router. That it has ended is learned a
-        moment later; taken for running until then, it is not started again.
+        If it counted as running until then, it would stay down, and the first
+        connection of the next test would be refused.
         """
         (killed,) = self.cluster.routers.values()
         killed.kill()
@@ -43,19 +43,19 @@
         self.assertEqual(router.port, ended.port)
 
     async def test_restart_while_a_process_ends_gracefully(self):
-        """A test fails in its first step: its router is about to end."""
+        """A terminating router is restarted, or the next test loses it."""
         (ending,) = self.cluster.routers.values()
         ending.terminate()
         await self.assert_restarted(ending)
 
     async def test_restart_of_a_process_that_ended_by_itself(self):
-        """A test fails in its first step: nobody has noticed an end."""
+        """A router that exited without a signal from the launcher."""
         (ended,) = self.cluster.routers.values()
-        _end(ended.pid)
+        _kill_directly(ended.pid)
         await self.assert_restarted(ended)
 
     async def test_restart_of_a_process_that_has_closed_its_port(self):
-        """A test fails in its first step: a process takes time to end."""
+        """A router that refuses connections but has not exited yet."""
         (closed,) = self.cluster.routers.values()
         closed.kill()
         await closed.wait()
@@ -66,8 +66,8 @@
         self.assertIsNot(router, closed)
 
 
-def _end(pid):
-    """Kills a process behind the launcher's back, and waits for its end."""
+def _kill_directly(pid):
+    """Kills a process without the launcher and waits until it exits."""
     os.kill(pid, signal.SIGKILL)
     with contextlib.suppress(ChildProcessError):
         os.waitid(os.P_PID, pid, os.WEXITED | os.WNOWAIT)
--- a/tests/quetzalsill_dev/test_launch.py
+++ b/tests/quetzalsill_dev/test_launch.py
@@ -1,4 +1,4 @@
-"""Tests of the launcher, with the stand-ins as its processes."""
+"""Tests of the launcher, with stand-ins as its processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LaunchTest(unittest.IsolatedAsyncioTestCase):
-    """Processes of one launcher."""
+    """Processes of a single launcher."""
 
     async def asyncSetUp(self):
         self.launcher = launch.Launcher()
@@ -20,7 +20,7 @@
     def service(self):
         return self.launcher.start('app', 'quetzalsill_dev.service_standin')
 
-    async def test_paused_process_goes_on_and_ends_when_killed(self):
+    async def test_paused_process_resumes_and_ends_when_killed(self):
         process = await self.service()
         process.stop()
         async with caller.open_client(process.url) as client:
@@ -32,23 +32,23 @@
         self.assertEqual(await process.wait(), -signal.SIGKILL)
         self.assertFalse(process.running)
 
-    async def test_closing_ends_also_what_is_paused(self):
+    async def test_closing_ends_paused_processes(self):
         process = await self.service()
         process.stop()
         await self.launcher.close()
         self.assertFalse(process.running)
 
-    async def test_process_that_fails_is_told_with_its_output(self):
+    async def test_start_failure_includes_the_output(self):
         with self.assertRaisesRegex(launch.StartFailedError, 'No such option'):
             await self.launcher.start(
                 'app', 'quetzalsill_dev.service_standin', '--nonsense'
             )
 
-    async def test_order_is_counted_though_its_connection_is_closed(self):
-        """An order is taken, and the service dies before it answers.
+    async def test_order_is_counted_if_its_connection_is_closed(self):
+        """The service accepts an order and fails before it responds.
 
-        The caller sees its kept-alive connection close; the order counts
-        once, and a client that sent it again would raise the count.
+        The kept-alive connection is closed. The order counts once; a client
+        that retried it would raise the count.
         """
         process = await self.service()
         async with caller.open_client(process.url) as client:
@@ -59,7 +59,7 @@
             audit = (await client.get('/stand-in/audit')).json()
         self.assertEqual(audit['orders'], {'o1': 1})
 
-    async def test_caller_sees_a_whole_generation_of_an_engine(self):
+    async def test_caller_receives_a_complete_generation(self):
         engine = await self.launcher.start(
             'engine',
             'quetzalsill_dev.engine_standin',
