--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the users' platform: store, engines, plain servers, callers.
+"""Stand-ins of the users' platform: store, engines, HTTP servers, callers.
 
-They follow the platform's pages and run in one process, with every fault a
-switch, so that tests need no bench.
+They implement the platform's documented interfaces within one process. Each
+fault can be switched on, so that tests need no deployment of the platform.
 """
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the platform: one connection, requests down to the byte."""
+"""An HTTP client of the platform that controls each byte it sends."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """What came back.
+    """A response, as far as it was received.
 
     Attributes:
-      status: Status code; 0 if none came.
-      headers: Names in lower case.
-      body: What came of the body.
-      complete: Whether the answer ended as complete.
+      status: Status code; 0 if none was received.
+      headers: Headers, with names in lower case.
+      body: The part of the body that was received.
+      complete: Whether the response ended as its framing requires.
     """
 
     status: int = 0
@@ -34,7 +34,7 @@
 
 
 class Caller:
-    """One connection to a gateway."""
+    """A client connection to a gateway."""
 
     def __init__(self, host: str, port: int) -> None:
         self._address = (host, port)
@@ -48,12 +48,12 @@
         )
 
     def disconnect(self) -> None:
-        """Closes the connection at once, if there is one."""
+        """Aborts the connection, if there is one."""
         if self._writer is not None:
             self._writer.transport.abort()
 
     def send_raw(self, data: bytes) -> None:
-        """Writes bytes as they are."""
+        """Writes bytes unchanged."""
         self._writer.write(data)
 
     async def request(
@@ -64,13 +64,13 @@
         response: Response | None = None,
         **more: Any,
     ) -> Response:
-        """Sends one request and reads its answer.
+        """Sends a request and reads its response, connecting if necessary.
 
         Args:
           target: Path and query.
           method: Method in capitals.
-          response: Filled while the response comes; a new one if None.
-          more: What `send` takes.
+          response: Filled while the response is read; a new one if None.
+          more: Arguments of `send`.
         """
         if self._writer is None or self._writer.transport.is_closing():
             await self.open()
@@ -89,7 +89,7 @@
         request_id: str = '',
         headers: dict[str, str] | None = None,
     ) -> str:
-        """Writes one request; returns its id."""
+        """Writes a request and returns its id."""
         request_id = request_id or f'{next(_numbers):016x}'
         lines = [
             f'{method} {target} HTTP/1.1',
@@ -108,7 +108,7 @@
     async def read(
         self, method: str = 'GET', response: Response | None = None
     ) -> Response:
-        """Reads one answer, as far as it comes."""
+        """Reads a response until it ends or the connection is lost."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(
             h11.Request(method=method, target='/', headers=[('host', 'h')])
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's model engines, with moves and misbehaviours."""
+"""Stand-in of the platform's model engines, with run moves and faults."""
 
 from __future__ import annotations
 
@@ -18,13 +18,17 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    """Returns one event of the only stream that a request may get."""
+    """Returns an event of a request's stream.
+
+    Events follow from the request's id and their number alone, so that a
+    resumed stream can be compared with the expected one.
+    """
     return f'id: {number}\ndata: {request_id}/{number}\n\n'.encode()
 
 
 @dataclasses.dataclass(slots=True)
 class _Run:
-    """A generation and the events that it has made."""
+    """A generation and the number of events that it has produced."""
 
     request_id: str
     made: int = 0
@@ -33,14 +37,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """Engines that know each other, and what was seen of all runs.
+    """Engines that can move runs to each other, and a record of all runs.
 
     Attributes:
-      engines: By address.
-      started: Engines on which each request began anew.
-      running_on: Engines that work on each request now.
-      concurrent: Requests on which two engines worked at once.
-      reading: Events of each request that were generated a second time.
+      engines: Engines by address.
+      started: Engines that ran each request from its beginning.
+      running_on: Engines that currently run each request.
+      concurrent: Requests that two engines ran at the same time.
     """
 
     engines: dict[str, Engine] = dataclasses.field(default_factory=dict)
@@ -51,7 +54,7 @@
     def run_started(
         self, request_id: str, engine: str, *, is_new: bool
     ) -> None:
-        """Notes that an engine works on a request."""
+        """Records that an engine runs a request."""
         if is_new:
             self.started.setdefault(request_id, []).append(engine)
         busy = self.running_on.setdefault(request_id, set())
@@ -60,32 +63,36 @@
             self.concurrent.add(request_id)
 
     def run_ended(self, request_id: str, engine: str) -> None:
-        """Notes that an engine works on a request no more."""
+        """Records that an engine no longer runs a request."""
         self.running_on.get(request_id, set()).discard(engine)
 
 
 class Engine:
-    """One engine.
+    """An engine.
 
     Attributes:
-      id: Names this incarnation.
-      length: Events of a whole stream.
-      leaving: Whether it says that it leaves.
-      leaves_ms: Time left that it tells; None if it tells none.
-      full: Takes no copies.
-      copy_s: Time that a copy takes.
-      final_copy_s: Time that the copy of a stopped run takes.
-      abort_after: Breaks a stream off behind this event; None for never.
-      keeps_running_s: Works on for this long behind a connection that it
-        broke.
-      refuse: Status with which new runs are refused as not run; 0 for none.
-      resets_at_start: How many of the next requests are reset right after
-        their run began: nothing of an answer is sent, and the run is over.
-      ignores_copies: Runs a request that names a copy which is not held from
-        the beginning, where it should refuse it as not run.
-      busy_moves: How many of the next orders to copy a run are answered 409,
-        as if another one were under way.
-      requests: Headers of each request that came.
+      id: Id of this incarnation.
+      length: Number of events of a complete stream.
+      event_s: Time between events, in seconds.
+      leaving: Whether it reports that it is draining.
+      leaves_ms: Reported time left; None if it is not reported.
+      full: Whether it accepts no copies.
+      copy_s: Duration of a copy, in seconds.
+      final_copy_s: Duration of the copy of a stopped run, in seconds.
+      abort_after: Number of the event after which it aborts a stream; None for
+        never.
+      keeps_running_s: How long it keeps running a request after it aborted the
+        connection, in seconds.
+      refuse: Status with which it refuses new runs as not executed; 0 to
+        accept them.
+      resets_at_start: Number of next requests that it resets right after their
+        run has started: no part of a response is sent, and the run ends.
+      ignores_copies: Whether a request that names a missing copy is run from
+        the beginning. A correct engine refuses it as not executed.
+      busy_moves: Number of next copy commands that get a 409, as if another
+        copy were in progress.
+      requests: Headers of each received request.
+      reports: Number of reports that it has served.
     """
 
     def __init__(self, fleet: Fleet, name: str) -> None:
@@ -113,12 +120,12 @@
         self._detached: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Starts to serve."""
+        """Starts to accept connections."""
         await self.server.start()
         self._fleet.engines[self.server.address_text] = self
 
     async def crash(self) -> None:
-        """Breaks every connection off and forgets all runs."""
+        """Resets all connections and discards all runs."""
         await self.server.stop()
         for run in self._runs.values():
             run.running = False
@@ -126,7 +133,7 @@
         self._runs.clear()
 
     def entry(self, service: str, zone: str) -> dict[str, Any]:
-        """Returns its row in the table of servers."""
+        """Returns its row for the table of servers."""
         return {
             'service': service,
             'address': self.server.address_text,
@@ -166,8 +173,8 @@
         call.respond(200, json.dumps(body).encode())
 
     async def _move(self, call: scripted.Exchange) -> None:
-        order = json.loads(call.body)
-        run = self._runs.get(order['id'])
+        command = json.loads(call.body)
+        run = self._runs.get(command['id'])
         if run is None or not run.running:
             call.respond(404)
             return
@@ -175,18 +182,18 @@
             self.busy_moves -= 1
             call.respond(409)
             return
-        if order.get('last'):
+        if command.get('last'):
             run.running = False
             self._fleet.run_ended(run.request_id, self.id)
         await asyncio.sleep(
-            self.final_copy_s if order.get('last') else self.copy_s
+            self.final_copy_s if command.get('last') else self.copy_s
         )
-        target = self._fleet.engines.get(order['target'])
+        target = self._fleet.engines.get(command['target'])
         handle = f'h{next(self._numbers)}-{self.id}'
         body = {'handle': handle, 'created': run.made}
         copy = _Run(run.request_id, run.made)
         has_room = target is not None and not target.full
-        if order.get('last'):
+        if command.get('last'):
             self._copies[handle] = copy
         if has_room:
             target._copies[handle] = copy
@@ -218,7 +225,7 @@
         )
 
     def _take_copy(self, source: str, request_id: str) -> bool:
-        """Uses up the copy that a request names, if it is held here."""
+        """Consumes the copy that a request names; False if it isn't held."""
         copy = self._copies.pop(source.rpartition('/')[2], None)
         return copy is not None and copy.request_id == request_id
 
@@ -274,13 +281,13 @@
                 self._fleet.run_ended(request_id, self.id)
 
     def _update_backup(self, run: _Run, address: str | None) -> None:
-        """Sends what a run has made to the engine that keeps its copy."""
+        """Updates the copy of a run on its backup engine."""
         target = self._fleet.engines.get(address)
         if target is not None and not target.full:
             target._copies[run.request_id] = _Run(run.request_id, run.made)
 
     async def _keep_running(self, run: _Run) -> None:
-        """Works on a run that nobody hears, until it is told to stop."""
+        """Keeps a run active without its connection, until it is stopped."""
         end_s = asyncio.get_running_loop().time() + self.keeps_running_s
         while run.running and asyncio.get_running_loop().time() < end_s:  # noqa: ASYNC110
             await asyncio.sleep(EVENT_S)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's plain servers, with their misbehaviours."""
+"""Stand-in of the platform's HTTP servers, with scripted faults."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 
 class PlainServer:
-    """Answers as the next script says, and well where there is none.
+    """Responds as the next script specifies, or correctly without a script.
 
-    Scripts: `ok`, `fail` (its own 500), `shed` (503, not run), `moved` (421),
-    `false_503` (ran, and says 503 without saying that it has not), `reset`
-    (ran, no answer), `truncate`, `garbage`, `extra` (a second answer behind
-    the first), `stale` (another request's answer first), `unframed` (no
-    length, ends with its connection), `no_receipt`, `hang`, `early` (answers
-    and keeps the connection).
+    Scripts: `ok`, `fail` (a 500 of its own), `shed` (503, not executed),
+    `moved` (421), `false_503` (executed, but responds 503 without a
+    not-executed header), `reset` (executed, no response), `truncate`,
+    `garbage`, `extra` (a second response after the first), `stale` (the
+    response of another request first), `unframed` (no length; the end of the
+    connection ends the body), `no_receipt`, `hang`, `early` (responds and keeps
+    the connection).
 
     Attributes:
-      id: Names this incarnation.
-      scripts: What to do with the next requests.
-      runs: Requests that ran: id, target, headers and body.
+      id: Id of this incarnation.
+      scripts: Scripts for the next requests.
+      runs: Executed requests: id, target, headers and body.
     """
 
     def __init__(self, name: str) -> None:
@@ -35,13 +36,13 @@
         self.runs: list[tuple[str, str, dict[str, str], bytes]] = []
 
     async def start(self) -> None:
-        """Starts to serve."""
+        """Starts to accept connections."""
         await self.server.start()
 
     def entry(
         self, service: str, zone: str, state: str = 'ready'
     ) -> dict[str, Any]:
-        """Returns its row in the table of servers."""
+        """Returns its row for the table of servers."""
         return {
             'service': service,
             'address': self.server.address_text,
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/scripted.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/scripted.py
@@ -1,4 +1,4 @@
-"""An HTTP server whose answers are scripted down to the byte."""
+"""An HTTP server that controls each byte of its responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 __all__ = ['Exchange', 'ScriptedServer']
 
 READ_BYTES = 65536
-# Linger for no time: what is not sent by then is dropped, and so is the
+# A linger time of zero: closing discards unsent data and resets the
 # connection.
 RESET = struct.pack('ii', 1, 0)
 REASONS = {200: 'OK', 412: 'Precondition Failed', 421: 'Misdirected Request'}
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """One request, and the connection to answer it on.
+    """A request and the connection for its response.
 
     Attributes:
       method: Method in capitals.
       target: Path and query.
-      headers: Names in lower case.
-      body: The whole body.
-      writer: The raw connection.
+      headers: Headers, with names in lower case.
+      body: The complete body.
+      writer: The connection's stream writer.
     """
 
     method: str
@@ -44,7 +44,7 @@
         return self.target.partition('?')[0]
 
     def send_head(self, status: int, headers: dict[str, str]) -> None:
-        """Writes a head."""
+        """Writes a status line and headers."""
         lines = [f'HTTP/1.1 {status} {REASONS.get(status, "Status")}']
         lines += [f'{name}: {value}' for name, value in headers.items()]
         self.writer.write('\r\n'.join([*lines, '\r\n']).encode())
@@ -55,19 +55,20 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Writes a whole answer."""
+        """Writes a complete response."""
         length = {'Content-Length': str(len(body))}
         self.send_head(status, (headers or {}) | length)
         self.writer.write(body)
 
     def send_chunk(self, data: bytes) -> None:
-        """Writes one chunk of a chunked body; an empty one ends it."""
+        """Writes a chunk of a chunked body; an empty chunk ends it."""
         self.writer.write(b'%x\r\n%s\r\n' % (len(data), data))
 
     def abort(self) -> None:
-        """Resets the connection, unless the other end has left it.
+        """Resets the connection, unless the client has closed it.
 
-        Without the option the kernel closes it as if the answer had ended.
+        Without the linger option the kernel would close it normally, as at the
+        end of a response.
         """
         if not self.is_open:
             return
@@ -77,7 +78,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the other end still holds the connection."""
+        """Whether the connection is still open."""
         return not self.writer.transport.is_closing()
 
 
@@ -85,10 +86,10 @@
 
 
 class ScriptedServer:
-    """Reads requests and leaves the answers to a handler.
+    """Reads requests and passes them to a handler, which responds.
 
     Attributes:
-      connections: Connections accepted so far.
+      connections: Number of accepted connections.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -99,17 +100,17 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port."""
+        """IP address and port."""
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     @property
     def address_text(self) -> str:
-        """IP number and port with a colon."""
+        """IP address and port, separated by a colon."""
         return '{}:{}'.format(*self.address)
 
     async def start(self) -> None:
-        """Listens on a port that the kernel chooses."""
+        """Listens on a port chosen by the kernel."""
         self._server = await asyncio.start_server(self._accept, '127.0.0.1', 0)
 
     async def stop(self) -> None:
@@ -143,7 +144,7 @@
                 request = await _event(parser, reader)
             except h11.RemoteProtocolError as exc:
                 peer = writer.get_extra_info('peername')
-                exc.add_note(f'from {peer}, behind {last or "nothing"}')
+                exc.add_note(f'from {peer}, previous request: {last or "none"}')
                 raise
             if not isinstance(request, h11.Request):
                 return
@@ -158,38 +159,38 @@
                 writer,
             )
             last = f'{exchange.method} {exchange.target}'
-            working = asyncio.create_task(self._work(exchange))
-            await self._until_done(working, reader, writer)
+            handling = asyncio.create_task(self._handle(exchange))
+            await self._until_done(handling, reader, writer)
 
-    async def _work(self, exchange: Exchange) -> None:
-        # The other end may leave at any moment of an answer.
+    async def _handle(self, exchange: Exchange) -> None:
+        # The client may disconnect at any time during a response.
         with contextlib.suppress(ConnectionError):
             await self._handler(exchange)
 
     async def _until_done(
         self,
-        working: asyncio.Task[None],
+        handling: asyncio.Task[None],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Waits for the handler, and ends it when the other end leaves."""
-        leaving = asyncio.create_task(_until_eof(reader))
+        """Waits for the handler and cancels it if the client disconnects."""
+        disconnect = asyncio.create_task(_until_eof(reader))
         done, _ = await asyncio.wait(
-            (working, leaving), return_when=asyncio.FIRST_COMPLETED
+            (handling, disconnect), return_when=asyncio.FIRST_COMPLETED
         )
-        if working not in done:
-            working.cancel()
+        if handling not in done:
+            handling.cancel()
             writer.transport.abort()
-        leaving.cancel()
-        await asyncio.gather(working, leaving, return_exceptions=True)
-        if not working.cancelled() and working.exception() is not None:
-            raise working.exception()
+        disconnect.cancel()
+        await asyncio.gather(handling, disconnect, return_exceptions=True)
+        if not handling.cancelled() and handling.exception() is not None:
+            raise handling.exception()
         if not writer.transport.is_closing():
             await writer.drain()
 
 
 async def _until_eof(reader: asyncio.StreamReader) -> None:
-    # Bytes of a further request stay in the reader's buffer.
+    # Bytes of the next request stay in the buffer of the reader.
     while not reader.at_eof():  # noqa: ASYNC110
         await asyncio.sleep(0.005)
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: rows in tables, watches and faults."""
+"""Stand-in of the platform's store: tables of rows, watches and faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MAX_ROWS = 500
 ERA_HEADER = 'Store-Era'
-# What a faulty store says in place of its era; None leaves the header out.
+# Faulty values of the era header; None omits the header.
 ERA_FAULTS: dict[str, Callable[[int], str | None]] = {
     'absent': lambda _: None,
     'text': lambda era: f'era {era}',
@@ -32,18 +32,18 @@
 
 
 class Store:
-    """Keeps rows in memory.
+    """A store that keeps its rows in memory.
 
     Attributes:
-      down: Empty while it serves; `busy` answers 503, `silent` nothing,
-        `reset` breaks connections off.
-      era: Told in every answer, one more with each return from a copy; None
-        for a store that tells none.
-      era_fault: Name of what is told in its place; empty for none.
-      always_gone: Each watch gets 410, whatever it asks for.
-      resets_watches: Breaks off the watches that wait as it comes back from a
-        copy; it answers them from what it holds then otherwise.
-      calls: Calls received, by path.
+      down: Empty while it serves; with `busy` it responds 503, with `silent`
+        it doesn't respond, with `reset` it resets connections.
+      era: Sent in each response and incremented each time a snapshot is
+        restored; None for a store that doesn't send it.
+      era_fault: Key in `ERA_FAULTS` of the value sent instead; empty for none.
+      always_gone: Whether each watch gets a 410, whatever its version.
+      resets_watches: Whether pending watches are reset when a snapshot is
+        restored. Otherwise they get a response from the restored rows.
+      calls: Number of received calls, by path.
     """
 
     def __init__(self) -> None:
@@ -65,20 +65,20 @@
         return self._rows.version
 
     def put(self, table: str, key: str, value: Any) -> None:
-        """Writes a row as JSON."""
+        """Writes a row, encoded as JSON."""
         self._put_row(table, key, json.dumps(value).encode())
 
     def remove(self, table: str, key: str) -> None:
-        """Drops a row."""
+        """Removes a row."""
         self._put_row(table, key, None)
 
     def compact(self) -> None:
-        """Forgets what changed, so that watches from before get 410."""
+        """Drops the history, so that watches from older versions get a 410."""
         self._rows.compact()
         self._notify_watches()
 
     def snapshot(self) -> versioned_rows.Snapshot:
-        """Returns a copy of all that is held."""
+        """Returns a snapshot of all rows and their history."""
         return self._rows.snapshot()
 
     async def restore(
@@ -92,22 +92,23 @@
         immediate_share: float = 0.0,
         skipped_versions: int = 0,
     ) -> None:
-        """Is away, comes back from a copy, and is told again what it lost.
+        """Simulates an outage and a restore from a snapshot.
 
-        Operators and servers write and drop their rows again, each at a time
-        of its own, so that versions are given out again in another order.
-        What they write while it is away reaches it like that, too. Nobody
-        writes again for the system's own tables.
+        Operators and servers then write and remove their rows again, each at
+        a different time, so that versions are reused in another order. This
+        includes what they tried to write during the outage. Rows of the
+        system's own tables are not rewritten.
 
         Args:
-          snapshot: What it comes back with.
-          rng: Draws order and times of what is written again.
-          down: How it is away.
-          outage_s: For how long, in seconds.
-          rewrite_s: Time until all is written again, in seconds.
-          immediate_share: Share of what is written again before it
-            answers anybody.
-          skipped_versions: Versions that transactions elsewhere use up then.
+          snapshot: Rows and history after the outage.
+          rng: Draws the order and times of the rewrites.
+          down: Value of `down` during the outage.
+          outage_s: Duration of the outage, in seconds.
+          rewrite_s: Time until all rows are rewritten, in seconds.
+          immediate_share: Share of rows that are rewritten before the first
+            call is served.
+          skipped_versions: Number of versions that other transactions use
+            after the immediate rewrites.
         """
         self.down = down
         self._is_down = True
@@ -127,7 +128,7 @@
         await self._rewrite_missing(at_times, skipped_versions)
 
     def load_snapshot(self, snapshot: versioned_rows.Snapshot) -> None:
-        """Holds what a copy holds, under the next era."""
+        """Restores a snapshot and increments the era."""
         self._rows.restore(snapshot)
         self._restores += 1
         if self.era is not None:
@@ -135,24 +136,25 @@
         self._notify_watches()
 
     def skip(self, count: int) -> None:
-        """Uses versions up, as transactions elsewhere do."""
+        """Advances the version, as transactions in other tables do."""
         self._rows.skip(count)
 
     async def _rewrite_missing(
         self, times: dict[versioned_rows.RowKey, float], skipped_versions: int
     ) -> None:
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         for key in [key for key, at_s in times.items() if not at_s]:
             self._rewrite_row(key)
         self.skip(skipped_versions)
         for key, at_s in times.items():
             if at_s:
-                delay_s = begun_s + at_s - time.monotonic()
+                delay_s = started_s + at_s - time.monotonic()
                 await asyncio.sleep(max(0.0, delay_s))
                 self._rewrite_row(key)
 
     def _rewrite_row(self, key: versioned_rows.RowKey) -> None:
-        # Written meanwhile, or lost again, in a return that overlaps.
+        # With overlapping restores the row may have been rewritten, or lost
+        # again, since the times were drawn.
         lost = self._rows.missing()
         if key in lost:
             self._put_row(*key, lost[key])
@@ -194,16 +196,16 @@
         self._send_rows(call, 200, rows[:limit], truncated=len(rows) > limit)
 
     def _write(self, call: scripted.Exchange) -> None:
-        order = json.loads(call.body)
-        values = {_row_key(row): None for row in order.get('remove', ())}
-        for row in order.get('writes', ()):
+        transaction = json.loads(call.body)
+        values = {_row_key(row): None for row in transaction.get('remove', ())}
+        for row in transaction.get('writes', ()):
             values[_row_key(row)] = base64.b64decode(row['value'])
         if any(table in versioned_rows.EXTERNAL_TABLES for table, _ in values):
             self._reply(call, 403)
             return
         expected = {
             _row_key(row): row['ver']
-            for row in order.get('expectedRevision', ())
+            for row in transaction.get('expectedRevision', ())
         }
         held = {key: self._rows.get(key) for key in expected}
         if any(
@@ -243,9 +245,9 @@
         self._send_rows(call, 200, rows)
 
     def _is_compacted(self, after: int) -> bool:
-        """Whether a watch from a version cannot be told what came behind it."""
-        # A store without eras never goes back: such a version was never its
-        # own, and the watch waits until it is.
+        """Whether the changes after a version are unavailable to a watch."""
+        # Without eras the version never decreases: a higher one was not issued
+        # by this store, and the watch waits until it is reached.
         is_ahead = self.era is not None and after > self.version
         return self.always_gone or is_ahead or after < self._rows.oldest
 
@@ -268,15 +270,15 @@
     def _reply(
         self, call: scripted.Exchange, status: int, body: bytes = b''
     ) -> None:
-        """Answers, with the era where one is told."""
+        """Responds, with the era header if there is one."""
         call.respond(status, body, self._era_header())
 
     def _era_header(self) -> dict[str, str]:
         if self.era is None:
             return {}
         fault = ERA_FAULTS.get(self.era_fault, str)
-        told = fault(self.era)
-        return {} if told is None else {ERA_HEADER: told}
+        value = fault(self.era)
+        return {} if value is None else {ERA_HEADER: value}
 
 
 def _row_key(row: dict[str, Any]) -> versioned_rows.RowKey:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/versioned_rows.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/versioned_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store's stand-in, their history, and copies of both."""
+"""Rows of the stand-in store, with history and snapshots."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 __all__ = ['EXTERNAL_TABLES', 'Change', 'RowKey', 'Snapshot', 'VersionedRows']
 
-# Tables that only operators and servers write.
+# Tables that only operators and servers write to.
 EXTERNAL_TABLES = ('op', 'servers')
 # Table and key of a row.
 RowKey = tuple[str, str]
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Change:
-    """A row as it was written or dropped.
+    """A write or removal of a row.
 
     Attributes:
-      version: Version of the transaction that did it.
-      table: Its table.
-      key: Its key.
-      value: What was written; None if it was dropped.
+      version: Version of the transaction.
+      table: Table of the row.
+      key: Key of the row.
+      value: Written value; None if the row was removed.
     """
 
     version: int
@@ -34,7 +34,7 @@
     value: bytes | None
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the row as answers carry it."""
+        """Returns the row as it is encoded in responses."""
         row = {'table': self.table, 'part': '', 'key': self.key}
         row['ver'] = self.version
         if self.value is None:
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Snapshot:
-    """All that a ledger held at one moment."""
+    """Rows and history at one point in time."""
 
     version: int
     oldest: int
@@ -53,11 +53,11 @@
 
 
 class VersionedRows:
-    """Rows under one counter of versions.
+    """Rows of all tables, which share one version counter.
 
     Attributes:
       version: Version of the newest transaction.
-      oldest: Version up to which history has been forgotten.
+      oldest: Version up to which the history has been compacted.
     """
 
     def __init__(self) -> None:
@@ -65,11 +65,12 @@
         self.oldest = 0
         self._rows: dict[RowKey, Change] = {}
         self._changes: list[Change] = []
-        # What operators and servers wrote last; it outlives a copy, as they do.
+        # Last values written by operators and servers. They keep these values
+        # while the store is restored, and write them again.
         self._intended: dict[RowKey, bytes | None] = {}
 
     def write(self, values: Mapping[RowKey, bytes | None]) -> None:
-        """Writes and drops rows in one transaction."""
+        """Writes and removes rows in one transaction."""
         self.version += 1
         for key, value in values.items():
             change = Change(self.version, *key, value)
@@ -82,29 +83,29 @@
                 self._intended[key] = value
 
     def set_intended(self, key: RowKey, value: bytes | None) -> None:
-        """Notes what its writer could not write; it is lost until then."""
+        """Records a value that couldn't be written; it is then missing."""
         self._intended[key] = value
 
     def skip(self, count: int) -> None:
-        """Uses versions up, as transactions in other tables do."""
+        """Advances the version, as transactions in other tables do."""
         self.version += count
 
     def compact(self) -> None:
-        """Drops the history, and keeps the rows."""
+        """Drops the history but keeps the rows."""
         self._changes.clear()
         self.oldest = self.version
 
     def get(self, key: RowKey) -> Change | None:
-        """Returns a row, None if there is none."""
+        """Returns a row, or None if it doesn't exist."""
         return self._rows.get(key)
 
     def table(self, name: str, first: str = '') -> list[Change]:
-        """Returns the rows of a table from a key on, in order of keys."""
+        """Returns the rows of a table, sorted by key, starting at `first`."""
         keys = sorted(key for key in self._rows if key[0] == name)
         return [self._rows[key] for key in keys if key[1] >= first]
 
     def since(self, name: str, after: int) -> list[Change]:
-        """Returns what changed in a table behind a version, in order."""
+        """Returns the changes of a table after a version, in order."""
         return [
             change
             for change in self._changes
@@ -112,19 +113,19 @@
         ]
 
     def snapshot(self) -> Snapshot:
-        """Returns a copy of all rows and their history."""
+        """Returns a snapshot of all rows and their history."""
         return Snapshot(
             self.version, self.oldest, dict(self._rows), tuple(self._changes)
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Holds what a copy holds, and gives its next versions out again."""
+        """Restores a snapshot; the versions after it are then used again."""
         self.version, self.oldest = snapshot.version, snapshot.oldest
         self._rows = dict(snapshot.rows)
         self._changes = list(snapshot.changes)
 
     def missing(self) -> dict[RowKey, bytes | None]:
-        """Returns what operators and servers wrote that is not held."""
+        """Returns rows of operators and servers that need to be rewritten."""
         return {
             key: self._intended[key]
             for key in sorted(self._intended)
--- a/tests/quetzalsill_dev/users_platform/test_engine.py
+++ b/tests/quetzalsill_dev/users_platform/test_engine.py
@@ -1,4 +1,4 @@
-"""The engines' stand-in: faults that tests of at-most-once rest on."""
+"""Tests of the stand-in engine: faults that at-most-once tests rely on."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    """One engine and its caller."""
+    """A single engine and its client."""
 
     async def asyncSetUp(self):
         self.fleet = engine.Fleet()
@@ -30,7 +30,7 @@
                 '/plan/x', request_id=request_id, headers=expected | headers
             )
 
-    async def test_requests_are_reset_as_they_begin(self):
+    async def test_requests_are_reset_at_their_start(self):
         self.engine.resets_at_start = 2
         for name in ('a', 'b'):
             self.assertEqual(await self.ask(name), caller.Response())
@@ -38,18 +38,18 @@
         self.assertEqual(set(self.fleet.started), {'a', 'b', 'c'})
         self.assertEqual(self.fleet.running_on['a'], set())
 
-    async def test_a_copy_that_is_not_held_is_refused_as_not_run(self):
+    async def test_a_missing_copy_is_refused_as_not_executed(self):
         copy = {'Kv-From': '127.0.0.1:1/h1', 'Last-Event-Id': '4'}
-        answer = await self.ask('a', **copy)
-        self.assertEqual(answer.status, 503)
-        self.assertIn(NOT_EXECUTED, answer.headers)
+        response = await self.ask('a', **copy)
+        self.assertEqual(response.status, 503)
+        self.assertIn(NOT_EXECUTED, response.headers)
         self.assertEqual(self.fleet.started, {})
 
     async def test_an_engine_that_ignores_copies_runs_from_the_beginning(self):
         self.engine.ignores_copies = True
         copy = {'Kv-From': '127.0.0.1:1/h1', 'Last-Event-Id': '4'}
-        answer = await self.ask('a', **copy)
-        self.assertTrue(answer.body.startswith(engine.event('a', 1)))
+        response = await self.ask('a', **copy)
+        self.assertTrue(response.body.startswith(engine.event('a', 1)))
         self.assertEqual(self.fleet.started, {'a': ['engine-1']})
 
 
--- a/tests/quetzalsill_dev/users_platform/test_store.py
+++ b/tests/quetzalsill_dev/users_platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's stand-in: conditions, eras, and its return from a copy."""
+"""Tests of the stand-in store: conditions, eras, restored snapshots."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """A store and whoever calls it."""
+    """A store and its clients."""
 
     async def asyncSetUp(self):
         self.store = store.Store()
@@ -22,7 +22,7 @@
         self.addAsyncCleanup(self.store.server.stop)
 
     async def call(self, target, body=None):
-        """Returns the answer to a call on a connection of its own."""
+        """Sends a call on a new connection and returns the response."""
         conn = caller.Caller(*self.store.server.address)
         self.addCleanup(conn.disconnect)
         raw = b'' if body is None else json.dumps(body).encode()
@@ -45,21 +45,21 @@
         return await self.call('rows-tx', body | more)
 
     async def rows(self, table):
-        """Returns what a table holds, by key."""
+        """Returns the decoded rows of a table, by key."""
         found = json.loads((await self.call(f'rows-get?table={table}')).body)
         return {
             row['key']: json.loads(base64.b64decode(row['value']))
             for row in found['rows']
         }
 
-    async def restore(self, copy, **more):
-        """Comes back from a copy, with no time between."""
+    async def restore(self, snapshot, **more):
+        """Restores a snapshot, by default without delays."""
         more = {'outage_s': 0.0, 'rewrite_s': 0.0} | more
-        await self.store.restore(copy, random.Random(1), **more)
+        await self.store.restore(snapshot, random.Random(1), **more)
 
 
 class ConditionTest(StoreTest):
-    """Writes that hold only if rows are as expected."""
+    """Conditional writes."""
 
     async def test_a_row_is_created_once(self):
         first = await self.write('a', b'1', expected=0)
@@ -70,7 +70,7 @@
         self.assertEqual((row['key'], row['ver']), ('a', 1))
         self.assertEqual(await self.rows('status'), {'a': 1})
 
-    async def test_a_row_that_is_gone_is_not_among_the_rows(self):
+    async def test_a_conflict_with_a_missing_row_returns_no_rows(self):
         refused = await self.write('a', b'1', expected=7)
         self.assertEqual(refused.status, 412)
         self.assertEqual(json.loads(refused.body)['rows'], [])
@@ -83,7 +83,7 @@
         self.assertEqual([row['ver'] for row in found], [2, 2])
         self.assertEqual(await self.rows('status'), {'b': 2})
 
-    async def test_tables_of_others_are_refused(self):
+    async def test_writes_to_external_tables_are_refused(self):
         row = {'table': 'op', 'part': '', 'key': 'config', 'value': ''}
         for body in ({'writes': [row]}, {'remove': [row]}):
             refused = await self.call('rows-tx', body)
@@ -91,50 +91,50 @@
 
 
 class EraTest(StoreTest):
-    """What answers say of the era."""
+    """The era in responses."""
 
     async def eras(self):
-        """Returns what each kind of answer tells."""
+        """Returns the era header of each kind of response."""
         refused = {'writes': [{'table': 'op', 'key': 'k', 'value': ''}]}
-        answers = [
+        responses = [
             await self.call('rows-get?table=op'),
             await self.call('rows-tx', refused),
             await self.write('a', b'1', expected=9),
             await self.call('unknown'),
         ]
         self.store.always_gone = True
-        answers.append(await self.feed(0))
+        responses.append(await self.feed(0))
         self.store.down = 'busy'
-        answers.append(await self.call('rows-get?table=op'))
+        responses.append(await self.call('rows-get?table=op'))
         self.store.down, self.store.always_gone = '', False
-        statuses = [answer.status for answer in answers]
+        statuses = [response.status for response in responses]
         self.assertEqual(statuses, [200, 403, 412, 404, 410, 503])
-        return [answer.headers.get('store-era') for answer in answers]
+        return [response.headers.get('store-era') for response in responses]
 
-    async def test_no_answer_tells_one_by_default(self):
+    async def test_no_response_has_one_by_default(self):
         self.assertEqual(await self.eras(), [None] * 6)
 
-    async def test_every_answer_tells_it(self):
+    async def test_every_response_has_it(self):
         self.store.era = 4
         self.assertEqual(await self.eras(), ['4'] * 6)
         await self.restore(self.store.snapshot())
         self.assertEqual(await self.eras(), ['5'] * 6)
 
-    async def test_each_fault_is_told_in_its_place(self):
+    async def test_each_fault_replaces_it(self):
         self.store.era = 4
-        told = {}
+        values = {}
         for name in store.ERA_FAULTS:
             self.store.era_fault = name
-            [told[name]] = set(await self.eras())
-        huge = told.pop('huge')
+            [values[name]] = set(await self.eras())
+        huge = values.pop('huge')
         self.assertEqual(len(huge), 400)
         expected = {'absent': None, 'text': 'era 4', 'fraction': '4.5'}
         expected |= {'negative': '-4', 'falls': '3', 'jumps': '11'}
-        self.assertEqual(told, expected)
+        self.assertEqual(values, expected)
 
 
-class ReturnTest(StoreTest):
-    """A return from a copy."""
+class RestoreTest(StoreTest):
+    """Restoring a snapshot."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -143,24 +143,24 @@
             self.store.put('servers', key, {'n': 1})
         self.snapshot = self.store.snapshot()
 
-    async def test_versions_are_given_out_again(self):
+    async def test_versions_are_reused(self):
         self.store.put('servers', 'c', {'n': 2})
         self.store.load_snapshot(self.snapshot)
         self.store.put('servers', 'd', {'n': 3})
         [row] = json.loads((await self.feed(2)).body)['rows']
         self.assertEqual((row['key'], row['ver']), ('d', 3))
 
-    async def test_a_watch_behind_the_copy_is_gone(self):
+    async def test_a_watch_after_the_snapshot_gets_410(self):
         self.store.put('servers', 'c', {'n': 2})
         self.store.load_snapshot(self.snapshot)
         self.assertEqual((await self.feed(3)).status, 410)
         self.assertEqual((await self.feed(2)).status, 200)
 
-    async def test_without_eras_a_watch_ahead_waits(self):
+    async def test_without_eras_a_watch_of_a_higher_version_waits(self):
         self.store.era = None
         self.assertEqual((await self.feed(9)).status, 200)
 
-    async def test_rows_of_others_are_written_again_and_the_systems_are_not(
+    async def test_only_external_tables_are_rewritten(
         self,
     ):
         self.store.put('servers', 'a', {'n': 2})
@@ -172,26 +172,28 @@
         self.assertEqual(await self.rows('op'), {'evacuate/z': {}})
         self.assertEqual(await self.rows('status'), {})
 
-    async def test_what_is_written_meanwhile_stays(self):
+    async def test_rows_written_meanwhile_stay(self):
         self.store.put('servers', 'a', {'n': 2})
-        returning = asyncio.create_task(
+        restoring = asyncio.create_task(
             self.restore(self.snapshot, rewrite_s=0.2)
         )
         await asyncio.sleep(0.01)
         self.store.put('servers', 'a', {'n': 3})
-        await returning
+        await restoring
         self.assertEqual((await self.rows('servers'))['a'], {'n': 3})
 
-    async def test_two_returns_that_overlap_lose_nothing(self):
+    async def test_overlapping_restores_lose_nothing(self):
         for key in 'cdefgh':
             self.store.put('servers', key, {'n': 2})
         held = await self.rows('servers')
-        returns = [self.restore(self.snapshot, rewrite_s=0.2) for _ in range(2)]
-        await asyncio.gather(*returns)
+        restores = [
+            self.restore(self.snapshot, rewrite_s=0.2) for _ in range(2)
+        ]
+        await asyncio.gather(*restores)
         self.assertEqual(await self.rows('servers'), held)
         self.assertEqual(self.store.era, 3)
 
-    async def test_the_order_is_drawn_from_the_seed(self):
+    async def test_the_seed_determines_the_order(self):
         for key in 'cdefgh':
             self.store.put('servers', key, {'n': 2})
         orders = []
@@ -204,30 +206,30 @@
         self.assertEqual(orders[0], orders[1])
         self.assertNotEqual(orders[0], orders[2])
 
-    async def test_it_is_away_first(self):
-        returning = asyncio.create_task(
+    async def test_the_outage_precedes_the_restore(self):
+        restoring = asyncio.create_task(
             self.restore(self.snapshot, outage_s=2.0)
         )
         await asyncio.sleep(0.02)
         self.assertEqual((await self.feed(0)).status, 503)
-        await returning
+        await restoring
         self.assertEqual((await self.feed(0)).status, 200)
-        returning = asyncio.create_task(
+        restoring = asyncio.create_task(
             self.restore(self.snapshot, down='reset', outage_s=2.0)
         )
         await asyncio.sleep(0.02)
         self.assertEqual((await self.feed(0)).status, 0)
-        await returning
+        await restoring
 
-    async def test_what_is_written_while_it_is_away_comes_with_its_return(
+    async def test_rows_written_in_the_outage_appear_at_its_end(
         self,
     ):
-        """A watch that waits is told nothing of a row that came with it."""
+        """A pending watch gets no change for a row written in the outage."""
         self.store.put('servers', 'c', {'n': 2})
         self.store.skip(4)
         waiting = asyncio.create_task(self.feed(7, wait_ms=300))
         await asyncio.sleep(0.05)
-        returning = asyncio.create_task(
+        restoring = asyncio.create_task(
             self.restore(
                 self.snapshot,
                 outage_s=0.1,
@@ -237,14 +239,14 @@
         )
         await asyncio.sleep(0.05)
         self.store.put('servers', 'd', {'n': 4})
-        await returning
+        await restoring
         self.assertEqual((await self.rows('servers'))['d'], {'n': 4})
-        answer = await waiting
-        self.assertEqual(answer.headers['store-era'], '2')
-        found = json.loads(answer.body)
+        response = await waiting
+        self.assertEqual(response.headers['store-era'], '2')
+        found = json.loads(response.body)
         self.assertEqual((found['ver'], found['rows']), (13, []))
 
-    async def test_watches_that_wait_are_cut_or_answered(self):
+    async def test_pending_watches_are_reset_or_get_a_response(self):
         self.store.put('servers', 'c', {'n': 2})
         for cuts, status in ((True, 0), (False, 410)):
             self.store.resets_watches = cuts
@@ -254,12 +256,15 @@
             self.assertEqual((await waiting).status, status)
             self.store.put('servers', 'c', {'n': 2})
 
-    async def test_versions_run_past_those_of_before(self):
-        """The counter is past the old one: a watch misses a row, untold."""
+    async def test_versions_exceed_those_before_the_restore(self):
+        """A watch misses a row without a 410.
+
+        This happens if the version after the restore exceeds the one before.
+        """
         self.store.put('servers', 'c', {'n': 2})
         self.store.put('servers', 'd', {'n': 2})
         self.store.skip(4)
-        returning = asyncio.create_task(
+        restoring = asyncio.create_task(
             self.restore(
                 self.snapshot,
                 immediate_share=0.5,
@@ -267,11 +272,11 @@
                 rewrite_s=0.1,
             )
         )
-        await returning
-        answer = await self.feed(8)
-        self.assertEqual(answer.status, 200)
-        self.assertEqual(answer.headers['store-era'], '2')
-        [row] = json.loads(answer.body)['rows']
+        await restoring
+        response = await self.feed(8)
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.headers['store-era'], '2')
+        [row] = json.loads(response.body)['rows']
         self.assertEqual(row['ver'], 13)
         self.assertEqual(set(await self.rows('servers')), {*'abcd'})
 
