--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/evidence.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/evidence.py
@@ -1,4 +1,4 @@
-"""Keeps what a failed test leaves behind, for a trace after the run."""
+"""Saves logs and reports of failed tests for later analysis."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 
 
 def folder(root: pathlib.Path) -> pathlib.Path:
-    """Returns where evidence is kept: `$QUETZALSILL_EVIDENCE`, or in a root."""
+    """Returns the folder for evidence.
+
+    It is `$QUETZALSILL_EVIDENCE`, or `test-evidence` in `root` if unset.
+    """
     return pathlib.Path(os.environ.get(ENVIRONMENT, root / DEFAULT))
 
 
 def keep(within: pathlib.Path, test: str, source: pathlib.Path) -> pathlib.Path:
-    """Copies the files of a failed test; returns the folder of the copy."""
+    """Copies the files of a failed test; returns the target folder."""
     target = _unused(within, test)
     shutil.copytree(source, target)
     return target
@@ -28,7 +31,7 @@
 def write(
     within: pathlib.Path, test: str, name: str, text: str
 ) -> pathlib.Path:
-    """Writes a file as evidence of a failed test; returns its path."""
+    """Writes a file about a failed test; returns its path."""
     target = _unused(within, test)
     target.mkdir(parents=True)
     path = target / name
@@ -37,6 +40,6 @@
 
 
 def _unused(within: pathlib.Path, test: str) -> pathlib.Path:
-    """Returns a folder of its own for each failure of a test."""
+    """Returns an unused folder for a failure of a test."""
     names = (within / f'{test}.{number}' for number in itertools.count())
     return next(path for path in names if not path.exists())
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/known_red.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail, KNOWN-RED.txt at the root."""
+"""Reads KNOWN-RED.txt, the list of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 if TYPE_CHECKING:
     import pathlib
 
-__all__ = ['FILE', 'KnownRed', 'load']
+__all__ = ['FILE_NAME', 'KnownRed', 'load']
 
-FILE = 'KNOWN-RED.txt'
+FILE_NAME = 'KNOWN-RED.txt'
 
 
 @dataclasses.dataclass(slots=True)
 class KnownRed:
-    """A test that fails for a fault that is not fixed yet.
+    """A test that fails because of a fault that is not fixed yet.
 
     Attributes:
       test: Dotted name of the test.
-      line: The whole line: test, cause, issue.
+      line: Complete line of the entry: test, cause, issue.
     """
 
     test: str
@@ -27,8 +27,8 @@
 
 
 def load(root: pathlib.Path) -> list[KnownRed]:
-    """Reads the list; a missing file is an empty list."""
-    path = root / FILE
+    """Reads the list; it is empty if the file is missing."""
+    path = root / FILE_NAME
     if not path.exists():
         return []
     lines = (line.strip() for line in path.read_text().splitlines())
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/outcome.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/outcome.py
@@ -1,8 +1,7 @@
-"""What one test module's run told: counts and the names that failed.
+"""Parses the report of a test module's run: counts and failed tests.
 
-`python -m unittest` reports on standard error; the parts read here are the
-header of each failure (after a line of seventy `=`), the count of tests and
-the closing line.
+The parsed parts of the report of `python -m unittest` are the header of each
+failure (after a line of seventy `=`), the number of tests and the last line.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 import dataclasses
 import re
 
-__all__ = ['Outcome', 'read']
+__all__ = ['Outcome', 'parse']
 
 _HEADER = re.compile(
     r'^={70}\n(?:FAIL|ERROR|UNEXPECTED SUCCESS): (\S+)(?: \(([^)\s]+)\))?',
@@ -18,7 +17,7 @@
 )
 _UNEXPECTED = re.compile(r'^UNEXPECTED SUCCESS: \S+ \(([^)\s]+)\)', re.M)
 _RAN = re.compile(r'^Ran (\d+) tests? in ', re.MULTILINE)
-_CLOSING = re.compile(r'^(?:OK|FAILED)(?: \((.*)\))?$', re.MULTILINE)
+_SUMMARY = re.compile(r'^(?:OK|FAILED)(?: \((.*)\))?$', re.MULTILINE)
 _FIXTURES = frozenset(
     ('setUpClass', 'tearDownClass', 'setUpModule', 'tearDownModule')
 )
@@ -26,16 +25,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """Result of one module.
+    """Result of a test module.
 
     Attributes:
       module: Dotted name of the module.
-      ran: Tests that were run.
-      skipped: Tests that were skipped.
-      failed: Dotted names of failed tests, fixtures, or the module itself
-        if it crashed, in order and each once.
-      seconds: Time that the run took.
-      report: Everything that the run printed.
+      ran: Number of tests that were run.
+      skipped: Number of tests that were skipped.
+      failed: Dotted names of failed tests and fixtures, or of the module itself
+        if it crashed, in order and without duplicates.
+      seconds: Duration of the run.
+      report: Complete output of the run.
     """
 
     module: str
@@ -47,18 +46,20 @@
 
     @property
     def passed(self) -> int:
-        """Tests that ran to a good end."""
+        """Number of tests that passed."""
         failed_tests = sum(not _is_fixture(name) for name in self.failed)
         return max(self.ran - self.skipped - failed_tests, 0)
 
 
-def read(module: str, exit_status: int, report: str, seconds: float) -> Outcome:
-    """Reads a run's report; a run without an end counts as one failure."""
+def parse(
+    module: str, exit_status: int, report: str, seconds: float
+) -> Outcome:
+    """Parses a report; a run without a summary counts as one failure."""
     outcome = Outcome(module, seconds=seconds, report=report)
     ran = _RAN.findall(report)
     if ran:
         outcome.ran = int(ran[-1])
-        outcome.skipped = _closing_count(report, 'skipped')
+        outcome.skipped = _summary_count(report, 'skipped')
     outcome.failed = list(dict.fromkeys(_failed_names(report)))
     crashed = exit_status != 0 and not outcome.failed
     if crashed or not ran:
@@ -68,7 +69,7 @@
 
 
 def _failed_names(report: str) -> list[str]:
-    names = [_dotted(*found.groups()) for found in _HEADER.finditer(report)]
+    names = [_dotted(*match.groups()) for match in _HEADER.finditer(report)]
     return names + _UNEXPECTED.findall(report)
 
 
@@ -84,7 +85,7 @@
     return name.rpartition('.')[2] in _FIXTURES
 
 
-def _closing_count(report: str, word: str) -> int:
-    closings = _CLOSING.findall(report)
-    found = re.search(rf'\b{word}=(\d+)', closings[-1]) if closings else None
-    return int(found[1]) if found else 0
+def _summary_count(report: str, word: str) -> int:
+    summaries = _SUMMARY.findall(report)
+    match = re.search(rf'\b{word}=(\d+)', summaries[-1]) if summaries else None
+    return int(match[1]) if match else 0
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pause.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pause.py
@@ -1,4 +1,4 @@
-"""A pause of the process that runs a test, as a stop signal makes it."""
+"""Simulates SIGSTOP and SIGCONT for the process that runs a test."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def pause(duration_s: float) -> None:
-    """Pauses the running event loop; due timers run before it reads anything.
+    """Pauses the running event loop; it then runs due timers before it reads.
 
-    A wait for input that is interrupted by a stop ends with nothing if its time
-    is over by then. So the loop runs its timers first, and reads what has come
-    in its next turn.
+    If a process is stopped while it waits for input and the timeout expires
+    meanwhile, the wait returns no events. The loop therefore runs its timers
+    first and reads the received data in its next iteration.
 
     Args:
-      duration_s: In seconds.
+      duration_s: Length of the pause, in seconds.
     """
     selector = asyncio.get_running_loop()._selector
     select = selector.select
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pauses.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pauses.py
@@ -1,11 +1,12 @@
-"""Runs tests while their processes are paused at random, from a seed.
+"""Runs tests while their processes are paused at random times, from a seed.
 
 Usage: `python -m quetzalsill_dev.testing.pauses TEST [--seeds N]`.
 
-A busy machine fails a test mostly by pausing one of its processes at a bad
-moment. This plays such pauses, so that a failure has a seed: which process is
-paused, when and for how long follow from it. The order of events within the
-processes does not, so that a seed may fail in some of its runs only.
+On a busy machine, tests fail mostly because one of their processes is paused at
+a critical time. This module injects such pauses, so that a failure has a seed,
+which determines the paused process, the time and the length of each pause. It
+doesn't determine the order of events within the processes, so that a seed may
+fail in some of its runs only.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ['Bounds', 'Pause', 'Result', 'main', 'play', 'plan']
+__all__ = ['Bounds', 'Pause', 'Result', 'main', 'run', 'generate']
 
 POLL_S = 0.01
-RUN_BOUND_S = 300.0
+MAX_RUN_S = 300.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bounds:
-    """How long processes are paused, and how often.
+    """Limits of the pauses and of the gaps between them.
 
     Attributes:
-      shortest_s: Shortest pause.
-      longest_s: Longest pause.
-      gap_s: Mean time between the end of a pause and the next one.
+      shortest_s: Minimum length of a pause, in seconds.
+      longest_s: Maximum length of a pause, in seconds.
+      gap_s: Mean time from the end of a pause to the next one, in seconds.
     """
 
     shortest_s: float = 0.02
@@ -52,12 +53,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pause:
-    """One pause.
+    """A pause of one process.
 
     Attributes:
-      after_s: Time since the end of the last one.
-      share: Picks the process, as a position in the list of all: 0 to 1.
-      length_s: How long the process is stopped.
+      after_s: Time since the end of the previous pause, in seconds.
+      share: Selects the process: its relative position in the list of all, from
+        0 to 1.
+      length_s: How long the process is stopped, in seconds.
     """
 
     after_s: float
@@ -67,12 +69,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """A test under pauses.
+    """Result of a test run with pauses.
 
     Attributes:
       status: Exit status of the test process.
-      report: What it printed.
-      pauses: A line for each pause that was played.
+      report: Its output.
+      pauses: A line for each injected pause.
     """
 
     status: int
@@ -80,28 +82,28 @@
     pauses: list[str]
 
 
-def plan(seed: int, bounds: Bounds) -> Iterator[Pause]:
-    """Yields the pauses of a seed, without end."""
-    draw = random.Random(seed)
+def generate(seed: int, bounds: Bounds) -> Iterator[Pause]:
+    """Yields the infinite sequence of pauses of a seed."""
+    rng = random.Random(seed)
     while True:
         yield Pause(
-            draw.expovariate(1 / bounds.gap_s),
-            draw.random(),
-            draw.uniform(bounds.shortest_s, bounds.longest_s),
+            rng.expovariate(1 / bounds.gap_s),
+            rng.random(),
+            rng.uniform(bounds.shortest_s, bounds.longest_s),
         )
 
 
-def play(
+def run(
     test: str, seed: int, bounds: Bounds, only: str, folder: pathlib.Path
 ) -> Result:
-    """Runs a test once under the pauses of a seed.
+    """Runs a test once with the pauses of a seed.
 
     Args:
       test: Dotted name of a module, class or test.
       seed: Seed of the pauses.
-      bounds: Lengths of the pauses and of the gaps between them.
-      only: Pattern of the command lines of the processes that are paused.
-      folder: Where the evidence of a failure is kept.
+      bounds: Limits of the pauses and of the gaps between them.
+      only: Regular expression for the command lines of processes to pause.
+      folder: Folder for the evidence of a failure.
     """
     report = folder / f'report-{seed}.txt'
     with report.open('w') as file:
@@ -115,7 +117,7 @@
             start_new_session=True,
         )
         try:
-            pauses = list(_pause_all(process, plan(seed, bounds), only))
+            pauses = list(_pause_all(process, generate(seed, bounds), only))
             process.wait()
         finally:
             with contextlib.suppress(ProcessLookupError):
@@ -126,25 +128,25 @@
 def _pause_all(
     process: subprocess.Popen[bytes], pauses: Iterator[Pause], only: str
 ) -> Iterator[str]:
-    """Plays pauses until the test has ended; yields a line for each."""
-    begun_s = time.monotonic()
+    """Injects pauses until the test has ended; yields a line for each."""
+    started_s = time.monotonic()
     for pause in pauses:
         if not _sleep_while_running(process, pause.after_s):
             return
-        if time.monotonic() - begun_s > RUN_BOUND_S:
+        if time.monotonic() - started_s > MAX_RUN_S:
             process.kill()
             return
-        found = [
+        candidates = [
             (pid, line)
-            for pid, line in _family(process.pid)
+            for pid, line in _list_processes(process.pid)
             if re.search(only, line)
         ]
-        if not found:
+        if not candidates:
             continue
-        pid, line = found[int(pause.share * len(found))]
+        pid, line = candidates[int(pause.share * len(candidates))]
         if _is_stopped(pid):
             continue
-        at_s = time.monotonic() - begun_s
+        at_s = time.monotonic() - started_s
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGSTOP)
             try:
@@ -167,8 +169,8 @@
     return False
 
 
-def _family(pid: int) -> list[tuple[int, str]]:
-    """Returns a process and those that it has started: id and command line."""
+def _list_processes(pid: int) -> list[tuple[int, str]]:
+    """Returns ids and command lines of a process and its children."""
     children = pathlib.Path(f'/proc/{pid}/task/{pid}/children')
     try:
         pids = [pid, *map(int, children.read_text().split())]
@@ -178,12 +180,12 @@
 
 
 def _is_stopped(pid: int) -> bool:
-    """Whether a test has stopped a process itself, which is not to go on."""
+    """Whether the test itself has stopped a process, which must stay so."""
     try:
         stat = pathlib.Path(f'/proc/{pid}/stat').read_text()
     except OSError:
         return False
-    # The state follows the name, which may hold blanks and brackets.
+    # The state follows the name, which may contain spaces and parentheses.
     return stat.rpartition(')')[2].split()[0] == 'T'
 
 
@@ -198,11 +200,11 @@
 @click.command()
 @click.argument('test')
 @click.option('--first', default=0, help='First seed.')
-@click.option('--seeds', default=20, help='How many seeds.')
-@click.option('--shortest-ms', default=20, help='Shortest pause.')
-@click.option('--longest-ms', default=2000, help='Longest pause.')
+@click.option('--seeds', default=20, help='Number of seeds.')
+@click.option('--shortest-ms', default=20, help='Minimum pause.')
+@click.option('--longest-ms', default=2000, help='Maximum pause.')
 @click.option('--gap-ms', default=300, help='Mean time between pauses.')
-@click.option('--only', default='', help='Pattern of command lines to pause.')
+@click.option('--only', default='', help='Regex for command lines to pause.')
 def main(
     test: str,
     first: int,
@@ -212,18 +214,18 @@
     gap_ms: int,
     only: str,
 ) -> None:
-    """Runs TEST once for each seed; keeps the evidence of failures."""
+    """Runs TEST once for each seed and saves the evidence of failures."""
     bounds = Bounds(shortest_ms / 1000, longest_ms / 1000, gap_ms / 1000)
     within = evidence.folder(pathlib.Path.cwd())
     failed = 0
     for seed in range(first, first + seeds):
         folder = within / f'{test}.seed-{seed}'
         folder.mkdir(parents=True, exist_ok=True)
-        result = play(test, seed, bounds, only, folder)
+        result = run(test, seed, bounds, only, folder)
         failed += result.status != 0
         (folder / 'pauses.txt').write_text('\n'.join(result.pauses) + '\n')
-        verdict = 'FAILED' if result.status else 'ok'
-        print(f'{verdict:6} seed {seed} ({len(result.pauses)} pauses)')
+        state = 'FAILED' if result.status else 'ok'
+        print(f'{state:6} seed {seed} ({len(result.pauses)} pauses)')
         sys.stdout.flush()
     print(f'{seeds - failed} passed, {failed} failed')
     sys.exit(1 if failed else 0)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/run_suite.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/run_suite.py
@@ -1,13 +1,13 @@
-"""Runs every test module in a process of its own, a few at a time.
+"""Runs each test module in a separate process, several at a time.
 
 Usage: `python -m quetzalsill_dev.testing.run_suite [MODULE-PREFIX ...]`.
 
-The last line is `N passed, N failed`. Tests listed in KNOWN-RED.txt count as
-failed too, but do not fail the run. Exit status 1 if any other test failed,
-if a module crashed or was stopped at its time bound, or if no test ran.
+The last line is `N passed, N failed`. Failed tests that are listed in
+KNOWN-RED.txt are counted too but do not fail the run. The exit status is 1 if
+any other test failed, if a module crashed or timed out, or if no test ran.
 
-The report of a module in which a test failed is kept, beside the logs that its
-tests left (`quetzalsill_dev.testing.evidence`).
+The report of a module with failed tests is saved, together with the logs of
+these tests (`quetzalsill_dev.testing.evidence`).
 """
 
 from __future__ import annotations
@@ -31,22 +31,22 @@
 __all__ = ['discover', 'main', 'run_module', 'run_modules', 'summarize']
 
 PARALLEL = 4
-MODULE_BOUND_S = 600.0
-DRAIN_BOUND_S = 10.0
-SLOW_FOLDER = 'tests.failure'
+MODULE_TIMEOUT_S = 600.0
+OUTPUT_TIMEOUT_S = 10.0
+SLOW_PREFIX = 'tests.failure'
 
 
 def discover(root: pathlib.Path) -> list[str]:
-    """Dotted names of all test modules, those of whole processes first."""
+    """Returns the names of all test modules, the slow ones first."""
     paths = (root / 'tests').rglob('test_*.py')
     names = ('.'.join(p.relative_to(root).with_suffix('').parts) for p in paths)
-    return sorted(names, key=lambda n: (not n.startswith(SLOW_FOLDER), n))
+    return sorted(names, key=lambda n: (not n.startswith(SLOW_PREFIX), n))
 
 
 def run_module(
-    root: pathlib.Path, module: str, bound_s: float = MODULE_BOUND_S
+    root: pathlib.Path, module: str, timeout_s: float = MODULE_TIMEOUT_S
 ) -> outcome_lib.Outcome:
-    """Runs one module; one that exceeds `bound_s` is ended and has failed."""
+    """Runs a module; it is killed and fails after `timeout_s`."""
     start = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, '-m', 'unittest', module],
@@ -64,21 +64,21 @@
         start_new_session=True,
     )
     try:
-        report, _ = process.communicate(timeout=bound_s)
+        report, _ = process.communicate(timeout=timeout_s)
         status = process.returncode
     except subprocess.TimeoutExpired:
-        _end_group(process.pid)
-        report, _ = process.communicate(timeout=DRAIN_BOUND_S)
-        report += f'\nstopped at the bound of {bound_s:g} s\n'
+        _kill_group(process.pid)
+        report, _ = process.communicate(timeout=OUTPUT_TIMEOUT_S)
+        report += f'\ntimed out after {timeout_s:g} s\n'
         status = -signal.SIGKILL
-    if _end_group(process.pid):
-        report += '\nleft processes behind, which were ended\n'
+    if _kill_group(process.pid):
+        report += '\nkilled processes that it left running\n'
     seconds = time.monotonic() - start
-    return outcome_lib.read(module, status, report, seconds)
+    return outcome_lib.parse(module, status, report, seconds)
 
 
-def _end_group(pid: int) -> bool:
-    """Kills what is left of the process group; False if nothing was."""
+def _kill_group(pid: int) -> bool:
+    """Kills the processes left in a group; False if there were none."""
     try:
         os.killpg(pid, signal.SIGKILL)
     except ProcessLookupError:
@@ -89,30 +89,30 @@
 def run_modules(
     root: pathlib.Path, modules: Iterable[str]
 ) -> Iterator[outcome_lib.Outcome]:
-    """Runs modules, a bounded number at once; yields each as it ends."""
+    """Runs modules, at most `PARALLEL` at once; yields results as they end."""
     with concurrent.futures.ThreadPoolExecutor(PARALLEL) as pool:
         futures = [pool.submit(run_module, root, name) for name in modules]
-        for fut in concurrent.futures.as_completed(futures):
-            yield fut.result()
+        for future in concurrent.futures.as_completed(futures):
+            yield future.result()
 
 
 def _print_module(outcome: outcome_lib.Outcome, root: pathlib.Path) -> None:
-    verdict = 'FAILED' if outcome.failed else 'ok'
+    state = 'FAILED' if outcome.failed else 'ok'
     skipped = f', {outcome.skipped} skipped' if outcome.skipped else ''
     counts = f'{outcome.ran} tests{skipped}, {outcome.seconds:.1f} s'
-    print(f'{verdict:6} {outcome.module} ({counts})', flush=True)
+    print(f'{state:6} {outcome.module} ({counts})', flush=True)
     if outcome.failed:
         print(outcome.report, flush=True)
-        kept = evidence.write(
+        path = evidence.write(
             evidence.folder(root), outcome.module, 'report.txt', outcome.report
         )
-        print(f'evidence: {kept}', flush=True)
+        print(f'evidence: {path}', flush=True)
 
 
 def summarize(
     outcomes: list[outcome_lib.Outcome], known: list[known_red.KnownRed]
 ) -> int:
-    """Prints the failures and the closing line; returns the exit status."""
+    """Prints the failures and the last line; returns the exit status."""
     passed = sum(outcome.passed for outcome in outcomes)
     failed = [name for outcome in outcomes for name in outcome.failed]
     listed = {entry.test for entry in known}
@@ -130,7 +130,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the suite, or the modules whose names begin as given."""
+    """Runs the suite, or the modules whose names start with a prefix."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('prefix', nargs='*', default=['tests'])
     parser.add_argument('--root', type=pathlib.Path, default=pathlib.Path.cwd())
--- a/tests/quetzalsill_dev/testing/test_pauses.py
+++ b/tests/quetzalsill_dev/testing/test_pauses.py
@@ -1,4 +1,4 @@
-"""Tests of seeded pauses, on processes that the test starts."""
+"""Tests of seeded pauses of processes that a test starts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
             child = subprocess.Popen([sys.executable, '-c', code, 'paused'])
             self.assertEqual(child.wait(), 0)
 """
-# The child stops itself, and ends if anybody has it go on.
+# The child stops itself; it exits if it gets a SIGCONT.
 STOPPED = """
     import os, signal, subprocess, sys, time, unittest
     class TestChild(unittest.TestCase):
@@ -37,30 +37,30 @@
 
 
 class PausesTest(unittest.TestCase):
-    """Which processes are paused, and when."""
+    """Selection and times of pauses."""
 
     def test_the_same_seed_gives_the_same_pauses(self):
-        def of(seed):
-            return [*itertools.islice(pauses.plan(seed, OFTEN), 20)]
+        def generate(seed):
+            return [*itertools.islice(pauses.generate(seed, OFTEN), 20)]
 
-        self.assertEqual(of(7), of(7))
-        self.assertNotEqual(of(7), of(8))
+        self.assertEqual(generate(7), generate(7))
+        self.assertNotEqual(generate(7), generate(8))
 
-    def play(self, test):
-        """Returns what came of a test whose child is paused."""
+    def run_test(self, test):
+        """Returns the result of a test whose child is paused."""
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
             (folder / 'child_test.py').write_text(textwrap.dedent(test))
             with mock.patch.dict('os.environ', PYTHONPATH=name):
-                return pauses.play('child_test', 3, OFTEN, 'paused$', folder)
+                return pauses.run('child_test', 3, OFTEN, 'paused$', folder)
 
     def test_a_process_that_the_test_has_stopped_stays_so(self):
-        """A paused router goes on before its test has it go on."""
-        result = self.play(STOPPED)
+        """The end of an injected pause must not resume such a process."""
+        result = self.run_test(STOPPED)
         self.assertEqual(result.status, 0, result.report)
 
-    def test_only_the_named_processes_are_paused_and_all_go_on(self):
-        result = self.play(PARENT)
+    def test_only_matching_processes_are_paused_and_all_resume(self):
+        result = self.run_test(PARENT)
         self.assertEqual(result.status, 0, result.report)
         self.assertTrue(result.pauses)
         for line in result.pauses:
--- a/tests/quetzalsill_dev/testing/test_run_suite.py
+++ b/tests/quetzalsill_dev/testing/test_run_suite.py
@@ -1,4 +1,4 @@
-"""Tests of the suite runner on a small suite written by the test."""
+"""Tests of the suite runner with small generated suites."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class RunSuiteTest(unittest.TestCase):
-    """Counts, exit status and printed lines of a run."""
+    """Counts, exit status and output of a run."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -53,13 +53,13 @@
         path.write_text(textwrap.dedent(text))
 
     def run_all(self):
-        """Exit status and printed lines of a run."""
+        """Returns the exit status and output lines of a run."""
         printed = io.StringIO()
-        # The runner of this very test has set its own.
-        kept = {evidence.ENVIRONMENT: str(self.root / 'test-evidence')}
+        # The runner of this test has set the variable to its own folder.
+        environment = {evidence.ENVIRONMENT: str(self.root / 'test-evidence')}
         with (
             contextlib.redirect_stdout(printed),
-            mock.patch.dict('os.environ', kept),
+            mock.patch.dict('os.environ', environment),
         ):
             status = run_suite.main(['--root', str(self.root)])
         return status, printed.getvalue().splitlines()
@@ -88,13 +88,13 @@
         self.assertEqual(status, 1)
         self.assertEqual(lines[-1], '2 passed, 3 failed')
 
-    def test_module_over_its_bound_has_failed(self):
+    def test_module_that_times_out_has_failed(self):
         self.write('test_hangs', 'import time; time.sleep(600)')
         outcome = run_suite.run_module(self.root, 'tests.test_hangs', 0.5)
         self.assertEqual(outcome.failed, ['tests.test_hangs'])
         self.assertEqual(outcome.passed, 0)
 
-    def test_only_listed_failures_are_passed_over(self):
+    def test_only_listed_failures_do_not_fail_the_run(self):
         self.write('test_bad', BAD)
         listed = self.root / 'KNOWN-RED.txt'
         first = 'tests.test_bad.TestBad.test_fails, cause, issue 9'
@@ -110,23 +110,23 @@
         self.assertEqual(lines[-1], '1 passed, 2 failed')
 
     def test_reports_of_failed_modules_are_kept(self):
-        """A failure that shows once can't be traced: its lines are gone."""
+        """A failure that can't be reproduced is analyzed from its report."""
         self.write('test_good', GOOD)
         self.write('test_bad', BAD)
         lines = self.run_all()[1]
-        (kept,) = (self.root / 'test-evidence').rglob('report.txt')
-        self.assertIn('AssertionError: 1 != 2', kept.read_text())
-        self.assertIn(f'evidence: {kept}', lines)
+        (report,) = (self.root / 'test-evidence').rglob('report.txt')
+        self.assertIn('AssertionError: 1 != 2', report.read_text())
+        self.assertIn(f'evidence: {report}', lines)
 
     def test_every_known_failure_may_be_listed(self):
-        """A failure stays unlisted because the list is full."""
+        """The number of entries is not limited."""
         self.write('test_bad', BAD)
         names = ['fails', 'subtests', *(f'gone_{n}' for n in range(4))]
         lines = (f'tests.test_bad.TestBad.test_{name}, cause' for name in names)
         (self.root / 'KNOWN-RED.txt').write_text('\n'.join(lines))
         self.assertEqual(self.run_all()[0], 0)
 
-    def test_no_test_at_all_fails(self):
+    def test_run_without_tests_fails(self):
         self.assertEqual(self.run_all()[0], 1)
 
 
