--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of a model engine: batching, memory, preemption, resume."""
+"""Stand-in of a model engine: batching, KV cache, preemption, resume."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/__main__.py
@@ -12,13 +12,19 @@
 
 @click.command()
 @click.option('--host', default='127.0.0.1')
-@click.option('--port', default=0, help='0 lets the kernel choose.')
+@click.option('--port', default=0, help='0 for a free port.')
 @click.option('--capacity-tokens', default=20_000, type=click.IntRange(2))
 @click.option('--max-batch', default=64, type=click.IntRange(1))
-@click.option('--token-s', default=0.02, help='Time of an unloaded step.')
-@click.option('--models', default='', help='Names, separated by commas.')
+@click.option(
+    '--token-s',
+    default=0.02,
+    help='Duration of a step without load, in seconds.',
+)
+@click.option(
+    '--models', default='', help='Names of loaded models, separated by commas.'
+)
 @click.option('--checks-fence', is_flag=True)
-@click.option('--seed', default=0, help='Seed of the lengths of answers.')
+@click.option('--seed', default=0, help='Seed of the lengths of responses.')
 def main(
     host: str,
     port: int,
@@ -29,7 +35,7 @@
     checks_fence: bool,
     seed: int,
 ) -> None:
-    """Runs a stand-in of a model engine until it is told to stop."""
+    """Runs a stand-in of a model engine until SIGTERM or SIGINT."""
     options = engine.EngineOptions(
         capacity_tokens=capacity_tokens,
         max_batch=max_batch,
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/app.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/app.py
@@ -1,4 +1,4 @@
-"""HTTP around the engine stand-in."""
+"""HTTP interface of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 EVENT_STREAM = b'text/event-stream'
 JSON = b'application/json'
 
-_REFUSALS = (
+_ERRORS = (
     (engine.DuplicateRequestError, 409, 'duplicate_request'),
     (engine.ForbiddenRequestError, 409, 'forbidden'),
     (engine.ModelNotLoadedError, 404, 'model_not_loaded'),
@@ -36,16 +36,16 @@
 )
 
 
-def _answer(plain: Any, status: int = 200) -> blacksheep.Response:
+def _json_response(plain: Any, status: int = 200) -> blacksheep.Response:
     content = blacksheep.Content(JSON, json.dumps(plain).encode())
     return blacksheep.Response(status, content=content)
 
 
-def _refusal(exc: Exception) -> blacksheep.Response:
-    for kind, status, code in _REFUSALS:
+def _error_response(exc: Exception) -> blacksheep.Response:
+    for kind, status, code in _ERRORS:
         if isinstance(exc, kind):
             error = {'code': code, 'message': str(exc)}
-            return _answer({'error': error}, status)
+            return _json_response({'error': error}, status)
     raise exc
 
 
@@ -75,22 +75,25 @@
 async def _complete(
     served: engine.Engine, req: blacksheep.Request, chat: bool
 ) -> blacksheep.Response:
-    asked = completion.parse(await _json(req), chat)
-    started = served.start(asked)
-    if asked.stream:
+    parsed = completion.parse(await _json(req), chat)
+    started = served.start(parsed)
+    if parsed.stream:
         return _stream(started, 0)
     async for _ in started.read(0):
         pass
     if started.state is not generation.State.FINISHED:
-        return _answer({'error': {'code': started.state}}, 409)
-    return _answer(
-        completion.whole_answer(
-            asked, started.number, len(started.events), started.finish_reason
+        return _json_response({'error': {'code': started.state}}, 409)
+    return _json_response(
+        completion.build_response(
+            parsed,
+            started.number,
+            len(started.events),
+            started.finish_reason,
         )
     )
 
 
-async def _order(
+async def _execute_order(
     served: engine.Engine, req: blacksheep.Request
 ) -> blacksheep.Response:
     plain = await _json(req)
@@ -100,11 +103,11 @@
     if not isinstance(name, str) or type(fence) is not int:
         raise completion.InvalidRequestError('name or fence')
     await served.orders.carry_out(orders.Order(plain['kind'], name, fence))
-    return _answer({'done': True})
+    return _json_response({'done': True})
 
 
 def make_app(served: engine.Engine) -> blacksheep.Application:
-    """The application of one engine, which runs as long as it is served."""
+    """Returns the application of an engine and runs the engine with it."""
     app = blacksheep.Application(router=blacksheep.Router())
     tasks: list[asyncio.Task[None]] = []
 
@@ -117,17 +120,17 @@
         for task in tasks:
             task.cancel()
 
-    for kind, _, _ in _REFUSALS:
-        app.exceptions_handlers[kind] = _handle_refusal
+    for kind, _, _ in _ERRORS:
+        app.exceptions_handlers[kind] = _handle_error
     _add_generation_routes(app, served)
     _add_state_routes(app, served)
     return app
 
 
-async def _handle_refusal(
+async def _handle_error(
     app: blacksheep.Application, req: blacksheep.Request, exc: Exception
 ) -> blacksheep.Response:
-    return _refusal(exc)
+    return _error_response(exc)
 
 
 def _add_generation_routes(
@@ -146,13 +149,13 @@
     @route.post('/v1/requests/{request_id}/cancel')
     async def cancel(request: blacksheep.Request) -> blacksheep.Response:
         request_id = request.route_values['request_id']
-        return _answer({'state': served.cancel(request_id)})
+        return _json_response({'state': served.cancel(request_id)})
 
     @route.get('/v1/requests/{request_id}/stream')
     async def resume(request: blacksheep.Request) -> blacksheep.Response:
         found = served.get(request.route_values['request_id'])
         if found is None:
-            return _answer({'incarnation': served.incarnation}, 404)
+            return _json_response({'incarnation': served.incarnation}, 404)
         return _stream(found, _query_int(request, 'from'))
 
 
@@ -163,25 +166,25 @@
 
     @route.get('/load')
     async def load() -> blacksheep.Response:
-        return _answer(served.load())
+        return _json_response(served.load())
 
     @route.get('/cache-events')
     async def cache_events(request: blacksheep.Request) -> blacksheep.Response:
         since = _query_int(request, 'since')
-        return _answer({'events': served.cache_log.since(since)})
+        return _json_response({'events': served.cache_log.since(since)})
 
     @route.post('/orders')
     async def order(request: blacksheep.Request) -> blacksheep.Response:
-        return await _order(served, request)
+        return await _execute_order(served, request)
 
     @route.post('/stand-in')
     async def set_switches(request: blacksheep.Request) -> blacksheep.Response:
         served.set_switches(await _json(request))
-        return _answer({})
+        return _json_response({})
 
     @route.get('/stand-in/audit')
     async def audit() -> blacksheep.Response:
-        return _answer(served.audit())
+        return _json_response(served.audit())
 
 
 def _query_int(req: blacksheep.Request, name: str) -> int:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/completion.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/completion.py
@@ -1,4 +1,4 @@
-"""Requests for a generation and the events that answer them."""
+"""Requests for a generation, and the events and responses for them."""
 
 from __future__ import annotations
 
@@ -23,33 +23,33 @@
     'error_event',
     'event_writer',
     'parse',
-    'whole_answer',
+    'build_response',
 ]
 
 DONE = b'data: [DONE]\n\n'
 FIXED_LENGTH = re.compile(r'\[\[tokens=(\d{1,6})\]\]')
 LENGTH_MU = 5.0
 LENGTH_SIGMA = 1.3
-LENGTH_MAXIMUM = 20_000
+MAX_LENGTH = 20_000
 
 
 class InvalidRequestError(ValueError):
-    """A field of the request is missing or of another type."""
+    """A field of the request is missing or has an invalid value."""
 
 
 @dataclasses.dataclass(slots=True)
 class CompletionRequest:
-    """A request for one generation.
+    """A request for a generation.
 
     Attributes:
-      request_id: Id given by the caller, or one made here.
+      request_id: Id from the caller, or a generated one.
       model: Name of the model.
       adapter: Name of the adapter; empty for none.
-      prompt: The prompt, or the messages of a chat as one text.
-      chat: It came as a chat.
-      stream: It is answered by events.
-      priority: 0 is served first.
-      max_tokens: Bound on the answer; None for no bound.
+      prompt: The prompt, or the messages of a chat joined to one text.
+      chat: Whether it is a chat completion.
+      stream: Whether the response is an event stream.
+      priority: 0 is the highest priority.
+      max_tokens: Maximum length of the response; None for no limit.
     """
 
     request_id: str
@@ -62,15 +62,15 @@
     max_tokens: int | None
 
     def length(self, seed: int) -> int:
-        """Length of the answer without the bound."""
+        """Returns the response's length in tokens, without `max_tokens`."""
         return draw_length(self.prompt, seed)
 
 
 def parse(plain: Any, chat: bool) -> CompletionRequest:
-    """Reads a request's JSON.
+    """Parses the decoded JSON of a request.
 
     Raises:
-      InvalidRequestError: A field does not fit.
+      InvalidRequestError: A field is missing or has an invalid value.
     """
     if not isinstance(plain, dict):
         raise InvalidRequestError('the body is not an object')
@@ -115,20 +115,24 @@
 
 
 def draw_length(prompt: str, seed: int) -> int:
-    """True length of the answer: as the prompt fixes it, else heavy-tailed."""
+    """Returns the length of the response to a prompt, in tokens.
+
+    It is the one that the prompt sets with `[[tokens=N]]`, else drawn from a
+    heavy-tailed distribution.
+    """
     fixed = FIXED_LENGTH.search(prompt)
     if fixed:
         return max(int(fixed[1]), 1)
     draw = random.Random(f'{seed}/{prompt}').lognormvariate(
         LENGTH_MU, LENGTH_SIGMA
     )
-    return min(max(int(draw), 1), LENGTH_MAXIMUM)
+    return min(max(int(draw), 1), MAX_LENGTH)
 
 
 def event_writer(
     req: CompletionRequest, number: int, finish_reason: str
 ) -> Callable[[int, bool], bytes]:
-    """Makes the function that writes the event of a token."""
+    """Returns a function that encodes the event of a token."""
     created = int(time.time())
 
     def write(index: int, last: bool) -> bytes:
@@ -146,14 +150,14 @@
 
 
 def error_event(code: str) -> bytes:
-    """Event that ends a stream which cannot be completed."""
+    """Returns the event that ends a stream which can't be completed."""
     return b'data: ' + json.dumps({'error': {'code': code}}).encode() + b'\n\n'
 
 
-def whole_answer(
+def build_response(
     req: CompletionRequest, number: int, tokens: int, finish_reason: str
 ) -> dict[str, Any]:
-    """The whole answer as one object."""
+    """Returns the complete response of a request without streaming."""
     text = ''.join(f'g{number}.{index} ' for index in range(tokens))
     choice: dict[str, Any] = {'index': 0, 'finish_reason': finish_reason}
     if req.chat:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/engine.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/engine.py
@@ -1,4 +1,4 @@
-"""The engine: its batch driven by a clock, and all that it remembers."""
+"""The engine: a batch driven by a clock, and a record of its runs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 DIGEST_LENGTH = 16
 NUMBERS_PER_ENGINE = 10**6
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 
 
 class ModelNotLoadedError(Exception):
@@ -40,24 +40,24 @@
 
 
 class DuplicateRequestError(Exception):
-    """A generation was begun under this id already."""
+    """A generation was already started with this id."""
 
 
 class ForbiddenRequestError(Exception):
-    """The id was cancelled before the request came."""
+    """The id was cancelled before the request was received."""
 
 
 @dataclasses.dataclass(slots=True)
 class EngineOptions:
-    """How an engine is made.
+    """Options of an engine.
 
     Attributes:
-      capacity_tokens: Key-value memory.
-      max_batch: Sequences in a batch.
-      costs: Time of a step.
-      models: Models loaded at the start.
-      checks_fence: Orders with an old fencing number are refused.
-      seed: Seed of the answers' lengths.
+      capacity_tokens: Size of the KV cache, in tokens.
+      max_batch: Maximum number of sequences in a batch.
+      costs: Costs of a step.
+      models: Models that are loaded at the start.
+      checks_fence: Whether orders with a stale fencing token are refused.
+      seed: Seed of the lengths of responses.
     """
 
     capacity_tokens: int = 20_000
@@ -69,14 +69,14 @@
 
 
 class Engine:
-    """One model engine.
+    """A model engine.
 
     Attributes:
-      incarnation: Number of this run of the engine.
-      switch: Switches that make it misbehave.
-      orders: Orders and what they led to.
-      cache_log: Cache events, published late.
-      refusals: Request ids refused as duplicate or forbidden.
+      incarnation: Id of this run of the engine.
+      switch: Switches for its faults.
+      orders: Executes orders and stores their results.
+      cache_log: Cache events, which are published with a lag.
+      refusals: Request ids that were refused as duplicate or forbidden.
     """
 
     def __init__(
@@ -97,34 +97,34 @@
         self._sleep = sleep
         self._load_log = report.LoadLog(self.switch, clock)
         self._generations = generation.Generations()
-        # Numbers must differ between engines, or an answer spliced from two
-        # engines could look like one generation.
+        # Numbers must differ between engines, or a response assembled from two
+        # engines could look like a single generation.
         first = secrets.randbits(28) * NUMBERS_PER_ENGINE
         self._numbers = itertools.count(first + 1)
         self._token_s = options.costs.base_s
-        self._wanted = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._batch = model.Batch(
             options.capacity_tokens,
             options.max_batch,
             options.costs,
             self.cache_log.add,
         )
-        self._note_load()
+        self._record_load()
 
     def start(self, req: completion.CompletionRequest) -> generation.Generation:
         """Queues a generation.
 
         Raises:
           ModelNotLoadedError: Its model or adapter is not loaded.
-          DuplicateRequestError: The id was used before.
+          DuplicateRequestError: The id was already used.
           ForbiddenRequestError: The id was cancelled before.
-          model.PromptTooLongError: The prompt does not fit.
+          model.PromptTooLongError: The prompt doesn't fit into the KV cache.
         """
         self._check(req)
         length = req.length(self._options.seed)
-        bound = req.max_tokens or length
-        seq = self._batch.submit(req.prompt, min(length, bound), req.priority)
-        whole = seq.target == length
+        limit = req.max_tokens or length
+        seq = self._batch.submit(req.prompt, min(length, limit), req.priority)
+        is_complete = seq.target == length
         number = next(self._numbers)
         digest = hashlib.sha256(req.prompt.encode(errors='surrogatepass'))
         started = generation.Generation(
@@ -132,14 +132,14 @@
             number=number,
             prompt_digest=digest.hexdigest()[:DIGEST_LENGTH],
             sequence=seq,
-            finish_reason='stop' if whole else 'length',
+            finish_reason='stop' if is_complete else 'length',
             write_event=completion.event_writer(
-                req, number, 'stop' if whole else 'length'
+                req, number, 'stop' if is_complete else 'length'
             ),
         )
         self._generations.add(started)
-        self._note_load()
-        self._wanted.set()
+        self._record_load()
+        self._work_available.set()
         return started
 
     def _check(self, req: completion.CompletionRequest) -> None:
@@ -156,11 +156,11 @@
             raise ModelNotLoadedError(req.adapter)
 
     def get(self, request_id: str) -> generation.Generation | None:
-        """The generation of a request, if it is still kept."""
+        """Returns the generation of a request, or None if it isn't kept."""
         return self._generations.get(request_id)
 
     def cancel(self, request_id: str) -> str:
-        """Cancels a generation, or forbids that it ever starts."""
+        """Cancels a generation, or forbids its start; returns its state."""
         found = self._generations.get(request_id)
         if found is None:
             if self._generations.was_seen(request_id):
@@ -171,17 +171,17 @@
             self._batch.cancel(found.sequence)
             found.end(generation.State.CANCELLED)
             self._generations.retire(found)
-            self._note_load()
+            self._record_load()
         return found.state
 
     async def run(self) -> None:
-        """Makes steps for ever, one after the other."""
+        """Executes steps until it is cancelled."""
         due = self._clock()
         while True:
             step = None if self.switch.stall else self._batch.step()
             if step is None:
-                self._wanted.clear()
-                await self._wanted.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 due = self._clock()
                 continue
             self._mark_started(step)
@@ -196,25 +196,25 @@
                 found.mark('started')
 
     def _publish(self, step: model.Step, duration_s: float) -> None:
-        """Hands out the tokens of a step once its time has passed."""
+        """Publishes the tokens of a step once its time has elapsed."""
         for token in step.tokens:
             found = self._generations.of(token.sequence)
-            # A sequence cancelled during the step has no generation.
+            # A sequence that was cancelled during the step has no generation.
             if found is None:
                 continue
             found.add(token.index, token.last)
             if token.last:
                 self._generations.retire(found)
-        self._token_s += SMOOTHING * (duration_s - self._token_s)
-        self._note_load()
+        self._token_s += SMOOTHING_FACTOR * (duration_s - self._token_s)
+        self._record_load()
 
     def set_switches(self, values: dict[str, Any]) -> None:
-        """Sets switches; raises `switches.UnknownSwitchError`."""
+        """Sets switches by name; raises `switches.UnknownSwitchError`."""
         self.switch.update(values)
-        self._wanted.set()
+        self._work_available.set()
 
     def load(self) -> dict[str, Any]:
-        """The load report: figures lag, what the engine is does not."""
+        """Returns the load report; only its load figures have a lag."""
         return self._load_log.read() | {
             'incarnation': self.incarnation,
             'capacity_tokens': self._batch.capacity_tokens,
@@ -225,7 +225,7 @@
             'fence': self.orders.fence,
         }
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         self._load_log.add(
             {
                 'running': len(self._batch.running),
@@ -237,7 +237,7 @@
         )
 
     def audit(self) -> dict[str, Any]:
-        """Everything that was ever run or ordered."""
+        """Returns a record of all runs and orders."""
         return {
             'incarnation': self.incarnation,
             'runs': self._generations.audit(),
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/generation.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/generation.py
@@ -1,4 +1,4 @@
-"""Generations by request id, kept for resume, and the audit of them."""
+"""Generations by request id, kept for resumed streams, and their audit."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 __all__ = ['Generation', 'Generations', 'State']
 
-KEPT_ENDED = 2000
-KEPT_FORBIDDEN = 20_000
+MAX_ENDED = 2000
+MAX_FORBIDDEN = 20_000
 
 
 class State(enum.StrEnum):
-    """Where a generation stands."""
+    """State of a generation."""
 
     LIVE = 'live'
     FINISHED = 'finished'
@@ -30,17 +30,18 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Generation:
-    """One generation and all events that it made.
+    """A generation and its events.
 
     Attributes:
-      request_id: Id given by the caller.
-      number: Number of the generation, told in each token.
+      request_id: Id from the caller.
+      number: Number of the generation, which is part of each token.
       prompt_digest: Digest of the prompt, for the audit.
       sequence: Its sequence in the batch.
-      finish_reason: Why it ends once it does: `stop` or `length`.
-      write_event: Makes the event of a token, by index and whether last.
-      events: Server-sent events made so far, one for each token.
-      state: Where it stands.
+      finish_reason: Reason for its end: `stop` or `length`.
+      write_event: Encodes the event of a token, given its index and whether it
+        is the last one.
+      events: Server-sent events so far, one for each token.
+      state: Its current state.
       times: Wall-clock times of `accepted`, `started` and `ended`.
     """
 
@@ -56,29 +57,29 @@
     _changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def mark(self, what: str) -> None:
-        """Notes the time of the first `what`."""
+        """Records the current time for `what`, unless it has one."""
         self.times.setdefault(what, time.time())
 
     def add(self, index: int, last: bool) -> None:
-        """Adds the event of a token and wakes the readers."""
+        """Adds the event of a token and notifies the readers."""
         self.events.append(self.write_event(index, last))
         if last:
             self.end(State.FINISHED)
         else:
-            self._wake()
+            self._notify_readers()
 
     def end(self, state: State) -> None:
-        """Ends the generation; its readers reach the end."""
+        """Ends the generation and its readers."""
         self.state = state
         self.mark('ended')
-        self._wake()
+        self._notify_readers()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def read(self, start: int) -> AsyncIterator[bytes]:
-        """Yields the events from `start` on, as many as there are at once."""
+        """Yields the events from `start` on, joining all that are available."""
         position = start
         while True:
             ready = self.events[position:]
@@ -91,7 +92,7 @@
                 return
 
     def audit(self) -> dict[str, Any]:
-        """What the audit tells of it; times are null if never reached."""
+        """Returns its audit entry; times that were not reached are None."""
         cancelled = self.state is State.CANCELLED
         return {
             'request_id': self.request_id,
@@ -107,7 +108,7 @@
 
 
 class Generations:
-    """All generations of this engine; old ones keep only their audit."""
+    """All generations of an engine; of old ones only the audit entry."""
 
     def __init__(self) -> None:
         self._by_request: dict[str, Generation] = {}
@@ -119,43 +120,43 @@
         self._audit: dict[str, dict[str, Any]] = {}
 
     def get(self, request_id: str) -> Generation | None:
-        """The generation, if its events are still kept."""
+        """Returns a generation, or None if its events aren't kept."""
         return self._by_request.get(request_id)
 
     def of(self, seq: model.Sequence) -> Generation | None:
-        """The live generation of a sequence; None once it has ended."""
+        """Returns the live generation of a sequence; None once it has ended."""
         return self._by_sequence.get(seq)
 
     def was_seen(self, request_id: str) -> bool:
-        """Whether a generation ever began under this id."""
+        """Whether a generation was ever started with this id."""
         return request_id in self._by_request or request_id in self._audit
 
     def is_forbidden(self, request_id: str) -> bool:
-        """Whether the id was cancelled before it came."""
+        """Whether the id was cancelled before its request was received."""
         return request_id in self._forbidden
 
     def forbid(self, request_id: str) -> None:
-        """Refuses the id from now on."""
+        """Forbids the id from now on."""
         self._forbidden[request_id] = None
-        if len(self._forbidden) > KEPT_FORBIDDEN:
+        if len(self._forbidden) > MAX_FORBIDDEN:
             self._forbidden.popitem(last=False)
 
     def add(self, generation: Generation) -> None:
-        """Keeps a new generation."""
+        """Adds a new generation."""
         generation.mark('accepted')
         self._by_request[generation.request_id] = generation
         self._by_sequence[generation.sequence] = generation
 
     def retire(self, generation: Generation) -> None:
-        """Keeps an ended generation for a while, then only its audit."""
+        """Keeps an ended generation until `MAX_ENDED`, then its audit entry."""
         del self._by_sequence[generation.sequence]
         self._ended.append(generation)
-        if len(self._ended) > KEPT_ENDED:
+        if len(self._ended) > MAX_ENDED:
             oldest = self._ended.popleft()
             self._audit[oldest.request_id] = oldest.audit()
             del self._by_request[oldest.request_id]
 
     def audit(self) -> list[dict[str, Any]]:
-        """The audit of every generation, the retired first."""
+        """Returns the audit entries of all generations, the oldest first."""
         kept = [generation.audit() for generation in self._by_request.values()]
         return [*self._audit.values(), *kept]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/model.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/model.py
@@ -1,13 +1,13 @@
-"""Model of continuous batching in a limited key-value memory, without I/O.
+"""Model of continuous batching with a limited KV cache, without I/O.
 
-Each step, every running sequence makes one token, which takes one token of
-memory. Waiting sequences join the batch by priority, then arrival, while
-memory for their prompt is there. When the memory is full in mid-decode, the
-newest sequence of the lowest priority is preempted: its memory is freed, it
-waits again, and what it had made is computed again when it returns.
+In each step, every running sequence generates one token, which occupies one
+token of the KV cache. Waiting sequences join the batch by priority, then
+arrival, as long as there is space for their prompt. When the cache is full
+during decoding, the newest sequence of the lowest priority is preempted: its
+space is freed, it waits again, and its tokens are recomputed when it rejoins.
 
-The caller of `Batch.step` lets the returned time pass, so the same model runs
-in real time and in virtual time.
+The caller of `Batch.step` waits for the returned duration, so that the model
+runs in real or virtual time.
 """
 
 from __future__ import annotations
@@ -21,26 +21,27 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ['Batch', 'Costs', 'MadeToken', 'PromptTooLongError', 'Sequence',
+__all__ = ['Batch', 'Costs', 'GeneratedToken', 'PromptTooLongError', 'Sequence',
            'Step']  # fmt: skip
 
 WATERMARK = 0.01
 
 
 class PromptTooLongError(ValueError):
-    """The prompt alone would fill the memory."""
+    """The prompt alone would fill the KV cache."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Costs:
-    """Time of a step, in seconds.
+    """Costs that make up the duration of a step.
 
     Attributes:
-      base_s: Time of a step with one sequence and empty memory.
-      batch_part: Part of `base_s` that each running sequence adds.
-      memory_part: Part of `base_s` that full memory adds.
-      prefill_part: Part of `base_s` that each prompt token adds, if not
-        cached, to the step in which its sequence joins.
+      base_s: Duration of a step with one sequence and an empty KV cache, in
+        seconds.
+      batch_part: Fraction of `base_s` added by each running sequence.
+      memory_part: Fraction of `base_s` added by a full KV cache.
+      prefill_part: Fraction of `base_s` added by each uncached prompt token to
+        the step in which its sequence joins.
     """
 
     base_s: float = 0.02
@@ -51,17 +52,17 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Sequence:
-    """One generation on its way through the engine.
+    """A generation in the engine.
 
     Attributes:
-      priority: 0 is served first.
+      priority: 0 is the highest priority.
       arrival: Number in order of arrival.
       blocks: Names of the prompt's shared blocks.
-      own_prompt_tokens: Prompt tokens beyond the shared blocks.
-      target: Tokens after which the sequence ends.
-      made: Tokens made so far; kept over preemptions.
-      preemptions: How often it was preempted.
-      started: It has been in the batch.
+      own_prompt_tokens: Prompt tokens after the shared blocks.
+      target: Number of tokens after which the sequence ends.
+      made: Number of tokens generated so far, across preemptions.
+      preemptions: Number of times that it was preempted.
+      started: Whether it has been in the batch.
     """
 
     priority: int
@@ -75,18 +76,18 @@
 
     @property
     def own_tokens(self) -> int:
-        """Memory that the sequence shares with no other."""
+        """Tokens in the KV cache that it doesn't share with other sequences."""
         return self.own_prompt_tokens + self.made
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Order of service, the least first."""
+        """Sort key of the service order, lowest first."""
         return (self.priority, self.arrival)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class MadeToken:
-    """A token of a step: its sequence, its index, and if it is the last."""
+class GeneratedToken:
+    """A generated token: its sequence, its index, whether it is the last."""
 
     sequence: Sequence
     index: int
@@ -95,23 +96,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """What one step did, and how long it takes in seconds."""
+    """Results of a step and its duration in seconds."""
 
     duration_s: float
-    tokens: list[MadeToken]
+    tokens: list[GeneratedToken]
     admitted: list[Sequence]
     preempted: list[Sequence]
 
 
 class Batch:
-    """Waiting and running sequences and the memory they share.
+    """Waiting and running sequences and their KV cache.
 
     Attributes:
-      capacity_tokens: Key-value memory in all.
+      capacity_tokens: Size of the KV cache, in tokens.
       waiting: Sequences outside the batch, the next to join first.
       running: Sequences in the batch.
-      preemptions: Preemptions since the start.
-      costs: Time of a step.
+      preemptions: Number of preemptions since the start.
+      costs: Costs of a step.
     """
 
     def __init__(
@@ -135,21 +136,22 @@
 
     @property
     def used_tokens(self) -> int:
-        """Memory of the running sequences, without what is only cached."""
+        """Tokens held by running sequences, without idle cached blocks."""
         return self._own_tokens + self._cache.held_tokens
 
     @property
     def cached_tokens(self) -> int:
-        """Memory of blocks that no running sequence holds."""
+        """Tokens of cached blocks that no running sequence holds."""
         return self._cache.idle_tokens
 
     def submit(self, prompt: str, target: int, priority: int) -> Sequence:
         """Queues a generation of `target` tokens.
 
-        Its target is cut to what memory can hold with this sequence alone.
+        The target is reduced if the KV cache can't hold it even without other
+        sequences.
 
         Raises:
-          PromptTooLongError: The prompt leaves no room for a token.
+          PromptTooLongError: The prompt leaves no space for a token.
         """
         prompt_tokens = prefix_cache.count_tokens(prompt)
         room = self.capacity_tokens - prompt_tokens
@@ -169,30 +171,30 @@
         return seq
 
     def cancel(self, seq: Sequence) -> None:
-        """Ends a sequence early; nothing happens if it has ended."""
+        """Ends a sequence early; does nothing if it has ended."""
         if seq in self.running:
-            self._leave(seq)
+            self._remove(seq)
         elif seq in self.waiting:
             self.waiting.remove(seq)
 
     def step(self) -> Step | None:
-        """Makes one token of each running sequence; None if there is none."""
+        """Generates a token for each running sequence; None if none runs."""
         admitted, prefill_tokens = self._admit()
         if not self.running:
             return None
-        preempted = self._make_room()
+        preempted = self._preempt()
         duration_s = self._duration(prefill_tokens)
-        tokens = [self._make_token(seq) for seq in self.running]
+        tokens = [self._generate_token(seq) for seq in self.running]
         for token in tokens:
             if token.last:
-                self._leave(token.sequence)
+                self._remove(token.sequence)
         return Step(duration_s, tokens, admitted, preempted)
 
     def _enqueue(self, seq: Sequence) -> None:
         bisect.insort(self.waiting, seq, key=lambda waiting: waiting.rank)
 
     def _admit(self) -> tuple[list[Sequence], int]:
-        """Lets waiting sequences join; also gives their prefill tokens."""
+        """Adds waiting sequences; also returns the tokens to prefill."""
         admitted = []
         prefill_tokens = 0
         while self.waiting and self._fits(self.waiting[0]):
@@ -202,11 +204,11 @@
         return admitted, prefill_tokens
 
     def _fits(self, seq: Sequence) -> bool:
-        """Whether `seq` may join.
+        """Whether `seq` may join the batch.
 
-        A small part of the memory stays free for the growth of those that
-        run, or each newcomer would be preempted right away. An empty engine
-        takes any sequence, so the queue always moves.
+        A small part of the KV cache stays free for the growth of the running
+        sequences; otherwise each new one would be preempted immediately. An
+        empty engine accepts any sequence, so that the queue can't block.
         """
         if not self.running:
             return True
@@ -217,7 +219,7 @@
         return self.used_tokens + growth + spare <= self.capacity_tokens
 
     def _join(self, seq: Sequence) -> int:
-        """Puts `seq` into the batch; gives the tokens to be computed."""
+        """Adds `seq` to the batch; returns the number of tokens to prefill."""
         hits = self._cache.hold(seq.blocks)
         self._own_tokens += seq.own_tokens
         self.running.append(seq)
@@ -226,12 +228,12 @@
         missed = len(seq.blocks) - hits
         return missed * prefix_cache.BLOCK_TOKENS + seq.own_tokens
 
-    def _make_room(self) -> list[Sequence]:
-        """Preempts until each sequence that still runs can grow by one."""
+    def _preempt(self) -> list[Sequence]:
+        """Preempts sequences until each remaining one can grow by a token."""
         preempted = []
         while self.used_tokens + len(self.running) > self.capacity_tokens:
             seq = max(self.running, key=lambda running: running.rank)
-            self._leave(seq)
+            self._remove(seq)
             self._enqueue(seq)
             seq.preemptions += 1
             self.preemptions += 1
@@ -239,13 +241,13 @@
         self._evict_for(len(self.running))
         return preempted
 
-    def _make_token(self, seq: Sequence) -> MadeToken:
+    def _generate_token(self, seq: Sequence) -> GeneratedToken:
         index = seq.made
         seq.made += 1
         self._own_tokens += 1
-        return MadeToken(seq, index, seq.made == seq.target)
+        return GeneratedToken(seq, index, seq.made == seq.target)
 
-    def _leave(self, seq: Sequence) -> None:
+    def _remove(self, seq: Sequence) -> None:
         self.running.remove(seq)
         self._own_tokens -= seq.own_tokens
         self._cache.release(seq.blocks)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/orders.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: what it has loaded, and its role."""
+"""Orders that load and unload models and adapters or set the role."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class StaleFenceError(Exception):
-    """The order carries a lower fencing number than one seen before."""
+    """The fencing token of the order is lower than that of an earlier one."""
 
 
 @dataclasses.dataclass(slots=True)
 class Order:
-    """One order as it came."""
+    """A received order."""
 
     kind: str
     name: str
@@ -35,14 +35,14 @@
 
 
 class Orders:
-    """Carries out orders one after the other.
+    """Executes orders sequentially.
 
     Attributes:
-      models: Models loaded.
-      adapters: Adapters loaded.
-      role: Role in force.
-      fence: Highest fencing number taken; 0 if fences are ignored.
-      history: Every order with its time and whether it was done.
+      models: Loaded models.
+      adapters: Loaded adapters.
+      role: Current role.
+      fence: Highest accepted fencing token; 0 if they are ignored.
+      history: All orders, with the time and whether they were completed.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._lock = asyncio.Lock()
 
     async def carry_out(self, order: Order) -> None:
-        """Does an order, which takes a while.
+        """Executes an order, which takes the time set by `order_s`.
 
         Raises:
-          StaleFenceError: Fences are checked and this one is old.
+          StaleFenceError: Fencing tokens are checked and this one is stale.
         """
         async with self._lock:
             stale = self._checks_fence and order.fence < self.fence
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/prefix_cache.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/prefix_cache.py
@@ -1,9 +1,9 @@
-"""Cache of prompt prefixes in the engine's key-value memory.
+"""Cache of prompt prefixes in the engine's KV cache.
 
-A prompt is cut into blocks; a block is named by the digest of the prompt up
-to its end, so that equal names mean equal prefixes. Running sequences share
-blocks and count their holders. A block without holders stays cached, idle,
-until its memory is wanted; the longest idle goes first.
+A prompt is split into blocks. The name of a block is the digest of the prompt
+up to its end, so that equal names mean equal prefixes. Running sequences share
+blocks, which count their holders. A block without holders is idle and stays
+cached until its space is needed; the longest idle block is evicted first.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Tokens of a prompt; at least one."""
+    """Returns the number of tokens of a prompt, at least one."""
     return max(-(-len(prompt) // CHARACTERS_PER_TOKEN), 1)
 
 
 def block_names(prompt: str) -> Iterator[str]:
-    """Names of the whole blocks of a prompt, the first block first."""
+    """Yields the names of the complete blocks of a prompt, in order."""
     digest = hashlib.sha256()
     for end in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
         block = prompt[end - BLOCK_CHARACTERS : end]
@@ -47,18 +47,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CacheEvent:
-    """A block came into the cache or left it."""
+    """A block was added to the cache or evicted from it."""
 
     prefix: str
     cached: bool
 
 
 class PrefixCache:
-    """Blocks in memory with their holders.
+    """Cached blocks with their holders.
 
     Attributes:
-      held_tokens: Memory of the blocks that running sequences hold.
-      idle_tokens: Memory of the blocks that are only cached.
+      held_tokens: Tokens of the blocks that running sequences hold.
+      idle_tokens: Tokens of the blocks without holders.
     """
 
     def __init__(self, on_event: Callable[[CacheEvent], None]) -> None:
@@ -70,20 +70,20 @@
 
     @property
     def held_tokens(self) -> int:
-        """Memory of the blocks that running sequences hold."""
+        """Tokens of the blocks that running sequences hold."""
         return BLOCK_TOKENS * len(self._holders)
 
     @property
     def idle_tokens(self) -> int:
-        """Memory of the blocks that are only cached."""
+        """Tokens of the blocks without holders."""
         return BLOCK_TOKENS * len(self._idle)
 
     def growth(self, blocks: Sequence[str]) -> int:
-        """Tokens by which holding `blocks` would raise `held_tokens`."""
+        """Returns by how much holding `blocks` would raise `held_tokens`."""
         return BLOCK_TOKENS * sum(name not in self._holders for name in blocks)
 
     def hold(self, blocks: Sequence[str]) -> int:
-        """Holds blocks; returns how many at the front were cached already."""
+        """Holds blocks; returns how many of the first ones were cached."""
         hits = 0
         for position, name in enumerate(blocks):
             cached = name in self._holders or name in self._idle
@@ -95,9 +95,9 @@
         return hits
 
     def release(self, blocks: Sequence[str]) -> None:
-        """Lets blocks go; those without a holder are idle from now on.
+        """Releases blocks; those without another holder become idle.
 
-        The last block becomes idle first, as it is of no use without those
+        The last block becomes idle first, as it is useless without those
         before it.
         """
         for name in reversed(blocks):
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/report.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/report.py
@@ -1,4 +1,4 @@
-"""What the engine publishes late: its load, and its cache events."""
+"""Load and cache events, which the engine publishes with a lag."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 __all__ = ['CacheLog', 'LoadLog']
 
-KEPT_LOADS = 20_000
-KEPT_EVENTS = 20_000
+MAX_LOADS = 20_000
+MAX_EVENTS = 20_000
 
 
 class LoadLog:
-    """Past load figures, of which the newest old enough one is told."""
+    """Past load figures; reports the newest one older than the lag."""
 
     def __init__(
         self, switch: switches.Switches, clock: Callable[[], float]
@@ -27,15 +27,15 @@
         self._switch = switch
         self._clock = clock
         self._past: collections.deque[tuple[float, dict[str, Any]]] = (
-            collections.deque(maxlen=KEPT_LOADS)
+            collections.deque(maxlen=MAX_LOADS)
         )
 
     def add(self, load: dict[str, Any]) -> None:
-        """Notes the load as it is now."""
+        """Records the current load."""
         self._past.append((self._clock(), load))
 
     def read(self) -> dict[str, Any]:
-        """The load as it was before the lag."""
+        """Returns the load at the time `lag_s` ago."""
         due = self._clock() - self._switch.lag_s
         while len(self._past) > 1 and self._past[1][0] <= due:
             self._past.popleft()
@@ -50,7 +50,7 @@
 
 
 class CacheLog:
-    """Numbered cache events; a lost one leaves a gap in the numbers."""
+    """Numbered cache events; a lost event leaves a gap."""
 
     def __init__(
         self, switch: switches.Switches, clock: Callable[[], float]
@@ -59,18 +59,18 @@
         self._clock = clock
         self._numbers = itertools.count(1)
         self._events: collections.deque[_Numbered] = collections.deque(
-            maxlen=KEPT_EVENTS
+            maxlen=MAX_EVENTS
         )
 
     def add(self, event: prefix_cache.CacheEvent) -> None:
-        """Numbers an event and keeps it, unless it is to be lost."""
+        """Numbers an event and stores it, unless it is to be lost."""
         number = next(self._numbers)
         gap = self._switch.cache_gap
         if not gap or number % gap:
             self._events.append(_Numbered(number, self._clock(), event))
 
     def since(self, seq: int) -> list[dict[str, Any]]:
-        """Events after `seq` that are old enough to be published."""
+        """Returns the events after `seq` that are older than the lag."""
         due = self._clock() - self._switch.cache_lag_s
         return [
             {
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/switches.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/switches.py
@@ -1,4 +1,4 @@
-"""Switches by which a test makes the engine stand-in misbehave."""
+"""Switches for faults of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class UnknownSwitchError(ValueError):
-    """No such switch, or a value of another type."""
+    """The switch doesn't exist, or the value has the wrong type."""
 
 
 @dataclasses.dataclass(slots=True)
 class Switches:
-    """Each can be set at any time by `POST /stand-in`.
+    """Switches, which `POST /stand-in` can set at any time.
 
     Attributes:
-      leaving: The engine says that it is leaving; it still takes work.
-      slow: Factor on the time of each step.
-      stall: Work is taken but no step is made.
-      lag_s: Age of the load report.
-      cache_lag_s: Age at which cache events are published.
-      cache_gap: Every so many cache events one is lost; 0 for none.
-      order_s: Time that an order takes.
+      leaving: The engine reports that it is leaving; it still accepts work.
+      slow: Factor for the duration of each step.
+      stall: Work is accepted but no step is executed.
+      lag_s: Age of the load report, in seconds.
+      cache_lag_s: Age at which cache events are published, in seconds.
+      cache_gap: One of this number of cache events is lost; 0 for none.
+      order_s: Duration of an order, in seconds.
     """
 
     leaving: bool = False
@@ -38,8 +38,8 @@
         """Sets switches by name.
 
         Raises:
-          UnknownSwitchError: A name or a value's type does not fit; nothing
-            was set.
+          UnknownSwitchError: A switch doesn't exist or a value has the wrong
+            type; no switch was set.
         """
         checked = {name: self._check(name, v) for name, v in values.items()}
         for name, value in checked.items():
--- a/tests/quetzalsill_dev/engine_standin/test_engine.py
+++ b/tests/quetzalsill_dev/engine_standin/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine stand-in below its HTTP."""
+"""Tests of the engine stand-in without its HTTP interface."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def request(request_id, tokens, model='plan'):
-    """A request for so many tokens."""
+    """Returns a request that generates the given number of tokens."""
     plain = {
         'request_id': request_id,
         'model': model,
@@ -19,12 +19,12 @@
 
 
 async def read_all(generation, start=0):
-    """All that a reader gets from an event on."""
+    """Returns all data of a reader that starts at an event."""
     return b''.join([data async for data in generation.read(start)])
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    """One engine whose steps take no time."""
+    """An engine whose steps take no real time."""
 
     async def asyncSetUp(self):
         options = engine.EngineOptions(models=['plan'], checks_fence=True)
@@ -48,7 +48,7 @@
             await read_all(first)
         self.assertEqual(len(self.runs()), 1)
 
-    async def test_id_cancelled_before_it_came_never_runs(self):
+    async def test_id_cancelled_before_its_request_never_runs(self):
         self.assertEqual(self.engine.cancel('r1'), 'forbidden')
         with self.assertRaises(engine.ForbiddenRequestError):
             self.engine.start(request('r1', 3))
@@ -56,8 +56,8 @@
 
     async def test_resumed_stream_gives_the_same_events(self):
         generation = self.engine.start(request('r1', 5))
-        whole = await read_all(generation)
-        self.assertTrue(whole.endswith(await read_all(generation, 2)))
+        data = await read_all(generation)
+        self.assertTrue(data.endswith(await read_all(generation, 2)))
         self.assertEqual(self.engine.cancel('r1'), 'finished')
         self.assertEqual(self.runs()[0]['tokens'], 5)
 
@@ -70,7 +70,7 @@
         self.assertIsNotNone(self.runs()[0]['cancelled'])
         self.assertIsNone(self.runs()[0]['finished'])
 
-    async def test_stalled_engine_makes_nothing_until_it_goes_on(self):
+    async def test_stalled_engine_generates_nothing_until_it_resumes(self):
         self.engine.set_switches({'stall': True})
         generation = self.engine.start(request('r1', 3))
         await asyncio.sleep(0)
--- a/tests/quetzalsill_dev/engine_standin/test_model.py
+++ b/tests/quetzalsill_dev/engine_standin/test_model.py
@@ -1,4 +1,4 @@
-"""Properties of the batching model."""
+"""Tests of the batching model."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quetzalsill_dev.engine_standin import model
 
 CAPACITY = 400
-STEPS_BOUND = 20_000
+MAX_STEPS = 20_000
 COSTS = model.Costs(base_s=0.01)
 
 prompts = st.builds(
@@ -26,10 +26,10 @@
 
 
 def run_to_end(batch, arrivals):
-    """Submits one request a step; gives the sequences and their indices."""
+    """Submits a request per step; returns the tokens of each sequence."""
     made = {}
     pending = list(arrivals)
-    for _ in range(STEPS_BOUND):
+    for _ in range(MAX_STEPS):
         if pending:
             made[batch.submit(*pending.pop(0))] = []
         step = batch.step()
@@ -38,11 +38,11 @@
         for token in step.tokens if step else ():
             made[token.sequence].append((token.index, token.last))
         assert batch.used_tokens + batch.cached_tokens <= CAPACITY
-    raise AssertionError('the work does not end')
+    raise AssertionError('sequences are left after the last step')
 
 
 class BatchTest(unittest.TestCase):
-    """What holds for any order of requests."""
+    """Properties that hold for all orders of requests."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(requests, st.integers(1, 6))
@@ -91,7 +91,7 @@
             durations.append(batch.step().duration_s)
         self.assertLess(durations[1], durations[0])
 
-    def test_answer_is_cut_to_the_memory_of_an_empty_engine(self):
+    def test_length_is_limited_by_the_memory_of_an_empty_engine(self):
         batch = model.Batch(100, 8, COSTS)
         seq = batch.submit('x' * 360, 1000, 0)
         self.assertEqual(seq.target, 10)
