--- a/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
@@ -1,7 +1,6 @@
-"""A caller that measures what reaches it, and when.
+"""A client that measures the times of the tokens it receives.
 
-Its HTTP client is another one than the router's own, and it sends nothing
-again by itself.
+Its HTTP library isn't the one that the router uses, and it doesn't retry.
 """
 
 from __future__ import annotations
@@ -25,16 +24,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """What a caller got for a generation.
+    """The response to a generation request.
 
     Attributes:
       status: HTTP status.
       texts: Text of each token, in order of arrival.
-      arrivals: Monotonic time of each token.
+      arrivals: Monotonic time of arrival of each token.
       asked: Monotonic time when the request was sent.
-      ended: Monotonic time when the answer ended.
-      request: Id of the request, as the router told it; empty if it did not.
-      finish_reason: Why the generation ended; empty if it did not.
+      ended: Monotonic time when the response ended.
+      request: Id that the router assigned to the request; empty without one.
+      finish_reason: Reason for the end of the generation; empty if it did not
+        end.
       error: Error body; None if there was none.
     """
 
@@ -49,7 +49,7 @@
 
     @property
     def generations(self) -> set[str]:
-        """Generations that the tokens came from."""
+        """Generations to which the tokens belong."""
         return {text.partition('.')[0] for text in self.texts}
 
     @property
@@ -59,19 +59,19 @@
 
     @property
     def stall_s(self) -> float:
-        """Longest time with nothing arriving, from the question on."""
+        """Longest time without an arrival, from the request to the end."""
         times = [self.asked, *self.arrivals, self.ended]
         return max(after - before for before, after in _pairs(times))
 
     @property
     def max_gap_s(self) -> float:
-        """Longest time between two tokens; 0 if there are none."""
+        """Longest time between two tokens; 0 with fewer than two."""
         gaps = (after - before for before, after in _pairs(self.arrivals))
         return max(gaps, default=0.0)
 
     @property
     def is_complete(self) -> bool:
-        """One generation's tokens, each once, in order, to its end."""
+        """Whether it has all tokens of one generation, each once, in order."""
         expected = [
             f'{name}.{index} '
             for name in self.generations
@@ -87,10 +87,10 @@
 def open_client(
     base_url: str, token: str = '', tls: ssl.SSLContext | None = None
 ) -> httpx2.AsyncClient:
-    """A client of one router or upstream, to be closed by its user.
+    """Returns a client of a router or upstream, which its user closes.
 
-    Without a context it takes any certificate: to load the system's would
-    take a tenth of a second, which a caller would measure as its own stall.
+    Without a TLS context it accepts any certificate: loading those of the
+    system takes a tenth of a second, which would be measured as a stall.
     """
     headers = {'authorization': f'Bearer {token}'} if token else {}
     limits = httpx2.Limits(max_connections=None)
@@ -111,20 +111,20 @@
     path: str = '/v1/completions',
     answer: Response | None = None,
 ) -> Response:
-    """Asks for a generation and reads its event stream to the end.
+    """Requests a generation and reads its event stream to the end.
 
     Args:
       client: Client of a router or engine.
-      body: JSON body; it is asked for as a stream.
-      headers: Further headers.
+      body: JSON body; `stream` is added to it.
+      headers: Additional headers.
       path: Path of the completions API.
-      answer: Filled as the answer comes, for who watches it meanwhile.
+      answer: Filled while the response is read, for concurrent observers.
     """
     answer = answer or Response()
     answer.asked = time.monotonic()
-    plain = body | {'stream': True}
+    stream_body = body | {'stream': True}
     async with client.stream(
-        'POST', path, json=plain, headers=headers
+        'POST', path, json=stream_body, headers=headers
     ) as response:
         answer.status = response.status_code
         answer.request = response.headers.get('x-request-id', '')
@@ -132,13 +132,13 @@
             answer.error = json.loads(await response.aread())
         else:
             async for line in response.aiter_lines():
-                _take_line(answer, line)
+                _process_line(answer, line)
     answer.ended = time.monotonic()
     return answer
 
 
-def _take_line(answer: Response, line: str) -> None:
-    """Takes one line of an event stream."""
+def _process_line(answer: Response, line: str) -> None:
+    """Processes a line of an event stream."""
     data = line.removeprefix(DATA)
     if data in (line, DONE):
         return
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/__main__.py
@@ -26,7 +26,7 @@
 
 @click.command()
 @click.option('--part', type=click.Choice(['store', 'hosts', 'all']))
-@click.option('--port', default=0, help='0 lets the kernel choose.')
+@click.option('--port', default=0, help='0 for a free port.')
 def main(part: str | None, port: int) -> None:
     """Serves until SIGTERM or SIGINT."""
     asyncio.run(_run(part or 'all', port))
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/app.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/app.py
@@ -1,4 +1,4 @@
-"""Routes of the stand-in."""
+"""HTTP routes of the stand-in."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def build(part: str, board: host.HostBoard) -> fault.Faults:
-    """Builds the application of a part.
+    """Builds the application for a part of the platform.
 
     Args:
       part: `store` (table and objects), `hosts` or `all`.
-      board: The host list served.
+      board: Host list to serve.
     """
-    # Without a router of its own each application would share the library's
-    # global one, and answer from the state of the first.
+    # Without its own router each application would use the library's global
+    # one and respond with the state of the first application.
     app = blacksheep.Application(router=blacksheep.Router())
     faults = fault.Faults(app)
     if part in ('store', 'all'):
@@ -72,10 +72,10 @@
             versions = rows.transact(conditions, writes)
         except table.ConflictError as exc:
             count(conflict=1)
-            answer = dataclasses.asdict(
+            current = dataclasses.asdict(
                 table.Row(version=exc.version, value=exc.value)
             )
-            return _json({'failed': exc.failed} | answer, 409)
+            return _json({'failed': exc.failed} | current, 409)
         count(row_written=len(writes))
         count(f'row_written:{write.table}' for write in writes)
         return _json({'versions': versions})
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/fault.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/fault.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-in, put between HTTP server and application."""
+"""Faults of the stand-in, as a layer between server and application."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
 
 SWITCH_PATHS = ('/stand-in', '/stand-in/counts')
 WRITE_METHODS = ('POST', 'PUT', 'DELETE')
-LONGEST_QUEUE_S = 1.0
+MAX_QUEUE_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Switches:
-    """What is wrong with the platform at present.
+    """Current faults of the platform.
 
     Attributes:
-      down: Every call is answered 503.
-      reset: Every call has its connection reset unanswered.
-      silent: Every call is read and never answered.
-      slow_s: Wait before a call takes effect.
-      lose_answers: Number of writes to come that take effect and whose
-        connection is then reset.
-      lose_only: Answers are lost only of writes whose body holds this text.
-      mute_open: Connections open now are never answered again while new ones
-        work; an action, not a state.
-      writes_per_s: Bound on writes; 0 for none.
-      reads_per_s: Bound on reads; 0 for none.
-      lag_s: Wait until a change of the host list is seen.
+      down: Each call gets a 503.
+      reset: The connection of each call is reset without a response.
+      silent: Each call is read but gets no response.
+      slow_s: Delay before a call takes effect, in seconds.
+      lose_answers: Number of next writes that take effect and whose connection
+        is then reset.
+      lose_only: Only responses to writes whose body contains this text are
+        lost.
+      mute_open: Connections that are open now get no more responses while new
+        ones work. This is an action, not a state.
+      writes_per_s: Rate limit of writes; 0 for none.
+      reads_per_s: Rate limit of reads; 0 for none.
+      lag_s: Delay until a change of the host list is visible, in seconds.
     """
 
     down: bool = False
@@ -51,24 +52,24 @@
 
 
 class Faults:
-    """ASGI application that spoils the calls to another one."""
+    """ASGI application that injects faults into the calls to another one."""
 
-    def __init__(self, inner: Callable[..., Awaitable[None]]) -> None:
+    def __init__(self, app: Callable[..., Awaitable[None]]) -> None:
         self.switches = Switches()
         self.counts: collections.Counter[str] = collections.Counter()
-        self._inner = inner
+        self._app = app
         self._seen: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
         self._muted: weakref.WeakSet[asyncio.Transport] = weakref.WeakSet()
         self._next_free = {'read': 0.0, 'write': 0.0}
 
     def mute_open(self) -> None:
-        """Makes the connections that are open now silent for good."""
+        """Silences the connections that are open now permanently."""
         self._muted.update(self._seen)
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serves one ASGI event scope."""
         if scope['type'] != 'http' or scope['path'] in SWITCH_PATHS:
-            await self._inner(scope, receive, send)
+            await self._app(scope, receive, send)
             return
         transport = send.__self__.transport
         self._seen.add(transport)
@@ -82,40 +83,41 @@
             await self._serve(scope, receive, send)
 
     async def _serve(self, scope: Any, receive: Any, send: Any) -> None:
-        # Read first: a caller who gives up must not stop the effect.
+        # The body is read first: a client that disconnects must not cancel the
+        # call.
         events = await _read_all(receive)
         receive = _replay(events, receive)
-        if self.switches.down or not await self._take_turn(scope):
+        if self.switches.down or not await self._wait_for_rate_limit(scope):
             self.counts['refused'] += 1
             await _unavailable(send)
             return
         await asyncio.sleep(self.switches.slow_s)
-        if self._loses(scope, events):
+        if self._loses_response(scope, events):
             self.switches.lose_answers -= 1
             self.counts['lost'] += 1
-            await self._inner(scope, receive, _discard)
+            await self._app(scope, receive, _discard)
             await _abort(send.__self__.transport, receive)
             return
-        await self._inner(scope, receive, send)
+        await self._app(scope, receive, send)
 
-    def _loses(self, scope: Any, events: list[Any]) -> bool:
+    def _loses_response(self, scope: Any, events: list[Any]) -> bool:
         if scope['method'] not in WRITE_METHODS:
             return False
         body = b''.join(event.get('body', b'') for event in events)
-        wanted = self.switches.lose_only.encode() in body
-        return wanted and self.switches.lose_answers > 0
+        matches = self.switches.lose_only.encode() in body
+        return matches and self.switches.lose_answers > 0
 
-    async def _take_turn(self, scope: Any) -> bool:
+    async def _wait_for_rate_limit(self, scope: Any) -> bool:
         kind = 'write' if scope['method'] in WRITE_METHODS else 'read'
         rate = getattr(self.switches, f'{kind}s_per_s')
         if not rate:
             return True
         now = time.monotonic()
-        turn = max(now, self._next_free[kind])
-        if turn - now > LONGEST_QUEUE_S:
+        start = max(now, self._next_free[kind])
+        if start - now > MAX_QUEUE_S:
             return False
-        self._next_free[kind] = turn + 1 / rate
-        await asyncio.sleep(turn - now)
+        self._next_free[kind] = start + 1 / rate
+        await asyncio.sleep(start - now)
         return True
 
 
@@ -133,10 +135,10 @@
 def _replay(events: list[Any], receive: Any) -> Callable[[], Awaitable[Any]]:
     read = iter(events)
 
-    async def again() -> Any:
+    async def receive_next() -> Any:
         return next(read, None) or await receive()
 
-    return again
+    return receive_next
 
 
 async def _until_disconnect(receive: Any) -> None:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/host.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/host.py
@@ -1,4 +1,4 @@
-"""The host list, which lags behind what is set."""
+"""The host list, which becomes visible after a lag."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HostBoard:
-    """Host lists with the time from which each one is seen."""
+    """Host lists with the time from which each one is visible."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -20,11 +20,11 @@
         self._seen: list[Any] = []
 
     def set(self, hosts: list[Any], lag_s: float) -> None:
-        """Sets the list that is seen `lag_s` from now on."""
+        """Sets the list that becomes visible in `lag_s` seconds."""
         self._due.append((self._clock() + lag_s, hosts))
 
     def seen(self) -> list[Any]:
-        """Gives the list that is seen now."""
+        """Returns the list that is visible now."""
         now = self._clock()
         for at, hosts in self._due:
             if at <= now:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/serve.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/serve.py
@@ -1,4 +1,4 @@
-"""A running stand-in, in this process."""
+"""A stand-in that runs in the current process."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """Serves one part of the platform on a loopback port.
 
     Attributes:
-      faults: Switches and counts, for tests in the same process.
+      faults: Fault switches and call counts, for tests in the same process.
       board: The host list.
-      port: Port in use.
+      port: Port that it listens on.
     """
 
     def __init__(self, part: str, port: int = 0) -> None:
@@ -49,10 +49,10 @@
         return f'http://127.0.0.1:{self.port}'
 
     async def start(self) -> None:
-        """Serves from a task of its own.
+        """Starts to serve in a background task.
 
         These are the steps of `uvicorn.Server.serve` without its signal
-        handlers, which belong to the process and not to one server in it.
+        handlers, which affect the whole process rather than one server.
         """
         cfg = self._server.config
         cfg.load()
@@ -61,7 +61,7 @@
         self._task = asyncio.create_task(self._server.main_loop())
 
     async def stop(self) -> None:
-        """Closes all connections and stops."""
+        """Closes all connections and stops serving."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
@@ -71,8 +71,9 @@
 
 def _listen(port: int) -> socket.socket:
     # asyncio sets TCP_NODELAY only on sockets whose protocol number is TCP's,
-    # and socket.create_server leaves it 0. Without it each answer, written as
-    # head and body, waits some 40 ms for the client's delayed acknowledgement.
+    # and socket.create_server leaves it 0. Without TCP_NODELAY each response,
+    # which is written as head and body, waits about 40 ms for the client's
+    # delayed acknowledgement.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(('127.0.0.1', port))
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/platform_standin/table.py
@@ -1,4 +1,4 @@
-"""Rows with versions, changed by conditional transactions."""
+"""Versioned rows, which conditional transactions change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Condition:
-    """A row that must stand at a version; 0 if it must be absent."""
+    """A required version of a row; 0 if the row must not exist."""
 
     table: str
     key: str
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Write:
-    """A value for a row; None deletes it."""
+    """A new value of a row; None deletes it."""
 
     table: str
     key: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Row:
-    """A value and its version."""
+    """Value and version of a row."""
 
     version: int
     value: Any
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyedRow:
-    """A row with its key, as a scan gives it."""
+    """A row with its key, as returned by a scan."""
 
     key: str
     version: int
@@ -53,8 +53,8 @@
 
     Attributes:
       failed: Index of the condition.
-      version: Version of the row now; 0 if absent.
-      value: Value of the row now.
+      version: Current version of the row; 0 if it doesn't exist.
+      value: Current value of the row.
     """
 
     def __init__(self, failed: int, version: int, value: Any) -> None:
@@ -67,15 +67,15 @@
 class Rows:
     """All rows of all tables.
 
-    A row that is deleted and made again starts at version 1. A platform may
-    well behave so, and clients must not depend on the contrary.
+    A row that is deleted and created again starts at version 1. Platforms may
+    behave like this, so clients must not rely on increasing versions.
     """
 
     def __init__(self) -> None:
         self._tables: dict[str, dict[str, Row]] = {}
 
     def get(self, table: str, key: str) -> Row | None:
-        """Gives a row, or None."""
+        """Returns a row, or None if it doesn't exist."""
         return self._tables.get(table, {}).get(key)
 
     def scan(
@@ -85,7 +85,7 @@
         after: str = '',
         limit: int = DEFAULT_LIMIT,
     ) -> list[KeyedRow]:
-        """Gives rows in order of key, from behind `after` on."""
+        """Returns rows in order of their keys, starting after `after`."""
         rows = self._tables.get(table, {})
         keys = sorted(k for k in rows if k.startswith(prefix) and k > after)
         return [
@@ -96,7 +96,7 @@
     def transact(
         self, conditions: Iterable[Condition], writes: Iterable[Write]
     ) -> list[int]:
-        """Applies all writes if all conditions hold, else none.
+        """Applies all writes if all conditions hold, otherwise none.
 
         Returns:
           The new version of each written row; 0 for a deleted one.
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/relay.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/relay.py
@@ -1,8 +1,8 @@
-"""A TCP relay whose connections can be cut, silenced and delayed.
+"""A TCP relay whose connections can be reset, silenced and delayed.
 
-Tests put it between two ends to make the network fail. A silenced connection
-stays open on both sides and forwards nothing, not even its end, as when
-something between the ends has lost track of it.
+Tests place it between two processes to simulate network failures. A silenced
+connection stays open on both sides and forwards nothing, not even its end, as
+when a device on the path has lost its connection state.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Direction:
-    """State of one direction.
+    """State of one direction of a connection.
 
     Attributes:
-      silent: Nothing is forwarded; what arrives is thrown away.
-      delay_s: Seconds that each piece of data is held back.
-      received: Bytes taken so far, also those held back or thrown away.
-      forwarded: Bytes forwarded so far.
+      silent: Whether received data is discarded instead of forwarded.
+      delay_s: Delay of all data, in seconds.
+      received: Number of received bytes, including delayed and discarded ones.
+      forwarded: Number of forwarded bytes.
     """
 
     silent: bool = False
@@ -37,7 +37,7 @@
 
 
 class Connection:
-    """A connection of a client, forwarded to the target."""
+    """A client connection that is forwarded to the target."""
 
     def __init__(self, up: Direction, down: Direction) -> None:
         self.up = up
@@ -46,7 +46,7 @@
 
     @property
     def forwarded(self) -> int:
-        """Bytes forwarded so far, both ways."""
+        """Number of bytes forwarded in both directions."""
         return self.up.forwarded + self.down.forwarded
 
     async def run(
@@ -56,21 +56,23 @@
         host: str,
         port: int,
     ) -> None:
-        """Forwards both ways until both directions have ended."""
+        """Forwards data until both directions have ended."""
         self.writers.append(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, port)
-            self.writers.append(far_writer)
+            target_reader, target_writer = await asyncio.open_connection(
+                host, port
+            )
+            self.writers.append(target_writer)
             async with asyncio.TaskGroup() as group:
-                group.create_task(_pump(reader, far_writer, self.up))
-                group.create_task(_pump(far_reader, writer, self.down))
+                group.create_task(_forward(reader, target_writer, self.up))
+                group.create_task(_forward(target_reader, writer, self.down))
         except* OSError:
             self.reset()
         finally:
             self.reset()
 
     def reset(self) -> None:
-        """Resets both sides, as when a host loses power and comes back."""
+        """Resets both sides, as when a host restarts after a power loss."""
         for writer in self.writers:
             sock = writer.get_extra_info('socket')
             if not writer.transport.is_closing():
@@ -82,11 +84,11 @@
     """Forwards every connection to one target.
 
     Attributes:
-      target: Host and port that new connections are forwarded to.
-      up: State, for new connections, of the direction to the target.
-      down: State, for new connections, of the direction to the client.
-      refusing: New connections are reset at once.
-      accepted: Connections taken so far.
+      target: Host and port to which new connections are forwarded.
+      up: Initial state of the direction to the target.
+      down: Initial state of the direction to the client.
+      refusing: Whether new connections are reset immediately.
+      accepted: Number of accepted connections.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -102,28 +104,28 @@
 
     @property
     def port(self) -> int:
-        """Port that clients connect to."""
+        """Port to which clients connect."""
         return self._server.sockets[0].getsockname()[1]
 
     @property
     def forwarded(self) -> int:
-        """Bytes forwarded so far, both ways, on all connections."""
+        """Number of bytes forwarded in both directions of all connections."""
         return self._ended_bytes + sum(conn.forwarded for conn in self._open)
 
     @property
     def received_up(self) -> int:
-        """Bytes taken for the target so far, on all connections."""
+        """Number of bytes received for the target on all connections."""
         open_now = sum(conn.up.received for conn in self._open)
         return self._ended_received + open_now
 
     async def start(self, port: int = 0) -> None:
-        """Opens the relay on the loopback address."""
+        """Starts to listen on the loopback address."""
         self._server = await asyncio.start_server(
             self._accept, '127.0.0.1', port
         )
 
     async def stop(self) -> None:
-        """Closes the relay and resets what is open."""
+        """Stops listening and resets the open connections."""
         self._server.close()
         tasks = list(self._open.values())
         self.cut()
@@ -132,21 +134,21 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def silence(self, *, up: bool = True, down: bool = True) -> None:
-        """Silences the open connections for good; new ones work."""
+        """Silences the open connections permanently, but no new ones."""
         for conn in self._open:
             conn.up.silent |= up
             conn.down.silent |= down
 
     def delay(self, seconds: float) -> None:
-        """Holds back data in both directions, on new connections too."""
+        """Delays data in both directions, on open and new connections."""
         for conn in (self, *self._open):
             conn.up.delay_s = conn.down.delay_s = seconds
 
     def hold_back(self, seconds: float) -> None:
-        """Delays data to the target on the open connections alone.
+        """Delays data to the target on the open connections only.
 
-        A client that gives such a connection up and opens another has its
-        data arrive out of order: the old behind the new.
+        If a client then abandons its connection and opens another one, its
+        older data arrives after the newer data.
         """
         for conn in self._open:
             conn.up.delay_s = seconds
@@ -179,40 +181,40 @@
         self._open.pop(conn)
 
 
-async def _pump(
+async def _forward(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    way: Direction,
+    direction: Direction,
 ) -> None:
     delayed: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_DELAYED)
     loop = asyncio.get_running_loop()
     async with asyncio.TaskGroup() as group:
-        group.create_task(_write(delayed, writer, way))
+        group.create_task(_write(delayed, writer, direction))
         data = b'start'
         while data:
             data = await reader.read(READ_BYTES)
-            way.received += len(data)
-            await delayed.put((loop.time() + way.delay_s, data))
+            direction.received += len(data)
+            await delayed.put((loop.time() + direction.delay_s, data))
 
 
 async def _write(
     delayed: asyncio.Queue[tuple[float, bytes]],
     writer: asyncio.StreamWriter,
-    way: Direction,
+    direction: Direction,
 ) -> None:
     loop = asyncio.get_running_loop()
     while True:
         due, data = await delayed.get()
         if due > loop.time():
             await asyncio.sleep(due - loop.time())
-        if way.silent and data:
+        if direction.silent and data:
             continue
-        if way.silent:
-            # The end of a silent direction isn't forwarded either.
+        if direction.silent:
+            # The end of a silenced direction isn't forwarded either.
             await asyncio.Event().wait()
         if not data:
             writer.write_eof()
             return
         writer.write(data)
-        way.forwarded += len(data)
+        direction.forwarded += len(data)
         await writer.drain()
