--- a/packages/quetzalsill/src/quetzalsill/event.py
+++ b/packages/quetzalsill/src/quetzalsill/event.py
@@ -1,4 +1,4 @@
-"""Every event that the kernel writes to its log, with its fields."""
+"""Log events of the kernel, with their fields."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 @event.define
 class BackgroundFailed(event.Event, level='error'):
-    """A background task failed and is begun anew.
+    """A background task failed and is restarted.
 
     Attributes:
-      task: What the task does.
+      task: Name of the task.
     """
 
     task: str
@@ -40,10 +40,10 @@
 
 @event.define
 class CertificateNotReloaded(event.Event, level='warning'):
-    """A changed certificate cannot be used; the one before stays.
+    """A changed certificate cannot be used; the previous one stays active.
 
     Attributes:
-      reason: What was given as the reason.
+      reason: Reason for the failure.
     """
 
     reason: str
@@ -62,7 +62,7 @@
 
 @event.define
 class ConfigurationCallbackFailed(event.Event, level='error'):
-    """A part did not take a new configuration.
+    """A component failed to apply a new configuration.
 
     Attributes:
       revision: Revision of the configuration.
@@ -73,7 +73,7 @@
 
 @event.define
 class ConfigurationInstalled(event.Event):
-    """A revision of the configuration is in force.
+    """A revision of the configuration is active.
 
     Attributes:
       revision: Revision of the configuration.
@@ -84,7 +84,7 @@
 
 @event.define
 class ConfigurationNotRead(event.Event, level='warning'):
-    """The configuration cannot be read; the newest one stays in force.
+    """The configuration cannot be read; the newest one stays active.
 
     Attributes:
       error: Code or type of the failure.
@@ -100,11 +100,11 @@
 
 @event.define
 class ConnectionCut(event.Event, level='warning'):
-    """A connection was cut for what it did.
+    """A connection was closed as it exceeded a limit or sent invalid data.
 
     Attributes:
-      reason: What was given as the reason.
-      client: Address of the other end.
+      reason: Code of the reason.
+      client: Address of the client.
     """
 
     reason: str
@@ -116,7 +116,7 @@
     """A TLS handshake failed.
 
     Attributes:
-      reason: What was given as the reason.
+      reason: Reason for the failure.
     """
 
     reason: str
@@ -124,11 +124,11 @@
 
 @event.define
 class HttpStopBound(event.Event, level='warning'):
-    """Requests were still under way when the listener had to stop.
+    """Requests were still running when the listener had to stop.
 
     Attributes:
-      running: Requests under way.
-      connections: Connections that are open.
+      running: Number of running requests.
+      connections: Number of open connections.
     """
 
     running: int
@@ -140,10 +140,10 @@
     """A link has ended.
 
     Attributes:
-      remote: Address of the other end.
-      node: Node at the other end.
+      remote: Address of the peer.
+      node: Node id of the peer.
       code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      detail: Description of the failure.
     """
 
     remote: str
@@ -157,9 +157,9 @@
     """A link was refused.
 
     Attributes:
-      remote: Address of the other end.
+      remote: Address of the peer.
       code: Code of the failure; `ok` or empty if none.
-      detail: What happened, in words.
+      detail: Description of the failure.
     """
 
     remote: str
@@ -169,16 +169,16 @@
 
 @event.define
 class LinkTaskFailed(event.Event, level='error'):
-    """What serves a link failed in a way that nobody foresaw."""
+    """The task of a link failed with an unexpected exception."""
 
 
 @event.define
 class ProcessFailed(event.Event, level='error'):
-    """The process ends with a failure.
+    """The process exits because of a failure.
 
     Attributes:
       error: Code or type of the failure.
-      reason: What was given as the reason.
+      reason: Reason for the failure.
     """
 
     error: str
@@ -192,4 +192,4 @@
 
 @event.define
 class ProcessStopped(event.Event):
-    """The process has ended."""
+    """The process has stopped."""
