--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
@@ -151,7 +151,7 @@
             stall_s=answer.stall_s,
             first_s=answer.first_token_s,
             gap_s=answer.max_gap_s,
-            took_s=answer.ended - answer.asked,
+            took_s=answer.ended - answer.sent_at,
             ended_s=answer.ended - began,
             tokens=len(answer.texts),
             retry_after=_names_return(answer),
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/caller.py
@@ -30,7 +30,7 @@
       status: HTTP status.
       texts: Text of each token, in order of arrival.
       arrivals: Monotonic time of arrival of each token.
-      asked: Monotonic time when the request was sent.
+      sent_at: Monotonic time when the request was sent.
       ended: Monotonic time when the response ended.
       request: Id that the router assigned to the request; empty without one.
       finish_reason: Reason for the end of the generation; empty if it did not
@@ -41,7 +41,7 @@
     status: int = 0
     texts: list[str] = dataclasses.field(default_factory=list)
     arrivals: list[float] = dataclasses.field(default_factory=list)
-    asked: float = 0.0
+    sent_at: float = 0.0
     ended: float = 0.0
     request: str = ''
     finish_reason: str = ''
@@ -55,12 +55,12 @@
     @property
     def first_token_s(self) -> float:
         """Time to the first token; to the end if there is none."""
-        return (self.arrivals or [self.ended])[0] - self.asked
+        return (self.arrivals or [self.ended])[0] - self.sent_at
 
     @property
     def stall_s(self) -> float:
         """Longest time without an arrival, from the request to the end."""
-        times = [self.asked, *self.arrivals, self.ended]
+        times = [self.sent_at, *self.arrivals, self.ended]
         return max(after - before for before, after in _pairs(times))
 
     @property
@@ -121,7 +121,7 @@
       answer: Filled while the response is read, for concurrent observers.
     """
     answer = answer or Response()
-    answer.asked = time.monotonic()
+    answer.sent_at = time.monotonic()
     stream_body = body | {'stream': True}
     async with client.stream(
         'POST', path, json=stream_body, headers=headers
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/ask.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/ask.py
@@ -116,7 +116,7 @@
 
 async def _send_order(asked: Asked, client: httpx2.AsyncClient) -> None:
     answer = asked.answer
-    answer.asked = time.monotonic()
+    answer.sent_at = time.monotonic()
     response = await client.post(
         ORDER_PATH,
         json={'id': asked.ask.order, 'cartons': 12},
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
@@ -43,7 +43,7 @@
             f'{answer.first_token_s:.3f}',
             f'{answer.stall_s:.3f}',
             f'{answer.max_gap_s:.3f}' if generated else '-',
-            f'{answer.ended - answer.asked:.3f}',
+            f'{answer.ended - answer.sent_at:.3f}',
             item.fault or 'right',
         )
     )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/app.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/app.py
@@ -36,8 +36,8 @@
 )
 
 
-def _json_response(plain: Any, status: int = 200) -> blacksheep.Response:
-    content = blacksheep.Content(JSON, json.dumps(plain).encode())
+def _json_response(value: Any, status: int = 200) -> blacksheep.Response:
+    content = blacksheep.Content(JSON, json.dumps(value).encode())
     return blacksheep.Response(status, content=content)
 
 
@@ -51,12 +51,12 @@
 
 async def _json(req: blacksheep.Request) -> dict[str, Any]:
     try:
-        plain = json.loads(await req.read() or b'')
+        body = json.loads(await req.read() or b'')
     except ValueError as exc:
         raise completion.InvalidRequestError('not JSON') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(body, dict):
         raise completion.InvalidRequestError('the body is not an object')
-    return plain
+    return body
 
 
 def _stream(found: generation.Generation, start: int) -> blacksheep.Response:
@@ -96,13 +96,13 @@
 async def _execute_order(
     served: engine.Engine, req: blacksheep.Request
 ) -> blacksheep.Response:
-    plain = await _json(req)
-    if plain.get('kind') not in orders.KINDS:
+    body = await _json(req)
+    if body.get('kind') not in orders.KINDS:
         raise completion.InvalidRequestError('kind')
-    name, fence = plain.get('name'), plain.get('fence', 0)
+    name, fence = body.get('name'), body.get('fence', 0)
     if not isinstance(name, str) or type(fence) is not int:
         raise completion.InvalidRequestError('name or fence')
-    await served.orders.carry_out(orders.Order(plain['kind'], name, fence))
+    await served.orders.carry_out(orders.Order(body['kind'], name, fence))
     return _json_response({'done': True})
 
 
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/completion.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/completion.py
@@ -66,44 +66,44 @@
         return draw_length(self.prompt, seed)
 
 
-def parse(plain: Any, chat: bool) -> CompletionRequest:
+def parse(body: Any, chat: bool) -> CompletionRequest:
     """Parses the decoded JSON of a request.
 
     Raises:
       InvalidRequestError: A field is missing or has an invalid value.
     """
-    if not isinstance(plain, dict):
+    if not isinstance(body, dict):
         raise InvalidRequestError('the body is not an object')
-    max_tokens = plain.get('max_tokens', plain.get('max_completion_tokens'))
+    max_tokens = body.get('max_tokens', body.get('max_completion_tokens'))
     if max_tokens is not None and (type(max_tokens) is not int):
         raise InvalidRequestError('max_tokens is not an integer')
     if max_tokens is not None and max_tokens < 1:
         raise InvalidRequestError('max_tokens is below 1')
     return CompletionRequest(
-        request_id=_field(plain, 'request_id', str, str(uuid.uuid4())),
-        model=_field(plain, 'model', str, ''),
-        adapter=_field(plain, 'adapter', str, ''),
-        prompt=_chat_prompt(plain) if chat else _plain_prompt(plain),
+        request_id=_field(body, 'request_id', str, str(uuid.uuid4())),
+        model=_field(body, 'model', str, ''),
+        adapter=_field(body, 'adapter', str, ''),
+        prompt=_chat_prompt(body) if chat else _completion_prompt(body),
         chat=chat,
-        stream=_field(plain, 'stream', bool, False),
-        priority=_field(plain, 'priority', int, 5),
+        stream=_field(body, 'stream', bool, False),
+        priority=_field(body, 'priority', int, 5),
         max_tokens=max_tokens,
     )
 
 
-def _field(plain: dict[str, Any], name: str, kind: type, default: Any) -> Any:
-    value = plain.get(name, default)
+def _field(body: dict[str, Any], name: str, kind: type, default: Any) -> Any:
+    value = body.get(name, default)
     if type(value) is not kind:
         raise InvalidRequestError(f'{name} is not {kind.__name__}')
     return value
 
 
-def _plain_prompt(plain: dict[str, Any]) -> str:
-    return _field(plain, 'prompt', str, None)
+def _completion_prompt(body: dict[str, Any]) -> str:
+    return _field(body, 'prompt', str, None)
 
 
-def _chat_prompt(plain: dict[str, Any]) -> str:
-    messages = _field(plain, 'messages', list, None)
+def _chat_prompt(body: dict[str, Any]) -> str:
+    messages = _field(body, 'messages', list, None)
     lines = []
     for msg in messages:
         if not isinstance(msg, dict):
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/model.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/engine_standin/model.py
@@ -60,7 +60,7 @@
       blocks: Names of the prompt's shared blocks.
       own_prompt_tokens: Prompt tokens after the shared blocks.
       target: Number of tokens after which the sequence ends.
-      made: Number of tokens generated so far, across preemptions.
+      generated: Number of tokens generated so far, across preemptions.
       preemptions: Number of times that it was preempted.
       started: Whether it has been in the batch.
     """
@@ -70,14 +70,14 @@
     blocks: tuple[str, ...]
     own_prompt_tokens: int
     target: int
-    made: int = 0
+    generated: int = 0
     preemptions: int = 0
     started: bool = False
 
     @property
     def own_tokens(self) -> int:
         """Tokens in the KV cache that it doesn't share with other sequences."""
-        return self.own_prompt_tokens + self.made
+        return self.own_prompt_tokens + self.generated
 
     @property
     def rank(self) -> tuple[int, int]:
@@ -242,10 +242,10 @@
         return preempted
 
     def _generate_token(self, seq: Sequence) -> GeneratedToken:
-        index = seq.made
-        seq.made += 1
+        index = seq.generated
+        seq.generated += 1
         self._own_tokens += 1
-        return GeneratedToken(seq, index, seq.made == seq.target)
+        return GeneratedToken(seq, index, seq.generated == seq.target)
 
     def _remove(self, seq: Sequence) -> None:
         self.running.remove(seq)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/soak/testbed.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/soak/testbed.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quetzalsill_dev import relay
-from quetzalsill_dev.users_platform import engine, plain_server, store
+from quetzalsill_dev.users_platform import engine, http_server, store
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -64,7 +64,7 @@
     """
 
     def __init__(
-        self, server: plain_server.PlainServer | engine.Engine, service: str
+        self, server: http_server.HttpServer | engine.Engine, service: str
     ) -> None:
         self.server = server
         self.service = service
@@ -105,7 +105,7 @@
         self.fleet = engine.Fleet()
         self.gateways = [Gateway(f'entry-{n}') for n in range(gateways)]
         self.upstreams: list[Upstream] = []
-        self.http_servers: list[plain_server.PlainServer] = []
+        self.http_servers: list[http_server.HttpServer] = []
         self.config_version = 0
         self._server_numbers = iter(range(1, 10_000))
 
@@ -137,7 +137,7 @@
         """Starts a server and writes its row."""
         name = f'{service}-{next(self._server_numbers)}'
         if service == HTTP_SERVICE:
-            server = plain_server.PlainServer(name)
+            server = http_server.HttpServer(name)
             self.http_servers.append(server)
         else:
             server = engine.Engine(self.fleet, name)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/engine.py
@@ -31,7 +31,7 @@
     """A generation and the number of events that it has produced."""
 
     request_id: str
-    made: int = 0
+    event_count: int = 0
     running: bool = True
 
 
@@ -156,7 +156,12 @@
     def _report(self, call: scripted.Exchange) -> None:
         self.reports += 1
         runs = [
-            [run.request_id, 100 + run.made * TOKENS_PER_EVENT, run.made, 5]
+            [
+                run.request_id,
+                100 + run.event_count * TOKENS_PER_EVENT,
+                run.event_count,
+                5,
+            ]
             for run in self._runs.values()
             if run.running
         ]
@@ -190,8 +195,8 @@
         )
         target = self._fleet.engines.get(command['target'])
         handle = f'h{next(self._numbers)}-{self.id}'
-        body = {'handle': handle, 'created': run.made}
-        copy = _Run(run.request_id, run.made)
+        body = {'handle': handle, 'created': run.event_count}
+        copy = _Run(run.request_id, run.event_count)
         has_room = target is not None and not target.full
         if command.get('last'):
             self._copies[handle] = copy
@@ -254,14 +259,16 @@
         }
         call.send_head(200, head)
         try:
-            while run.running and run.made < self.length and call.is_open:
+            while (
+                run.running and run.event_count < self.length and call.is_open
+            ):
                 await asyncio.sleep(self.event_s)
                 if not run.running:
                     break
-                run.made += 1
+                run.event_count += 1
                 self._update_backup(run, backup)
-                call.send_chunk(event(request_id, run.made))
-                if run.made == self.abort_after:
+                call.send_chunk(event(request_id, run.event_count))
+                if run.event_count == self.abort_after:
                     call.writer.write(b'10\r\nid: 999\nda')
                     await call.writer.drain()
                     call.abort()
@@ -272,7 +279,7 @@
                 await call.writer.drain()
                 call.writer.close()
         finally:
-            if run.made == self.abort_after and self.keeps_running_s:
+            if run.event_count == self.abort_after and self.keeps_running_s:
                 self._detached.append(
                     asyncio.create_task(self._keep_running(run))
                 )
@@ -284,7 +291,9 @@
         """Updates the copy of a run on its backup engine."""
         target = self._fleet.engines.get(address)
         if target is not None and not target.full:
-            target._copies[run.request_id] = _Run(run.request_id, run.made)
+            target._copies[run.request_id] = _Run(
+                run.request_id, run.event_count
+            )
 
     async def _keep_running(self, run: _Run) -> None:
         """Keeps a run active without its connection, until it is stopped."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/http_server.py
@@ -7,12 +7,12 @@
 
 from quetzalsill_dev.users_platform import scripted
 
-__all__ = ['PlainServer']
+__all__ = ['HttpServer']
 
 PREFIX = 'x-quetzalsill-'
 
 
-class PlainServer:
+class HttpServer:
     """Responds as the next script specifies, or correctly without a script.
 
     Scripts: `ok`, `fail` (a 500 of its own), `shed` (503, not executed),
--- a/tests/quetzalsill_dev/engine_standin/test_engine.py
+++ b/tests/quetzalsill_dev/engine_standin/test_engine.py
@@ -10,12 +10,12 @@
 
 def request(request_id, tokens, model='plan'):
     """Returns a request that generates the given number of tokens."""
-    plain = {
+    body = {
         'request_id': request_id,
         'model': model,
         'prompt': f'[[tokens={tokens}]]',
     }
-    return completion.parse(plain, chat=False)
+    return completion.parse(body, chat=False)
 
 
 async def read_all(generation, start=0):
--- a/tests/quetzalsill_platform/fixture.py
+++ b/tests/quetzalsill_platform/fixture.py
@@ -10,7 +10,7 @@
 from quetzalsill_platform import store as platform_store
 
 from quetzalsill.settings import section
-from quetzalsill_dev.users_platform import caller, engine, plain_server, store
+from quetzalsill_dev.users_platform import caller, engine, http_server, store
 from quetzalsill_gateway import deployment, run, settings, source
 
 __all__ = ['GatewayTestCase', 'configuration', 'route']
@@ -107,7 +107,7 @@
         self.store.era = self.era
         await self.serve(self.store.server)
         self.http_servers = [
-            plain_server.PlainServer(f'desk-{n}') for n in (1, 2)
+            http_server.HttpServer(f'desk-{n}') for n in (1, 2)
         ]
         self.fleet = engine.Fleet()
         self.engines = [
--- a/tests/quetzalsill_platform/test_ambiguous_responses.py
+++ b/tests/quetzalsill_platform/test_ambiguous_responses.py
@@ -66,7 +66,7 @@
         is_running = run is not None and run.running
         if is_running and command.get('last'):
             if self.breaks_at_stop:
-                self.abort_after = run.made + 1
+                self.abort_after = run.event_count + 1
             await asyncio.sleep(self.stop_delay_s)
             if self.drops_stop_response:
                 run.running = False
--- a/tests/quetzalsill_platform/test_backups.py
+++ b/tests/quetzalsill_platform/test_backups.py
@@ -20,7 +20,9 @@
     async def crash(self, request_id):
         """Crashes the engine of a stream once it has made 20 events."""
         source = await self.wait_until_working()
-        await self.wait_until(lambda: source._runs[request_id].made >= 20)
+        await self.wait_until(
+            lambda: source._runs[request_id].event_count >= 20
+        )
         await source.crash()
         return source
 
--- a/tests/quetzalsill_platform/test_deadline.py
+++ b/tests/quetzalsill_platform/test_deadline.py
@@ -6,14 +6,14 @@
 import unittest
 from unittest import mock
 
-from quetzalsill_dev.users_platform import engine, plain_server
+from quetzalsill_dev.users_platform import engine, http_server
 from tests.quetzalsill_platform import fixture
 
 DEADLINE_S = 0.6
 HEADERS = {'X-Quetzalsill-Token-Usage': '1000,400'}
 
 
-class _PausedServer(plain_server.PlainServer):
+class _PausedServer(http_server.HttpServer):
     """A server whose process pauses right after it responds."""
 
     async def _respond(self, call, *args):
@@ -34,7 +34,7 @@
 
     async def asyncSetUp(self):
         with (
-            mock.patch.object(plain_server, 'PlainServer', _PausedServer),
+            mock.patch.object(http_server, 'HttpServer', _PausedServer),
             mock.patch.object(engine, 'Engine', _PausedEngine),
         ):
             await super().asyncSetUp()
--- a/tests/quetzalsill_platform/test_store_faults.py
+++ b/tests/quetzalsill_platform/test_store_faults.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from quetzalsill_dev.users_platform import plain_server
+from quetzalsill_dev.users_platform import http_server
 from quetzalsill_gateway import event
 from quetzalsill_gateway.fleet import upstream as upstream_lib
 from tests.quetzalsill_platform import fixture
@@ -167,7 +167,7 @@
         The gateway still has the old entry. The new server rejects requests for
         an id that is not its own, and they are sent elsewhere.
         """
-        other_server = plain_server.PlainServer('stranger')
+        other_server = http_server.HttpServer('stranger')
         await other_server.start()
         self.addAsyncCleanup(other_server.server.stop)
         entry = other_server.entry('desk', 'zone-a')
