--- a/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/cluster.py
@@ -1,8 +1,8 @@
-"""A whole cluster of processes on the loopback address.
+"""A cluster of processes on the loopback address.
 
-Two platform stand-ins (store, host list), an engine or service stand-in with
-its sidecar per upstream, and routers. Each process can be killed, paused and
-started again at the address that it had.
+It consists of two platform stand-ins (store, host list), an engine or service
+stand-in with its sidecar for each upstream, and routers. Each process can be
+killed, paused and restarted at its previous address.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 __all__ = ['Cluster', 'NotReadyError']
 
-READY_BOUND_S = 30.0
-READY_POLL_S = 0.05
+READY_TIMEOUT_S = 30.0
+READY_POLL_INTERVAL_S = 0.05
 ROLES = ('router', 'sidecar')
 
 
 class NotReadyError(Exception):
-    """The cluster did not get ready in time."""
+    """A router was not ready in time."""
 
 
 async def _direct(hop: str, address: str) -> str:
@@ -42,7 +42,7 @@
 
 
 class Cluster:
-    """Processes by name.
+    """The processes of a cluster, by name.
 
     Attributes:
       store: Stand-in of table and object store.
@@ -50,11 +50,11 @@
       upstreams: Engine and service stand-ins by upstream name.
       sidecars: Sidecars by upstream name.
       routers: Routers by name.
-      configuration: What `publish` stores.
-      changes: Changes to the settings of every process started from now on,
-        by section and key; those below `router` or `sidecar` apply to that
-        role alone.
-      tls: Context of this process towards routers that listen with TLS.
+      configuration: Configuration that `publish` stores.
+      overrides: Settings that override those of each process started from now
+        on, by section and key; those below `router` or `sidecar` apply to that
+        role only.
+      tls: Client context for routers that listen with TLS.
     """
 
     store: launch.Process
@@ -67,30 +67,30 @@
         configuration: model.Configuration | None = None,
         via: Via = _direct,
     ) -> None:
-        """Prepares a cluster; `start` starts it.
+        """Initializes a cluster; `start` starts its processes.
 
         Args:
-          launcher: Starts and ends the processes.
-          spec: Which processes.
-          configuration: First configuration without upstreams; the Board's
-            if there is none.
+          launcher: Starts and terminates the processes.
+          spec: Processes to start.
+          configuration: First configuration, without upstreams; that of
+            `board` by default.
           via: Called with a hop (`store`, `hosts`, `upstream:NAME` or
-            `sidecar:NAME`) and its address; gives the address that the
-            other processes are told, such as that of a relay.
+            `sidecar:NAME`) and its address; returns the address that the
+            other processes use for it, such as that of a relay.
         """
         self.upstreams: dict[str, launch.Process] = {}
         self.sidecars: dict[str, launch.Process] = {}
         self.routers: dict[str, launch.Process] = {}
         self.configuration = configuration or board.configuration()
-        self.changes: dict[str, Any] = {}
+        self.overrides: dict[str, Any] = {}
         self.tls: ssl.SSLContext | None = None
         self._launcher = launcher
         self._spec = spec
         self._via = via
-        self._told: dict[str, str] = {}
+        self._advertised: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Starts everything and waits until the routers are ready."""
+        """Starts all processes and waits until the routers are ready."""
         self.store, self.hosts = await asyncio.gather(
             self._start_platform('store'), self._start_platform('hosts')
         )
@@ -106,9 +106,9 @@
         await self.wait_ready()
 
     async def start_upstream(self, name: str) -> launch.Process:
-        """Starts an engine or service, where it was before if it was."""
+        """Starts an engine or service, at its previous port if it had one."""
         spec = self._upstream_spec(name)
-        port = await _port_behind(self.upstreams.get(name))
+        port = await _previous_port(self.upstreams.get(name))
         if isinstance(spec, layout.EngineSpec):
             started = await self._start_engine(spec, port)
         else:
@@ -116,45 +116,45 @@
                 name, 'quetzalsill_dev.service_standin', f'--port={port}'
             )
         self.upstreams[name] = started
-        await self._tell(f'upstream:{name}', started)
+        await self._advertise(f'upstream:{name}', started)
         return started
 
     async def start_sidecar(self, name: str) -> launch.Process:
-        """Starts the sidecar of an upstream, where it was before."""
+        """Starts an upstream's sidecar, at its previous port if it had one."""
         spec = self._upstream_spec(name)
         settings = process_settings.sidecar(
             name,
             spec.availability_zone,
-            await _port_behind(self.sidecars.get(name)),
+            await _previous_port(self.sidecars.get(name)),
             self._platform(),
-            f'http://{self._told[f"upstream:{name}"]}',
+            f'http://{self._advertised[f"upstream:{name}"]}',
             'model' if isinstance(spec, layout.EngineSpec) else 'app',
         )
         started = await self._start_role('sidecar', f'sidecar-{name}', settings)
         self.sidecars[name] = started
-        await self._tell(f'sidecar:{name}', started)
+        await self._advertise(f'sidecar:{name}', started)
         return started
 
     async def start_router(self, name: str) -> launch.Process:
-        """Starts a router, where it was before."""
+        """Starts a router, at its previous port if it had one."""
         (spec,) = (s for s in self._spec.routers if s.name == name)
         settings = process_settings.router(
             name,
             spec.availability_zone,
-            await _port_behind(self.routers.get(name)),
+            await _previous_port(self.routers.get(name)),
             self._platform(),
         )
         started = await self._start_role('router', name, settings)
-        if self.changes.get('router', {}).get('tls'):
+        if self.overrides.get('router', {}).get('tls'):
             started.scheme = 'https'
         self.routers[name] = started
         return started
 
     async def restart_ended(self) -> None:
-        """Starts the sidecars and routers that have ended, where they were.
+        """Restarts the sidecars and routers that have exited.
 
-        Those that are about to end count as ended: nobody may be at their port
-        any more, and soon nobody will be.
+        Processes that are terminating are restarted too, as they no longer
+        accept connections or will soon stop doing so. Ports stay the same.
         """
         starts = [
             start(name)
@@ -163,12 +163,12 @@
                 (self.routers, self.start_router),
             )
             for name, process in processes.items()
-            if not await _stays(process)
+            if not await _is_serving(process)
         ]
         await asyncio.gather(*starts)
 
     async def publish(self, note: str = 'by the launcher') -> int:
-        """Stores `configuration` as the next revision, which it returns."""
+        """Stores `configuration` and returns its revision."""
         data = document.render(self.configuration)
         store, hosts = self.store.url, self.hosts.url
         cfg = section.Platform(store, store, hosts)
@@ -180,39 +180,39 @@
             )
 
     async def set_hosts(
-        self, leaving: tuple[str, ...] = (), gone: tuple[str, ...] = ()
+        self, leaving: tuple[str, ...] = (), removed: tuple[str, ...] = ()
     ) -> None:
-        """Sets the host list; the stand-in publishes it with its lag."""
-        told = [
-            _host(spec, 'upstream', self._told[f'sidecar:{spec.name}'])
+        """Sets the host list, which the stand-in serves after its lag."""
+        hosts = [
+            _host(spec, 'upstream', self._advertised[f'sidecar:{spec.name}'])
             for spec in self._upstream_specs()
         ]
-        told += [
+        hosts += [
             _host(spec, 'entry', self.routers[spec.name].address)
             for spec in self._spec.routers
         ]
-        listed = [host for host in told if host['name'] not in gone]
+        listed = [host for host in hosts if host['name'] not in removed]
         for host in listed:
             host['state'] = 'leaving' if host['name'] in leaving else 'live'
         await self.switch(self.hosts, hosts=listed)
 
     async def switch(self, process: launch.Process, **switches: Any) -> None:
-        """Sets switches of a stand-in."""
+        """Sets switches of a stand-in's process."""
         async with caller.open_client(process.url) as client:
             response = await client.post('/stand-in', json=switches)
             response.raise_for_status()
 
     async def audit(self, name: str) -> dict[str, Any]:
-        """Audit of an upstream's stand-in."""
+        """Returns the audit of an upstream's stand-in."""
         async with caller.open_client(self.upstreams[name].url) as client:
             response = await client.get('/stand-in/audit')
             return response.raise_for_status().json()
 
     async def wait_ready(self) -> None:
-        """Waits until every router that runs says that it is ready.
+        """Waits until every running router reports that it is ready.
 
         Raises:
-          NotReadyError: Not within the bound.
+          NotReadyError: A router was not ready in time.
         """
         for process in self.routers.values():
             if process.running and not process.ending:
@@ -224,7 +224,7 @@
             'quetzalsill_dev.platform_standin',
             f'--part={part}',
         )
-        await self._tell(part, started)
+        await self._advertise(part, started)
         return started
 
     async def _start_engine(
@@ -247,8 +247,8 @@
         self, role: str, name: str, settings: dict[str, Any]
     ) -> launch.Process:
         path = self._launcher.folder / f'{name}.json'
-        common = {k: v for k, v in self.changes.items() if k not in ROLES}
-        own = self.changes.get(role, {})
+        common = {k: v for k, v in self.overrides.items() if k not in ROLES}
+        own = self.overrides.get(role, {})
         merged = process_settings.merge(
             process_settings.merge(settings, common), own
         )
@@ -257,12 +257,12 @@
             name, 'quetzalsill.run', role, f'--settings={path}'
         )
 
-    async def _tell(self, hop: str, process: launch.Process) -> None:
-        self._told[hop] = await self._via(hop, process.address)
+    async def _advertise(self, hop: str, process: launch.Process) -> None:
+        self._advertised[hop] = await self._via(hop, process.address)
 
     def _platform(self) -> dict[str, str]:
-        store = f'http://{self._told["store"]}'
-        hosts = f'http://{self._told["hosts"]}'
+        store = f'http://{self._advertised["store"]}'
+        hosts = f'http://{self._advertised["hosts"]}'
         return {'table': store, 'objects': store, 'hosts': hosts}
 
     def _upstream_specs(self) -> list[layout.EngineSpec | layout.ServiceSpec]:
@@ -277,7 +277,7 @@
     def _upstream(
         self, spec: layout.EngineSpec | layout.ServiceSpec
     ) -> model.Upstream:
-        address = self._told[f'sidecar:{spec.name}']
+        address = self._advertised[f'sidecar:{spec.name}']
         zone = spec.availability_zone
         if isinstance(spec, layout.ServiceSpec):
             return model.Upstream('app', address, zone, services=spec.services)
@@ -290,18 +290,21 @@
         )
 
 
-async def _port_behind(before: launch.Process | None) -> int:
-    """Port of the process before, free if that has ended; 0 without one."""
+async def _previous_port(before: launch.Process | None) -> int:
+    """Returns the port of the previous process; 0 if there was none.
+
+    The port is free on return if that process has exited or is terminating.
+    """
     if before is None:
         return 0
-    if not await _stays(before):
-        # A process that is about to end holds its port for a moment yet.
+    if not await _is_serving(before):
+        # A terminating process keeps its port until it has exited.
         await before.wait()
     return before.port
 
 
-async def _stays(process: launch.Process) -> bool:
-    """Whether a process runs, is not ending and takes connections."""
+async def _is_serving(process: launch.Process) -> bool:
+    """Whether a process runs, isn't terminating and accepts connections."""
     if process.ending or not process.running:
         return False
     try:
@@ -324,11 +327,11 @@
 async def _wait_ready(
     process: launch.Process, tls: ssl.SSLContext | None
 ) -> None:
-    deadline = time.monotonic() + READY_BOUND_S
+    deadline = time.monotonic() + READY_TIMEOUT_S
     async with caller.open_client(process.url, tls=tls) as client:
         while time.monotonic() < deadline:
             response = await client.get('/readyz')
             if response.status_code == httpx2.codes.OK:
                 return
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
     raise NotReadyError(process.name)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/requests.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/requests.py
@@ -57,7 +57,7 @@
 
     request: Request
     router: str
-    answer: caller.Answer = dataclasses.field(default_factory=caller.Answer)
+    answer: caller.Response = dataclasses.field(default_factory=caller.Response)
     failure: str = ''
 
 
@@ -118,7 +118,7 @@
 
 async def _send_order(sent: SentRequest, client: httpx2.AsyncClient) -> None:
     answer = sent.answer
-    answer.asked = time.monotonic()
+    answer.sent_at = time.monotonic()
     response = await client.post(
         ORDER_PATH,
         json={'id': sent.request.order, 'cartons': 12},
@@ -142,5 +142,5 @@
     if len(answer.texts) != sent.request.tokens:
         return f'{len(answer.texts)} tokens of {sent.request.tokens}'
     return (
-        '' if answer.is_whole else 'tokens duplicated, out of order or missing'
+        '' if answer.is_complete else 'tokens duplicated, out of order or missing'
     )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/table.py
@@ -42,8 +42,8 @@
             str(len(answer.texts)) if is_generation else '-',
             f'{answer.first_token_s:.3f}',
             f'{answer.stall_s:.3f}',
-            f'{answer.worst_gap_s:.3f}' if is_generation else '-',
-            f'{answer.ended - answer.asked:.3f}',
+            f'{answer.max_gap_s:.3f}' if is_generation else '-',
+            f'{answer.ended - answer.sent_at:.3f}',
             item.failure or 'right',
         )
     )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the platform: one connection, requests down to the byte."""
+"""An HTTP client of the platform that controls each byte it sends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import h11
 
-__all__ = ['Answer', 'Caller']
+__all__ = ['Caller', 'Response']
 
 PREFIX = 'X-Quetzalsill-'
 READ_BYTES = 65536
@@ -17,24 +17,24 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
-    """What came back.
+class Response:
+    """A response, as far as it was received.
 
     Attributes:
-      status: Status code; 0 if none came.
-      headers: Names in lower case.
-      body: What came of the body.
-      whole: Whether the answer ended as complete.
+      status: Status code; 0 if none was received.
+      headers: Headers, with names in lower case.
+      body: The part of the body that was received.
+      complete: Whether the response ended as its framing requires.
     """
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
 
 
 class Caller:
-    """One connection to a gateway."""
+    """A client connection to a gateway."""
 
     def __init__(self, host: str, port: int) -> None:
         self._address = (host, port)
@@ -47,35 +47,35 @@
             *self._address
         )
 
-    def leave(self) -> None:
-        """Closes the connection at once, if there is one."""
+    def disconnect(self) -> None:
+        """Aborts the connection, if there is one."""
         if self._writer is not None:
             self._writer.transport.abort()
 
     def send_raw(self, data: bytes) -> None:
-        """Writes bytes as they are."""
+        """Writes bytes unchanged."""
         self._writer.write(data)
 
-    async def ask(
+    async def request(
         self,
         target: str,
         *,
         method: str = 'GET',
-        answer: Answer | None = None,
+        response: Response | None = None,
         **more: Any,
-    ) -> Answer:
-        """Sends one request and reads its answer.
+    ) -> Response:
+        """Sends a request and reads its response, connecting if necessary.
 
         Args:
           target: Path and query.
           method: Method in capitals.
-          answer: Filled while the answer comes; a new one if None.
-          more: What `send` takes.
+          response: Filled while the response is read; a new one if None.
+          more: Arguments of `send`.
         """
         if self._writer is None or self._writer.transport.is_closing():
             await self.open()
         self.send(target, method=method, **more)
-        return await self.read(method, answer)
+        return await self.read(method, response)
 
     def send(
         self,
@@ -89,7 +89,7 @@
         request_id: str = '',
         headers: dict[str, str] | None = None,
     ) -> str:
-        """Writes one request; returns its id."""
+        """Writes a request and returns its id."""
         request_id = request_id or f'{next(_numbers):016x}'
         lines = [
             f'{method} {target} HTTP/1.1',
@@ -106,31 +106,31 @@
         return request_id
 
     async def read(
-        self, method: str = 'GET', answer: Answer | None = None
-    ) -> Answer:
-        """Reads one answer, as far as it comes."""
+        self, method: str = 'GET', response: Response | None = None
+    ) -> Response:
+        """Reads a response until it ends or the connection is lost."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(
             h11.Request(method=method, target='/', headers=[('host', 'h')])
         )
         parser.send(h11.EndOfMessage())
-        answer = answer or Answer()
+        response = response or Response()
         try:
-            while not answer.whole:
+            while not response.complete:
                 event = parser.next_event()
                 if event is h11.NEED_DATA:
                     parser.receive_data(await self._reader.read(READ_BYTES))
                 elif isinstance(event, h11.Response):
-                    answer.status = event.status_code
-                    answer.headers = {
+                    response.status = event.status_code
+                    response.headers = {
                         k.decode(): v.decode() for k, v in event.headers
                     }
                 elif isinstance(event, h11.Data):
-                    answer.body += bytes(event.data)
+                    response.body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    answer.whole = True
+                    response.complete = True
                 elif isinstance(event, h11.ConnectionClosed):
                     break
         except (ConnectionError, h11.RemoteProtocolError):
-            return answer
-        return answer
+            return response
+        return response
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/plain_server.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/http_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's plain servers, with their misbehaviours."""
+"""Stand-in of the platform's HTTP servers, with scripted faults."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 from quetzalsill_dev.users_platform import scripted
 
-__all__ = ['PlainServer']
+__all__ = ['HttpServer']
 
 PREFIX = 'x-quetzalsill-'
 
 
-class PlainServer:
-    """Answers as the next script says, and well where there is none.
+class HttpServer:
+    """Responds as the next script specifies, or correctly without a script.
 
-    Scripts: `ok`, `fail` (its own 500), `shed` (503, not run), `moved` (421),
-    `false_503` (ran, and says 503 without saying that it has not), `reset`
-    (ran, no answer), `truncate`, `garbage`, `extra` (a second answer behind
-    the first), `stale` (another request's answer first), `unframed` (no
-    length, ends with its connection), `no_receipt`, `hang`, `early` (answers
-    and keeps the connection).
+    Scripts: `ok`, `fail` (a 500 of its own), `shed` (503, not executed),
+    `moved` (421), `false_503` (executed, but responds 503 without a
+    not-executed header), `reset` (executed, no response), `truncate`,
+    `garbage`, `extra` (a second response after the first), `stale` (the
+    response of another request first), `unframed` (no length; the end of the
+    connection ends the body), `no_receipt`, `hang`, `early` (responds and keeps
+    the connection).
 
     Attributes:
-      id: Names this incarnation.
-      scripts: What to do with the next requests.
-      runs: Requests that ran: id, target, headers and body.
+      id: Id of this incarnation.
+      scripts: Scripts for the next requests.
+      runs: Executed requests: id, target, headers and body.
     """
 
     def __init__(self, name: str) -> None:
@@ -35,13 +36,13 @@
         self.runs: list[tuple[str, str, dict[str, str], bytes]] = []
 
     async def start(self) -> None:
-        """Starts to serve."""
+        """Starts to accept connections."""
         await self.server.start()
 
     def entry(
         self, service: str, zone: str, state: str = 'ready'
     ) -> dict[str, Any]:
-        """Returns its row in the table of servers."""
+        """Returns its row for the table of servers."""
         return {
             'service': service,
             'address': self.server.address_text,
@@ -56,16 +57,16 @@
         echo = {PREFIX + 'attempt-id': request_id}
         expected = call.headers.get(PREFIX + 'expect-instance')
         if script == 'moved' or expected != self.id:
-            call.answer(421, headers={PREFIX + 'instance-id': 'another'})
+            call.respond(421, headers={PREFIX + 'instance-id': 'another'})
             return
         if script == 'shed':
-            call.answer(503, headers=echo | {PREFIX + 'not-executed': '1'})
+            call.respond(503, headers=echo | {PREFIX + 'not-executed': '1'})
             return
         self.runs.append((request_id, call.target, call.headers, call.body))
         receipt = echo | {PREFIX + 'server-stamp': f'{self.id}.{request_id}'}
-        await self._answer(call, script, receipt, f'{self.id}:{request_id}')
+        await self._respond(call, script, receipt, f'{self.id}:{request_id}')
 
-    async def _answer(
+    async def _respond(
         self,
         call: scripted.Exchange,
         script: str,
@@ -75,35 +76,37 @@
         body = text.encode()
         match script:
             case 'fail':
-                call.answer(500, body, receipt)
+                call.respond(500, body, receipt)
             case 'false_503':
-                call.answer(503, body, receipt)
+                call.respond(503, body, receipt)
             case 'no_receipt':
                 name = PREFIX + 'attempt-id'
-                call.answer(200, body, {name: receipt[name]})
+                call.respond(200, body, {name: receipt[name]})
             case 'reset':
                 call.abort()
             case 'hang':
                 await asyncio.Event().wait()
             case 'truncate':
-                call.head(200, receipt | {'Content-Length': str(len(body) + 9)})
+                call.send_head(
+                    200, receipt | {'Content-Length': str(len(body) + 9)}
+                )
                 call.writer.write(body)
                 await call.writer.drain()
                 call.writer.close()
             case 'garbage':
                 call.writer.write(b'\x16\x03\x01 this is no answer\r\n\r\n')
             case 'unframed':
-                call.head(200, receipt | {'Connection': 'close'})
+                call.send_head(200, receipt | {'Connection': 'close'})
                 call.writer.write(body)
                 await call.writer.drain()
                 call.writer.close()
             case 'extra':
-                call.answer(200, body, receipt)
+                call.respond(200, body, receipt)
                 other = receipt | {PREFIX + 'attempt-id': 'another'}
-                call.answer(200, b'not yours', other)
+                call.respond(200, b'not yours', other)
             case 'stale':
                 other = receipt | {PREFIX + 'attempt-id': 'another'}
-                call.answer(200, b'not yours', other)
-                call.answer(200, body, receipt)
+                call.respond(200, b'not yours', other)
+                call.respond(200, body, receipt)
             case _:
-                call.answer(200, body, receipt)
+                call.respond(200, body, receipt)
--- a/tests/quetzalsill_platform/fixture.py
+++ b/tests/quetzalsill_platform/fixture.py
@@ -10,7 +10,7 @@
 from quetzalsill_platform import store as platform_store
 
 from quetzalsill.settings import section
-from quetzalsill_dev.users_platform import caller, engine, plain_server, store
+from quetzalsill_dev.users_platform import caller, engine, http_server, store
 from quetzalsill_gateway import deployment, run, settings, source
 
 __all__ = ['GatewayTestCase', 'configuration', 'route']
@@ -107,7 +107,7 @@
         self.store.era = self.era
         await self.serve(self.store.server)
         self.http_servers = [
-            plain_server.PlainServer(f'desk-{n}') for n in (1, 2)
+            http_server.HttpServer(f'desk-{n}') for n in (1, 2)
         ]
         self.fleet = engine.Fleet()
         self.engines = [
@@ -186,13 +186,13 @@
     def caller(self):
         """Returns a client of the gateway that is not connected yet."""
         client = caller.Caller('127.0.0.1', self.process.callers.port)
-        self.addCleanup(lambda: client._writer and client.leave())
+        self.addCleanup(lambda: client._writer and client.disconnect())
         return client
 
     async def request(self, target, **kwargs):
         """Sends a request on a new connection and returns the response."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            return await self.caller().ask(target, **kwargs)
+            return await self.caller().request(target, **kwargs)
 
     def script(self, *scripts):
         """Sets how the next requests fail, whichever server gets them."""
--- a/tests/quetzalsill_platform/test_deadline.py
+++ b/tests/quetzalsill_platform/test_deadline.py
@@ -6,18 +6,18 @@
 import unittest
 from unittest import mock
 
-from quetzalsill_dev.users_platform import engine, plain_server
+from quetzalsill_dev.users_platform import engine, http_server
 from tests.quetzalsill_platform import fixture
 
 DEADLINE_S = 0.6
 HEADERS = {'X-Quetzalsill-Token-Usage': '1000,400'}
 
 
-class _PausedServer(plain_server.PlainServer):
+class _PausedServer(http_server.HttpServer):
     """A server whose process pauses right after it responds."""
 
-    async def _answer(self, call, *args):
-        await super()._answer(call, *args)
+    async def _respond(self, call, *args):
+        await super()._respond(call, *args)
         time.sleep(DEADLINE_S)
 
 
@@ -34,7 +34,7 @@
 
     async def asyncSetUp(self):
         with (
-            mock.patch.object(plain_server, 'PlainServer', _PausedServer),
+            mock.patch.object(http_server, 'HttpServer', _PausedServer),
             mock.patch.object(engine, 'Engine', _PausedEngine),
         ):
             await super().asyncSetUp()
@@ -51,19 +51,19 @@
     async def test_an_order_that_was_answered(self):
         """A confirmed order would be reported as timed out."""
         response = await self.send('/unsafe/', 'o1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['o1'])
 
     async def test_a_plan_that_is_complete(self):
         """A stream would be cut off although its last event has arrived."""
         response = await self.send('/plan/', 'p1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual(response.body, self.expected_stream('p1'))
 
     async def test_a_query_that_was_answered(self):
         """A query would be retried although its response has arrived."""
         response = await self.send('/safe/', 'q1')
-        self.assertEqual((response.status, response.whole), (200, True))
+        self.assertEqual((response.status, response.complete), (200, True))
         self.assertEqual([run[0] for run in self.runs], ['q1'])
 
 
