--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Bench of what callers see while parts fail on a seeded schedule."""
+"""Benchmark of what callers observe during seeded fault injection."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/__main__.py
@@ -1,8 +1,9 @@
-"""What callers see while parts fail: `make bench-faults`.
+"""Measures what callers observe during faults: `make bench-faults`.
 
-For each mix: a calm phase, then the same traffic while engines, sidecars,
-routers, links and the store fail on a seeded schedule. Exit status 1 if a
-request was doubled, lost, torn, given another's answer, or untruly refused.
+For each mix: a calm phase, then the same traffic while faults are injected into
+engines, sidecars, routers, links and the store on a seeded schedule. Exits with
+status 1 if a request ran twice, was lost, got a corrupted answer or that of
+another request, or ran although its caller was told that it did not.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from quetzalsill_dev.bench.crowd import mix as mix_lib
 from quetzalsill_dev.bench.faults import (
     callers,
-    field,
     figures,
     probe,
     schedule,
     traffic,
 )
+from quetzalsill_dev.bench.faults import testbed as testbed_lib
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -35,7 +36,7 @@
 CALM_S = 12.0
 SPACING_S = 3.0
 RATE = 15.0
-SHOWN = (
+PRINTED_FIGURES = (
     'asked', 'accepted', 'whole', 'refused', 'untrue_refusals', 'failed',
     'unknown', 'cut', 'doubled', 'lost', 'torn', 'foreign',
 )  # fmt: skip
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Recovery:
-    """Time to recover from one strike, in seconds, by profile of probe."""
+    """Time to recover from one injection, in seconds, by probe profile."""
 
     name: str
     prompt_s: float
@@ -62,70 +63,76 @@
     broken: list[dict[str, object]]
 
 
-async def _strike_all(
-    at: field.Field, strikes: list[schedule.Strike]
+async def _inject_all(
+    testbed: testbed_lib.Testbed, injections: list[schedule.Injection]
 ) -> list[float]:
-    """Lets each strike come at its time; returns when each came."""
+    """Makes each injection at its time; returns the actual times."""
     began = time.monotonic()
     times = []
     async with asyncio.TaskGroup() as group:
-        for strike in strikes:
-            await asyncio.sleep(began + strike.at_s - time.monotonic())
+        for injection in injections:
+            await asyncio.sleep(began + injection.at_s - time.monotonic())
             times.append(time.monotonic())
-            group.create_task(at.strike(strike))
+            group.create_task(testbed.inject(injection))
     return times
 
 
 async def _measure(mix: str, seed: int, rate: float) -> Result:
-    strikes = schedule.schedule(seed, SPACING_S)
-    length_s = SPACING_S * (len(strikes) + 1)
-    async with field.open_field() as at, callers.Callers(at.cluster) as calm:
-        prober = probe.Prober(at)
+    injections = schedule.generate(seed, SPACING_S)
+    length_s = SPACING_S * (len(injections) + 1)
+    async with (
+        testbed_lib.open_testbed() as testbed,
+        callers.Callers(testbed.cluster) as calm,
+    ):
+        prober = probe.Prober(testbed)
         probing = asyncio.create_task(prober.run())
-        await calm.play(traffic.arrivals(mix, rate, CALM_S, 2 * seed))
-        async with callers.Callers(at.cluster) as struck:
-            asks = traffic.arrivals(mix, rate, length_s, 2 * seed + 1)
+        await calm.run(traffic.arrivals(mix, rate, CALM_S, 2 * seed))
+        async with callers.Callers(testbed.cluster) as faulted:
+            requests = traffic.arrivals(mix, rate, length_s, 2 * seed + 1)
             times, _ = await asyncio.gather(
-                _strike_all(at, strikes), struck.play(asks)
+                _inject_all(testbed, injections), faulted.run(requests)
             )
         probing.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await probing
-        ran = await at.ran()
+        executions = await testbed.executions()
     ends = [*times[1:], times[-1] + 2 * SPACING_S]
     recoveries = [
         Recovery(
-            strike.name,
-            probe.recover_s(prober.probes, 'prompt', begun, end),
-            probe.recover_s(prober.probes, 'patient', begun, end),
+            injection.name,
+            probe.recovery_time_s(prober.probes, 'prompt', begun, end),
+            probe.recovery_time_s(prober.probes, 'patient', begun, end),
         )
-        for strike, begun, end in zip(strikes, times, ends, strict=True)
+        for injection, begun, end in zip(injections, times, ends, strict=True)
     ]
     return Result(
         mix,
         seed,
-        figures.figures(calm.told, ran),
-        figures.figures(struck.told, ran),
+        figures.compute(calm.records, executions),
+        figures.compute(faulted.records, executions),
         recoveries,
-        list(_broken([*calm.told, *struck.told], ran)),
+        list(_find_violations([*calm.records, *faulted.records], executions)),
     )
 
 
-def _broken(
-    told: list[callers.Told], ran: field.Ran
+def _find_violations(
+    records: list[callers.RequestRecord], executions: testbed_lib.Executions
 ) -> Iterator[dict[str, object]]:
-    """Yields what is needed to look into each broken promise."""
-    for one in told:
-        verdicts = list(figures.judge(one, ran))
-        if set(verdicts) & set(figures.MUST_BE_ZERO):
-            plain = dataclasses.asdict(one)
-            yield plain | {'verdicts': verdicts, 'runs': ran.count(one.ask)}
+    """Yields the details of each request with a violated guarantee."""
+    for record in records:
+        verdicts = list(figures.classify(record, executions))
+        if set(verdicts) & set(figures.VIOLATIONS):
+            details = dataclasses.asdict(record)
+            yield details | {
+                'verdicts': verdicts,
+                'runs': executions.count(record.ask),
+            }
 
 
 def _lines(result: Result) -> Iterator[str]:
     yield f'{result.mix}, seed {result.seed}'
     yield f'{"":16}{"calm":>10}{"faults":>10}'
-    for name in SHOWN:
+    for name in PRINTED_FIGURES:
         calm, faults = getattr(result.calm, name), getattr(result.faults, name)
         yield f'{name:16}{calm:10}{faults:10}'
     yield f'told under faults: {result.faults.codes}'
@@ -145,21 +152,23 @@
 @click.command()
 @click.option('--mix', 'mixes', multiple=True, default=tuple(mix_lib.MIXES))
 @click.option('--seed', default=1)
-@click.option('--rate', default=RATE, help='Requests a second.')
+@click.option('--rate', default=RATE, help='Requests per second.')
 def main(mixes: tuple[str, ...], seed: int, rate: float) -> None:
-    """Runs the bench, prints its tables and writes JSON."""
+    """Runs the benchmark, prints its tables and writes JSON."""
     results = []
     for mix in mixes:
         results.append(asyncio.run(_measure(mix, seed, rate)))
         click.echo('\n'.join(_lines(results[-1])))
     FOLDER.mkdir(exist_ok=True)
     path = FOLDER / f'faults-{seed}.json'
-    plain = [dataclasses.asdict(result) for result in results]
-    path.write_text(json.dumps(plain, indent=2))
+    rows = [dataclasses.asdict(result) for result in results]
+    path.write_text(json.dumps(rows, indent=2))
     click.echo(f'wrote {path}')
-    broken = any(figures.faulty(r.calm) or figures.faulty(r.faults)
-                 for r in results)  # fmt: skip
-    sys.exit(1 if broken else 0)
+    violated = any(
+        figures.has_violations(r.calm) or figures.has_violations(r.faults)
+        for r in results
+    )
+    sys.exit(1 if violated else 0)
 
 
 if __name__ == '__main__':
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/callers.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/callers.py
@@ -1,8 +1,8 @@
-"""Callers behind a balancer, and what each was told in the end.
+"""Callers behind a load balancer, and the final response to each request.
 
-Who has an idempotency key repeats its request until it is answered; who has
-none takes what it is told. An accepted patient request is asked after until
-it is settled.
+Callers with an idempotency key repeat their request until it is answered;
+callers without one accept the first response. The result of an accepted
+durable request is polled until it is available.
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 
     from quetzalsill_dev import cluster as cluster_lib
 
-__all__ = ['Callers', 'Told']
+__all__ = ['Callers', 'RequestRecord']
 
 OK = 200
 PENDING = 202
-GIVE_UP_S = 60.0
-POLL_S = 0.25
+GIVE_UP_AFTER_S = 60.0
+POLL_INTERVAL_S = 0.25
 ACCOUNT = 'retailers'
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
-    """What became of one request, as its caller knows.
+class RequestRecord:
+    """Outcome of one request as seen by its caller.
 
     Attributes:
       ask: The request.
-      request: Id, once it was told.
-      accepted: It was taken: an answer began, or its acceptance was told.
-      status: Last status; 0 if the connection broke.
-      code: Code of the failure; empty for an answer.
-      not_run: As the failure says; None for unknown or an answer.
+      request: Request id, once known.
+      accepted: Whether an answer began or the acceptance was confirmed.
+      status: Last HTTP status; 0 if the connection failed.
+      code: Error code; empty for an answer.
+      not_run: As stated in the error; None if unknown or for an answer.
       texts: Text of each token.
-      stall_s: Longest time with nothing arriving, in seconds; over all
-        repeats, and until the whole answer for patient work.
-      repeats: How often it was sent again.
+      stall_s: Longest time without any data arriving, in seconds; over all
+        repeats, and until the complete answer for durable work.
+      repeats: Number of times it was sent again.
     """
 
-    ask: traffic.Ask
+    ask: traffic.Request
     request: str = ''
     accepted: bool = False
     status: int = 0
@@ -63,7 +63,7 @@
 
     @property
     def answered(self) -> bool:
-        """An answer came, whole or not."""
+        """Whether an answer arrived, complete or not."""
         return self.status == OK and not self.code
 
 
@@ -71,18 +71,18 @@
     """Callers of a cluster.
 
     Attributes:
-      told: What became of each request, in order of their ends.
+      records: Outcome of each request, in the order of their ends.
     """
 
     def __init__(self, cluster: cluster_lib.Cluster) -> None:
-        self.told: list[Told] = []
+        self.records: list[RequestRecord] = []
         self._cluster = cluster
         self._turns = itertools.count()
         self._stack = contextlib.AsyncExitStack()
         self._clients: dict[str, httpx2.AsyncClient] = {}
 
     async def __aenter__(self) -> Callers:
-        """Opens the clients; routers keep their addresses over restarts."""
+        """Opens the clients; routers keep their addresses across restarts."""
         token = board.TOKENS[ACCOUNT]
         for name, router in self._cluster.routers.items():
             client = caller.open_client(router.url, token)
@@ -93,100 +93,113 @@
         """Closes the clients."""
         await self._stack.aclose()
 
-    async def play(self, asks: Iterable[traffic.Ask]) -> None:
+    async def run(self, requests: Iterable[traffic.Request]) -> None:
         """Sends each request at its time; returns when all have ended."""
         began = time.monotonic()
         async with asyncio.TaskGroup() as group:
-            for ask in asks:
-                await asyncio.sleep(began + ask.at_s - time.monotonic())
-                group.create_task(self.serve(ask))
-
-    async def serve(self, ask: traffic.Ask) -> Told:
-        """Sends one request and follows it to its end."""
-        told = Told(ask)
-        asked = time.monotonic()
+            for request in requests:
+                await asyncio.sleep(began + request.at_s - time.monotonic())
+                group.create_task(self.send(request))
+
+    async def send(self, request: traffic.Request) -> RequestRecord:
+        """Sends one request and repeats or polls it until it has ended."""
+        record = RequestRecord(request)
+        sent_at = time.monotonic()
         while True:
-            await self._send(told)
-            late = time.monotonic() - asked > GIVE_UP_S
-            if late or not ask.key or not _may_repeat(told):
+            await self._send(record)
+            late = time.monotonic() - sent_at > GIVE_UP_AFTER_S
+            if late or not request.key or not _may_repeat(record):
                 break
-            told.repeats += 1
-            await asyncio.sleep(POLL_S)
-        if told.status == PENDING:
-            await self._fetch(told, asked + GIVE_UP_S)
-        if ask.kind.durable or told.repeats:
-            told.stall_s = max(told.stall_s, time.monotonic() - asked)
-        self.told.append(told)
-        return told
-
-    async def _send(self, told: Told) -> None:
-        told.status, told.code, told.not_run = 0, '', None
+            record.repeats += 1
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if record.status == PENDING:
+            await self._poll_result(record, sent_at + GIVE_UP_AFTER_S)
+        if request.kind.durable or record.repeats:
+            record.stall_s = max(record.stall_s, time.monotonic() - sent_at)
+        self.records.append(record)
+        return record
+
+    async def _send(self, record: RequestRecord) -> None:
+        record.status, record.code, record.not_run = 0, '', None
         headers = {}
-        if told.ask.kind.profile:
-            headers['x-quetzalsill-profile'] = told.ask.kind.profile
-        if told.ask.key:
-            headers['idempotency-key'] = told.ask.key
+        if record.ask.kind.profile:
+            headers['x-quetzalsill-profile'] = record.ask.kind.profile
+        if record.ask.key:
+            headers['idempotency-key'] = record.ask.key
         began = time.monotonic()
         with contextlib.suppress(httpx2.TransportError):
-            if told.ask.kind.name == traffic.ORDER:
-                await self._order(told, headers)
-            elif told.ask.kind.durable:
-                await self._submit(told, headers)
+            if record.ask.kind.name == traffic.ORDER:
+                await self._send_order(record, headers)
+            elif record.ask.kind.durable:
+                await self._submit_durable(record, headers)
             else:
-                await self._stream(told, headers)
+                await self._read_stream(record, headers)
                 return
-        told.stall_s = max(told.stall_s, time.monotonic() - began)
+        record.stall_s = max(record.stall_s, time.monotonic() - began)
 
-    async def _order(self, told: Told, headers: dict[str, str]) -> None:
+    async def _send_order(
+        self, record: RequestRecord, headers: dict[str, str]
+    ) -> None:
         path = '/services/ordering/orders'
-        body = {'id': told.ask.name}
-        _take(told, await self._call('POST', path, json=body, headers=headers))
+        body = {'id': record.ask.name}
+        _record_response(
+            record, await self._call('POST', path, json=body, headers=headers)
+        )
 
-    async def _submit(self, told: Told, headers: dict[str, str]) -> None:
+    async def _submit_durable(
+        self, record: RequestRecord, headers: dict[str, str]
+    ) -> None:
         headers |= {'prefer': 'respond-async'}
-        body = {'model': board.MODEL, 'prompt': told.ask.prompt}
+        body = {'model': board.MODEL, 'prompt': record.ask.prompt}
         path = '/v1/completions'
-        _take(told, await self._call('POST', path, json=body, headers=headers))
+        _record_response(
+            record, await self._call('POST', path, json=body, headers=headers)
+        )
 
-    async def _stream(self, told: Told, headers: dict[str, str]) -> None:
-        body = {'model': board.MODEL, 'prompt': told.ask.prompt}
+    async def _read_stream(
+        self, record: RequestRecord, headers: dict[str, str]
+    ) -> None:
+        body = {'model': board.MODEL, 'prompt': record.ask.prompt}
         answer = caller.Answer()
         try:
-            await self._through(
+            await self._send_via_router(
                 lambda client: caller.generate(
                     client, body, headers, answer=answer
                 )
             )
         finally:
             answer.ended = answer.ended or time.monotonic()
-            told.stall_s = max(told.stall_s, answer.stall_s)
-            told.accepted |= answer.status == OK
-            told.request = answer.request or told.request
-        told.status, told.texts = answer.status, answer.texts
+            record.stall_s = max(record.stall_s, answer.stall_s)
+            record.accepted |= answer.status == OK
+            record.request = answer.request or record.request
+        record.status, record.texts = answer.status, answer.texts
         if answer.error is not None:
-            _take_error(told, answer.error)
+            _record_error(record, answer.error)
 
-    async def _fetch(self, told: Told, limit: float) -> None:
-        """Asks after an accepted request through any router."""
+    async def _poll_result(self, record: RequestRecord, limit: float) -> None:
+        """Polls the result of an accepted request through any router."""
         while time.monotonic() < limit:
-            told.code, told.not_run = '', None
+            record.code, record.not_run = '', None
             with contextlib.suppress(httpx2.TransportError):
-                path = f'/v1/requests/{told.request}'
-                _take(told, await self._call('GET', path))
-                if told.status != PENDING and told.code != 'store_unavailable':
+                path = f'/v1/requests/{record.request}'
+                _record_response(record, await self._call('GET', path))
+                if (
+                    record.status != PENDING
+                    and record.code != 'store_unavailable'
+                ):
                     return
-            await asyncio.sleep(POLL_S)
-        told.code = 'never_settled'
+            await asyncio.sleep(POLL_INTERVAL_S)
+        record.code = 'never_settled'
 
     async def _call(
         self, method: str, path: str, **content: Any
     ) -> httpx2.Response:
-        return await self._through(
+        return await self._send_via_router(
             lambda client: client.request(method, path, **content)
         )
 
-    async def _through(self, send: Any) -> Any:
-        """Sends by the next router that takes connections."""
+    async def _send_via_router(self, send: Any) -> Any:
+        """Sends through the next router that accepts connections."""
         turn = next(self._turns)
         clients = list(self._clients.values())
         for number in range(len(clients)):
@@ -195,31 +208,31 @@
                 return await send(client)
             except httpx2.ConnectError:
                 continue
-        raise httpx2.ConnectError('no router takes connections')
+        raise httpx2.ConnectError('no router accepts connections')
 
 
-def _may_repeat(told: Told) -> bool:
-    """Whether its key makes it safe and sensible to send it again."""
-    if told.status in (OK, PENDING) and not told.code:
+def _may_repeat(record: RequestRecord) -> bool:
+    """Whether to repeat a request that has an idempotency key."""
+    if record.status in (OK, PENDING) and not record.code:
         return False
-    told_to_wait = told.code in ('conflict', 'store_unavailable')
-    return told.status == 0 or told.not_run is True or told_to_wait
+    must_wait = record.code in ('conflict', 'store_unavailable')
+    return record.status == 0 or record.not_run is True or must_wait
 
 
-def _take(told: Told, response: httpx2.Response) -> None:
-    told.status = response.status_code
-    if told.status in (OK, PENDING):
-        # A failure tells the id of the call that failed, such as a fetch.
-        told.accepted = True
-        told.request = response.headers['x-request-id']
+def _record_response(record: RequestRecord, response: httpx2.Response) -> None:
+    record.status = response.status_code
+    if record.status in (OK, PENDING):
+        # An error carries the id of the failed call, which may be a poll.
+        record.accepted = True
+        record.request = response.headers['x-request-id']
     body = json.loads(response.content)
     if 'error' in body:
-        _take_error(told, body)
+        _record_error(record, body)
     elif 'choices' in body:
         (choice,) = body['choices']
-        told.texts = [f'{token} ' for token in choice['text'].split()]
+        record.texts = [f'{token} ' for token in choice['text'].split()]
 
 
-def _take_error(told: Told, body: dict[str, Any]) -> None:
-    told.code = body['error']['code']
-    told.not_run = body['error']['not_run']
+def _record_error(record: RequestRecord, body: dict[str, Any]) -> None:
+    record.code = body['error']['code']
+    record.not_run = body['error']['not_run']
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/figures.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/figures.py
@@ -1,4 +1,4 @@
-"""Judges what callers were told by what the upstreams say has run."""
+"""Compares the responses to callers with what ran on the upstreams."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     from collections.abc import Iterable
 
     from quetzalsill_dev.bench.faults import callers
-    from quetzalsill_dev.bench.faults import field as field_lib
+    from quetzalsill_dev.bench.faults import testbed as testbed_lib
 
-__all__ = ['Figures', 'Stall', 'faulty', 'figures', 'judge']
+__all__ = ['Figures', 'Stall', 'classify', 'compute', 'has_violations']
 
-MUST_BE_ZERO = ('doubled', 'lost', 'torn', 'foreign', 'untrue_refusals')
+VIOLATIONS = ('doubled', 'lost', 'torn', 'foreign', 'untrue_refusals')
 
 
 @dataclasses.dataclass(slots=True)
@@ -33,20 +33,20 @@
 
     Attributes:
       asked: Requests sent.
-      accepted: Those whose answer began or whose acceptance was told.
-      whole: Answered whole.
-      refused: Told that they did not run.
-      untrue_refusals: Of these, those that did run.
-      failed: Told that they ran and failed.
-      unknown: Told that their outcome is unknown.
-      cut: Their connection broke, and they had no key to repeat them with.
-      doubled: Ran more than once, though they may not.
-      lost: Accepted patient work without its whole answer, unless it may
-        not run twice and its caller was told that it ran or may have.
-      torn: Ended as if whole, but not all tokens once and in order.
-      foreign: Their answer was made for another request.
-      stalls: Stall times of what was answered whole, by kind.
-      codes: How often each failure was told.
+      accepted: Requests whose answer began or whose acceptance was confirmed.
+      whole: Requests with a complete answer.
+      refused: Requests whose error says that they did not run.
+      untrue_refusals: Refused requests that did run.
+      failed: Requests whose error says that they ran and failed.
+      unknown: Requests whose error says that their outcome is unknown.
+      cut: Requests whose connection failed, and which had no idempotency key.
+      doubled: Requests that ran more than once, though they must not.
+      lost: Accepted durable requests without a complete answer, unless they
+        must not run twice and the error says that they ran or may have run.
+      torn: Answers that ended as complete, but lack, repeat or reorder tokens.
+      foreign: Answers that were generated for another request.
+      stalls: Stall times of the complete answers, by kind.
+      codes: How often each error code was returned.
     """
 
     asked: int
@@ -65,79 +65,95 @@
     codes: dict[str, int]
 
 
-def figures(told: list[callers.Told], ran: field_lib.Ran) -> Figures:
-    """Counts the verdicts of a phase, and its stall times."""
+def compute(
+    records: list[callers.RequestRecord], executions: testbed_lib.Executions
+) -> Figures:
+    """Computes the figures of a phase."""
     verdicts = collections.Counter(
-        verdict for one in told for verdict in judge(one, ran)
+        verdict
+        for record in records
+        for verdict in classify(record, executions)
     )
     return Figures(
-        asked=len(told),
-        accepted=sum(one.accepted for one in told),
+        asked=len(records),
+        accepted=sum(record.accepted for record in records),
         **{
             name: verdicts[name]
             for name in (
-                'whole', 'refused', 'failed', 'unknown', 'cut', *MUST_BE_ZERO
+                'whole', 'refused', 'failed', 'unknown', 'cut', *VIOLATIONS
             )
         },
-        stalls=_stalls(told, ran),
-        codes=dict(collections.Counter(o.code for o in told if o.code)),
+        stalls=_stalls(records, executions),
+        codes=dict(collections.Counter(o.code for o in records if o.code)),
     )  # fmt: skip
 
 
-def faulty(found: Figures) -> bool:
-    """Whether a promise was broken."""
-    return any(getattr(found, name) for name in MUST_BE_ZERO)
+def has_violations(computed: Figures) -> bool:
+    """Whether a guarantee was violated."""
+    return any(getattr(computed, name) for name in VIOLATIONS)
 
 
-def judge(told: callers.Told, ran: field_lib.Ran) -> Iterable[str]:
-    """Yields every verdict on one request."""
-    count = ran.count(told.ask)
-    yield _end(told, ran)
-    if told.ask.kind.once and count > 1:
+def classify(
+    record: callers.RequestRecord, executions: testbed_lib.Executions
+) -> Iterable[str]:
+    """Yields the outcome of one request and the guarantees it violates."""
+    count = executions.count(record.ask)
+    yield _outcome(record, executions)
+    if record.ask.kind.once and count > 1:
         yield 'doubled'
-    if told.not_run and count and not told.repeats:
+    if record.not_run and count and not record.repeats:
         yield 'untrue_refusals'
-    if _is_lost(told):
+    if _is_lost(record):
         yield 'lost'
 
 
-def _end(told: callers.Told, ran: field_lib.Ran) -> str:
-    if told.answered:
-        return _whole_or_not(told, ran)
-    if told.status == 0:
+def _outcome(
+    record: callers.RequestRecord, executions: testbed_lib.Executions
+) -> str:
+    if record.answered:
+        return _check_answer(record, executions)
+    if record.status == 0:
         return 'cut'
-    if told.not_run is None:
+    if record.not_run is None:
         return 'unknown'
-    return 'refused' if told.not_run else 'failed'
+    return 'refused' if record.not_run else 'failed'
 
 
-def _whole_or_not(told: callers.Told, ran: field_lib.Ran) -> str:
-    if not told.ask.tokens:
+def _check_answer(
+    record: callers.RequestRecord, executions: testbed_lib.Executions
+) -> str:
+    if not record.ask.tokens:
         return 'whole'
-    names = {text.partition('.')[0] for text in told.texts}
+    names = {text.partition('.')[0] for text in record.texts}
     expected = [
-        f'{name}.{index} ' for name in names for index in range(told.ask.tokens)
+        f'{name}.{index} '
+        for name in names
+        for index in range(record.ask.tokens)
     ]
-    if told.texts != expected:
+    if record.texts != expected:
         return 'torn'
-    made = {f'g{number}' for number in ran.of(told.ask)}
-    return 'whole' if names <= made else 'foreign'
+    generated = {
+        f'g{number}' for number in executions.generations_of(record.ask)
+    }
+    return 'whole' if names <= generated else 'foreign'
 
 
-def _is_lost(told: callers.Told) -> bool:
-    if not (told.ask.kind.durable and told.accepted) or told.answered:
+def _is_lost(record: callers.RequestRecord) -> bool:
+    if not (record.ask.kind.durable and record.accepted) or record.answered:
         return False
-    # What may not run twice can't be begun again after it ran; its caller
-    # is told so. What never ran should have been.
-    told_of_its_run = told.code != 'never_settled' and not told.not_run
-    return not (told.ask.kind.once and told_of_its_run)
+    # A request that must not run twice can't be restarted once it ran, and its
+    # error says so. One that never ran should have been run.
+    is_run_reported = record.code != 'never_settled' and not record.not_run
+    return not (record.ask.kind.once and is_run_reported)
 
 
-def _stalls(told: list[callers.Told], ran: field_lib.Ran) -> dict[str, Stall]:
+def _stalls(
+    records: list[callers.RequestRecord], executions: testbed_lib.Executions
+) -> dict[str, Stall]:
     by_kind: dict[str, list[float]] = collections.defaultdict(list)
-    for one in told:
-        if 'whole' in judge(one, ran):
-            by_kind[one.ask.kind.name].append(one.stall_s)
+    for record in records:
+        if 'whole' in classify(record, executions):
+            by_kind[record.ask.kind.name].append(record.stall_s)
     return {
         name: Stall(
             len(values),
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/probe.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/probe.py
@@ -1,4 +1,4 @@
-"""Time to recover, seen by probes through routers that were not struck."""
+"""Recovery time as seen by probes through routers that are not faulty."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from quetzalsill_dev import board, caller
 
 if TYPE_CHECKING:
-    from quetzalsill_dev.bench.faults import field as field_lib
+    from quetzalsill_dev.bench.faults import testbed as testbed_lib
 
-__all__ = ['Probe', 'Prober', 'recover_s']
+__all__ = ['Probe', 'Prober', 'recovery_time_s']
 
 INTERVAL_S = 0.1
-# An answer that took longer counts as a sign of the failure.
-LATE_S = 0.75
-# What a strike later than this after the start of a probe did not cause.
-USUAL_S = 0.1
+# A slower answer counts as failed.
+MAX_LATENCY_S = 0.75
+# A probe that began up to this long before an injection may be affected by it.
+START_TOLERANCE_S = 0.1
 BODY = {'model': board.MODEL, 'prompt': 'probe [[tokens=2]]'}
 HEADERS = {
     'prompt': {'x-quetzalsill-profile': 'prompt'},
@@ -36,10 +36,10 @@
     """One probe.
 
     Attributes:
-      profile: `prompt` (whole answer) or `patient` (acceptance).
+      profile: `prompt` (complete answer) or `patient` (acceptance).
       began: Monotonic time when it was sent.
       ended: Monotonic time when it ended.
-      ok: It was answered or accepted, and in time.
+      ok: Whether it was answered or accepted in time.
     """
 
     profile: str
@@ -49,55 +49,57 @@
 
 
 class Prober:
-    """Probes every router, each profile on its own, until cancelled."""
+    """Probes every router, separately for each profile, until cancelled."""
 
-    def __init__(self, field: field_lib.Field) -> None:
+    def __init__(self, testbed: testbed_lib.Testbed) -> None:
         self.probes: list[Probe] = []
-        self._field = field
+        self._testbed = testbed
 
     async def run(self) -> None:
         """Probes until cancelled."""
         async with asyncio.TaskGroup() as group:
-            for name in self._field.cluster.routers:
+            for name in self._testbed.cluster.routers:
                 for profile in HEADERS:
                     group.create_task(self._probe_router(name, profile))
 
     async def _probe_router(self, name: str, profile: str) -> None:
-        url = self._field.cluster.routers[name].url
+        url = self._testbed.cluster.routers[name].url
         async with caller.open_client(url, board.TOKENS['retailers']) as client:
             while True:
                 began = time.monotonic()
-                struck = name in self._field.struck
-                ok = await _ask(client, profile)
+                was_faulty = name in self._testbed.faulty_routers
+                ok = await _send_probe(client, profile)
                 ended = time.monotonic()
-                ok &= ended - began <= LATE_S
-                if not (struck or name in self._field.struck):
+                ok &= ended - began <= MAX_LATENCY_S
+                if not (was_faulty or name in self._testbed.faulty_routers):
                     self.probes.append(Probe(profile, began, ended, ok))
                 await asyncio.sleep(INTERVAL_S)
 
 
-def recover_s(
-    probes: list[Probe], profile: str, struck: float, until: float
+def recovery_time_s(
+    probes: list[Probe], profile: str, injected: float, until: float
 ) -> float:
-    """Time from a strike to the end of its last bad probe; 0 if none was.
+    """Returns the time from an injection to the end of its last failed probe.
+
+    Returns 0 if no probe failed.
 
     Args:
       probes: All probes.
-      profile: Which of them.
-      struck: Monotonic time of the strike.
-      until: Monotonic time of the next one; later probes don't count.
+      profile: Profile of the probes to consider.
+      injected: Monotonic time of the injection.
+      until: Monotonic time of the next injection; later probes are ignored.
     """
-    bad = (
-        probe.ended - struck
+    failed = (
+        probe.ended - injected
         for probe in probes
         if probe.profile == profile
         and not probe.ok
-        and struck <= probe.began + USUAL_S < until
+        and injected <= probe.began + START_TOLERANCE_S < until
     )
-    return max(bad, default=0.0)
+    return max(failed, default=0.0)
 
 
-async def _ask(client: httpx2.AsyncClient, profile: str) -> bool:
+async def _send_probe(client: httpx2.AsyncClient, profile: str) -> bool:
     try:
         response = await client.post(
             '/v1/completions', json=BODY, headers=HEADERS[profile]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/schedule.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/schedule.py
@@ -1,14 +1,14 @@
-"""A seeded schedule of failures."""
+"""A seeded schedule of fault injections."""
 
 from __future__ import annotations
 
 import dataclasses
 import random
 
-__all__ = ['FAULTS', 'Strike', 'schedule']
+__all__ = ['FAULTS', 'Injection', 'generate']
 
-# Each fault with the time that it lasts, in seconds; what is killed starts
-# again after that time.
+# Faults with their duration in seconds; a killed process is restarted after
+# that time.
 FAULTS = {
     'engine killed': 1.0,
     'engine paused': 2.0,
@@ -23,17 +23,17 @@
     'link cut': 0.0,
     'link silent': 0.0,
 }
-PAIRS = 3
+PAIR_COUNT = 3
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Strike:
-    """One failure, or two at once.
+class Injection:
+    """One fault, or two at once.
 
     Attributes:
-      at_s: When it strikes, in seconds from the start of the faults.
+      at_s: When it is injected, in seconds from the start of the phase.
       faults: Names of the faults.
-      draw: Number from 0 to 1 that picks which process of its kind.
+      draw: Number from 0 to 1 that selects a process of its kind.
     """
 
     at_s: float
@@ -46,19 +46,19 @@
         return ' + '.join(self.faults)
 
 
-def schedule(seed: int, spacing_s: float) -> list[Strike]:
-    """Every fault once, the last once more, then a few pairs.
+def generate(seed: int, spacing_s: float) -> list[Injection]:
+    """Returns every fault once, the last once more, then a few pairs.
 
     Args:
-      seed: Same seed, same schedule.
-      spacing_s: Time from one strike to the next.
+      seed: The same seed yields the same schedule.
+      spacing_s: Time from one injection to the next, in seconds.
     """
     rng = random.Random(seed)
     singles = list(FAULTS)
     rng.shuffle(singles)
-    struck = [(name,) for name in (*singles, singles[-1])]
-    struck += [tuple(rng.sample(list(FAULTS), 2)) for _ in range(PAIRS)]
+    injected = [(name,) for name in (*singles, singles[-1])]
+    injected += [tuple(rng.sample(list(FAULTS), 2)) for _ in range(PAIR_COUNT)]
     return [
-        Strike((number + 0.5) * spacing_s, faults, rng.random())
-        for number, faults in enumerate(struck)
+        Injection((number + 0.5) * spacing_s, faults, rng.random())
+        for number, faults in enumerate(injected)
     ]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/traffic.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/faults/traffic.py
@@ -1,4 +1,4 @@
-"""What callers ask: the two firms' mixes, with orders and keys."""
+"""Traffic of the callers: the request mixes, with orders and keys."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ['KINDS', 'ORDER', 'Ask', 'Kind', 'arrivals', 'configuration']
+__all__ = ['KINDS', 'ORDER', 'Kind', 'Request', 'arrivals', 'configuration']
 
 ORDER = 'order'
-# Part of all requests that are orders of the plain service.
-ORDERS = 0.15
+# Fraction of all requests that are orders to the plain service.
+ORDER_SHARE = 0.15
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -27,11 +27,11 @@
 
     Attributes:
       name: Name in the results.
-      profile: Profile asked for; empty for an order.
-      once: It may not run twice.
-      durable: It is accepted first, and its answer fetched later.
-      keyed: Part of them that carry an idempotency key, so that their
-        callers may repeat them.
+      profile: Requested profile; empty for an order.
+      once: Whether it must not run twice.
+      durable: Whether it is accepted first and its answer polled later.
+      keyed: Fraction that has an idempotency key, so that callers may
+        repeat them.
     """
 
     name: str
@@ -42,15 +42,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class Request:
     """One request of a run.
 
     Attributes:
       at_s: When it is sent, in seconds from the start.
-      kind: What it is.
-      name: Its name, unique in the run; the id of an order.
-      prompt: Its prompt, unique too; empty for an order.
-      tokens: Length of its answer; 0 for an order.
+      kind: Kind of request.
+      name: Name, unique in the run; the id of an order.
+      prompt: Prompt, unique in the run; empty for an order.
+      tokens: Length of the answer; 0 for an order.
       key: Idempotency key; empty for none.
     """
 
@@ -78,49 +78,54 @@
 
 def arrivals(
     mix: str, rate: float, length_s: float, seed: int
-) -> Iterator[Ask]:
-    """Yields a firm's generations and orders, in the order of their times.
+) -> Iterator[Request]:
+    """Yields the generations and orders of a mix, in the order of their times.
 
     Args:
       mix: Name of the mix of `bench.crowd`.
-      rate: Requests a second.
+      rate: Requests per second.
       length_s: Length of the run, in seconds.
-      seed: Same seed, same requests.
+      seed: The same seed yields the same requests.
     """
     rng = random.Random(f'{mix}/{seed}')
-    asks = crowd_mix.arrivals(
-        crowd_mix.MIXES[mix], rate * (1 - ORDERS), length_s, seed
+    sources = crowd_mix.arrivals(
+        crowd_mix.MIXES[mix], rate * (1 - ORDER_SHARE), length_s, seed
     )
     generations = (
-        _ask(rng, asked.at_s, KINDS[asked.kind.name], asked) for asked in asks
+        _make_request(rng, source.at_s, KINDS[source.kind.name], source)
+        for source in sources
+    )
+    orders = _orders(rng, rate * ORDER_SHARE, length_s)
+    yield from heapq.merge(
+        generations, orders, key=lambda request: request.at_s
     )
-    orders = _orders(rng, rate * ORDERS, length_s)
-    yield from heapq.merge(generations, orders, key=lambda ask: ask.at_s)
 
 
-def _orders(rng: random.Random, rate: float, length_s: float) -> Iterator[Ask]:
+def _orders(
+    rng: random.Random, rate: float, length_s: float
+) -> Iterator[Request]:
     at_s = rng.expovariate(rate)
     while at_s < length_s:
-        yield _ask(rng, at_s, KINDS[ORDER])
+        yield _make_request(rng, at_s, KINDS[ORDER])
         at_s += rng.expovariate(rate)
 
 
-def _ask(
+def _make_request(
     rng: random.Random,
     at_s: float,
     kind: Kind,
     generation: crowd_mix.Request | None = None,
-) -> Ask:
+) -> Request:
     name = f'{kind.name.replace(" ", "-")}-{rng.getrandbits(48):012x}'
     key = name if rng.random() < kind.keyed else ''
     if generation is None:
-        return Ask(at_s, kind, name, '', 0, key)
+        return Request(at_s, kind, name, '', 0, key)
     prompt = f'{name} {generation.prompt}'
-    return Ask(at_s, kind, name, prompt, generation.tokens, key)
+    return Request(at_s, kind, name, prompt, generation.tokens, key)
 
 
 def configuration() -> model.Configuration:
-    """The Board's configuration, with profiles for what may not run twice."""
+    """Returns the Board's configuration, with profiles that forbid reruns."""
     cfg = board.configuration()
     cfg.profiles['tag'] = model.Profile(idempotent=False, priority=4)
     cfg.profiles['brief'] = model.Profile(
--- a/tests/quetzalsill_dev/bench/faults/test_figures.py
+++ b/tests/quetzalsill_dev/bench/faults/test_figures.py
@@ -1,4 +1,4 @@
-"""The bench of failures must see each broken promise."""
+"""Tests that the fault benchmark detects every violated guarantee."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 
 from quetzalsill_dev.bench.faults import (
     callers,
-    field,
     figures,
     schedule,
     traffic,
 )
+from quetzalsill_dev.bench.faults import testbed as testbed_lib
 
 KINDS = traffic.KINDS
-WHOLE = ['g7.0 ', 'g7.1 ']
+COMPLETE = ['g7.0 ', 'g7.1 ']
 
 
-def told(kind, status=200, texts=(), **said):
-    """What a caller of a kind of request was told."""
+def record(kind, status=200, texts=(), **fields):
+    """Returns the outcome of a request of a kind, as its caller saw it."""
     tokens = 0 if kind == traffic.ORDER else 2
-    ask = traffic.Ask(0, KINDS[kind], 'name', 'prompt', tokens, '')
-    return callers.Told(ask, status=status, texts=list(texts), **said)
+    request = traffic.Request(0, KINDS[kind], 'name', 'prompt', tokens, '')
+    return callers.RequestRecord(
+        request, status=status, texts=list(texts), **fields
+    )
 
 
-def ran(one, count):
-    """Upstreams that say that a request ran so often."""
+def executions(one, count):
+    """Returns executions in which a request ran `count` times."""
     digest = hashlib.sha256(one.ask.prompt.encode()).hexdigest()
     numbers = set(range(7, 7 + count))
-    return field.Ran(
-        {digest[: field.DIGEST_LENGTH]: numbers},
+    return testbed_lib.Executions(
+        {digest[: testbed_lib.DIGEST_LENGTH]: numbers},
         collections.Counter({one.ask.name: count}),
     )
 
 
-class JudgeTest(unittest.TestCase):
-    """Each case: what was told, how often it ran, the verdicts."""
+class ClassifyTest(unittest.TestCase):
+    """Each case: expected verdicts, number of runs, outcome for the caller."""
 
     def test_verdicts(self):
         not_run = {'status': 503, 'code': 'overloaded', 'not_run': True}
@@ -46,40 +48,42 @@
         gone = {'status': 404, 'code': 'not_found', 'not_run': True}
         plan = {'accepted': True}
         for expected, count, one in (
-            (['whole'], 1, told('slot query', texts=WHOLE)),
-            (['whole'], 2, told('slot query', texts=WHOLE)),
-            (['foreign'], 0, told('slot query', texts=WHOLE)),
-            (['torn'], 1, told('slot query', texts=WHOLE[1:])),
-            (['torn'], 2, told('slot query', texts=['g7.0 ', 'g8.1 '])),
-            (['torn'], 1, told('slot query', texts=WHOLE[::-1])),
-            (['failed'], 1, told('slot query', texts=WHOLE[:1], **failed)),
-            (['cut'], 1, told('slot query', 0)),
-            (['whole'], 1, told('order')),
-            (['whole', 'doubled'], 2, told('order')),
-            (['unknown'], 1, told('order', **unknown)),
-            (['unknown', 'doubled'], 2, told('order', **unknown)),
-            (['refused'], 0, told('order', **not_run)),
-            (['refused', 'untrue_refusals'], 1, told('order', **not_run)),
-            (['refused'], 0, told('loading plan', **not_run)),
-            (['failed', 'lost'], 1, told('loading plan', **plan, **failed)),
-            (['unknown', 'lost'], 1, told('loading plan', **plan, **late)),
-            (['unknown'], 1, told('scene brief', **plan, **unknown)),
-            (['refused', 'lost'], 0, told('scene brief', **plan, **gone)),
-            (['refused', 'lost'], 0, told('scene brief', **plan, **not_run)),
+            (['whole'], 1, record('slot query', texts=COMPLETE)),
+            (['whole'], 2, record('slot query', texts=COMPLETE)),
+            (['foreign'], 0, record('slot query', texts=COMPLETE)),
+            (['torn'], 1, record('slot query', texts=COMPLETE[1:])),
+            (['torn'], 2, record('slot query', texts=['g7.0 ', 'g8.1 '])),
+            (['torn'], 1, record('slot query', texts=COMPLETE[::-1])),
+            (['failed'], 1, record('slot query', texts=COMPLETE[:1], **failed)),
+            (['cut'], 1, record('slot query', 0)),
+            (['whole'], 1, record('order')),
+            (['whole', 'doubled'], 2, record('order')),
+            (['unknown'], 1, record('order', **unknown)),
+            (['unknown', 'doubled'], 2, record('order', **unknown)),
+            (['refused'], 0, record('order', **not_run)),
+            (['refused', 'untrue_refusals'], 1, record('order', **not_run)),
+            (['refused'], 0, record('loading plan', **not_run)),
+            (['failed', 'lost'], 1, record('loading plan', **plan, **failed)),
+            (['unknown', 'lost'], 1, record('loading plan', **plan, **late)),
+            (['unknown'], 1, record('scene brief', **plan, **unknown)),
+            (['refused', 'lost'], 0, record('scene brief', **plan, **gone)),
+            (['refused', 'lost'], 0, record('scene brief', **plan, **not_run)),
         ):
             with self.subTest(one=one):
-                found = list(figures.judge(one, ran(one, count)))
+                found = list(figures.classify(one, executions(one, count)))
                 self.assertEqual(found, expected)
 
 
 class ScheduleTest(unittest.TestCase):
-    """The schedule of failures."""
+    """Tests of the schedule of fault injections."""
 
     def test_same_seed_gives_each_fault_and_one_of_them_twice(self):
-        struck = schedule.schedule(3, 2.0)
-        self.assertEqual(struck, schedule.schedule(3, 2.0))
+        injections = schedule.generate(3, 2.0)
+        self.assertEqual(injections, schedule.generate(3, 2.0))
         singles = collections.Counter(
-            strike.name for strike in struck if len(strike.faults) == 1
+            injection.name
+            for injection in injections
+            if len(injection.faults) == 1
         )
         self.assertEqual(singles.keys(), schedule.FAULTS.keys())
         self.assertEqual(max(singles.values()), 2)
