--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/__init__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes from which docs/CAPACITY.md is worked out: `make bench-capacity`."""
+"""Measures the slopes behind docs/CAPACITY.md: `make bench-capacity`."""
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/__main__.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measures the slopes of docs/CAPACITY.md, all or some parts of them."""
+"""Measures the slopes for docs/CAPACITY.md, in full or in parts."""
 
 from __future__ import annotations
 
@@ -42,58 +42,60 @@
 
 @click.command()
 @click.argument('parts', nargs=-1, type=click.Choice(list(PARTS)))
-@click.option('--table', is_flag=True, help='Measure nothing.')
+@click.option(
+    '--table', is_flag=True, help='Print the table of stored results only.'
+)
 def main(parts: tuple[str, ...], table: bool) -> None:
-    """Measures PARTS, all if none is named, and works them out."""
+    """Measures PARTS, or all, and prints the figures at the target size."""
     for part in () if table else parts or PARTS:
         began = time.monotonic()
         found = list(PARTS[part]())
         for each in found:
-            _print(each)
-        _store(part, found)
+            _print_series(each)
+        _store_series(part, found)
         print(f'# {part}: {time.monotonic() - began:.0f} s of wall time\n')
-    stored = _load()
+    stored = _load_results()
     if stored.keys() >= PARTS.keys():
-        found = {each.name: each for each in _series(stored)}
-        for line in worksheet.lines(worksheet.work_out(found)):
+        found = {each.name: each for each in _parse_series(stored)}
+        for line in worksheet.lines(worksheet.extrapolate(found)):
             print(line)
 
 
-def _print(found: series.Series) -> None:
+def _print_series(found: series.Series) -> None:
     points = ' '.join(f'{size:g}:{value:.4g}' for size, value in found.points)
     print(f'{found.name} [{found.unit}] by {found.by}: {points}')
     if found.linear:
         print(f'    base {found.base:.4g}, slope {found.slope:.4g}', flush=True)
 
 
-def _store(part: str, found: Iterable[series.Series]) -> None:
-    """Puts the series of a part in place of its former ones."""
+def _store_series(part: str, found: Iterable[series.Series]) -> None:
+    """Replaces the stored series of a part."""
     RESULT_FILE.parent.mkdir(exist_ok=True)
-    stored = _load()
+    stored = _load_results()
     now = datetime.datetime.now(datetime.UTC)
     stored[part] = {
         'at': now.isoformat(timespec='seconds'),
-        'series': [_plain(each) for each in found],
+        'series': [_to_json(each) for each in found],
     }
     RESULT_FILE.write_text(json.dumps(stored, indent=2))
 
 
-def _load() -> dict[str, Any]:
+def _load_results() -> dict[str, Any]:
     return json.loads(RESULT_FILE.read_text()) if RESULT_FILE.exists() else {}
 
 
-def _series(stored: dict[str, Any]) -> Iterator[series.Series]:
+def _parse_series(stored: dict[str, Any]) -> Iterator[series.Series]:
     for part in stored.values():
-        for plain in part['series']:
+        for stored_series in part['series']:
             yield series.Series(
-                plain['name'],
-                plain['unit'],
-                plain['by'],
-                points=[tuple(point) for point in plain['points']],
+                stored_series['name'],
+                stored_series['unit'],
+                stored_series['by'],
+                points=[tuple(point) for point in stored_series['points']],
             )
 
 
-def _plain(found: series.Series) -> dict[str, object]:
+def _to_json(found: series.Series) -> dict[str, object]:
     return {
         'name': found.name,
         'unit': found.unit,
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/configuration.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/configuration.py
@@ -1,4 +1,4 @@
-"""What a revision costs a process, by accounts and by upstreams."""
+"""Measures the cost of a revision, by accounts and by upstreams."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def measure() -> Iterator[series.Series]:
-    """Measures documents that grow by accounts, then by upstreams."""
+    """Measures documents with more accounts, then with more upstreams."""
     log.configure('error')
     for by, sizes in (('accounts', ACCOUNTS), ('upstreams', UPSTREAMS)):
         found = {
@@ -46,17 +46,17 @@
             cfg = fleet.configuration(
                 counts['accounts'], fleet.fleet(counts['upstreams'])
             )
-            for name, value in _figures(cfg):
+            for name, value in _measure_figures(cfg):
                 found[name].add(count, value)
         yield from found.values()
-    yield from _whole()
+    yield from _measure_full_size()
 
 
-def _whole() -> Iterator[series.Series]:
-    """The document of the whole size, as a check on the slopes."""
+def _measure_full_size() -> Iterator[series.Series]:
+    """Measures a document of the target size, as a check on the slopes."""
     cfg = fleet.configuration(size.TARGET.accounts, fleet.fleet())
     units = dict(FIGURES)
-    for name, value in _figures(cfg):
+    for name, value in _measure_figures(cfg):
         found = series.Series(
             f'configuration.{name}, whole', units[name], 'documents'
         )
@@ -64,39 +64,44 @@
         yield found
 
 
-def _figures(cfg: model.Configuration) -> Iterator[tuple[str, float]]:
+def _measure_figures(cfg: model.Configuration) -> Iterator[tuple[str, float]]:
     data = document.render(cfg)
     yield 'document', len(data)
-    yield 'parse', _least(lambda: document.parse(data, 1))
-    yield 'check references', _least(lambda: reference.check_references(cfg))
-    yield 'install', _least(lambda: holder.Holder().install(data, 1))
-    yield 'render', _least(lambda: document.render(cfg))
+    yield 'parse', _min_core_s(lambda: document.parse(data, 1))
+    yield (
+        'check references',
+        _min_core_s(lambda: reference.check_references(cfg)),
+    )
+    yield 'install', _min_core_s(lambda: holder.Holder().install(data, 1))
+    yield 'render', _min_core_s(lambda: document.render(cfg))
     zone = fleet.ZONES[0]
     yield (
         'choose links',
-        _least(lambda: subset.select_upstreams('entry-000', zone, cfg, ())),
+        _min_core_s(
+            lambda: subset.select_upstreams('entry-000', zone, cfg, ())
+        ),
     )
-    yield 'memory', _held_bytes(data)
+    yield 'memory', _allocated_bytes(data)
 
 
-def _least(work: Callable[[], object]) -> float:
-    """Least processor time of several runs; the others were disturbed."""
-    return min(_time(work) for _ in range(REPEATS))
+def _min_core_s(work: Callable[[], object]) -> float:
+    """Returns the least processor time of several runs, the least disturbed."""
+    return min(_measure_core_s(work) for _ in range(REPEATS))
 
 
-def _time(work: Callable[[], object]) -> float:
+def _measure_core_s(work: Callable[[], object]) -> float:
     began = time.process_time()
     work()
     return time.process_time() - began
 
 
-def _held_bytes(data: bytes) -> float:
-    """Memory that stays allocated for a configuration in force."""
+def _allocated_bytes(data: bytes) -> float:
+    """Returns the memory that an active configuration occupies."""
     gc.collect()
     tracemalloc.start()
     try:
-        held = holder.Holder()
-        held.install(bytearray(data).decode().encode(), 1)
+        config_holder = holder.Holder()
+        config_holder.install(bytearray(data).decode().encode(), 1)
         gc.collect()
         return tracemalloc.get_traced_memory()[0]
     finally:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/engine.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in before which the sidecars of this bench stand."""
+"""The engine stand-in behind the sidecars of this benchmark."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def start(launcher: launch.Launcher) -> launch.Process:
-    """Starts an engine stand-in that has the model of the Board."""
+    """Starts an engine stand-in with the Board's model loaded."""
     return await launcher.start(
         NAME, 'quetzalsill_dev.engine_standin', f'--models={board.MODEL}'
     )
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/fleet.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Made-up configurations of a given size."""
+"""Synthetic configurations of a given size."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def account(name: str) -> model.Account:
-    """A client account with one token and limits, as most have."""
+    """Returns a typical client account, with one token and limits."""
     return model.Account(
         token_sha256=[hashlib.sha256(name.encode()).hexdigest()],
         limits=model.Limits(64, 6000, 2_000_000),
@@ -31,14 +31,14 @@
 
 
 def upstream(address: str, zone: str, models: list[str]) -> model.Upstream:
-    """A model server."""
+    """Returns a model server."""
     return model.Upstream('model', address, zone, models=models)
 
 
 def configuration(
     accounts: int, upstreams: dict[str, model.Upstream]
 ) -> model.Configuration:
-    """A configuration with so many accounts and these upstreams."""
+    """Returns a configuration with `accounts` accounts and these upstreams."""
     cfg = board.configuration()
     cfg.models |= {name: model.Model() for name in MODELS}
     cfg.accounts |= {
@@ -52,10 +52,10 @@
 def fleet(
     upstreams: int = size.TARGET.upstreams, rng: random.Random | None = None
 ) -> dict[str, model.Upstream]:
-    """Upstreams over all zones, one model each.
+    """Returns upstreams spread over all zones, with one model each.
 
-    The share of a model falls with its rank (Zipf), and each model has at
-    least one upstream in each zone where there are enough of them.
+    The share of a model decreases with its rank (Zipf), and each model has at
+    least one upstream in each zone if there are enough upstreams.
     """
     rng = rng or random.Random(SEED)
     zones = [ZONES[number % len(ZONES)] for number in range(upstreams)]
@@ -64,11 +64,11 @@
         f'server-{number:04d}': upstream(
             f'10.{number // 250}.{number % 250}.1:7201', zones[number], [name]
         )
-        for number, name in enumerate(_models_of(upstreams))
+        for number, name in enumerate(_assign_models(upstreams))
     }
 
 
-def _models_of(upstreams: int) -> Iterable[str]:
+def _assign_models(upstreams: int) -> Iterable[str]:
     weights = [1 / rank for rank in range(1, len(MODELS) + 1)]
     total = sum(weights)
     counts = [max(1, round(upstreams * each / total)) for each in weights]
@@ -77,9 +77,9 @@
         for name, count in zip(MODELS, counts, strict=True)
         for _ in range(count)
     ]
-    return _fill(names, upstreams)
+    return _fit_length(names, upstreams)
 
 
-def _fill(names: Sequence[str], wanted: int) -> list[str]:
-    """Cuts off or fills up what rounding left."""
+def _fit_length(names: Sequence[str], wanted: int) -> list[str]:
+    """Truncates or pads the list to the wanted length after rounding."""
     return [*names, *(MODELS[0] for _ in range(wanted))][:wanted]
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/links.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/links.py
@@ -1,9 +1,9 @@
-"""What a link costs a router and a sidecar while no request runs.
+"""Measures the cost of a link for a router and a sidecar without requests.
 
 Router: one real process, linked to many real sidecars inside this process.
-Sidecar: one real process before an engine stand-in, with many links that this
-process dials. Each is watched while nothing changes and while the load of
-every sidecar changes all the time.
+Sidecar: one real process in front of an engine stand-in, with many links that
+this process dials. Each is measured while nothing changes and while the load of
+every sidecar changes continuously.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 PROMPT_TOKENS = 4000
 ANSWER_TOKENS = 3
 PAUSE_S = 0.05
-ATTEMPTS = itertools.count(1)
+ATTEMPT_NUMBERS = itertools.count(1)
 
 
 def measure_router() -> Iterable[series.Series]:
-    """Measures a router by its links."""
+    """Measures a router by its number of links."""
     return asyncio.run(_measure_router())
 
 
 def measure_sidecar() -> Iterable[series.Series]:
-    """Measures a sidecar by its links."""
+    """Measures a sidecar by its number of links."""
     return asyncio.run(_measure_sidecar())
 
 
-class _Record:
+class _UsageSeries:
     """Series of one role, by state and figure."""
 
     def __init__(self, role: str) -> None:
@@ -65,63 +65,65 @@
             for figure, unit in FIGURES.items()
         }
 
-    def add(self, state: str, size: int, seen: window.Window) -> None:
-        """Adds what was seen at a number of links."""
+    def add(self, state: str, size: int, usage: window.Window) -> None:
+        """Adds the usage at a number of links."""
         for figure in FIGURES:
-            self._series[state, figure].add(size, getattr(seen, figure))
+            self._series[state, figure].add(size, getattr(usage, figure))
 
     def all(self) -> list[series.Series]:
-        """Gives all series."""
+        """Returns all series."""
         return list(self._series.values())
 
 
 async def _measure_router() -> list[series.Series]:
     log.configure('error')
-    record = _Record('router')
+    usage_series = _UsageSeries('router')
     spec = layout.Layout([], [], [layout.RouterSpec(ROUTER, ZONE)])
     async with launch.Launcher() as launcher:
         started = cluster.Cluster(launcher, spec)
         await started.start()
         process = await engine.start(launcher)
-        async with sidecars.Sidecars(process.url) as far:
+        async with sidecars.Sidecars(process.url) as sidecar_group:
             for size in SIZES:
-                await far.grow(size)
-                await _publish(started, far)
+                await sidecar_group.grow(size)
+                await _publish(started, sidecar_group)
                 pid = started.routers[ROUTER].pid
-                seen = await window.watch(pid, far.links())
-                record.add('idle', size, seen)
-                async with _running(far.swing()):
-                    seen = await window.watch(pid, far.links())
-                record.add('changing', size, seen)
-    return record.all()
-
-
-async def _publish(started: cluster.Cluster, far: sidecars.Sidecars) -> None:
-    started.configuration.upstreams = far.upstreams()
+                usage = await window.measure(pid, sidecar_group.links())
+                usage_series.add('idle', size, usage)
+                async with _in_background(sidecar_group.oscillate_load()):
+                    usage = await window.measure(pid, sidecar_group.links())
+                usage_series.add('changing', size, usage)
+    return usage_series.all()
+
+
+async def _publish(
+    started: cluster.Cluster, sidecar_group: sidecars.Sidecars
+) -> None:
+    started.configuration.upstreams = sidecar_group.upstreams()
     started.configuration.policies.subset = max(SIZES)
     revision = await started.publish()
-    await far.wait_linked()
-    await far.wait_revision(revision)
+    await sidecar_group.wait_linked()
+    await sidecar_group.wait_revision(revision)
 
 
 async def _measure_sidecar() -> list[series.Series]:
     log.configure('error')
-    record = _Record('sidecar')
+    usage_series = _UsageSeries('sidecar')
     async with launch.Launcher() as launcher:
         upstream = await engine.start(launcher)
         process = await _start_sidecar(launcher, upstream)
         async with contextlib.AsyncExitStack() as stack:
-            near: list[link_lib.Link] = []
+            links: list[link_lib.Link] = []
             for size in SIZES:
-                for number in range(len(near), size):
-                    linked = _linked(process.port, number)
-                    near.append(await stack.enter_async_context(linked))
-                seen = await window.watch(process.pid, near)
-                record.add('idle', size, seen)
-                async with _running(_ask(process.port)):
-                    seen = await window.watch(process.pid, near)
-                record.add('changing', size, seen)
-    return record.all()
+                for number in range(len(links), size):
+                    opened = _open_link(process.port, number)
+                    links.append(await stack.enter_async_context(opened))
+                usage = await window.measure(process.pid, links)
+                usage_series.add('idle', size, usage)
+                async with _in_background(_send_requests(process.port)):
+                    usage = await window.measure(process.pid, links)
+                usage_series.add('changing', size, usage)
+    return usage_series.all()
 
 
 async def _start_sidecar(
@@ -139,15 +141,15 @@
 
 
 @contextlib.asynccontextmanager
-async def _linked(port: int, number: int) -> AsyncIterator[link_lib.Link]:
-    """A link whose messages are read and thrown away."""
+async def _open_link(port: int, number: int) -> AsyncIterator[link_lib.Link]:
+    """Opens a link whose messages are discarded."""
     link = await _dial(port, f'entry-{number:03d}')
 
     async def read() -> None:
         async for _ in link.messages():
             pass
 
-    async with _running(read()):
+    async with _in_background(read()):
         yield link
     link.close()
 
@@ -168,7 +170,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _running(work: object) -> AsyncIterator[None]:
+async def _in_background(work: object) -> AsyncIterator[None]:
     task = asyncio.create_task(work)
     try:
         yield
@@ -179,11 +181,11 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def _ask(port: int) -> None:
-    """Has short answers to long prompts made, one after the other."""
+async def _send_requests(port: int) -> None:
+    """Requests short answers to long prompts, one after the other."""
     link = await _dial(port, 'entry-asking')
     messages = link.messages()
-    for number in ATTEMPTS:
+    for number in ATTEMPT_NUMBERS:
         attempt = f'entry-asking/1/{number}'
         link.send_nowait(_dispatch(attempt, link.peer.incarnation))
         async for msg in messages:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/series.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/series.py
@@ -1,4 +1,4 @@
-"""A measured figure at several sizes, and the line through it."""
+"""A figure measured at several sizes, with its linear regression."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Series:
-    """One figure over one size.
+    """One figure as a function of one size.
 
     Attributes:
       name: Name of the figure, unique in a run.
       unit: Unit of the figure.
-      by: What the size counts.
-      linear: Whether a line through the points means anything.
-      points: Pairs of size and figure.
+      by: Unit of the size.
+      linear: Whether a linear regression is meaningful.
+      points: Pairs of size and value.
     """
 
     name: str
@@ -32,20 +32,20 @@
 
     @property
     def slope(self) -> float:
-        """Figure for each further unit of size; 0 for a single size."""
-        return self._line()[0]
+        """Increase per unit of size; 0 for a single size."""
+        return self._fit_line()[0]
 
     @property
     def base(self) -> float:
-        """Figure at size 0 after the line."""
-        return self._line()[1]
+        """Value at size 0 by linear regression."""
+        return self._fit_line()[1]
 
     def at(self, size: float) -> float:
-        """Figure at a size after the line."""
-        slope, base = self._line()
+        """Returns the value at a size by linear regression."""
+        slope, base = self._fit_line()
         return base + slope * size
 
-    def _line(self) -> tuple[float, float]:
+    def _fit_line(self) -> tuple[float, float]:
         sizes, values = zip(*self.points, strict=True)
         if len(set(sizes)) == 1:
             return 0.0, statistics.fmean(values)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/sidecars.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/sidecars.py
@@ -1,4 +1,4 @@
-"""Many real sidecars inside this process, before one engine stand-in."""
+"""Many real sidecars inside this process, in front of one engine stand-in."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 __all__ = ['Sidecars']
 
-TURN_S = 0.1
-# So many tokens of 20,000 that a router must hear of each change.
-SWING_TOKENS = 6000
+LOAD_CHANGE_INTERVAL_S = 0.1
+# Large enough, out of 20,000 tokens, that each change is reported to routers.
+LOAD_STEP_TOKENS = 6000
 
 
-class _OneOfMany(sidecar_lib.Sidecar):
-    """Keeps the pace of a sidecar at the target, whatever its links."""
+class _TargetSizeSidecar(sidecar_lib.Sidecar):
+    """Uses the timing of a sidecar at the target size, whatever its links."""
 
     @property
     def link_count(self) -> int:
-        """As many links as at the target."""
+        """Number of links at the target size."""
         return size.SIDECAR_LINKS
 
 
@@ -54,18 +54,18 @@
         exc: BaseException | None,
         trace: types.TracebackType | None,
     ) -> None:
-        await asyncio.gather(*(each.stop() for each in self._made()))
+        await asyncio.gather(*(each.stop() for each in self._sidecars()))
 
     async def grow(self, count: int) -> None:
-        """Starts sidecars until there are so many."""
+        """Starts sidecars until there are `count` of them."""
         for number in range(len(self._by_name), count):
             name = f'server-{number:04d}'
-            made = _OneOfMany(self._settings(name), self._registry)
-            await made.start()
-            self._by_name[name] = made
+            sidecar = _TargetSizeSidecar(self._settings(name), self._registry)
+            await sidecar.start()
+            self._by_name[name] = sidecar
 
     def upstreams(self) -> dict[str, model.Upstream]:
-        """What the configuration says of them."""
+        """Returns the configuration entries of the sidecars."""
         return {
             name: fleet.upstream(
                 f'127.0.0.1:{each.port}', board.ZONES[0], [board.MODEL]
@@ -74,40 +74,41 @@
         }
 
     def links(self) -> list[link_lib.Link]:
-        """Links of all sidecars."""
-        return [link for each in self._made() for link in each.links]
+        """Returns the links of all sidecars."""
+        return [link for each in self._sidecars() for link in each.links]
 
     async def wait_linked(self, each: int = 1) -> None:
-        """Waits until every sidecar has so many links."""
+        """Waits until every sidecar has at least `each` links."""
         await wait.until(
-            lambda: all(len(one.links) >= each for one in self._made())
+            lambda: all(len(one.links) >= each for one in self._sidecars())
         )
 
     async def wait_revision(self, revision: int) -> None:
-        """Waits until a revision is in force at every sidecar."""
+        """Waits until a revision is active on every sidecar."""
         await wait.until(
             lambda: all(
-                one.configuration.revision >= revision for one in self._made()
+                one.configuration.revision >= revision
+                for one in self._sidecars()
             )
         )
 
-    async def swing(self) -> None:
-        """Changes the load of every sidecar again and again."""
-        up = False
+    async def oscillate_load(self) -> None:
+        """Changes the load of every sidecar periodically until cancelled."""
+        is_high = False
         try:
             while True:
-                up = not up
-                self._set_load(SWING_TOKENS if up else 0)
-                await asyncio.sleep(TURN_S)
+                is_high = not is_high
+                self._set_load(LOAD_STEP_TOKENS if is_high else 0)
+                await asyncio.sleep(LOAD_CHANGE_INTERVAL_S)
         finally:
             self._set_load(0)
 
     def _set_load(self, tokens: int) -> None:
-        for each in self._made():
+        for each in self._sidecars():
             each.queue.foreign_tokens = tokens
             each.load.mark_changed()
 
-    def _made(self) -> Collection[sidecar_lib.Sidecar]:
+    def _sidecars(self) -> Collection[sidecar_lib.Sidecar]:
         return self._by_name.values()
 
     def _settings(self, name: str) -> settings_lib.SidecarSettings:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/size.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/size.py
@@ -1,4 +1,4 @@
-"""The size that the system is designed for, as its users give it."""
+"""The size that the system is designed for, as required by its users."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Size:
-    """Numbers of the users' letter."""
+    """Size of the deployment that the users require."""
 
     routers: int = 480
     upstreams: int = 1400
@@ -34,18 +34,18 @@
 
     @property
     def edits_per_s(self) -> float:
-        """Mean rate of edits."""
+        """Mean number of edits per second."""
         return self.edits_per_day / DAY_S
 
     @property
     def tokens_per_request(self) -> float:
-        """Mean length of an answer."""
+        """Mean number of tokens in an answer."""
         return self.tokens_per_s / self.requests_per_s
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Budget:
-    """What a node may spend on control, and the time for an edit."""
+    """Limits of a node's control overhead and of the time for an edit."""
 
     core: float = 0.027
     memory_bytes: float = 256e6
@@ -56,7 +56,7 @@
 TARGET = Size()
 BUDGET = Budget()
 
-# Links at the target as the part `subsets` gives them; the ends that stand in
-# for others in the bench behave as if they had so many.
+# Links per process at the target size as computed by the part `subsets`; the
+# simulated peers of the benchmark behave as if they had as many.
 ROUTER_LINKS = 448
 SIDECAR_LINKS = 154
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/startup.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/startup.py
@@ -1,9 +1,9 @@
-"""What a start costs when everybody links at once.
+"""Measures the cost of a start when all links are opened at once.
 
-A sidecar that comes back is dialled by all its routers: one real process
-here, many real routers' peers inside this one. A router that comes back dials
-all its sidecars: one real process, many real sidecars inside this one. Last,
-several router processes start at the same moment.
+A restarted sidecar is dialled by all its routers: one real sidecar process,
+with the real peer objects of many routers inside this process. A restarted
+router dials all its sidecars: one real router process, with many real sidecars
+inside this process. Finally, several router processes start simultaneously.
 """
 
 from __future__ import annotations
@@ -41,42 +41,44 @@
 
 __all__ = ['measure']
 
-LINKS = (8, 32, 128)
-AT_ONCE = (1, 2, 4, 8)
+LINK_COUNTS = (8, 32, 128)
+ROUTER_COUNTS = (1, 2, 4, 8)
 ZONE = board.ZONES[0]
 REVISION = 5
-PEAK = re.compile(r'VmHWM:\s+(\d+) kB')
-REST_S = 3.0
+PEAK_MEMORY_PATTERN = re.compile(r'VmHWM:\s+(\d+) kB')
+SETTLE_S = 3.0
 
 
 def measure() -> Iterable[series.Series]:
     """Measures the start of a sidecar, of a router and of many routers."""
     log.configure('error')
     return [
-        *asyncio.run(_sidecar()),
-        *asyncio.run(_router()),
-        *asyncio.run(_routers()),
+        *asyncio.run(_measure_sidecar()),
+        *asyncio.run(_measure_router()),
+        *asyncio.run(_measure_routers()),
     ]
 
 
-async def _sidecar() -> list[series.Series]:
+async def _measure_sidecar() -> list[series.Series]:
     linked = series.Series('startup.sidecar linked', 's', 'links')
     core = series.Series('startup.sidecar core', 's of a core', 'links')
     peak = series.Series('startup.sidecar peak', 'bytes', 'links')
-    for count in LINKS:
+    for count in LINK_COUNTS:
         async with launch.Launcher() as launcher:
             upstream = await engine.start(launcher)
             process = await _start_sidecar(launcher, upstream)
             used_s = usage.core_s(process.pid)
             began = time.monotonic()
-            near = _dial_all(count, process.port)
-            await wait.until(lambda near=near: _all_current(near))
+            router_peers = _dial_all(count, process.port)
+            await wait.until(
+                lambda router_peers=router_peers: _all_current(router_peers)
+            )
             linked.add(count, time.monotonic() - began)
-            # Documents asked for more than once may still come.
-            await asyncio.sleep(REST_S)
+            # Documents that were requested more than once may still arrive.
+            await asyncio.sleep(SETTLE_S)
             core.add(count, usage.core_s(process.pid) - used_s)
             peak.add(count, _peak_bytes(process.pid))
-            await asyncio.gather(*(each.stop() for each in near))
+            await asyncio.gather(*(each.stop() for each in router_peers))
     return [linked, core, peak]
 
 
@@ -95,69 +97,69 @@
 
 
 def _dial_all(count: int, port: int) -> list[peers_lib.Peers]:
-    """Makes routers' peers that hold a configuration of the whole size."""
-    more = size.TARGET.accounts + size.TARGET.upstreams
-    cfg = fleet.configuration(more, {})
+    """Creates peers of routers that hold a configuration of the target size."""
+    accounts = size.TARGET.accounts + size.TARGET.upstreams
+    cfg = fleet.configuration(accounts, {})
     cfg.upstreams[engine.NAME] = fleet.upstream(
         f'127.0.0.1:{port}', ZONE, [board.MODEL]
     )
-    held = holder.Holder()
-    held.install(document.render(cfg), REVISION)
-    made = [
+    config_holder = holder.Holder()
+    config_holder.install(document.render(cfg), REVISION)
+    created = [
         peers_lib.Peers(
             section.Node(f'entry-{number:03d}', ZONE),
             number + 1,
             process_settings.CREDENTIAL,
-            held,
+            config_holder,
             section.LinkTiming(),
         )
         for number in range(count)
     ]
-    for each in made:
-        each.reconcile(held.current, None)
-    return made
+    for each in created:
+        each.reconcile(config_holder.current, None)
+    return created
 
 
-def _all_current(near: list[peers_lib.Peers]) -> bool:
-    found = [each.get(engine.NAME) for each in near]
+def _all_current(router_peers: list[peers_lib.Peers]) -> bool:
+    found = [each.get(engine.NAME) for each in router_peers]
     return all(peer.linked and peer.revision == REVISION for peer in found)
 
 
 def _peak_bytes(pid: int) -> int:
     status = pathlib.Path(f'/proc/{pid}/status').read_text()
-    return int(PEAK.search(status)[1]) * 1024
+    return int(PEAK_MEMORY_PATTERN.search(status)[1]) * 1024
 
 
-async def _router() -> list[series.Series]:
+async def _measure_router() -> list[series.Series]:
     linked = series.Series('startup.router linked', 's', 'links')
     core = series.Series('startup.router core', 's of a core', 'links')
     spec = layout.Layout([], [], [layout.RouterSpec('entry-1', ZONE)])
     async with launch.Launcher() as launcher:
         upstream = await engine.start(launcher)
-        async with sidecars.Sidecars(upstream.url) as far:
+        async with sidecars.Sidecars(upstream.url) as sidecar_group:
             started = cluster.Cluster(launcher, spec)
             await started.start()
-            for count in LINKS:
-                await far.grow(count)
-                started.configuration.upstreams = far.upstreams()
-                started.configuration.policies.subset = max(LINKS)
+            for count in LINK_COUNTS:
+                await sidecar_group.grow(count)
+                started.configuration.upstreams = sidecar_group.upstreams()
+                started.configuration.policies.subset = max(LINK_COUNTS)
                 await started.publish()
-                await far.wait_linked()
+                await sidecar_group.wait_linked()
                 started.routers['entry-1'].kill()
-                await wait.until(lambda: not far.links())
+                await wait.until(lambda: not sidecar_group.links())
                 began = time.monotonic()
                 process = await started.start_router('entry-1')
-                await far.wait_linked()
+                await sidecar_group.wait_linked()
                 linked.add(count, time.monotonic() - began)
                 core.add(count, usage.core_s(process.pid))
     return [linked, core]
 
 
-async def _routers() -> list[series.Series]:
+async def _measure_routers() -> list[series.Series]:
     ready = series.Series('startup.routers ready', 's', 'routers')
     core = series.Series('startup.routers core', 's of a core', 'routers')
     reads = series.Series('startup.routers reads', 'reads', 'routers')
-    for count in AT_ONCE:
+    for count in ROUTER_COUNTS:
         specs = [
             layout.RouterSpec(f'entry-{number}', ZONE)
             for number in range(1, count + 1)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/store.py
@@ -1,6 +1,6 @@
-"""What routers and sidecars ask of the platform, counted at its stand-ins.
+"""Counts the calls of routers and sidecars to the platform stand-ins.
 
-Bytes are counted by relays before the stand-ins, without segment headers.
+Bytes are counted by relays in front of the stand-ins, without segment headers.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 ROUTERS = (1, 2, 4, 8)
 HOSTS = (10, 100, 500, size.TARGET.routers + size.TARGET.upstreams)
-PACED = (1, 10, 100, size.TARGET.routers)
-RATES = (5, 20, 40)
+FLEET_SIZES = (1, 10, 100, size.TARGET.routers)
+REQUEST_RATES = (5, 20, 40)
 ENGINE = 'server-0000'
 ZONE = board.ZONES[0]
 SETTLE_S = 5.0
 WINDOW_S = 8.0
 LOAD_S = 5.0
 READS_OF_HOSTS = 5
-LEAST_S = 2.0
+MIN_POLL_INTERVAL_S = 2.0
 TOKENS = 5
 READS = ('row_get', 'scan', 'object_get', 'object_list')
 WRITES = ('transact', 'object_put', 'object_delete')
@@ -44,15 +44,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """Use of the platform, so far or for each second."""
+    """Usage of the platform, in total or per second."""
 
     reads: float
     writes: float
     store_bytes: float
     host_bytes: float
 
-    def since(self, before: Counts, passed_s: float) -> Counts:
-        """Gives the use a second since `before`."""
+    def rate_since(self, before: Counts, passed_s: float) -> Counts:
+        """Returns the usage per second since `before`."""
         then = dataclasses.astuple(before)
         now = dataclasses.astuple(self)
         return Counts(
@@ -68,7 +68,7 @@
 }
 
 
-class _Watched:
+class _MeasuredCluster:
     """A cluster whose calls to the platform are counted."""
 
     def __init__(self, launcher: launch.Launcher) -> None:
@@ -80,11 +80,11 @@
         self._relays: dict[str, relay_lib.Relay] = {}
 
     async def start(self) -> None:
-        """Starts it with one router."""
+        """Starts the cluster with one router."""
         await self.cluster.start()
 
     async def grow(self, routers: int) -> None:
-        """Starts routers until there are so many."""
+        """Starts routers until there are `routers` of them."""
         for number in range(len(self.spec.routers) + 1, routers + 1):
             spec = _router(number)
             self.spec.routers.append(spec)
@@ -96,20 +96,20 @@
         for each in self._relays.values():
             await each.stop()
 
-    async def window(self, window_s: float) -> Counts:
-        """Gives the use a second over a while."""
+    async def measure_usage(self, window_s: float) -> Counts:
+        """Measures the usage per second over a time window."""
         before, began = await self._counts(), time.monotonic()
         await asyncio.sleep(window_s)
         after, ended = await self._counts(), time.monotonic()
-        return after.since(before, ended - began)
+        return after.rate_since(before, ended - began)
 
     async def _via(self, hop: str, address: str) -> str:
         if hop not in ('store', 'hosts'):
             return address
         host, _, port = address.rpartition(':')
-        made = self._relays[hop] = relay_lib.Relay(host, int(port))
-        await made.start()
-        return f'127.0.0.1:{made.port}'
+        relay = self._relays[hop] = relay_lib.Relay(host, int(port))
+        await relay.start()
+        return f'127.0.0.1:{relay.port}'
 
     async def _counts(self) -> Counts:
         async with caller.open_client(self.cluster.store.url) as client:
@@ -123,72 +123,78 @@
 
 
 def measure() -> Iterable[series.Series]:
-    """Measures routers at rest, requests, and the host list by its length."""
-    return [*asyncio.run(_measure()), *_paced()]
+    """Measures idle routers, requests, and the host list by its length."""
+    return [*asyncio.run(_measure()), *_throttle_intervals()]
 
 
 async def _measure() -> list[series.Series]:
     async with launch.Launcher() as launcher:
-        watched = _Watched(launcher)
-        await watched.start()
+        measured = _MeasuredCluster(launcher)
+        await measured.start()
         try:
-            idle = _group('idle', 'routers')
+            idle = _make_series('idle', 'routers')
             found = list(idle.values())
             for routers in ROUTERS:
-                await watched.grow(routers)
+                await measured.grow(routers)
                 await asyncio.sleep(SETTLE_S)
-                _add(idle, routers, await watched.window(WINDOW_S))
+                _add_point(
+                    idle, routers, await measured.measure_usage(WINDOW_S)
+                )
                 if routers == ROUTERS[0]:
-                    found += await _load(watched)
-            found += await _hosts(watched)
+                    found += await _measure_requests(measured)
+            found += await _measure_host_list(measured)
         finally:
-            await watched.stop()
+            await measured.stop()
     return found
 
 
-async def _load(watched: _Watched) -> list[series.Series]:
+async def _measure_requests(measured: _MeasuredCluster) -> list[series.Series]:
     """Measures prompt and durable requests at several rates."""
-    router = watched.cluster.routers[_router(1).name]
+    router = measured.cluster.routers[_router(1).name]
     found = []
     for kind, account in ACCOUNTS.items():
-        group = _group(f'{kind} requests', 'requests/s')
+        group = _make_series(f'{kind} requests', 'requests/s')
         token = board.TOKENS[account]
         async with caller.open_client(router.url, token) as client:
-            for rate in RATES:
+            for rate in REQUEST_RATES:
                 async with asyncio.TaskGroup() as tasks:
-                    task = tasks.create_task(watched.window(LOAD_S))
+                    task = tasks.create_task(measured.measure_usage(LOAD_S))
                     for _ in range(int(rate * LOAD_S)):
-                        tasks.create_task(_ask(client))
+                        tasks.create_task(_generate(client))
                         await asyncio.sleep(1 / rate)
-                _add(group, rate, task.result())
+                _add_point(group, rate, task.result())
         found += [group['reads'], group['writes'], group['store_bytes']]
     return found
 
 
-async def _ask(client: httpx2.AsyncClient) -> None:
+async def _generate(client: httpx2.AsyncClient) -> None:
     prompt = f'Delivery slots? [[tokens={TOKENS}]]'
     await caller.generate(client, {'model': board.MODEL, 'prompt': prompt})
 
 
-async def _hosts(watched: _Watched) -> list[series.Series]:
-    """Measures a read of a host list that grows, with the routers' client."""
+async def _measure_host_list(measured: _MeasuredCluster) -> list[series.Series]:
+    """Measures reads of host lists by length, with the routers' client."""
     sent = series.Series('store.host list read', 'bytes', 'hosts')
     core = series.Series('store.host list read core', 's of a core', 'hosts')
-    often = series.Series('store.host list interval', 's', 'hosts', False)
-    url = watched.cluster.hosts.url
-    async with clients.open_clients(section.Platform(url, url, url)) as near:
+    interval = series.Series('store.host list interval', 's', 'hosts', False)
+    url = measured.cluster.hosts.url
+    async with clients.open_clients(
+        section.Platform(url, url, url)
+    ) as platform:
         for count in HOSTS:
             hosts = [_host(number) for number in range(count)]
-            await watched.cluster.switch(watched.cluster.hosts, hosts=hosts)
+            await measured.cluster.switch(measured.cluster.hosts, hosts=hosts)
             began = time.process_time()
             for _ in range(READS_OF_HOSTS):
-                await near.hosts.fetch()
+                await platform.hosts.fetch()
             used_s = time.process_time() - began
             core.add(count, used_s / READS_OF_HOSTS)
-            often.add(count, membership.poll_interval_s(LEAST_S, count))
+            interval.add(
+                count, membership.poll_interval_s(MIN_POLL_INTERVAL_S, count)
+            )
             async with caller.open_client(url) as client:
                 sent.add(count, len((await client.get('/hosts')).content))
-    return [sent, core, often]
+    return [sent, core, interval]
 
 
 def _host(number: int) -> dict[str, str]:
@@ -201,8 +207,8 @@
     }
 
 
-def _paced() -> Iterable[series.Series]:
-    """Intervals that routers keep by themselves, as their code gives them."""
+def _throttle_intervals() -> Iterable[series.Series]:
+    """Returns the intervals that routers compute from the number of routers."""
     cfg = setting.Durable()
     makers = {
         'heartbeat': lambda count: pace.heartbeat_s(cfg, count),
@@ -214,7 +220,7 @@
         found = series.Series(
             f'store.{name} interval', 's', 'routers', linear=False
         )
-        for count in PACED:
+        for count in FLEET_SIZES:
             found.add(count, make(count))
         yield found
 
@@ -223,16 +229,18 @@
     return make(cfg, lambda: count).interval_s
 
 
-def _group(name: str, by: str) -> dict[str, series.Series]:
+def _make_series(name: str, by: str) -> dict[str, series.Series]:
     return {
         figure: series.Series(f'store.{name} {figure}', unit, by)
         for figure, unit in UNITS.items()
     }
 
 
-def _add(group: dict[str, series.Series], count: float, seen: Counts) -> None:
+def _add_point(
+    group: dict[str, series.Series], count: float, counts: Counts
+) -> None:
     for figure, found in group.items():
-        found.add(count, getattr(seen, figure))
+        found.add(count, getattr(counts, figure))
 
 
 def _router(number: int) -> layout.RouterSpec:
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/subsets.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/subsets.py
@@ -1,4 +1,4 @@
-"""Links at the whole size, by arithmetic with the router's own choice."""
+"""Links at the target size, computed with the router's own subset choice."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 __all__ = ['measure']
 
-SUBSETS = (4, 8, 16)
+SUBSET_SIZES = (4, 8, 16)
 LOST_ZONES = fleet.ZONES[:1]
 LOST_REGION = fleet.ZONES[:3]
 
 
 def measure() -> Iterator[series.Series]:
-    """Counts links by size of a subset, whole and with a zone lost."""
+    """Counts links by subset size, with all zones and with a zone lost."""
     upstreams = fleet.fleet()
     cfg = fleet.configuration(0, upstreams)
     parts = {
@@ -44,10 +44,10 @@
             ('time to choose', 's of a core'),
         )
     }
-    for wanted in SUBSETS:
-        cfg.policies.subset = wanted
+    for subset_size in SUBSET_SIZES:
+        cfg.policies.subset = subset_size
         for name, value in _count(cfg, upstreams):
-            parts[name].add(wanted, value)
+            parts[name].add(subset_size, value)
     yield from parts.values()
 
 
@@ -55,29 +55,32 @@
     cfg: model.Configuration, upstreams: dict[str, model.Upstream]
 ) -> Iterator[tuple[str, float]]:
     began = time.process_time()
-    links = _links(cfg, ())
+    links = _choose_links(cfg, ())
     yield 'time to choose', (time.process_time() - began) / len(links)
     counts = [len(chosen) for chosen in links.values()]
     yield 'links per router', statistics.fmean(counts)
     yield 'links per router at most', max(counts)
-    held = collections.Counter(
+    sidecar_links = collections.Counter(
         name for chosen in links.values() for name in chosen
     )
     yield 'links per sidecar', sum(counts) / len(upstreams)
-    yield 'links per sidecar at most', max(held.values())
-    yield 'sidecars without a link', len(upstreams.keys() - held.keys())
-    yield 'links in the own zone', _local_part(links, upstreams)
+    yield 'links per sidecar at most', max(sidecar_links.values())
+    yield (
+        'sidecars without a link',
+        len(upstreams.keys() - sidecar_links.keys()),
+    )
+    yield 'links in the own zone', _local_fraction(links, upstreams)
     for name, lost in (
         ('own zone', LOST_ZONES),
         ('a region', LOST_REGION),
     ):
         key = f'least upstreams of a model, {name} lost'
-        yield key, _least_left(links, upstreams, lost)
-    yield from _moved(cfg, upstreams, links)
+        yield key, _fewest_left(links, upstreams, lost)
+    yield from _count_moved(cfg, upstreams, links)
 
 
-def _links(cfg: model.Configuration, passive: Iterable[str]) -> Links:
-    """Chooses for every router."""
+def _choose_links(cfg: model.Configuration, passive: Iterable[str]) -> Links:
+    """Chooses the upstreams of every router."""
     passive = set(passive)
     return {
         node: subset.select_upstreams(node, zone, cfg, passive) - passive
@@ -90,7 +93,9 @@
         yield f'entry-{number:03d}', fleet.ZONES[number % len(fleet.ZONES)]
 
 
-def _local_part(links: Links, upstreams: dict[str, model.Upstream]) -> float:
+def _local_fraction(
+    links: Links, upstreams: dict[str, model.Upstream]
+) -> float:
     local = sum(
         upstreams[name].availability_zone == zone
         for node, zone in _routers()
@@ -99,15 +104,15 @@
     return local / sum(map(len, links.values()))
 
 
-def _least_left(
+def _fewest_left(
     links: Links,
     upstreams: dict[str, model.Upstream],
     lost: tuple[str, ...],
 ) -> int:
-    """Least upstreams of a model that a router has left at once.
+    """Returns the fewest upstreams of a model that a router has left.
 
-    The routers of the first lost zone are taken as alive, cut off from the
-    upstreams there, which is the worst case for them.
+    The routers of the first lost zone are assumed to be alive but disconnected
+    from the upstreams there, which is their worst case.
     """
     left = []
     for node, zone in _routers():
@@ -122,20 +127,20 @@
     return min(left)
 
 
-def _moved(
+def _count_moved(
     cfg: model.Configuration,
     upstreams: dict[str, model.Upstream],
     links: Links,
 ) -> Iterator[tuple[str, float]]:
-    gone = {
+    lost = {
         name
         for name, spec in upstreams.items()
         if spec.availability_zone in LOST_ZONES
     }
-    after = _links(cfg, gone)
+    after = _choose_links(cfg, lost)
     new = sum(len(after[node] - links[node]) for node in links)
     yield 'links moved when a zone is lost', new / sum(map(len, links.values()))
-    one = min(upstreams)
-    after = _links(cfg, {one})
+    first = min(upstreams)
+    after = _choose_links(cfg, {first})
     new = sum(len(after[node] - links[node]) for node in links)
     yield 'links moved when one server is lost', new
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/throughput.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/throughput.py
@@ -1,9 +1,9 @@
-"""Processor time and memory of requests in a router and in a sidecar.
+"""Measures processor time and memory of requests in a router and a sidecar.
 
-Real processes before an engine stand-in that makes a token each 43 ms for
-every stream, so that tokens of one stream are as far apart as at the target.
-Processor time is counted, not wall time, so the engine and the callers may be
-as slow as they like.
+Real processes in front of an engine stand-in that generates a token every 43 ms
+for each stream, so that tokens of a stream have the same spacing as at the
+target size. Processor time is measured rather than wall time, so that the speed
+of the engine and of the callers does not matter.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 ROUTER = 'entry-1'
 ZONE = board.ZONES[0]
 TOKEN_S = 0.043
-STREAMS = (25, 50, 100, 200)
+STREAM_COUNTS = (25, 50, 100, 200)
 STREAM_TOKENS = 100
-LENGTHS = (10, 50, 200)
+ANSWER_LENGTHS = (10, 50, 200)
 LENGTH_STREAMS = 100
 REQUESTS = {10: 600, 50: 200, 200: 100}
 
 
 class WrongAnswerError(Exception):
-    """An answer was not whole, so that its cost means nothing."""
+    """An answer was incomplete, so that its cost is meaningless."""
 
 
 def measure() -> Iterable[series.Series]:
-    """Measures by concurrent streams and by length of answer."""
+    """Measures by number of concurrent streams and by answer length."""
     return asyncio.run(_measure())
 
 
@@ -58,7 +58,7 @@
         processes = {'router': router, 'sidecar': started.sidecars[ENGINE]}
         token = board.TOKENS['retailers']
         async with caller.open_client(router.url, token) as client:
-            await _ask_all(client, LENGTH_STREAMS, LENGTH_STREAMS, 5)
+            await _generate_all(client, LENGTH_STREAMS, LENGTH_STREAMS, 5)
             by_streams = await _by_streams(client, processes)
             by_length = await _by_length(client, processes)
     return [*by_streams, *by_length]
@@ -77,17 +77,17 @@
             ('tokens per core second', 'tokens', False),
         )
     }
-    for streams in STREAMS:
-        before = _read(processes)
-        asked = asyncio.create_task(
-            _ask_all(client, streams, streams, STREAM_TOKENS)
+    for streams in STREAM_COUNTS:
+        before = _read_core_s(processes)
+        task = asyncio.create_task(
+            _generate_all(client, streams, streams, STREAM_TOKENS)
         )
         await asyncio.sleep(STREAM_TOKENS * TOKEN_S / 2)
         for role, process in processes.items():
             resident = usage.resident_bytes(process.pid)
             found[role, 'resident'].add(streams, resident)
-        await asked
-        for role, used_s in _used(processes, before):
+        await task
+        for role, used_s in _used_core_s(processes, before):
             rate = streams * STREAM_TOKENS / used_s
             found[role, 'tokens per core second'].add(streams, rate)
     return list(found.values())
@@ -102,44 +102,44 @@
         )
         for role in processes
     }
-    for tokens in LENGTHS:
+    for tokens in ANSWER_LENGTHS:
         requests = REQUESTS[tokens]
-        before = _read(processes)
-        await _ask_all(client, requests, LENGTH_STREAMS, tokens)
-        for role, used_s in _used(processes, before):
+        before = _read_core_s(processes)
+        await _generate_all(client, requests, LENGTH_STREAMS, tokens)
+        for role, used_s in _used_core_s(processes, before):
             found[role].add(tokens, used_s / requests)
     return list(found.values())
 
 
-def _read(processes: dict[str, launch.Process]) -> dict[str, float]:
+def _read_core_s(processes: dict[str, launch.Process]) -> dict[str, float]:
     return {
         role: usage.core_s(process.pid) for role, process in processes.items()
     }
 
 
-def _used(
+def _used_core_s(
     processes: dict[str, launch.Process], before: dict[str, float]
 ) -> Iterable[tuple[str, float]]:
-    for role, now in _read(processes).items():
+    for role, now in _read_core_s(processes).items():
         yield role, now - before[role]
 
 
-async def _ask_all(
+async def _generate_all(
     client: httpx2.AsyncClient, requests: int, streams: int, tokens: int
 ) -> None:
-    """Asks so many requests, so many at once."""
+    """Sends `requests` requests, `streams` of them concurrently."""
     numbers = iter(range(requests))
 
-    async def ask() -> None:
+    async def run_caller() -> None:
         for _ in numbers:
-            await _ask(client, tokens)
+            await _generate(client, tokens)
 
     async with asyncio.TaskGroup() as group:
         for _ in range(streams):
-            group.create_task(ask())
+            group.create_task(run_caller())
 
 
-async def _ask(client: httpx2.AsyncClient, tokens: int) -> None:
+async def _generate(client: httpx2.AsyncClient, tokens: int) -> None:
     prompt = f'Delivery slots? [[tokens={tokens}]]'
     body = {'model': board.MODEL, 'prompt': prompt}
     answer = await caller.generate(client, body)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/usage.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/usage.py
@@ -1,4 +1,4 @@
-"""What a process and its connections have used, from the kernel's account."""
+"""Resource usage of a process and its connections, as counted by the kernel."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 
 __all__ = ['core_s', 'resident_bytes', 'wire_bytes']
 
-# The kernel's number of the processor clock of another process.
+# How the kernel encodes the clock id of the CPU time of another process.
 CLOCK_SHIFT = 3
-CLOCK_KIND = 2
+CPU_TIME_CLOCK = 2
 RESIDENT_FIELD = 1
 TCP_INFO_BYTES = 256
 TCP_INFO_COUNTS = struct.Struct('<QQII')
-TCP_INFO_COUNTS_AT = 120
-# IPv4 and TCP with time stamps.
+TCP_INFO_COUNTS_OFFSET = 120
+# IPv4 and TCP headers with the timestamp option.
 SEGMENT_HEADER_BYTES = 52
 
 
 def core_s(pid: int) -> float:
-    """Processor time that a process has used, in seconds."""
-    return time.clock_gettime((~pid << CLOCK_SHIFT) | CLOCK_KIND)
+    """Returns the processor time of a process, in seconds."""
+    return time.clock_gettime((~pid << CLOCK_SHIFT) | CPU_TIME_CLOCK)
 
 
 def resident_bytes(pid: int) -> int:
-    """Memory of a process that is in use."""
+    """Returns the resident memory of a process, in bytes."""
     pages = pathlib.Path(f'/proc/{pid}/statm').read_text().split()
     return int(pages[RESIDENT_FIELD]) * os.sysconf('SC_PAGE_SIZE')
 
 
 def wire_bytes(link: link_lib.Link) -> int:
-    """Bytes of a link both ways, with the headers of its segments.
+    """Returns the bytes of a link in both directions, with segment headers.
 
-    Empty acknowledgements are counted; the link layer is not.
+    Includes empty acknowledgements, but no link-layer headers.
     """
     sock = link.get_extra_info('socket')
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-    acked, received, out, into = TCP_INFO_COUNTS.unpack_from(
-        info, TCP_INFO_COUNTS_AT
+    acked, received, segments_out, segments_in = TCP_INFO_COUNTS.unpack_from(
+        info, TCP_INFO_COUNTS_OFFSET
+    )
+    return (
+        acked + received + SEGMENT_HEADER_BYTES * (segments_out + segments_in)
     )
-    return acked + received + SEGMENT_HEADER_BYTES * (out + into)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/wait.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/wait.py
@@ -1,4 +1,4 @@
-"""Waits for what many parts bring about, none of which tells of it."""
+"""Waits for conditions over many objects that send no notification."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 __all__ = ['until']
 
-TICK_S = 0.02
-BOUND_S = 60.0
+POLL_INTERVAL_S = 0.02
+TIMEOUT_S = 60.0
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Looks again and again until the condition holds.
+    """Polls a condition until it holds.
 
     Raises:
-      TimeoutError: It does not hold in time.
+      TimeoutError: The condition does not hold within TIMEOUT_S.
     """
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + BOUND_S
+    deadline = loop.time() + TIMEOUT_S
     while not condition():
         if loop.time() > deadline:
             raise TimeoutError
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/window.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/capacity/window.py
@@ -1,4 +1,4 @@
-"""What is used while some time passes."""
+"""Resource usage over a time window."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
     from quetzalsill.wire import link as link_lib
 
-__all__ = ['Window', 'watch']
+__all__ = ['Window', 'measure']
 
 SETTLE_S = 2.0
-# As long as the longest interval of heartbeats.
+# Covers the longest heartbeat interval.
 WINDOW_S = 20.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Window:
-    """Use of a process and its links.
+    """Usage of a process and its links.
 
     Attributes:
-      core: Processor time for each second, as a part of a core.
-      payload: Bytes a second that its links carry, both ways.
-      wire: The same with the headers of the segments.
-      resident: Memory in use at the end, in bytes.
+      core: Processor time per second, as a fraction of a core.
+      payload: Bytes per second on its links, in both directions.
+      wire: The same including segment headers.
+      resident: Resident memory at the end, in bytes.
     """
 
     core: float
@@ -38,8 +38,8 @@
     resident: int
 
 
-async def watch(pid: int, links: Sequence[link_lib.Link]) -> Window:
-    """Lets things settle and then watches a process and links of it."""
+async def measure(pid: int, links: Sequence[link_lib.Link]) -> Window:
+    """Measures a process and its links after a settling time."""
     await asyncio.sleep(SETTLE_S)
     before = _read(pid, links)
     await asyncio.sleep(WINDOW_S)
