--- a/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
+++ b/packages/quetzalsill-gateway/src/quetzalsill_gateway/plugin.py
@@ -20,5 +20,5 @@
             role.run_lazily('quetzalsill_gateway.run'),
             reloads=True,
         ),
-        "Forwards callers' requests directly to upstreams.",
+        "Forwards callers' requests straight to upstreams.",
     )
