--- a/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/peer/attempt.py
@@ -294,11 +294,11 @@
         end = msg.seq + len(msg.items)
         if not 0 <= msg.seq <= self.next_seq:
             raise wire_error.ProtocolError(
-                f'{self.id}: received item {msg.seq}, expected {self.next_seq}'
+                f'{self.id}: item {msg.seq} instead of {self.next_seq}'
             )
         if end > self._credit_limit:
             raise wire_error.ProtocolError(
-                f'{self.id}: item {end - 1} exceeds the credit of '
+                f'{self.id}: item {end - 1} beyond the credit of '
                 f'{self._credit_limit}'
             )
         first, self.next_seq = self.next_seq, max(self.next_seq, end)
@@ -319,7 +319,7 @@
                 f'{self.id}: ended at {msg.seq}, received {self.next_seq}'
             )
         if msg.seq < self.next_seq:
-            return self._fail('the answer is shorter than the items received')
+            return self._fail('the answer is shorter than what was received')
         return self._finish(msg, acknowledge=True)
 
     def _on_failed(self, msg: message.Failed) -> bool:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/accept.py
@@ -63,7 +63,7 @@
     if profile is None:
         raise request_error.UnknownProfileError(
             f'no profile {name!r}',
-            advice='Use one of the configured profiles.',
+            advice='Name one of the configured profiles.',
         )
     allowed = caller.account.profiles
     if allowed and name not in allowed:
@@ -154,6 +154,6 @@
     if requested.max_tokens > bound:
         raise field.FieldError(
             'max_tokens',
-            f'{requested.max_tokens} exceeds the limit of {bound}',
-            advice=f'Request at most {bound} tokens with this profile.',
+            f'{requested.max_tokens} is over {bound}',
+            advice=f'Ask for at most {bound} tokens with this profile.',
         )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempt_history.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempt_history.py
@@ -73,14 +73,14 @@
         """Builds the error for when no eligible upstream is left."""
         if self.last_error is None:
             return request_error.NoUpstreamError(
-                'no live upstream serves the target',
+                'no live upstream serves it',
                 retry_after_s=DEFAULT_RETRY_AFTER_S,
             )
         retry_after_s = min(
             self.retry_after_hints, default=DEFAULT_RETRY_AFTER_S
         )
         return request_error.OverloadedError(
-            f'no upstream accepted the request: {self.last_error.detail}',
+            f'no upstream took it: {self.last_error.detail}',
             retry_after_s=retry_after_s,
         )
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/attempts.py
@@ -141,7 +141,7 @@
     # made the call knows it.
     if active.work.kind == spec.CALL and not same:
         raise outcome.unknown_outcome(
-            f'the sidecar that called {run.upstream} was lost'
+            f'the sidecar that called {run.upstream} is gone'
         )
     stream = _open(ctx, active, peer, run.attempt, lambda: False, recover=True)
     try:
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/outcome.py
@@ -85,7 +85,7 @@
     """
     if ended.error.code != request.NotFoundError.code:
         return ended
-    error = request.NoUpstreamError('the dispatch was lost in transit')
+    error = request.NoUpstreamError('the dispatch was lost on its way')
     return Outcome(error, not_received=True)
 
 
@@ -102,12 +102,12 @@
     """
     final = ended.error.code == request.NotFoundError.code
     if same_sidecar and final:
-        error = request.ShuttingDownError('its router failed before it ran')
+        error = request.ShuttingDownError('its router was lost before it ran')
         return Outcome(error)
     if ended.ran is not base.Ran.NO:
         return ended
     error = request.OutcomeUnknownError(
-        f'the earlier run is no longer known: {ended.error.detail}'
+        f'the earlier run is not known any more: {ended.error.detail}'
     )
     return Outcome(error, gone=final)
 
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/peer_selection.py
@@ -85,7 +85,7 @@
             break
         await wait_before_retry(active, MIN_RETRY_WAIT_S)
     raise outcome.unknown_outcome(
-        f'upstream {upstream} did not reconnect to report the outcome'
+        f'upstream {upstream} did not come back to say'
     )
 
 
@@ -113,6 +113,4 @@
 def _check_deadline(work: spec.Work) -> None:
     """Raises `DeadlineError` if the deadline has passed."""
     if work.remaining_s() <= 0:
-        raise request_error.DeadlineError(
-            'no upstream accepted the request in time'
-        )
+        raise request_error.DeadlineError('no upstream took it in time')
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/record.py
@@ -102,6 +102,6 @@
     error = request_error.TooLargeError
     return durable_answer.Answer(
         code=error.code,
-        detail=f'the answer of {size} bytes was delivered but not stored',
+        detail=f'the answer of {size} bytes was delivered but not kept',
         status=0,
     )
--- a/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
+++ b/packages/quetzalsill-router/src/quetzalsill_router/request/takeover.py
@@ -66,7 +66,7 @@
     """Creates the outcome of a request that was never dispatched."""
     return durable_answer.Answer(
         code=LOST_CODE,
-        detail='its router stopped before it ran',
+        detail='its router ended before it ran',
         ran=base.Ran.NO,
         status=0,
     )
