--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/error.py
@@ -55,7 +55,7 @@
 
     def __init__(self, status: int, body: bytes) -> None:
         text = body[:200].decode('utf-8', 'replace')
-        super().__init__(f'upstream responded with status {status}: {text}')
+        super().__init__(f'upstream answered {status}: {text}')
         self.status = status
         self.body = body
 
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/intake.py
@@ -212,7 +212,7 @@
                 message.Failed(
                     attempt.id,
                     request_error.SupersededError.code,
-                    'fence is stale',
+                    'fence is old',
                     base.Ran.UNKNOWN.value,
                     False,
                 )
@@ -231,7 +231,7 @@
             tombstone = message.Refused(
                 attempt_id,
                 request_error.NotFoundError.code,
-                'unknown attempt',
+                'never seen',
                 0,
             )
             self._attempts.tombstones.add(
@@ -264,7 +264,7 @@
             return
         dispatch = attempt.dispatch
         if dispatch.revision > self._configuration.revision:
-            detail = f'revision {dispatch.revision} is not available'
+            detail = f'revision {dispatch.revision} could not be had'
             self._attempts.refuse(
                 attempt, request_error.StaleRevisionError.code, detail
             )
@@ -344,7 +344,7 @@
     return message.Failed(
         attempt.id,
         request_error.OutcomeUnknownError.code,
-        'answer items are no longer available',
+        'items no longer kept',
         base.Ran.YES.value,
         False,
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/monitoring.py
@@ -34,7 +34,7 @@
         del request
         reason = sidecar.leaving.refusal_reason()
         if not reason and not sidecar.load.healthy:
-            reason = 'the upstream does not respond'
+            reason = 'the upstream does not answer'
         if not reason and not sidecar.configuration.revision:
             reason = 'no configuration'
         return _text(503 if reason else 200, reason or 'ready')
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/plugin.py
@@ -29,13 +29,13 @@
             settings.SidecarSettings,
             role.run_lazily('quetzalsill_sidecar.run'),
         ),
-        'Proxy that all requests to one upstream pass through.',
+        'The only path to one upstream.',
     )
     registry.add(
         'fairness',
         'weighted',
         order_weighted.WeightedOrder,
-        'Weighted fair shares of client accounts, urgent profiles first.',
+        'Fair shares of client accounts by weight, prompt profiles first.',
     )
     registry.add(
         'fairness', 'fifo', order_fifo.FifoOrder, 'First come, first served.'
@@ -44,23 +44,23 @@
         'admission',
         'predicted',
         admission_predicted.admit,
-        'Starts attempts that fit the predicted KV cache usage.',
+        'Starts what fits the predicted key-value memory.',
     )
     registry.add(
         'admission',
         'declared',
         admission_predicted.admit_declared,
-        'Starts attempts that fit if each answer reaches its token limit.',
+        'Starts what fits if every answer is as long as its bound.',
     )
     registry.add(
         'admission',
         'admit-all',
         admission_baseline.admit_all,
-        'Starts every attempt that the running limit permits.',
+        'Starts whatever comes.',
     )
     registry.add(
         'admission',
         'fixed-batch',
         admission_baseline.fixed_batch,
-        'Runs at most a fixed number of attempts on the engine.',
+        'Keeps a fixed number of attempts on the engine.',
     )
--- a/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
+++ b/packages/quetzalsill-sidecar/src/quetzalsill_sidecar/runner.py
@@ -105,7 +105,7 @@
             ),
             exc=task.exception(),
         )
-        detail = 'internal error of the sidecar'
+        detail = 'the sidecar failed'
         self._end(
             attempt,
             outcome.failed(
