--- a/packages/quetzalsill/src/quetzalsill/net/client.py
+++ b/packages/quetzalsill/src/quetzalsill/net/client.py
@@ -61,7 +61,7 @@
         except TimeoutError as exc:
             conn.report_timeout()
             raise error.ResponseTimeoutError(
-                f'no response within {self.request_timeout} s'
+                f'no answer within {self.request_timeout} s'
             ) from exc
 
 
--- a/packages/quetzalsill/src/quetzalsill/net/connection.py
+++ b/packages/quetzalsill/src/quetzalsill/net/connection.py
@@ -57,7 +57,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yields the chunks of the body as they arrive; works once."""
         if self._ended:
-            raise error.NetError('the body of this response was already read')
+            raise error.NetError('the body of this answer was read already')
         try:
             while True:
                 chunk = self._parser.take_body()
@@ -85,7 +85,7 @@
         except TimeoutError as exc:
             self._conn.report_timeout()
             raise error.ResponseTimeoutError(
-                f'no data received for {self._read_timeout_s} s'
+                f'nothing came for {self._read_timeout_s} s'
             ) from exc
         except OSError as exc:
             raise error.ResponseLostError(_describe(exc)) from exc
--- a/packages/quetzalsill/src/quetzalsill/net/parser.py
+++ b/packages/quetzalsill/src/quetzalsill/net/parser.py
@@ -67,7 +67,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            raise error.ResponseLostError(f'malformed response: {exc}') from exc
+            raise error.ResponseLostError(f'malformed answer: {exc}') from exc
 
     def take_body(self) -> bytes:
         """Returns the part of the body received since the last call."""
@@ -118,13 +118,13 @@
 
     def _feed_eof(self) -> None:
         if self.head is None:
-            raise error.ResponseLostError('connection closed before a response')
+            raise error.ResponseLostError('closed before an answer')
         framing_headers = (b'content-length', b'transfer-encoding')
         if any(self.head.first(name) is not None for name in framing_headers):
-            raise error.ResponseLostError('connection closed within a response')
+            raise error.ResponseLostError('closed within an answer')
         self.is_complete = True
 
     def _count_head_bytes(self, received: int) -> None:
         self._head_bytes += received
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise error.ResponseLostError('the response head is too large')
+            raise error.ResponseLostError('the head of the answer is too large')
--- a/packages/quetzalsill/src/quetzalsill/net/server.py
+++ b/packages/quetzalsill/src/quetzalsill/net/server.py
@@ -84,7 +84,7 @@
         await self._lifespan.startup()
         if self._lifespan.should_exit:
             sock.close()
-            raise error.ListenError('the application failed to start')
+            raise error.ListenError('the application did not start')
         self.port = sock.getsockname()[1]
         self._server = await asyncio.get_running_loop().create_server(
             self._make_protocol,
--- a/packages/quetzalsill/src/quetzalsill/net/tls.py
+++ b/packages/quetzalsill/src/quetzalsill/net/tls.py
@@ -170,7 +170,7 @@
     # without TLS.
     if tls.key or tls.authority:
         raise error.CertificateError(
-            'a key or CA file is set without a certificate'
+            'a key or an authority is set without a certificate'
         )
 
 
--- a/packages/quetzalsill/src/quetzalsill/plugin/error.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/error.py
@@ -34,4 +34,4 @@
     """An installed plug-in cannot be imported or has no `register`."""
 
     code = 'plugin_load_failed'
-    advice = 'Reinstall or remove the package that provides it.'
+    advice = 'Install the package that brings it again, or remove it.'
--- a/packages/quetzalsill/src/quetzalsill/plugin/registry.py
+++ b/packages/quetzalsill/src/quetzalsill/plugin/registry.py
@@ -58,11 +58,11 @@
         """
         if kind not in KINDS:
             raise error.UnknownPluginError(
-                f'unknown plug-in kind {kind!r}; known: {", ".join(KINDS)}'
+                f'there is no kind {kind!r} of plug-in: {", ".join(KINDS)}'
             )
         if (kind, name) in self._plugins:
             raise error.DuplicatePluginError(
-                f'the {kind} plug-in {name!r} is already registered'
+                f'the {kind} plug-in {name!r} is registered twice'
             )
         self._plugins[kind, name] = Plugin(kind, name, value, doc)
 
@@ -121,7 +121,8 @@
             register = entry.load().register
         except (ImportError, AttributeError) as exc:
             raise error.PluginLoadError(
-                f'cannot load the plug-in {entry.name!r} ({entry.value}): {exc}'
+                f'the plug-in {entry.name!r} ({entry.value}) does not load: '
+                f'{exc}'
             ) from exc
         register(self)
 
