--- a/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/bench/crowd/trial.py
@@ -154,7 +154,8 @@
         return Outcome(
             request=request,
             status=answer.status,
-            is_complete=answer.is_complete and len(answer.texts) == request.tokens,
+            is_complete=answer.is_complete
+            and len(answer.texts) == request.tokens,
             stall_s=answer.stall_s,
             first_s=answer.first_token_s,
             gap_s=answer.max_gap_s,
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/demo/requests.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/demo/requests.py
@@ -142,5 +142,7 @@
     if len(answer.texts) != sent.request.tokens:
         return f'{len(answer.texts)} tokens of {sent.request.tokens}'
     return (
-        '' if answer.is_complete else 'tokens duplicated, out of order or missing'
+        ''
+        if answer.is_complete
+        else 'tokens duplicated, out of order or missing'
     )
