--- a/tests/failure/fixture.py
+++ b/tests/failure/fixture.py
@@ -23,14 +23,14 @@
     return run
 
 
-class _LogShowingTestCase(unittest.TestCase):
+class _LogReportingTestCase(unittest.TestCase):
     """Keeps logs, settings and steps of a failed test, and prints log ends."""
 
     def run(self, result=None):
         self.result = result or self.defaultTestResult()
         return super().run(self.result)
 
-    def show_logs(self):
+    def report_logs(self):
         found = [*self.result.failures, *self.result.errors]
         failed = [getattr(case, 'test_case', case) for case, _ in found]
         if self in failed:
@@ -42,7 +42,7 @@
                 print(f'--- {process.log.name}\n{tail}')
 
 
-class ClusterTestCase(_LogShowingTestCase, unittest.IsolatedAsyncioTestCase):
+class ClusterTestCase(_LogReportingTestCase, unittest.IsolatedAsyncioTestCase):
     """Starts a cluster before each test and ends it after.
 
     Attributes:
@@ -57,7 +57,7 @@
     async def asyncSetUp(self):
         self.launcher = launch.Launcher()
         self.addAsyncCleanup(self.launcher.close)
-        self.addCleanup(self.show_logs)
+        self.addCleanup(self.report_logs)
         self.cluster = cluster.Cluster(
             self.launcher,
             self.LAYOUT,
@@ -76,7 +76,7 @@
         return address
 
 
-class SharedClusterTestCase(_LogShowingTestCase):
+class SharedClusterTestCase(_LogReportingTestCase):
     """Runs all tests of a class on one cluster, which starts but once.
 
     Its tests are coroutines under `on_cluster`. One may leave processes
@@ -118,7 +118,7 @@
         return address
 
     def setUp(self):
-        self.addCleanup(self.show_logs)
+        self.addCleanup(self.report_logs)
         self.runner.run(self.restore())
 
     async def restore(self):
--- a/tests/failure/asking.py
+++ b/tests/failure/harness.py
@@ -17,14 +17,14 @@
 
 APP = 'app-ikeja-hall-1'
 ENGINE = 'model-ikeja-hall-1'
-BOUND_S = 30.0
-POLL_S = 0.02
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.02
 DIGEST_LENGTH = 16
 PENDING = 202
 
 
 @dataclasses.dataclass
-class Told:
+class CallResult:
     """What a caller was told.
 
     Attributes:
@@ -44,23 +44,23 @@
     retry_after: str = ''
 
     @property
-    def answered(self):
+    def succeeded(self):
         """The whole answer came."""
         return self.status == httpx2.codes.OK
 
 
-async def order(router, name, key=''):
+async def send_order(router, name, key=''):
     """Orders from the plain service."""
-    return await _ask(router, '/services/ordering/orders', {'id': name}, key)
+    return await _post(router, '/services/ordering/orders', {'id': name}, key)
 
 
-async def brief(router, name, key='', profile='brief'):
+async def send_brief(router, name, key='', profile='brief'):
     """Asks for a generation that may not run twice."""
     body = {'model': board.MODEL, 'prompt': _prompt(name)}
-    return await _ask(router, '/v1/completions', body, key, profile)
+    return await _post(router, '/v1/completions', body, key, profile)
 
 
-async def long_brief(router, name, tokens, profile):
+async def submit_long_brief(router, name, tokens, profile):
     """Has a generation of a length accepted, to be fetched later."""
     body = {'model': board.MODEL, 'prompt': _prompt(name, tokens)}
     headers = {'x-quetzalsill-profile': profile, 'prefer': 'respond-async'}
@@ -69,42 +69,42 @@
     )
 
 
-async def scene(router, name, key=''):
+async def send_scene(router, name, key=''):
     """Asks for a durable generation that may not run twice."""
-    return await brief(router, name, key, 'scene')
+    return await send_brief(router, name, key, 'scene')
 
 
-async def _ask(router, path, body, key, profile=''):
+async def _post(router, path, body, key, profile=''):
     headers = {'x-quetzalsill-profile': profile} if profile else {}
     if key:
         headers['idempotency-key'] = key
     return await _send(router, 'POST', path, json=body, headers=headers)
 
 
-async def settled(router, told=None, key=''):
+async def wait_for_outcome(router, result=None, key=''):
     """The settled outcome of a request, by its id or by its key."""
     path = f'/v1/requests?idempotency_key={key}'
-    if told is not None:
-        path = f'/v1/requests/{told.request}'
-    async with asyncio.timeout(BOUND_S):
+    if result is not None:
+        path = f'/v1/requests/{result.request}'
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             found = await _send(router, 'GET', path)
             if found.status != PENDING:
                 return found
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def repeat(ask, router, name, key):
+async def retry(ask, router, name, key):
     """Repeats a request under its key until its outcome is told.
 
     A caller may do so whatever it was told before: the key makes it safe.
     """
-    async with asyncio.timeout(BOUND_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
-            told = await ask(router, name, key)
-            if not (told.not_run or told.code == 'conflict'):
-                return told
-            await asyncio.sleep(POLL_S)
+            result = await ask(router, name, key)
+            if not (result.not_run or result.code == 'conflict'):
+                return result
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def _send(router, method, path, **content):
@@ -113,17 +113,17 @@
         async with caller.open_client(router.url, token) as client:
             response = await client.request(method, path, **content)
     except httpx2.TransportError:
-        return Told()
-    told = Told(
+        return CallResult()
+    result = CallResult(
         response.status_code,
         request=response.headers.get('x-request-id', ''),
         body=response.json(),
         retry_after=response.headers.get('retry-after', ''),
     )
-    if 'error' in told.body:
-        told.code = told.body['error']['code']
-        told.not_run = told.body['error']['not_run']
-    return told
+    if 'error' in result.body:
+        result.code = result.body['error']['code']
+        result.not_run = result.body['error']['not_run']
+    return result
 
 
 def _prompt(name, tokens=5):
@@ -132,23 +132,23 @@
 
 def digest(name, tokens=5):
     """Digest of a prompt, as the engine's audit tells it."""
-    whole = hashlib.sha256(_prompt(name, tokens).encode()).hexdigest()
-    return whole[:DIGEST_LENGTH]
+    full_digest = hashlib.sha256(_prompt(name, tokens).encode()).hexdigest()
+    return full_digest[:DIGEST_LENGTH]
 
 
-async def query(router, name, key=''):
+async def send_query(router, name, key=''):
     """Asks for a generation that may be repeated."""
-    return await brief(router, name, key, 'prompt')
+    return await send_brief(router, name, key, 'prompt')
 
 
-async def ran(cluster, engines=(ENGINE,)):
+async def count_runs(cluster, engines=(ENGINE,)):
     """How often each order and brief reached its upstream, by name."""
     audits = [await cluster.audit(name) for name in engines]
     runs = [run for audit in audits for run in audit['runs']]
-    return Ran((await cluster.audit(APP))['orders'], runs)
+    return RunCounts((await cluster.audit(APP))['orders'], runs)
 
 
-class Ran:
+class RunCounts:
     """The word of the upstreams on what ran.
 
     Attributes:
@@ -165,47 +165,47 @@
         return self._orders.get(name, 0) + self._briefs[digest(name)]
 
 
-async def until(check):
+async def wait_until(check):
     """Waits until the coroutine `check()` gives a true value, and gives it."""
-    async with asyncio.timeout(BOUND_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             found = await check()
             if found:
                 return found
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def count(standin, name):
+async def read_count(stand_in, name):
     """A count of a platform stand-in."""
-    async with caller.open_client(standin.url) as client:
+    async with caller.open_client(stand_in.url) as client:
         return (await client.get('/stand-in/counts')).json().get(name, 0)
 
 
-async def until_counted(standin, name, least):
+async def wait_for_count(stand_in, name, minimum):
     """Waits until a platform stand-in has counted so many."""
 
     async def reached():
-        return await count(standin, name) >= least
+        return await read_count(stand_in, name) >= minimum
 
-    await until(reached)
+    await wait_until(reached)
 
 
-async def until_ran(cluster, *names):
+async def wait_until_ran(cluster, *names):
     """Waits until each of these has reached its upstream."""
 
     async def all_ran():
-        found = await ran(cluster)
+        found = await count_runs(cluster)
         return all(map(found.count, names))
 
-    await until(all_ran)
+    await wait_until(all_ran)
 
 
-async def until_served(cluster):
+async def wait_until_served(cluster):
     """Waits until every router serves both upstreams."""
 
     async def served(router, ask, name):
-        return (await ask(router, name)).answered
+        return (await ask(router, name)).succeeded
 
     for router in cluster.routers.values():
-        for ask in (order, brief):
-            await until(lambda r=router, a=ask: served(r, a, 'test'))
+        for ask in (send_order, send_brief):
+            await wait_until(lambda r=router, a=ask: served(r, a, 'test'))
--- a/tests/failure/patient.py
+++ b/tests/failure/patient.py
@@ -8,16 +8,22 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 # Longer than every bound of ours in `CHANGES`.
 OUTAGE_S = 2.5
 # What isn't away but spoilt lasts shorter; the killed come back at once.
-LASTS_S = {'router': 0, 'sidecar': 0, 'engine': 0, 'slow': 1, 'lost': 1}
+FAULT_DURATION_S = {
+    'router': 0,
+    'sidecar': 0,
+    'engine': 0,
+    'slow': 1,
+    'lost': 1,
+}
 TOKENS = 120
-PLANS = 4
+REQUESTS_PER_KIND = 4
 PROFILES = {'plan': 'patient', 'brief': 'scene'}
-BROKEN_STORE = ('down', 'reset', 'silent')
+STORE_FAULTS = ('down', 'reset', 'silent')
 
 
 class PatientTestCase(fixture.SharedClusterTestCase):
@@ -57,11 +63,11 @@
         self.first, self.second = self.cluster.routers.values()
         # Both stores of a router must know that the platform is back.
         for router in (self.first, self.second):
-            await asking.until(functools.partial(self.serves, router))
+            await harness.wait_until(functools.partial(self.serves, router))
 
     async def set_store(self, slow_s=0.0, lose_answers=0, **faults):
         """Sets what is wrong with the store; without arguments nothing."""
-        broken = dict.fromkeys(BROKEN_STORE, False) | faults
+        broken = dict.fromkeys(STORE_FAULTS, False) | faults
         await self.cluster.switch(
             self.cluster.store,
             slow_s=slow_s,
@@ -71,40 +77,40 @@
 
     async def serves(self, router):
         """Whether a router answers prompt and patient work."""
-        told = [
-            await asking.brief(router, 'test', profile=profile)
+        results = [
+            await harness.send_brief(router, 'test', profile=profile)
             for profile in ('prompt', 'patient')
         ]
-        return all(one.answered for one in told)
+        return all(item.succeeded for item in results)
 
     async def submit(self, name, router, kinds=('plan', 'brief')):
         """Has plans and briefs accepted; gives what was told, by name."""
         asked = {
             f'{name}-{kind}-{number}': kind
             for kind in kinds
-            for number in range(PLANS)
+            for number in range(REQUESTS_PER_KIND)
         }
-        told = await asyncio.gather(
+        results = await asyncio.gather(
             *(
-                asking.long_brief(router, one, TOKENS, PROFILES[kind])
-                for one, kind in asked.items()
+                harness.submit_long_brief(router, item, TOKENS, PROFILES[kind])
+                for item, kind in asked.items()
             )
         )
-        for one in told:
-            self.assertEqual(one.status, asking.PENDING, one)
-        return dict(zip(asked, told, strict=True))
+        for item in results:
+            self.assertEqual(item.status, harness.PENDING, item)
+        return dict(zip(asked, results, strict=True))
 
-    async def until_first_tokens(self, accepted):
+    async def wait_for_first_tokens(self, accepted):
         """Waits until each accepted request has made tokens."""
 
-        async def made():
+        async def have_tokens():
             runs = await self.runs()
             return all(
-                any(run['tokens'] for run in runs[asking.digest(name, TOKENS)])
+                any(run['tokens'] for run in runs[harness.digest(name, TOKENS)])
                 for name in accepted
             )
 
-        await asking.until(made)
+        await harness.wait_until(have_tokens)
 
     async def runs(self):
         """All runs that live engines know, by digest of the prompt."""
@@ -137,7 +143,7 @@
     async def pause(self):
         self.first.stop()
 
-    async def heal(self):
+    async def clear_faults(self):
         """Restores what failed, without a look at whether all serve."""
         for process in self.launcher.processes:
             process.cont()
@@ -147,7 +153,7 @@
                 await self.cluster.start_upstream(name)
         await self.cluster.restart_ended()
 
-    async def strike(self, *names):
+    async def inject(self, *names):
         """Lets faults strike at once, last, and end.
 
         Returns:
@@ -157,11 +163,13 @@
         async with asyncio.TaskGroup() as group:
             for name in names:
                 group.create_task(self.faults()[name]())
-        await asyncio.sleep(max(LASTS_S.get(n, OUTAGE_S) for n in names))
-        await self.heal()
+        await asyncio.sleep(
+            max(FAULT_DURATION_S.get(n, OUTAGE_S) for n in names)
+        )
+        await self.clear_faults()
         return before
 
-    async def assert_kept(self, accepted, before=None, known=True):
+    async def assert_outcomes(self, accepted, before=None, known=True):
         """Each plan has its whole answer; no brief ran twice.
 
         Args:
@@ -171,28 +179,31 @@
             is known too.
         """
         settled = await asyncio.gather(
-            *(asking.settled(self.second, told) for told in accepted.values())
+            *(
+                harness.wait_for_outcome(self.second, result)
+                for result in accepted.values()
+            )
         )
         runs = await self.runs()
-        for name, told in zip(accepted, settled, strict=True):
+        for name, result in zip(accepted, settled, strict=True):
             with self.subTest(name):
                 is_plan = '-plan-' in name
-                digest = asking.digest(name, TOKENS)
+                digest = harness.digest(name, TOKENS)
                 own = {run['request_id']: run for run in runs[digest]}
                 for run in (before or {}).get(digest, ()):
                     own.setdefault(run['request_id'], run)
                 if not is_plan:
                     self.assertLessEqual(len(own), 1, own)
                 if is_plan or known:
-                    self.assertTrue(told.answered, told)
-                if told.answered:
-                    self.assert_whole(told, own.values())
-                elif told.not_run:
+                    self.assertTrue(result.succeeded, result)
+                if result.succeeded:
+                    self.assert_whole(result, own.values())
+                elif result.not_run:
                     self.assertFalse(own)
 
-    def assert_whole(self, told, runs):
+    def assert_whole(self, result, runs):
         """The answer is all of one generation, which an engine finished."""
-        (choice,) = told.body['choices']
+        (choice,) = result.body['choices']
         tokens = choice['text'].split()
         generation = tokens[0].partition('.')[0]
         whole = [f'{generation}.{index}' for index in range(TOKENS)]
@@ -204,13 +215,13 @@
         with self.subTest(name):
             await self.restore()
             accepted = await self.submit(name, self.first)
-            await self.until_first_tokens(accepted)
+            await self.wait_for_first_tokens(accepted)
             before = {}
             for faults in rounds:
-                for digest, runs in (await self.strike(*faults)).items():
+                for digest, runs in (await self.inject(*faults)).items():
                     before.setdefault(digest, []).extend(runs)
                 self.first, self.second = self.second, self.first
-            struck = {fault for faults in rounds for fault in faults}
-            known = not struck & {'engine', 'sidecar'}
+            injected = {fault for faults in rounds for fault in faults}
+            known = not injected & {'engine', 'sidecar'}
             await self.cluster.wait_ready()
-            await self.assert_kept(accepted, before, known)
+            await self.assert_outcomes(accepted, before, known)
--- a/tests/failure/relayed.py
+++ b/tests/failure/relayed.py
@@ -9,12 +9,12 @@
 import httpx2
 
 from quetzalsill_dev import board, caller, relay
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 __all__ = ['RelayedTestCase', 'body']
 
-BOUND_S = 30.0
-POLL_S = 0.01
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.01
 
 
 def body(tokens: int, name: str = 'plan') -> dict[str, str]:
@@ -57,15 +57,15 @@
 
     @classmethod
     async def _stop_relays(cls):
-        for middle in cls.relays.values():
-            await middle.stop()
+        for proxy in cls.relays.values():
+            await proxy.stop()
 
     async def restore(self):
-        for middle in self.relays.values():
-            middle.refusing = False
-            middle.delay(0.0)
+        for proxy in self.relays.values():
+            proxy.refusing = False
+            proxy.delay(0.0)
         await super().restore()
-        await self.until(self.is_served)
+        await self.wait_until(self.is_served)
         self.seen_runs = {
             name: await self._run_ids(name) for name in self.engines
         }
@@ -79,7 +79,9 @@
         """Base URL of a router."""
         return [*self.cluster.routers.values()][router].url
 
-    def ask(self, tokens, name='plan', profile='prompt', router=0, **headers):
+    def start_request(
+        self, tokens, name='plan', profile='prompt', router=0, **headers
+    ):
         """Asks in the background; gives the answer as it grows, and a task."""
         answer = caller.Answer()
         token = board.TOKENS['retailers']
@@ -96,20 +98,22 @@
 
         return answer, asyncio.create_task(run())
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         """Waits for a condition, which may be a coroutine function."""
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 found = condition()
                 if asyncio.iscoroutine(found):
                     found = await found
                 if found:
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def until_tokens(self, least, *answers):
+    async def wait_for_tokens(self, minimum, *answers):
         """Waits until each answer has that many tokens."""
-        await self.until(lambda: min(len(a.texts) for a in answers) >= least)
+        await self.wait_until(
+            lambda: min(len(a.texts) for a in answers) >= minimum
+        )
 
     async def new_runs(self):
         """Runs on all engines since the test began."""
@@ -130,7 +134,9 @@
 
     async def is_served(self):
         """Each router answers."""
-        answers = [await self.ask(1, router=i)[1] for i in self._routers()]
+        answers = [
+            await self.start_request(1, router=i)[1] for i in self._routers()
+        ]
         return all(answer.is_whole for answer in answers)
 
     def _routers(self):
@@ -161,7 +167,7 @@
         (name,) = answer.generations
         (run,) = [run for run in runs if f'g{run["generation"]}' == name]
         digest = hashlib.sha256(prompt.encode()).hexdigest()
-        self.assertEqual(run['prompt_digest'], digest[: asking.DIGEST_LENGTH])
+        self.assertEqual(run['prompt_digest'], digest[: harness.DIGEST_LENGTH])
         expected = [f'{name}.{i} ' for i in range(len(answer.texts))]
         self.assertEqual(answer.texts, expected)
         return run
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -7,13 +7,13 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 # A way to ask by each kind of work that may not run twice.
 ASKS = {
-    'order': asking.order,
-    'brief': asking.brief,
-    'scene': asking.scene,
+    'order': harness.send_order,
+    'brief': harness.send_brief,
+    'scene': harness.send_scene,
 }
 CLAIMS = '"claims"'
 CLAIMED = 'row_written:claims'
@@ -45,16 +45,16 @@
         )
         await self.cluster.switch(self.app, close_orders=0)
         await super().restore()
-        await asking.until_served(self.cluster)
+        await harness.wait_until_served(self.cluster)
         self.first, self.second = self.cluster.routers.values()
 
     @property
     def app(self):
-        return self.cluster.upstreams[asking.APP]
+        return self.cluster.upstreams[harness.APP]
 
     async def slow_down(self, store_s=0.0, app_s=0.0, stall=False):
         """Sets how slow the store, the service and the engine are."""
-        engine = self.cluster.upstreams[asking.ENGINE]
+        engine = self.cluster.upstreams[harness.ENGINE]
         await self.cluster.switch(self.cluster.store, slow_s=store_s)
         await self.cluster.switch(self.app, delay_s=app_s)
         await self.cluster.switch(engine, stall=stall)
@@ -63,19 +63,19 @@
     async def test_repeat_while_the_first_router_is_paused(self):
         """Two trucks of melting product come to one door."""
         for step in ('unread', 'claimed', 'dispatched'):
-            await self.strike_at(step, 'pause', self.pause)
+            await self.check_fault_at(step, 'pause', self.pause)
 
     @fixture.on_cluster
     async def test_repeat_after_the_first_router_was_killed(self):
         """A brief is billed twice."""
         for step in ('claimed', 'dispatched'):
-            await self.strike_at(step, 'kill', self.kill)
+            await self.check_fault_at(step, 'kill', self.kill)
 
     @fixture.on_cluster
     async def test_repeat_after_router_and_sidecars_were_killed(self):
         """The router that takes over believes a sidecar that can't know."""
-        await self.strike_at(
-            'dispatched', 'rack', self.kill_rack, lost=('order',)
+        await self.check_fault_at(
+            'dispatched', 'rack', self.kill_router_and_sidecars, lost=('order',)
         )
 
     async def pause(self):
@@ -86,7 +86,7 @@
         """Kills the first router."""
         self.first.kill()
 
-    async def kill_rack(self):
+    async def kill_router_and_sidecars(self):
         """Kills the first router and the sidecars, which come back."""
         self.first.kill()
         await self.restart_sidecars()
@@ -100,42 +100,42 @@
             await sidecar.wait()
         await asyncio.gather(*map(self.cluster.start_sidecar, sidecars))
 
-    async def strike_at(self, step, fault, strike, lost=()):
+    async def check_fault_at(self, step, fault, inject, lost=()):
         """Lets a fault strike the first router; its callers repeat.
 
         Args:
           step: How far the requests are by then.
           fault: Its name.
-          strike: Does it.
+          inject: Does it.
           lost: Kinds of which nobody can tell the outcome afterwards.
         """
         await self.restore()
         names = {f'{kind}-{fault}-{step}': ASKS[kind] for kind in ASKS}
         if step == 'unread':
-            await strike()
-        asked, keyless = await self.bring_to(step, names)
+            await inject()
+        tasks, keyless = await self.send_until(step, names)
         if step != 'unread':
-            await strike()
+            await inject()
         await self.slow_down()
         repeated = [
-            asyncio.create_task(asking.repeat(ask, self.second, name, name))
+            asyncio.create_task(harness.retry(ask, self.second, name, name))
             for name, ask in names.items()
         ]
         await asyncio.gather(*repeated)
         self.first.cont()
-        await asyncio.gather(*asked, *keyless.values())
-        ran = await asking.ran(self.cluster)
+        await asyncio.gather(*tasks, *keyless.values())
+        run_counts = await harness.count_runs(self.cluster)
         for name, task in keyless.items():
-            with self.subTest(name, told=task.result()):
-                most = 0 if task.result().not_run else 1
-                self.assertLessEqual(ran.count(name), most)
+            with self.subTest(name, result=task.result()):
+                max_runs = 0 if task.result().not_run else 1
+                self.assertLessEqual(run_counts.count(name), max_runs)
         for name, task in zip(names, repeated, strict=True):
-            with self.subTest(name, told=task.result()):
-                self.assertEqual(ran.count(name), 1)
+            with self.subTest(name, result=task.result()):
+                self.assertEqual(run_counts.count(name), 1)
                 code = 'outcome_unknown' if name.startswith(lost) else ''
                 self.assertEqual(task.result().code, code)
 
-    async def bring_to(self, step, names):
+    async def send_until(self, step, names):
         """Asks the first router and waits until all are at a step.
 
         Returns:
@@ -145,8 +145,8 @@
         store_s = 0.4 if step == 'claimed' else 0
         runs = step == 'dispatched'
         await self.slow_down(store_s, app_s=runs * 1.0, stall=runs)
-        claims = await asking.count(self.cluster.store, CLAIMED)
-        asked = [
+        claims = await harness.read_count(self.cluster.store, CLAIMED)
+        tasks = [
             asyncio.create_task(ask(self.first, name, name))
             for name, ask in names.items()
         ]
@@ -157,42 +157,44 @@
             for name, ask in names.items()
         }
         if step == 'claimed':
-            await asking.until_counted(
+            await harness.wait_for_count(
                 self.cluster.store, CLAIMED, claims + len(names)
             )
         if runs:
-            await asking.until_ran(self.cluster, *names)
-        return asked, keyless
+            await harness.wait_until_ran(self.cluster, *names)
+        return tasks, keyless
 
     @fixture.on_cluster
     async def test_lost_answer_to_the_write_of_a_claim(self):
         """An order is refused for ever, or doubled by its repeat."""
         for losses in (1, 2, 20):
             names = {kind: f'{kind}-lost-{losses}' for kind in ASKS}
-            lost = await asking.count(self.cluster.store, 'lost')
+            lost = await harness.read_count(self.cluster.store, 'lost')
             await self.cluster.switch(
                 self.cluster.store, lose_answers=losses, lose_only=CLAIMS
             )
-            told = await asyncio.gather(
+            results = await asyncio.gather(
                 *(ASKS[kind](self.first, n, n) for kind, n in names.items())
             )
             self.assertGreater(
-                await asking.count(self.cluster.store, 'lost'), lost
+                await harness.read_count(self.cluster.store, 'lost'), lost
             )
-            before = await asking.ran(self.cluster)
+            before = await harness.count_runs(self.cluster)
             await self.cluster.switch(self.cluster.store, lose_answers=0)
             again = await asyncio.gather(
                 *(
-                    asking.repeat(ASKS[kind], self.second, n, n)
+                    harness.retry(ASKS[kind], self.second, n, n)
                     for kind, n in names.items()
                 )
             )
-            ran = await asking.ran(self.cluster)
-            for name, one, two in zip(names.values(), told, again, strict=True):
-                with self.subTest(name, told=one):
-                    self.assertEqual(before.count(name), one.answered)
-                    self.assertTrue(two.answered, two)
-                    self.assertEqual(ran.count(name), 1)
+            run_counts = await harness.count_runs(self.cluster)
+            for name, first_result, second_result in zip(
+                names.values(), results, again, strict=True
+            ):
+                with self.subTest(name, result=first_result):
+                    self.assertEqual(before.count(name), first_result.succeeded)
+                    self.assertTrue(second_result.succeeded, second_result)
+                    self.assertEqual(run_counts.count(name), 1)
 
     @fixture.on_cluster
     async def test_sidecar_is_killed_while_its_upstream_works(self):
@@ -203,28 +205,30 @@
             for kind, ask in ASKS.items()
             for key in (0, 1)
         }
-        asked = [
+        tasks = [
             asyncio.create_task(ask(self.first, name, key))
             for name, (ask, key) in names.items()
         ]
-        await asking.until_ran(self.cluster, *names)
+        await harness.wait_until_ran(self.cluster, *names)
         await self.restart_sidecars()
         await self.slow_down()
-        told = await asyncio.gather(*asked)
-        ran = await asking.ran(self.cluster)
-        for name, one in zip(names, told, strict=True):
+        results = await asyncio.gather(*tasks)
+        run_counts = await harness.count_runs(self.cluster)
+        for name, first_result in zip(names, results, strict=True):
             with self.subTest(name):
-                self.assertEqual(ran.count(name), 1)
+                self.assertEqual(run_counts.count(name), 1)
                 if not name.startswith('order'):
-                    self.assertTrue(one.answered, one)
+                    self.assertTrue(first_result.succeeded, first_result)
                     continue
-                await self.assert_settles(one)
+                await self.assert_unknown(first_result)
 
-    async def assert_settles(self, told, code='outcome_unknown'):
+    async def assert_unknown(self, result, code='outcome_unknown'):
         """The caller was told "unknown", and is told so again later."""
-        self.assertEqual((told.code, told.not_run), ('outcome_unknown', None))
-        later = await asking.settled(self.first, told)
-        self.assertEqual(later.request, told.request)
+        self.assertEqual(
+            (result.code, result.not_run), ('outcome_unknown', None)
+        )
+        later = await harness.wait_for_outcome(self.first, result)
+        self.assertEqual(later.request, result.request)
         self.assertEqual(later.code, code)
 
     @fixture.on_cluster
@@ -233,11 +237,15 @@
         await self.cluster.switch(self.app, close_orders=2)
         names = {'order-closed': '', 'order-closed-key': 'closed'}
         for name, key in names.items():
-            await self.assert_settles(await asking.order(self.first, name, key))
-        again = await asking.order(self.second, 'order-closed-key', 'closed')
+            await self.assert_unknown(
+                await harness.send_order(self.first, name, key)
+            )
+        again = await harness.send_order(
+            self.second, 'order-closed-key', 'closed'
+        )
         self.assertEqual(again.code, 'outcome_unknown')
-        ran = await asking.ran(self.cluster)
-        self.assertEqual([ran.count(name) for name in names], [1, 1])
+        run_counts = await harness.count_runs(self.cluster)
+        self.assertEqual([run_counts.count(name) for name in names], [1, 1])
 
 
 if __name__ == '__main__':
--- a/tests/failure/test_bad_input.py
+++ b/tests/failure/test_bad_input.py
@@ -220,19 +220,19 @@
     @contextlib.asynccontextmanager
     async def undisturbed(self):
         """Answers stream meanwhile; all are whole and no process has ended."""
-        over = asyncio.Event()
-        first, task = self.ask(TOKENS)
+        finished = asyncio.Event()
+        first, task = self.start_request(TOKENS)
 
-        async def go_on():
+        async def keep_streaming():
             answers = [await task]
-            while not over.is_set():
-                answers.append(await self.ask(TOKENS)[1])
+            while not finished.is_set():
+                answers.append(await self.start_request(TOKENS)[1])
             return answers
 
-        others = asyncio.create_task(go_on())
-        await self.until_tokens(1, first)
+        others = asyncio.create_task(keep_streaming())
+        await self.wait_for_tokens(1, first)
         yield
-        over.set()
+        finished.set()
         for answer in await others:
             self.assert_whole(answer, TOKENS)
         for process in self.launcher.processes:
@@ -261,7 +261,7 @@
             asked = path.startswith('/v1/requests/r-')
             self.assertIs(error['not_run'], None if asked else True)
             self.assertNotIn('x-evil', found.headers)
-            await self.until_logged(self.router, f'code={code}')
+            await self.wait_for_log(self.router, f'code={code}')
 
     @relayed.fixture.on_cluster
     async def test_callers(self):
@@ -297,7 +297,7 @@
             with self.subTest(data[:80]):
                 expected = b'HTTP/1.1 %d' % status if status else b''
                 self.assertEqual(answer[:12], expected, answer)
-        await self.until_logged(
+        await self.wait_for_log(
             self.router, 'event=connection_cut', len(RAW_CASES)
         )
 
@@ -320,7 +320,7 @@
                 self.assertIsInstance(reject, message.Reject)
                 self.assertEqual(reject.code, code)
                 self.assertTrue(reject.detail)
-                await self.until_logged(self.sidecar, f'code={code}')
+                await self.wait_for_log(self.sidecar, f'code={code}')
 
     @relayed.fixture.on_cluster
     async def test_dispatches_that_do_not_fit(self):
@@ -337,7 +337,7 @@
                         good, attempt=f'eve/1/{number}', **changes
                     )
                 )
-            ended = await self.terminals(link, len(DISPATCHES))
+            ended = await self.last_messages(link, len(DISPATCHES))
             link.close()
         for number, (changes, code) in enumerate(DISPATCHES):
             with self.subTest(changes):
@@ -368,13 +368,15 @@
     async def command(self, case, file):
         """Runs a command; no more than a few at once."""
         words, token, *_ = case
-        told = [word.replace('FILE', file) for word in words]
+        arguments = [word.replace('FILE', file) for word in words]
         async with self.commands:
-            return await operate.operate([self.router.url], *told, token=token)
+            return await operate.operate(
+                [self.router.url], *arguments, token=token
+            )
 
-    async def until_logged(self, process, text, least=1):
+    async def wait_for_log(self, process, text, minimum=1):
         """Waits until the process has logged a text so many times."""
-        await self.until(lambda: process.log_text().count(text) >= least)
+        await self.wait_until(lambda: process.log_text().count(text) >= minimum)
 
     def dispatch(self, link):
         """A Dispatch that fits."""
@@ -388,11 +390,11 @@
             credit=64, trace='',
         )  # fmt: skip
 
-    async def terminals(self, link, count):
+    async def last_messages(self, link, count):
         """The last message of each attempt."""
         ended = {}
         kinds = (message.Refused, message.Finished, message.Failed)
-        async with asyncio.timeout(relayed.BOUND_S):
+        async with asyncio.timeout(relayed.TIMEOUT_S):
             async for msg in link.messages():
                 if isinstance(msg, kinds):
                     ended[msg.attempt] = msg
@@ -402,7 +404,7 @@
 
     async def send(self, process, data):
         """Sends bytes on a connection of its own and reads to the end."""
-        async with asyncio.timeout(relayed.BOUND_S):
+        async with asyncio.timeout(relayed.TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
                 '127.0.0.1', process.port
             )
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -10,18 +10,18 @@
 import unittest
 
 from quetzalsill_dev import board, caller, operate, relay
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 LONG = 400
 HEAD = '"head"'
 CONFLICT = 4
-ROUNDS = (6, 7)
+VALUES = (6, 7)
 SILENCE_S = 3.0
-LATE_S = 0.3
-SLOW_S = 0.1
+LINK_DELAY_S = 0.3
+STORE_DELAY_S = 0.1
 
 
-def roomy_layout():
+def large_layout():
     """Two routers and two engines, whose memory bounds nothing here."""
     layout = board.board_layout(engines=2, services=0, routers=2)
     for spec in layout.engines:
@@ -33,7 +33,7 @@
     """Two routers, and two engines with their sidecars."""
 
     relays = {}
-    LAYOUT = roomy_layout()
+    LAYOUT = large_layout()
     CHANGES = {
         'router': {
             'follow_interval_s': 0.2,
@@ -55,8 +55,8 @@
     @classmethod
     def delay_sidecars(cls, seconds):
         """Delays what routers and sidecars tell each other."""
-        for one in cls.relays.values():
-            one.delay(seconds)
+        for link_relay in cls.relays.values():
+            link_relay.delay(seconds)
 
     async def restore(self):
         self.delay_sidecars(0)
@@ -72,7 +72,7 @@
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
         self.urls = [self.first.url, self.second.url]
-        await self.until_everywhere()
+        await self.wait_for_one_revision()
 
     async def edit(self, tokens, *options, urls=None):
         """Bounds answers by an edit, which must be in force when it ends."""
@@ -82,38 +82,40 @@
         self.assertEqual(ended.status, 0, ended.complaint)
         return tokens
 
-    async def look(self, router):
+    async def read_nodes(self, router):
         """What a router tells of itself and of all nodes."""
         token = board.OPERATOR_TOKEN
         async with caller.open_client(router.url, token) as client:
             response = await client.get('/admin/v1/nodes')
-        told = response.raise_for_status().json()
-        return told['revision'], {node['name']: node for node in told['nodes']}
+        reply = response.raise_for_status().json()
+        return reply['revision'], {
+            node['name']: node for node in reply['nodes']
+        }
 
-    async def until_everywhere(self, *routers, after=0):
+    async def wait_for_one_revision(self, *routers, after=0):
         """Waits until these routers and all sidecars are at one revision."""
 
-        async def as_one():
+        async def same_revision():
             revisions = set()
             for router in routers or (self.first, self.second):
-                own, nodes = await self.look(router)
+                own, nodes = await self.read_nodes(router)
                 shown = (nodes[name] for name in self.cluster.sidecars)
                 revisions |= {own, *(node['revision'] for node in shown)}
             newest = max(revisions)
             return len(revisions) == 1 and newest > after and newest
 
-        return await asking.until(as_one)
+        return await harness.wait_until(same_revision)
 
-    async def until_unlinked(self, name, *routers):
+    async def wait_until_unlinked(self, name, *routers):
         """Waits until the routers have given up their links to a sidecar."""
 
         async def unlinked():
-            looks = [await self.look(router) for router in routers]
-            return all(n[name]['state'] == 'unlinked' for _, n in looks)
+            replies = [await self.read_nodes(router) for router in routers]
+            return all(n[name]['state'] == 'unlinked' for _, n in replies)
 
-        await asking.until(unlinked)
+        await harness.wait_until(unlinked)
 
-    async def ask(self, router, tokens=LONG, answer=None):
+    async def send_request(self, router, tokens=LONG, answer=None):
         """Asks for an answer that is longer than its bound."""
         prompt = f'Slots? [[tokens={tokens}]]'
         body = {'model': board.MODEL, 'prompt': prompt}
@@ -121,22 +123,22 @@
         async with caller.open_client(router.url, token) as client:
             return await caller.generate(client, body, answer=answer)
 
-    async def ask_until_served(self, router):
+    async def send_until_served(self, router):
         """Asks again while it is refused, which must be as not run."""
 
         async def served():
-            answer = await self.ask(router)
+            answer = await self.send_request(router)
             if answer.status == 200:
                 return answer
             self.assertIs(answer.error['error']['not_run'], True)
             return None
 
-        return await asking.until(served)
+        return await harness.wait_until(served)
 
-    async def ask_at_once(self, router, count=20):
+    async def send_concurrently(self, router, count=20):
         """Asks many times at once; gives the lengths of the answers."""
         answers = await asyncio.gather(
-            *(self.ask(router) for _ in range(count))
+            *(self.send_request(router) for _ in range(count))
         )
         for answer in answers:
             if answer.status != 200:
@@ -151,15 +153,15 @@
         each from what they just read; who was too late makes it again. The
         store is slow, so that edits overlap between its reads and writes.
         """
-        await self.cluster.switch(self.cluster.store, slow_s=SLOW_S)
+        await self.cluster.switch(self.cluster.store, slow_s=STORE_DELAY_S)
         keys = ('priority', 'retries', 'queue_wait_s')
-        before = await self.until_everywhere()
+        before = await self.wait_for_one_revision()
 
         async def operate_on(number, key):
             urls = self.urls[number % 2 :] + self.urls[: number % 2]
-            for value in ROUNDS:
+            for value in VALUES:
                 args = ('profile', 'edit', 'prompt', f'--set={key}={value}')
-                if value != ROUNDS[-1]:
+                if value != VALUES[-1]:
                     args += ('--no-wait',)
                 ended = None
                 while ended is None or ended.status == CONFLICT:
@@ -168,20 +170,20 @@
 
         await asyncio.gather(*(operate_on(n, k) for n, k in enumerate(keys)))
         profile = await operate.read(self.urls, 'profile', 'show', 'prompt')
-        self.assertEqual({profile['value'][k] for k in keys}, {ROUNDS[-1]})
-        told = await operate.read(
+        self.assertEqual({profile['value'][k] for k in keys}, {VALUES[-1]})
+        reply = await operate.read(
             self.urls, 'profile', 'history', 'prompt', '--limit=9'
         )
         made = [
             (change['path'].rpartition('.')[2], change['after'])
-            for entry in reversed(told['entries'])
+            for entry in reversed(reply['entries'])
             if entry['revision'] > before
             for change in entry['changes']
         ]
         for key in keys:
             values = [value for changed, value in made if changed == key]
-            self.assertEqual(values, list(ROUNDS))
-        self.assertEqual(len(made), len(keys) * len(ROUNDS))
+            self.assertEqual(values, list(VALUES))
+        self.assertEqual(len(made), len(keys) * len(VALUES))
 
     @fixture.on_cluster
     async def test_lost_answer_to_an_edit(self):
@@ -191,14 +193,14 @@
         again and again.
         """
         for tokens, losses in ((31, 1), (32, 3)):
-            before = await self.until_everywhere()
+            before = await self.wait_for_one_revision()
             await self.cluster.switch(
                 self.cluster.store, lose_answers=losses, lose_only=HEAD
             )
             await self.edit(tokens)
             await self.cluster.switch(self.cluster.store, lose_answers=0)
-            self.assertEqual(await self.until_everywhere(), before + 1)
-            self.assertEqual(await self.ask_at_once(self.first), {tokens})
+            self.assertEqual(await self.wait_for_one_revision(), before + 1)
+            self.assertEqual(await self.send_concurrently(self.first), {tokens})
 
     @fixture.on_cluster
     async def test_restarts_while_the_store_is_down(self):
@@ -208,10 +210,10 @@
         routers are killed and started anew one after the other: each has to
         take the newest revision from its peers before it serves.
         """
-        before = await self.until_everywhere()
+        before = await self.wait_for_one_revision()
         await self.edit(41, '--no-wait', urls=[self.first.url])
         await self.cluster.switch(self.cluster.store, down=True)
-        revision = await self.until_everywhere(self.first, after=before)
+        revision = await self.wait_for_one_revision(self.first, after=before)
         name, sidecar = next(iter(self.cluster.sidecars.items()))
         sidecar.kill()
         await sidecar.wait()
@@ -221,12 +223,12 @@
             await self.cluster.routers[key].wait()
             router = await self.cluster.start_router(key)
             await self.cluster.wait_ready()
-            self.assertEqual((await self.look(router))[0], revision)
-            answer = await self.ask_until_served(router)
+            self.assertEqual((await self.read_nodes(router))[0], revision)
+            answer = await self.send_until_served(router)
             self.assertEqual(len(answer.texts), 41)
 
     @fixture.on_cluster
-    async def test_router_wakes_with_an_old_revision(self):
+    async def test_router_resumes_with_an_old_revision(self):
         """A request is served under a revision that was edited long ago.
 
         A router is paused, misses an edit, and its links time out, or don't.
@@ -234,27 +236,27 @@
         store is down, and the sidecars' words of the newer revision are late.
         """
         for tokens, pause_s in ((51, 0), (52, SILENCE_S + 1)):
-            before = await self.until_everywhere()
-            await self.ask_until_served(self.first)
+            before = await self.wait_for_one_revision()
+            await self.send_until_served(self.first)
             self.first.stop()
-            waiting = asyncio.create_task(self.ask_at_once(self.first))
+            waiting = asyncio.create_task(self.send_concurrently(self.first))
             profiles = self.cluster.configuration.profiles
             profiles['prompt'].max_output_tokens = tokens
             await self.cluster.publish()
-            await self.until_everywhere(self.second, after=before)
+            await self.wait_for_one_revision(self.second, after=before)
             await asyncio.sleep(pause_s)
             await self.cluster.switch(self.cluster.store, down=True)
-            self.delay_sidecars(LATE_S)
+            self.delay_sidecars(LINK_DELAY_S)
             self.first.cont()
             self.assertLessEqual(await waiting, {tokens})
-            answer = await self.ask_until_served(self.first)
+            answer = await self.send_until_served(self.first)
             self.assertEqual(len(answer.texts), tokens)
-            self.assertEqual((await self.look(self.first))[0], before + 1)
+            self.assertEqual((await self.read_nodes(self.first))[0], before + 1)
             self.delay_sidecars(0)
             await self.cluster.switch(self.cluster.store, down=False)
 
     @fixture.on_cluster
-    async def test_sidecar_wakes_with_an_old_revision(self):
+    async def test_sidecar_resumes_with_an_old_revision(self):
         """A drained upstream gets new work, or a request old bounds.
 
         A sidecar is paused, misses two edits, its links time out, and it
@@ -263,7 +265,7 @@
         name, sidecar = next(iter(self.cluster.sidecars.items()))
         other = next(n for n in self.cluster.sidecars if n != name)
         sidecar.stop()
-        await self.until_unlinked(name, self.first, self.second)
+        await self.wait_until_unlinked(name, self.first, self.second)
         await self.edit(61)
         drain = await operate.operate(self.urls, 'upstream', 'drain', name)
         self.assertEqual(drain.status, 0, drain.complaint)
@@ -271,9 +273,9 @@
         runs = len((await self.cluster.audit(name))['runs'])
         sidecar.cont()
         for router in (self.first, self.second):
-            self.assertEqual(await self.ask_at_once(router), {61})
-        await self.until_everywhere()
-        self.assertEqual(await self.ask_at_once(self.first), {61})
+            self.assertEqual(await self.send_concurrently(router), {61})
+        await self.wait_for_one_revision()
+        self.assertEqual(await self.send_concurrently(self.first), {61})
         self.assertEqual(len((await self.cluster.audit(name))['runs']), runs)
         self.assertTrue((await self.cluster.audit(other))['runs'])
         await self.cluster.switch(self.cluster.store, down=False)
--- a/tests/failure/test_leaving.py
+++ b/tests/failure/test_leaving.py
@@ -7,12 +7,12 @@
 import unittest
 
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, relayed, traffic
+from tests.failure import fixture, harness, relayed, traffic
 
 RECLAIMED = 'model-ikeja-hall-1'
 LOST = 'model-lekki-hall-3'
 APP = 'app-ikeja-hall-1'
-LEFT = 'model-apapa-hall-2'
+REMAINING = 'model-apapa-hall-2'
 LEAVING = (RECLAIMED, LOST, APP)
 HOST_LIST_LAG_S = 30.0
 LINK_DELAY_S = 0.2
@@ -47,31 +47,31 @@
         await self.cluster.switch(engine, leaving=False)
         await self.cluster.switch(self.cluster.hosts, lag_s=HOST_LIST_LAG_S)
         await super().restore()
-        for between in self.relays.values():
-            between.delay(LINK_DELAY_S)
+        for proxy in self.relays.values():
+            proxy.delay(LINK_DELAY_S)
         self.routers = list(self.cluster.routers.values())
-        await traffic.until_state(self.routers, 'live')
+        await traffic.wait_for_state(self.routers, 'live')
 
-    async def engine_says(self, name=RECLAIMED):
+    async def announce_by_engine(self, name=RECLAIMED):
         """The notice comes by the engine's load report."""
         await self.cluster.switch(self.cluster.upstreams[name], leaving=True)
-        return await self.acknowledged(name)
+        return await self.wait_for_leaving(name)
 
-    async def sidecar_is_told(self, name):
+    async def terminate_sidecar(self, name):
         """The notice comes as a signal to the sidecar."""
         self.cluster.sidecars[name].terminate()
-        return await self.acknowledged(name)
+        return await self.wait_for_leaving(name)
 
-    async def acknowledged(self, name):
+    async def wait_for_leaving(self, name):
         """Gives the place of the sidecar's word in its log."""
-        return await traffic.logged(
+        return await traffic.wait_for_log(
             self.cluster.sidecars[name], 'event=leaving'
         )
 
-    async def operator_drains(self, name):
+    async def drain_as_operator(self, name):
         """An operator drains the upstream; gives where its log stood then."""
         revision = await traffic.drain(self.routers[1], name)
-        return await traffic.logged(
+        return await traffic.wait_for_log(
             self.cluster.sidecars[name],
             'event=configuration_installed',
             f'revision={revision}',
@@ -81,37 +81,37 @@
     async def test_nothing_new_after_the_notice(self):
         """A shop's query starts on a host that is about to go."""
         async with traffic.Traffic(self.routers) as load:
-            places = await asyncio.gather(
-                self.engine_says(RECLAIMED),
-                self.sidecar_is_told(LOST),
-                self.sidecar_is_told(APP),
+            positions = await asyncio.gather(
+                self.announce_by_engine(RECLAIMED),
+                self.terminate_sidecar(LOST),
+                self.terminate_sidecar(APP),
             )
-            await load.go_on()
+            await load.wait_for_more()
         load.assert_served(self)
-        await self.assert_nothing_new(LEAVING, places)
+        await self.assert_nothing_new(LEAVING, positions)
         for name in LEAVING:
             self.assertEqual(await self.cluster.sidecars[name].wait(), 0)
 
     @fixture.on_cluster
     async def test_orders_on_their_way_while_the_sidecar_ends(self):
         """Orders are lost between a router and a sidecar that has ended."""
-        between = self.relays[f'sidecar:{APP}']
-        between.delay(SLOW_LINK_S)
-        before = between.received_up
-        asked = [
+        proxy = self.relays[f'sidecar:{APP}']
+        proxy.delay(SLOW_LINK_S)
+        before = proxy.received_up
+        tasks = [
             asyncio.create_task(
-                asking.order(router, f'{number}{"order" * LONG}')
+                harness.send_order(router, f'{number}{"order" * LONG}')
             )
             for number, router in enumerate(self.routers * ORDERS)
         ]
 
         async def sent():
-            return between.received_up > before + LONG
+            return proxy.received_up > before + LONG
 
-        await asking.until(sent)
+        await harness.wait_until(sent)
         self.cluster.sidecars[APP].terminate()
-        for told in await asyncio.gather(*asked):
-            self.assertTrue(told.answered, told.code)
+        for result in await asyncio.gather(*tasks):
+            self.assertTrue(result.succeeded, result.code)
         self.assertEqual(await self.cluster.sidecars[APP].wait(), 0)
 
     @fixture.on_cluster
@@ -119,42 +119,44 @@
         """A host is worked on while it still gets orders."""
         drained = (RECLAIMED, APP)
         async with traffic.Traffic(self.routers) as load:
-            places = [await self.operator_drains(name) for name in drained]
-            await load.go_on()
+            positions = [await self.drain_as_operator(name) for name in drained]
+            await load.wait_for_more()
         load.assert_served(self)
-        await self.assert_nothing_new(drained, places)
+        await self.assert_nothing_new(drained, positions)
         for name in drained:
             await traffic.drain(self.routers[1], name, undo=True)
 
-    async def assert_nothing_new(self, names, places):
+    async def assert_nothing_new(self, names, positions):
         """Compares each log and audit with the place of the notice."""
-        for name, place in zip(names, places, strict=True):
+        for name, position in zip(names, positions, strict=True):
             with self.subTest(name):
                 sidecar = self.cluster.sidecars[name]
-                self.assertTrue(traffic.started(sidecar))
-                self.assertEqual(traffic.started(sidecar, place), [])
+                self.assertTrue(traffic.started_attempts(sidecar))
+                self.assertEqual(
+                    traffic.started_attempts(sidecar, position), []
+                )
                 await self.assert_ran_only_what_was_started(name)
 
     async def assert_ran_only_what_was_started(self, name):
         """Compares the upstream's audit with what its sidecars started."""
-        said = [
+        started = [
             ident
             for process in self.launcher.processes
             if process.name == f'sidecar-{name}'
-            for ident in traffic.started(process)
+            for ident in traffic.started_attempts(process)
         ]
         audit = await self.cluster.audit(name)
         if name == APP:
-            self.assertLessEqual(sum(audit['orders'].values()), len(said))
+            self.assertLessEqual(sum(audit['orders'].values()), len(started))
             return
-        ran = {run['request_id'] for run in audit['runs']}
-        self.assertLessEqual(ran, set(said))
+        run_ids = {run['request_id'] for run in audit['runs']}
+        self.assertLessEqual(run_ids, set(started))
 
     @fixture.on_cluster
     async def test_reclaimed_at_short_notice(self):
         """A loading plan is lost with the engine that wrote it."""
         names = [f'plan-{number}' for number in range(PLANS)]
-        asked = [
+        tasks = [
             asyncio.create_task(
                 traffic.generate(router, name, PLAN_TOKENS, 'patient')
             )
@@ -162,8 +164,8 @@
         ]
         reclaimed = (RECLAIMED, LOST)
         for name in reclaimed:
-            await traffic.until_running(self.cluster, name, 3)
-        await asyncio.gather(*map(self.engine_says, reclaimed))
+            await traffic.wait_until_running(self.cluster, name, 3)
+        await asyncio.gather(*map(self.announce_by_engine, reclaimed))
         # A plan that ends between an engine's audit and its kill is in neither.
         for name in reclaimed:
             engine = self.cluster.upstreams[name]
@@ -173,10 +175,10 @@
             self.cluster.upstreams[name].kill()
             await self.cluster.upstreams[name].wait()
         self.cluster.sidecars[LOST].kill()
-        answers = await asyncio.gather(*asked)
+        answers = await asyncio.gather(*tasks)
         for name in reclaimed:
             await self.cluster.sidecars[name].wait()
-        found.append(await self.cluster.audit(LEFT))
+        found.append(await self.cluster.audit(REMAINING))
         finished = collections.Counter(
             run['prompt_digest']
             for audit in found
@@ -188,8 +190,8 @@
                 self.assertEqual(answer.status, 200, answer.error)
                 self.assertTrue(answer.is_whole, answer)
                 self.assertEqual(len(answer.texts), PLAN_TOKENS)
-                ran = finished[traffic.digest(name, PLAN_TOKENS)]
-                self.assertEqual(ran, 1)
+                run_ids = finished[traffic.digest(name, PLAN_TOKENS)]
+                self.assertEqual(run_ids, 1)
 
 
 if __name__ == '__main__':
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -9,11 +9,11 @@
 from quetzalsill.settings import section
 from quetzalsill.wire import dial, message
 from quetzalsill_dev import board, process_settings
-from tests.failure import asking, fixture, traffic
+from tests.failure import fixture, harness, traffic
 from tests.quetzalsill_sidecar import support
 
 # In the router's own availability zone, where it sends work first.
-MOVING = 'model-ikeja-hall-1'
+TARGET = 'model-ikeja-hall-1'
 LAG_S = 0.5
 LINKS = {'silence_s': 1.0, 'idle_s': 0.3, 'connect_s': 0.5}
 TOKENS = 200
@@ -39,11 +39,11 @@
         await super().restore()
         await self.cluster.set_hosts()
         (self.router,) = self.cluster.routers.values()
-        await traffic.until_state([self.router], 'live')
+        await traffic.wait_for_state([self.router], 'live')
 
-    async def until(self, state):
+    async def wait_for_target_state(self, state):
         """Waits until the router sees the moving upstream in a state."""
-        await traffic.until_state([self.router], state, [MOVING])
+        await traffic.wait_for_state([self.router], state, [TARGET])
 
     @contextlib.asynccontextmanager
     async def serving(self):
@@ -52,28 +52,28 @@
             yield load
         load.assert_served(self)
 
-    def started(self):
+    def count_started(self):
         """How many attempts the present sidecar has started."""
-        return len(traffic.started(self.cluster.sidecars[MOVING]))
+        return len(traffic.started_attempts(self.cluster.sidecars[TARGET]))
 
     async def assert_unused(self, load):
         """The moving upstream gets nothing while callers are served.
 
         What was sent to it before may still be on its way.
         """
-        await load.go_on()
-        before = self.started()
-        await load.go_on()
-        self.assertEqual(self.started(), before)
+        await load.wait_for_more()
+        before = self.count_started()
+        await load.wait_for_more()
+        self.assertEqual(self.count_started(), before)
 
-    async def until_used(self):
+    async def wait_until_used(self):
         """Waits until the moving upstream gets work again."""
-        before = self.started()
+        before = self.count_started()
 
-        async def more():
-            return self.started() > before
+        async def has_more():
+            return self.count_started() > before
 
-        await asking.until(more)
+        await harness.wait_until(has_more)
 
     @fixture.on_cluster
     async def test_removed_and_added_by_an_edit(self):
@@ -82,18 +82,18 @@
         An operator removes an engine that is in the middle of an answer,
         under load, and adds it again.
         """
-        asked = await traffic.ask_until_running(
-            self.cluster, self.router, MOVING, 'long', TOKENS
+        requests = await traffic.start_until_running(
+            self.cluster, self.router, TARGET, 'long', TOKENS
         )
-        removed = self.cluster.configuration.upstreams.pop(MOVING)
+        removed = self.cluster.configuration.upstreams.pop(TARGET)
         async with self.serving() as load:
             await self.cluster.publish('removed')
-            await self.until(None)
+            await self.wait_for_target_state(None)
             await self.assert_unused(load)
-            self.cluster.configuration.upstreams[MOVING] = removed
+            self.cluster.configuration.upstreams[TARGET] = removed
             await self.cluster.publish('added')
-            await self.until_used()
-        for task, answer in asked:
+            await self.wait_until_used()
+        for task, answer in requests:
             await task
             self.assertTrue(answer.is_whole, answer.error)
 
@@ -105,15 +105,15 @@
         last goes on; it comes back and calls the host live.
         """
         async with self.serving() as load:
-            await self.cluster.set_hosts(leaving=(MOVING,))
-            await self.until('leaving')
+            await self.cluster.set_hosts(leaving=(TARGET,))
+            await self.wait_for_target_state('leaving')
             await self.assert_unused(load)
             await self.cluster.switch(self.cluster.hosts, down=True)
-            await traffic.logged(self.router, 'event=host_list_down')
+            await traffic.wait_for_log(self.router, 'event=host_list_down')
             await self.assert_unused(load)
             await self.cluster.switch(self.cluster.hosts, down=False)
             await self.cluster.set_hosts()
-            await self.until_used()
+            await self.wait_until_used()
 
     @fixture.on_cluster
     async def test_replaced_host_is_found_by_the_host_list(self):
@@ -126,20 +126,20 @@
         """
         async with self.serving() as load:
             await self.cluster.switch(self.cluster.hosts, down=True)
-            old = self.cluster.sidecars.pop(MOVING)
+            old = self.cluster.sidecars.pop(TARGET)
             old.kill()
-            await self.until('unlinked')
+            await self.wait_for_target_state('unlinked')
             # Callers whose answers were under way at the killed sidecar wait
             # for the new one, and these may be all; others must be served.
             async with self.serving() as others:
-                await self.cluster.start_sidecar(MOVING)
+                await self.cluster.start_sidecar(TARGET)
                 await self.assert_unused(others)
-                await self.cluster.set_hosts(leaving=(MOVING,))
+                await self.cluster.set_hosts(leaving=(TARGET,))
                 await self.cluster.switch(self.cluster.hosts, down=False)
-                await self.until('live')
-                await self.until_used()
-            await load.go_on()
-        self.assertNotEqual(self.cluster.sidecars[MOVING].port, old.port)
+                await self.wait_for_target_state('live')
+                await self.wait_until_used()
+            await load.wait_for_more()
+        self.assertNotEqual(self.cluster.sidecars[TARGET].port, old.port)
 
     @fixture.on_cluster
     async def test_new_incarnation_is_never_the_old_one(self):
@@ -149,44 +149,44 @@
         answers up with the new one. The old one wakes and is not listened
         to. What still names the old incarnation is refused by the new one.
         """
-        asked = await traffic.ask_until_running(
-            self.cluster, self.router, MOVING, 'taken-up', TOKENS
+        requests = await traffic.start_until_running(
+            self.cluster, self.router, TARGET, 'taken-up', TOKENS
         )
-        old = self.cluster.sidecars.pop(MOVING)
+        old = self.cluster.sidecars.pop(TARGET)
         before = await self.incarnation()
         self.addCleanup(old.kill)
         old.stop()
-        await self.cluster.start_sidecar(MOVING)
+        await self.cluster.start_sidecar(TARGET)
         await self.cluster.set_hosts()
 
         async def replaced():
             return await self.incarnation() not in (0, before)
 
-        await asking.until(replaced)
+        await harness.wait_until(replaced)
         old.cont()
-        for task, answer in asked:
+        for task, answer in requests:
             await task
             self.assertTrue(answer.is_whole, answer.error)
             self.assertEqual(len(answer.texts), TOKENS)
-        self.assertEqual(await self.late_dispatch(before), 'superseded')
-        ran = [run['request_id'] for run in await self.runs()]
-        self.assertNotIn('late', ran)
-        said = traffic.started(old)
+        self.assertEqual(await self.send_late_dispatch(before), 'superseded')
+        run_ids = [run['request_id'] for run in await self.runs()]
+        self.assertNotIn('late', run_ids)
+        started_before = traffic.started_attempts(old)
         async with self.serving():
-            await self.until_used()
-        self.assertEqual(traffic.started(old), said)
+            await self.wait_until_used()
+        self.assertEqual(traffic.started_attempts(old), started_before)
 
     async def incarnation(self):
         """Incarnation of the moving sidecar that the router knows."""
-        return (await traffic.nodes(self.router))[MOVING]['incarnation']
+        return (await traffic.sidecar_nodes(self.router))[TARGET]['incarnation']
 
     async def runs(self):
         """Runs of the moving engine."""
-        return (await self.cluster.audit(MOVING))['runs']
+        return (await self.cluster.audit(TARGET))['runs']
 
-    async def late_dispatch(self, incarnation):
+    async def send_late_dispatch(self, incarnation):
         """Sends what a router had for the old sidecar; gives the refusal."""
-        node = (await traffic.nodes(self.router))[MOVING]
+        node = (await traffic.sidecar_nodes(self.router))[TARGET]
         hello = message.Hello(
             message.VERSION,
             'late',
@@ -201,10 +201,10 @@
             model=board.MODEL,
             revision=node['revision'],
         )
-        port = self.cluster.sidecars[MOVING].port
+        port = self.cluster.sidecars[TARGET].port
         link = await dial.dial('127.0.0.1', port, hello, section.LinkTiming())
         link.send_nowait(late)
-        async with asyncio.timeout(asking.BOUND_S):
+        async with asyncio.timeout(harness.TIMEOUT_S):
             async for msg in link.messages():
                 if isinstance(msg, message.Started | message.Refused):
                     break
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -13,20 +13,20 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, relayed
+from tests.failure import fixture, harness, relayed
 
 CALLERS = 45
-ASKS = (asking.order, asking.brief, asking.query)
-ENGINES = (asking.ENGINE, 'model-apapa-hall-2')
+ASKS = (harness.send_order, harness.send_brief, harness.send_query)
+ENGINES = (harness.ENGINE, 'model-apapa-hall-2')
 REFUSED = r'event=attempt_(?:refused|withdrawn) .*\battempt=(\S+)'
 WITHDRAWN = 'event=attempt_withdrawn '
 LINK_ENDED = 'event=link_ended .*upstream='
 UNLINKED = 'event=router_unlinked '
-NEVER_CAME = 'event=attempt_ended .*detail="the dispatch was lost'
-LATE_S = 1.5
-DELAY_S = 0.03
-SLOW = 10
-LOOKS_S = 0.7
+DISPATCH_LOST = 'event=attempt_ended .*detail="the dispatch was lost'
+HOLD_BACK_S = 1.5
+LINK_DELAY_S = 0.03
+SLOW_FACTOR = 10
+WITHDRAW_WAIT_S = 0.7
 
 
 class NotRunTest(relayed.RelayedTestCase):
@@ -53,14 +53,14 @@
     async def restore(self):
         await self.slow_down(1)
         await super().restore()
-        await asking.until_served(self.cluster)
+        await harness.wait_until_served(self.cluster)
 
     async def slow_down(self, factor, stall=False):
         """Sets how slow the first engine is, and whether it makes no step."""
-        engine = self.cluster.upstreams[asking.ENGINE]
+        engine = self.cluster.upstreams[harness.ENGINE]
         await self.cluster.switch(engine, slow=factor, stall=stall)
 
-    def ask_all(self, prefix):
+    def start_all(self, prefix):
         """Starts all callers; gives their tasks by name of the work."""
         routers = list(self.cluster.routers.values())
         return {
@@ -70,33 +70,33 @@
             for n in range(CALLERS)
         }
 
-    async def until_some_ran(self, asked):
+    async def wait_until_some_ran(self, tasks):
         """Waits until a few of the callers' requests reached an upstream."""
 
         async def some_ran():
-            ran = await asking.ran(self.cluster, ENGINES)
-            return sum(map(ran.count, asked)) >= len(ENGINES)
+            run_counts = await harness.count_runs(self.cluster, ENGINES)
+            return sum(map(run_counts.count, tasks)) >= len(ENGINES)
 
-        await asking.until(some_ran)
+        await harness.wait_until(some_ran)
 
-    async def audit(self, asked):
+    async def check_refusals(self, tasks):
         """Holds every refusal against what ran."""
-        told = {name: await task for name, task in asked.items()}
-        ran = await asking.ran(self.cluster, ENGINES)
-        for number, (name, one) in enumerate(told.items()):
-            with self.subTest(name, told=one):
-                if ASKS[number % len(ASKS)] is not asking.query:
-                    self.assertLessEqual(ran.count(name), 1)
-                if one.not_run:
-                    self.assertEqual(ran.count(name), 0)
-                if one.answered:
-                    self.assertGreaterEqual(ran.count(name), 1)
-        refused = {found[1] for found in self.logged(REFUSED)}
-        self.assertFalse(ran.attempts & refused)
-        self.assertTrue(any(ran.count(name) for name in told))
-        return told
-
-    def logged(self, what):
+        results = {name: await task for name, task in tasks.items()}
+        run_counts = await harness.count_runs(self.cluster, ENGINES)
+        for number, (name, result) in enumerate(results.items()):
+            with self.subTest(name, result=result):
+                if ASKS[number % len(ASKS)] is not harness.send_query:
+                    self.assertLessEqual(run_counts.count(name), 1)
+                if result.not_run:
+                    self.assertEqual(run_counts.count(name), 0)
+                if result.succeeded:
+                    self.assertGreaterEqual(run_counts.count(name), 1)
+        refused = {found[1] for found in self.log_matches(REFUSED)}
+        self.assertFalse(run_counts.attempts & refused)
+        self.assertTrue(any(run_counts.count(name) for name in results))
+        return results
+
+    def log_matches(self, what):
         """What a pattern finds in the logs of routers and sidecars."""
         return [
             found
@@ -104,9 +104,9 @@
             for found in re.finditer(what, process.log_text())
         ]
 
-    def count(self, what):
+    def count_in_logs(self, what):
         """How often a pattern is found in the logs."""
-        return len(self.logged(what))
+        return len(self.log_matches(what))
 
     @fixture.on_cluster
     async def test_while_queues_overflow(self):
@@ -115,8 +115,8 @@
         More callers come at once than the queues hold; those in excess are
         refused, some after a second upstream was tried.
         """
-        told = await self.audit(self.ask_all('full'))
-        self.assertTrue(any(one.not_run for one in told.values()))
+        results = await self.check_refusals(self.start_all('full'))
+        self.assertTrue(any(result.not_run for result in results.values()))
 
     @fixture.on_cluster
     async def test_while_links_break_under_a_dispatch(self):
@@ -125,24 +125,24 @@
         All links are cut with Dispatches and answers in flight, and again
         once they are back.
         """
-        for way in self.relays.values():
-            way.delay(DELAY_S)
-        asked = self.ask_all('cut')
+        for proxy in self.relays.values():
+            proxy.delay(LINK_DELAY_S)
+        tasks = self.start_all('cut')
         for _ in range(3):
-            await self.until_some_ran(asked)
-            accepted = [way.accepted for way in self.relays.values()]
-            for way in self.relays.values():
-                way.cut()
+            await self.wait_until_some_ran(tasks)
+            accepted = [proxy.accepted for proxy in self.relays.values()]
+            for proxy in self.relays.values():
+                proxy.cut()
 
             async def linked(accepted=accepted):
-                ways = self.relays.values()
+                proxies = self.relays.values()
                 return all(
-                    way.accepted > before
-                    for way, before in zip(ways, accepted, strict=True)
+                    proxy.accepted > before
+                    for proxy, before in zip(proxies, accepted, strict=True)
                 )
 
-            await asking.until(linked)
-        await self.audit(asked)
+            await harness.wait_until(linked)
+        await self.check_refusals(tasks)
 
     @fixture.on_cluster
     async def test_while_dispatches_arrive_late(self):
@@ -151,20 +151,20 @@
         Links fall silent with Dispatches in them; routers ask on new ones,
         are told that nothing came, and only then the old ones deliver.
         """
-        came, ended = map(self.count, (NEVER_CAME, UNLINKED))
-        for way in self.relays.values():
-            way.hold_back(LATE_S)
-            way.silence(up=False)
-        asked = self.ask_all('late')
-        await asyncio.gather(*asked.values())
+        lost_before, ended = map(self.count_in_logs, (DISPATCH_LOST, UNLINKED))
+        for proxy in self.relays.values():
+            proxy.hold_back(HOLD_BACK_S)
+            proxy.silence(up=False)
+        tasks = self.start_all('late')
+        await asyncio.gather(*tasks.values())
         links = len(self.relays) * len(self.cluster.routers)
 
         async def delivered():
-            return self.count(UNLINKED) >= ended + links
+            return self.count_in_logs(UNLINKED) >= ended + links
 
-        await asking.until(delivered)
-        await self.audit(asked)
-        self.assertGreater(self.count(NEVER_CAME), came)
+        await harness.wait_until(delivered)
+        await self.check_refusals(tasks)
+        self.assertGreater(self.count_in_logs(DISPATCH_LOST), lost_before)
 
     @fixture.on_cluster
     async def test_while_sidecars_are_paused(self):
@@ -174,19 +174,19 @@
         silent and dial anew; at the wake both the old links and the new ones
         have something to say of the same attempts.
         """
-        ended = self.count(LINK_ENDED)
+        ended = self.count_in_logs(LINK_ENDED)
         for sidecar in self.cluster.sidecars.values():
             sidecar.stop()
-        asked = self.ask_all('paused')
+        tasks = self.start_all('paused')
         links = len(self.relays) * len(self.cluster.routers)
 
         async def found_silent():
-            return self.count(LINK_ENDED) >= ended + links
+            return self.count_in_logs(LINK_ENDED) >= ended + links
 
-        await asking.until(found_silent)
+        await harness.wait_until(found_silent)
         for sidecar in self.cluster.sidecars.values():
             sidecar.cont()
-        await self.audit(asked)
+        await self.check_refusals(tasks)
 
     @fixture.on_cluster
     async def test_while_withdrawals_race_the_start(self):
@@ -196,40 +196,40 @@
         take them back for the idle engine as soon as they are linked again,
         while the sidecar goes on starting one after the other.
         """
-        way = self.relays[f'sidecar:{asking.ENGINE}']
-        before = self.count(WITHDRAWN)
-        await self.slow_down(SLOW, stall=True)
-        asked = self.ask_all('moved')
+        proxy = self.relays[f'sidecar:{harness.ENGINE}']
+        before = self.count_in_logs(WITHDRAWN)
+        await self.slow_down(SLOW_FACTOR, stall=True)
+        tasks = self.start_all('moved')
 
         async def rest_is_done():
-            return sum(task.done() for task in asked.values()) > CALLERS / 2
+            return sum(task.done() for task in tasks.values()) > CALLERS / 2
 
-        await asking.until(rest_is_done)
-        first = await self.reached()
-        way.refusing = True
-        way.cut()
+        await harness.wait_until(rest_is_done)
+        first = await self.count_first_engine_runs()
+        proxy.refusing = True
+        proxy.cut()
         # By then both routers want back what waits; what starts in spite of
         # that, while they are not linked, must not be given back.
-        await asyncio.sleep(LOOKS_S)
-        await self.slow_down(SLOW)
+        await asyncio.sleep(WITHDRAW_WAIT_S)
+        await self.slow_down(SLOW_FACTOR)
 
         async def next_has_started():
-            return await self.reached() > first
+            return await self.count_first_engine_runs() > first
 
-        await asking.until(next_has_started)
-        await self.slow_down(SLOW, stall=True)
-        way.refusing = False
+        await harness.wait_until(next_has_started)
+        await self.slow_down(SLOW_FACTOR, stall=True)
+        proxy.refusing = False
 
         async def withdrawn():
-            return self.count(WITHDRAWN) > before
+            return self.count_in_logs(WITHDRAWN) > before
 
-        await asking.until(withdrawn)
+        await harness.wait_until(withdrawn)
         await self.slow_down(1)
-        await self.audit(asked)
+        await self.check_refusals(tasks)
 
-    async def reached(self):
+    async def count_first_engine_runs(self):
         """How many attempts reached the first engine."""
-        return len((await self.cluster.audit(asking.ENGINE))['runs'])
+        return len((await self.cluster.audit(harness.ENGINE))['runs'])
 
     @fixture.on_cluster
     async def test_while_sidecars_restart(self):
@@ -237,10 +237,10 @@
 
         All sidecars are killed under load and started anew on their ports.
         """
-        asked = self.ask_all('restart')
-        await self.until_some_ran(asked)
+        tasks = self.start_all('restart')
+        await self.wait_until_some_ran(tasks)
         await self.restart(*self.cluster.sidecars)
-        await self.audit(asked)
+        await self.check_refusals(tasks)
 
     async def restart(self, *upstreams):
         """Kills sidecars and starts them anew on their ports."""
--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -6,11 +6,11 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board, caller
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
-IGNORES, CHECKS = 'model-ikeja-hall-1', 'model-apapa-hall-2'
-OTHER = 'scene-writer'
-CONFIRMS = 6
+UNFENCED, FENCED = 'model-ikeja-hall-1', 'model-apapa-hall-2'
+OTHER_MODEL = 'scene-writer'
+MIN_CONFIRMATIONS = 6
 
 
 def layout():
@@ -38,21 +38,21 @@
     @classmethod
     def configuration(cls):
         cfg = board.configuration()
-        cfg.models[OTHER] = model.Model(adapters=['x1', 'x2', 'x3'])
+        cfg.models[OTHER_MODEL] = model.Model(adapters=['x1', 'x2', 'x3'])
         return cfg
 
     async def restore(self):
         await self.cluster.switch(self.cluster.store, down=False)
         await super().restore()
-        for name in (IGNORES, CHECKS):
+        for name in (UNFENCED, FENCED):
             await self.cluster.switch(self.cluster.upstreams[name], order_s=0)
-            self.wanted(name).models = [board.MODEL]
-            self.wanted(name).adapters = []
+            self.desired(name).models = [board.MODEL]
+            self.desired(name).adapters = []
         await self.cluster.publish()
-        for name in (IGNORES, CHECKS):
-            await self.until_shown(name, [board.MODEL], [])
+        for name in (UNFENCED, FENCED):
+            await self.wait_until_loaded(name, [board.MODEL], [])
 
-    def wanted(self, name):
+    def desired(self, name):
         """Desired state of an upstream, to be changed and published."""
         return self.cluster.configuration.upstreams[name]
 
@@ -60,34 +60,37 @@
         async with caller.open_client(url) as client:
             return (await client.get(path)).json()
 
-    async def orders(self, name):
+    async def commands(self, name):
         """Orders that an engine has had, with their fences."""
         history = (await self.cluster.audit(name))['orders']
         return [(o['kind'], o['name'], o['fence']) for o in history]
 
-    async def until_shown(self, name, models, adapters):
+    async def wait_until_loaded(self, name, models, adapters):
         """Waits until an engine has just these loaded."""
 
-        async def shown():
+        async def is_loaded():
             load = await self.read(self.cluster.upstreams[name].url, '/load')
             return (load['models'], load['adapters']) == (models, adapters)
 
-        await asking.until(shown)
+        await harness.wait_until(is_loaded)
 
-    async def confirms(self, name):
+    async def confirmation_count(self, name):
         """How often a sidecar has told what is loaded."""
         path = f'/table/placement/{name}'
         return (await self.read(self.cluster.store.url, path))['version']
 
-    async def until_looked(self, *names):
+    async def wait_for_confirmations(self, *names):
         """Waits until each sidecar has looked at its engine some times."""
         for name in names:
-            before = await self.confirms(name)
+            before = await self.confirmation_count(name)
 
-            async def looked(name=name, before=before):
-                return await self.confirms(name) >= before + CONFIRMS
+            async def confirmed(name=name, before=before):
+                return (
+                    await self.confirmation_count(name)
+                    >= before + MIN_CONFIRMATIONS
+                )
 
-            await asking.until(looked)
+            await harness.wait_until(confirmed)
 
     @fixture.on_cluster
     async def test_the_last_engine_of_a_model_stays(self):
@@ -96,27 +99,27 @@
         Both engines are to change to another model at once. Both load it;
         one gives the first model up, and the other, now its last, may not.
         """
-        for name in (IGNORES, CHECKS):
-            self.wanted(name).models = [OTHER]
+        for name in (UNFENCED, FENCED):
+            self.desired(name).models = [OTHER_MODEL]
         await self.cluster.publish()
 
         async def one_is_left():
             loads = [
                 await self.read(self.cluster.upstreams[name].url, '/load')
-                for name in (IGNORES, CHECKS)
+                for name in (UNFENCED, FENCED)
             ]
-            with_it = [board.MODEL in load['models'] for load in loads]
-            self.assertTrue(any(with_it))
-            both = all(OTHER in load['models'] for load in loads)
-            return both and not all(with_it)
+            has_model = [board.MODEL in load['models'] for load in loads]
+            self.assertTrue(any(has_model))
+            both = all(OTHER_MODEL in load['models'] for load in loads)
+            return both and not all(has_model)
 
-        await asking.until(one_is_left)
-        await self.until_looked(IGNORES, CHECKS)
+        await harness.wait_until(one_is_left)
+        await self.wait_for_confirmations(UNFENCED, FENCED)
         unloads = [
-            order
-            for name in (IGNORES, CHECKS)
-            for order in await self.orders(name)
-            if order[:2] == ('unload_model', board.MODEL)
+            command
+            for name in (UNFENCED, FENCED)
+            for command in await self.commands(name)
+            if command[:2] == ('unload_model', board.MODEL)
         ]
         self.assertEqual(len(unloads), 1)
 
@@ -128,41 +131,41 @@
         Answers go on meanwhile, and the order follows the outage.
         """
         router = next(iter(self.cluster.routers.values()))
-        await self.cluster.switch(self.cluster.upstreams[IGNORES], order_s=1.0)
-        self.wanted(IGNORES).adapters = ['x1', 'x2']
+        await self.cluster.switch(self.cluster.upstreams[UNFENCED], order_s=1.0)
+        self.desired(UNFENCED).adapters = ['x1', 'x2']
         await self.cluster.publish()
-        before = len(await self.orders(IGNORES))
-        await self.until_ordered(IGNORES, before + 1)
+        before = len(await self.commands(UNFENCED))
+        await self.wait_for_commands(UNFENCED, before + 1)
         await self.cluster.switch(self.cluster.store, down=True)
-        sidecar = self.cluster.sidecars[IGNORES]
-        await self.until_logged(sidecar, 'failing=platform_unavailable')
+        sidecar = self.cluster.sidecars[UNFENCED]
+        await self.wait_for_log(sidecar, 'failing=platform_unavailable')
         body = {'model': board.MODEL, 'prompt': 'Slots? [[tokens=5]]'}
         token = board.TOKENS['retailers']
         async with caller.open_client(router.url, token) as client:
             answer = await caller.generate(client, body)
         self.assertTrue(answer.is_whole, answer.error)
-        self.assertEqual(len(await self.orders(IGNORES)), before + 1)
+        self.assertEqual(len(await self.commands(UNFENCED)), before + 1)
         await self.cluster.switch(self.cluster.store, down=False)
-        await self.until_shown(IGNORES, [board.MODEL], ['x1', 'x2'])
+        await self.wait_until_loaded(UNFENCED, [board.MODEL], ['x1', 'x2'])
 
-    async def until_ordered(self, name, count):
+    async def wait_for_commands(self, name, count):
         """Waits until an engine has had so many orders."""
 
-        async def ordered():
-            return len(await self.orders(name)) >= count
+        async def has_commands():
+            return len(await self.commands(name)) >= count
 
-        await asking.until(ordered)
+        await harness.wait_until(has_commands)
 
-    async def until_logged(self, process, text):
+    async def wait_for_log(self, process, text):
         """Waits until a process has logged a text."""
 
         async def logged():
             return text in process.log_text()
 
-        await asking.until(logged)
+        await harness.wait_until(logged)
 
     @fixture.on_cluster
-    async def test_paused_sidecar_wakes_beside_its_successor(self):
+    async def test_paused_sidecar_resumes_beside_its_successor(self):
         """An engine ends with what nobody wants any more.
 
         A sidecar is paused with orders left to give, past its lease. Its
@@ -170,7 +173,7 @@
         revision and gives the lease back. The first wakes with its old
         configuration, to a free lease and no link.
         """
-        for name in (IGNORES, CHECKS):
+        for name in (UNFENCED, FENCED):
             with self.subTest(name):
                 await self.replace_while_paused(name)
 
@@ -180,31 +183,31 @@
             self.cluster.sidecars[name],
         )
         await self.cluster.switch(engine, order_s=0.5)
-        before = len(await self.orders(name))
-        self.wanted(name).adapters = ['x1', 'x3']
+        before = len(await self.commands(name))
+        self.desired(name).adapters = ['x1', 'x3']
         await self.cluster.publish()
-        await self.until_ordered(name, before + 1)
+        await self.wait_for_commands(name, before + 1)
         first.stop()
         await self.cluster.switch(engine, order_s=0)
         del self.cluster.sidecars[name]
         second = await self.cluster.start_sidecar(name)
-        self.wanted(name).sidecar = second.address
-        self.wanted(name).adapters = ['x2']
+        self.desired(name).sidecar = second.address
+        self.desired(name).adapters = ['x2']
         revision = await self.cluster.publish()
-        await self.until_shown(name, [board.MODEL], ['x2'])
-        await self.until_looked(name)
-        given = await self.orders(name)
+        await self.wait_until_loaded(name, [board.MODEL], ['x2'])
+        await self.wait_for_confirmations(name)
+        commands_before = await self.commands(name)
         first.cont()
 
-        async def withheld_or_given():
+        async def withheld_or_sent():
             withheld = 'failing=order_withheld' in first.log_text()
-            return withheld or await self.orders(name) != given
+            return withheld or await self.commands(name) != commands_before
 
-        await asking.until(withheld_or_given)
-        await self.until_looked(name)
-        self.assertEqual(await self.orders(name), given)
-        self.assertEqual(given[-1][2], revision)
-        await self.until_shown(name, [board.MODEL], ['x2'])
+        await harness.wait_until(withheld_or_sent)
+        await self.wait_for_confirmations(name)
+        self.assertEqual(await self.commands(name), commands_before)
+        self.assertEqual(commands_before[-1][2], revision)
+        await self.wait_until_loaded(name, [board.MODEL], ['x2'])
         first.kill()
 
 
--- a/tests/failure/test_own_answer.py
+++ b/tests/failure/test_own_answer.py
@@ -7,12 +7,12 @@
 import unittest
 
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, relayed
+from tests.failure import fixture, harness, relayed
 
 CALLERS = 200
 DELAYS_S = (0.005, 0.01, 0.03)
 # Answers between two cuts.
-EACH = 25
+ANSWERS_PER_CUT = 25
 
 
 def _layout():
@@ -40,13 +40,13 @@
         """
         rng = random.Random(4)
         lengths = [rng.randint(5, 60) for _ in range(CALLERS)]
-        asked = [
-            self.ask(length, f'caller {number}', router=number % 2)
+        requests = [
+            self.start_request(length, f'caller {number}', router=number % 2)
             for number, length in enumerate(lengths)
         ]
-        tasks = [task for _, task in asked]
-        for goal in range(EACH, CALLERS, EACH):
-            await self.until(
+        tasks = [task for _, task in requests]
+        for goal in range(ANSWERS_PER_CUT, CALLERS, ANSWERS_PER_CUT):
+            await self.wait_until(
                 lambda n=goal: sum(task.done() for task in tasks) >= n
             )
             for link in self.relays.values():
@@ -56,7 +56,7 @@
         await asyncio.gather(*tasks)
         runs = await self.new_runs()
         owners = set()
-        for number, (answer, _) in enumerate(asked):
+        for number, (answer, _) in enumerate(requests):
             self.assert_whole(answer, lengths[number])
             prompt = relayed.body(lengths[number], f'caller {number}')
             run = self.assert_own(answer, prompt['prompt'], runs)
@@ -75,21 +75,21 @@
         router = next(iter(self.cluster.routers))
         for wave in range(3):
             names = [f'wave {wave} caller {i}' for i in range(8)]
-            asked = {name: self.ask(150, name) for name in names}
-            answers = [answer for answer, _ in asked.values()]
-            waves.append(asked)
-            await self.until_tokens(5, *answers)
+            requests = {name: self.start_request(150, name) for name in names}
+            answers = [answer for answer, _ in requests.values()]
+            waves.append(requests)
+            await self.wait_for_tokens(5, *answers)
             if wave < 2:
                 self.cluster.routers[router].kill()
                 await self.cluster.routers[router].wait()
                 await self.cluster.start_router(router)
                 await self.cluster.wait_ready()
-                await self.until(self.is_served)
-        for asked in waves:
-            await asyncio.gather(*(task for _, task in asked.values()))
+                await self.wait_until(self.is_served)
+        for requests in waves:
+            await asyncio.gather(*(task for _, task in requests.values()))
         runs = await self.new_runs()
-        for wave, asked in enumerate(waves):
-            for name, (answer, _) in asked.items():
+        for wave, requests in enumerate(waves):
+            for name, (answer, _) in requests.items():
                 prompt = relayed.body(150, name)['prompt']
                 self.assert_own(answer, prompt, runs)
                 if wave == 2:
@@ -105,20 +105,24 @@
         twice, since patient work may be repeated, but one is kept.
         """
         first, second = self.cluster.routers.values()
-        kept = {'idempotency_key': 'plan-of-the-day'}
-        _, task = self.ask(300, 'day', 'patient', **kept)
-        await self.until(self.new_runs)
+        key_header = {'idempotency_key': 'plan-of-the-day'}
+        _, task = self.start_request(300, 'day', 'patient', **key_header)
+        await self.wait_until(self.new_runs)
         first.kill()
         await task
-        told = await asking.settled(second, key=kept['idempotency_key'])
-        self.assertTrue(told.answered, told)
-        again, repeating = self.ask(300, 'day', 'patient', 1, **kept)
+        result = await harness.wait_for_outcome(
+            second, key=key_header['idempotency_key']
+        )
+        self.assertTrue(result.succeeded, result)
+        repeated, repeating = self.start_request(
+            300, 'day', 'patient', 1, **key_header
+        )
         await repeating
-        self.assert_whole(again, 300)
+        self.assert_whole(repeated, 300)
         prompt = relayed.body(300, 'day')['prompt']
-        self.assert_own(again, prompt, await self.new_runs())
-        (choice,) = told.body['choices']
-        self.assertEqual(choice['text'], ''.join(again.texts))
+        self.assert_own(repeated, prompt, await self.new_runs())
+        (choice,) = result.body['choices']
+        self.assertEqual(choice['text'], ''.join(repeated.texts))
 
 
 if __name__ == '__main__':
--- a/tests/failure/test_patient.py
+++ b/tests/failure/test_patient.py
@@ -5,9 +5,9 @@
 import asyncio
 import unittest
 
-from tests.failure import asking, fixture, patient
+from tests.failure import fixture, harness, patient
 
-AT_ONCE = 'the platform does not answer'
+UNAVAILABLE_MESSAGE = 'the platform does not answer'
 
 
 class PatientTest(patient.PatientTestCase):
@@ -32,34 +32,41 @@
         with a time to come back and not by the bound on an acceptance; slot
         queries are answered all the while.
         """
-        for fault in patient.BROKEN_STORE:
+        for fault in patient.STORE_FAULTS:
             await self.restore()
             await self.set_store(**{fault: True})
             # The first may have to find out; from then on it is known.
-            await asking.long_brief(
+            await harness.submit_long_brief(
                 self.first, fault, patient.TOKENS, 'patient'
             )
-            names = [f'{fault}-{number}' for number in range(patient.PLANS)]
+            names = [
+                f'{fault}-{number}'
+                for number in range(patient.REQUESTS_PER_KIND)
+            ]
             refused = await asyncio.gather(
                 *(
-                    asking.long_brief(
+                    harness.submit_long_brief(
                         self.first, name, patient.TOKENS, 'patient'
                     )
                     for name in names
                 )
             )
-            prompt = await asking.brief(self.first, 'test', profile='prompt')
+            prompt = await harness.send_brief(
+                self.first, 'test', profile='prompt'
+            )
             await self.set_store()
             runs = await self.runs()
             with self.subTest(fault):
-                self.assertTrue(prompt.answered, prompt)
-                for name, told in zip(names, refused, strict=True):
-                    self.assertEqual(told.code, 'store_unavailable', told)
-                    self.assertIs(told.not_run, True)
+                self.assertTrue(prompt.succeeded, prompt)
+                for name, result in zip(names, refused, strict=True):
+                    self.assertEqual(result.code, 'store_unavailable', result)
+                    self.assertIs(result.not_run, True)
                     # Not what ends a wait at its bound: "is slow".
-                    self.assertIn(AT_ONCE, told.body['error']['message'])
-                    self.assertTrue(told.retry_after)
-                    self.assertFalse(runs[asking.digest(name, patient.TOKENS)])
+                    self.assertIn(
+                        UNAVAILABLE_MESSAGE, result.body['error']['message']
+                    )
+                    self.assertTrue(result.retry_after)
+                    self.assertFalse(runs[harness.digest(name, patient.TOKENS)])
 
 
 if __name__ == '__main__':
--- a/tests/failure/test_restart.py
+++ b/tests/failure/test_restart.py
@@ -9,8 +9,8 @@
 from tests.failure import fixture
 
 BODY = {'model': board.MODEL, 'prompt': 'Slots? [[tokens=5]]'}
-TRIES = 200
-PAUSE_S = 0.1
+MAX_TRIES = 200
+RETRY_INTERVAL_S = 0.1
 
 
 class RestartTest(fixture.ClusterTestCase):
@@ -21,16 +21,16 @@
         (self.name,) = (n for n in self.cluster.sidecars if 'model' in n)
         (self.router,) = self.cluster.routers.values()
 
-    async def ask(self):
+    async def send_until_answered(self):
         """An answer, asked for again while it is refused as not run."""
         token = board.TOKENS['retailers']
         async with caller.open_client(self.router.url, token) as client:
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 answer = await caller.generate(client, BODY)
                 if answer.status != 503:
                     break
                 self.assertIs(answer.error['error']['not_run'], True)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         return answer
 
     async def test_restarted_sidecar_serves_again(self):
@@ -40,11 +40,11 @@
         new process; then answers are whole again, and the engine has run
         each answered request once and nothing else.
         """
-        first = await self.ask()
+        first = await self.send_until_answered()
         self.cluster.sidecars[self.name].kill()
         await self.cluster.sidecars[self.name].wait()
         await self.cluster.start_sidecar(self.name)
-        second = await self.ask()
+        second = await self.send_until_answered()
         for answer in (first, second):
             self.assertEqual(answer.status, 200, answer.error)
             self.assertTrue(answer.is_whole)
--- a/tests/failure/test_shutdown.py
+++ b/tests/failure/test_shutdown.py
@@ -6,13 +6,13 @@
 import unittest
 
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, traffic
+from tests.failure import fixture, harness, traffic
 
 ENGINE = 'model-ikeja-hall-1'
 ENGINES = (ENGINE, 'model-apapa-hall-2')
 APP = 'app-ikeja-hall-1'
 TOKENS = 100
-SHORT = 30
+SHORT_TOKENS = 30
 PLANS = 12
 GRACE_S = 1.0
 REFUSED = 503
@@ -33,7 +33,7 @@
             await self.cluster.switch(self.cluster.upstreams[name], **slow)
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
-        await traffic.until_state([self.first, self.second], 'live')
+        await traffic.wait_for_state([self.first, self.second], 'live')
 
     @fixture.on_cluster
     async def test_nothing_is_cut(self):
@@ -45,52 +45,56 @@
         """
         service = self.cluster.upstreams[APP]
         await self.cluster.switch(service, delay_s=1.5)
-        order = asyncio.create_task(asking.order(self.first, 'in-flight'))
+        order = asyncio.create_task(harness.send_order(self.first, 'in-flight'))
         streams = [
-            traffic.ask(self.first, f'stream-{number}', TOKENS)
+            traffic.start_generation(self.first, f'stream-{number}', TOKENS)
             for number in range(4)
         ]
         plans = [
-            traffic.ask(self.first, f'plan-{number}', TOKENS, 'patient')
+            traffic.start_generation(
+                self.first, f'plan-{number}', TOKENS, 'patient'
+            )
             for number in range(PLANS)
         ]
-        await traffic.until_running(self.cluster, ENGINE, 4)
-        await asking.until_ran(self.cluster, 'in-flight')
-        ending = [
+        await traffic.wait_until_running(self.cluster, ENGINE, 4)
+        await harness.wait_until_ran(self.cluster, 'in-flight')
+        stopping = [
             self.first,
             self.cluster.sidecars[ENGINE],
             self.cluster.sidecars[APP],
         ]
-        for process in ending * 2:
+        for process in stopping * 2:
             process.terminate()
-        await traffic.logged(ending[0], 'event=router_stopping')
-        place = await traffic.logged(ending[1], 'event=leaving')
-        await traffic.logged(ending[2], 'event=leaving')
-        await asking.until(self.is_refusing)
-        for process in ending:
+        await traffic.wait_for_log(stopping[0], 'event=router_stopping')
+        position = await traffic.wait_for_log(stopping[1], 'event=leaving')
+        await traffic.wait_for_log(stopping[2], 'event=leaving')
+        await harness.wait_until(self.is_shutting_down)
+        for process in stopping:
             process.terminate()
-        self.assertTrue((await order).answered)
+        self.assertTrue((await order).succeeded)
         for task, answer in streams + plans:
             await task
             self.assertEqual(answer.status, 200, answer.error)
             self.assertTrue(answer.is_whole, answer)
             self.assertEqual(len(answer.texts), TOKENS)
-        for process in ending:
+        for process in stopping:
             self.assertEqual(await process.wait(), 0)
-        self.assertEqual(traffic.started(ending[1], place), [])
+        self.assertEqual(traffic.started_attempts(stopping[1], position), [])
         self.assertNotIn('connections_cut', self.first.log_text())
-        ran = await asking.ran(self.cluster)
-        self.assertEqual((ran.count('in-flight'), ran.count('late')), (1, 0))
+        run_counts = await harness.count_runs(self.cluster)
+        self.assertEqual(
+            (run_counts.count('in-flight'), run_counts.count('late')), (1, 0)
+        )
 
-    async def is_refusing(self):
+    async def is_shutting_down(self):
         """The first router takes nothing new, and says that it did not run.
 
         Before, the order is refused as its only service is leaving.
         """
         self.assertEqual(await traffic.readiness(self.first), REFUSED)
-        told = await asking.order(self.first, 'late')
-        self.assertTrue(told.not_run, told)
-        return told.code == 'shutting_down'
+        result = await harness.send_order(self.first, 'late')
+        self.assertTrue(result.not_run, result)
+        return result.code == 'shutting_down'
 
     @fixture.on_cluster
     async def test_sidecar_waits_for_a_paused_router(self):
@@ -101,27 +105,33 @@
         and the sidecar gets SIGTERM; it stays until the router has woken and
         taken the rest.
         """
-        task, answer = traffic.ask(self.first, 'paused', SHORT)
-        await asking.until(lambda: self.has_tokens(answer))
+        task, answer = traffic.start_generation(
+            self.first, 'paused', SHORT_TOKENS
+        )
+        await harness.wait_until(lambda: self.has_tokens(answer))
         self.first.stop()
-        sidecar = await self.sidecar_of_the_run('paused')
+        sidecar = await self.find_sidecar('paused')
         sidecar.terminate()
-        place = await traffic.logged(sidecar, 'event=leaving')
-        await asking.until(
-            lambda: self.holds(sidecar, place, 'event=attempt_finished')
+        position = await traffic.wait_for_log(sidecar, 'event=leaving')
+        await harness.wait_until(
+            lambda: self.log_contains(
+                sidecar, position, 'event=attempt_finished'
+            )
         )
-        await asking.until(
-            lambda: self.holds(
-                sidecar, place, f'event=router_unlinked router={self.name()}'
+        await harness.wait_until(
+            lambda: self.log_contains(
+                sidecar,
+                position,
+                f'event=router_unlinked router={self.router_name()}',
             )
         )
         self.first.cont()
         await task
         self.assertTrue(answer.is_whole, (answer.error, len(answer.texts)))
-        self.assertEqual(len(answer.texts), SHORT)
+        self.assertEqual(len(answer.texts), SHORT_TOKENS)
         self.assertEqual(await sidecar.wait(), 0)
 
-    def name(self):
+    def router_name(self):
         """Name of the first router."""
         return self.first.name
 
@@ -129,17 +139,19 @@
         """The answer has begun."""
         return len(answer.texts) > 1
 
-    async def holds(self, process, place, words):
+    async def log_contains(self, process, position, parts):
         """The log holds these words after the place."""
-        wanted = words.split()
-        lines = process.log_text()[place:].splitlines()
-        return any(all(word in line for word in wanted) for line in lines)
+        expected = parts.split()
+        lines = process.log_text()[position:].splitlines()
+        return any(all(word in line for word in expected) for line in lines)
 
-    async def sidecar_of_the_run(self, name):
+    async def find_sidecar(self, name):
         """The sidecar whose engine runs the prompt of this name."""
-        wanted = traffic.digest(name, SHORT)
-        for upstream, runs in (await traffic.runs(self.cluster)).items():
-            if any(run['prompt_digest'] == wanted for run in runs):
+        expected = traffic.digest(name, SHORT_TOKENS)
+        for upstream, runs in (
+            await traffic.runs_by_upstream(self.cluster)
+        ).items():
+            if any(run['prompt_digest'] == expected for run in runs):
                 return self.cluster.sidecars[upstream]
         raise AssertionError(name)
 
@@ -151,19 +163,19 @@
         sidecar get SIGTERM. At the end of their grace they name what still
         runs and end; the plan is answered through the other router.
         """
-        await self.restart_with_grace()
+        await self.restart_with_short_grace()
         for name in ENGINES:
             await self.cluster.switch(self.cluster.upstreams[name], stall=True)
-        query, told = traffic.ask(self.first, 'hangs', TOKENS)
-        plan, _ = traffic.ask(
+        query, result = traffic.start_generation(self.first, 'hangs', TOKENS)
+        plan, _ = traffic.start_generation(
             self.first, 'plan', TOKENS, 'patient', key='hanging-plan'
         )
-        await traffic.until_sent(self.cluster, TOKENS, 'hangs', 'plan')
+        await traffic.wait_until_sent(self.cluster, TOKENS, 'hangs', 'plan')
         self.first.terminate()
         self.assertEqual(await self.first.wait(), 0)
         await asyncio.gather(query, plan, return_exceptions=True)
         self.assertTrue(
-            told.error is None or told.error['error']['not_run'] is not True
+            result.error is None or result.error['error']['not_run'] is not True
         )
         lines = [
             line
@@ -173,41 +185,41 @@
         self.assertEqual(len(lines), 2)
         self.assertTrue(all('upstream=model-' in line for line in lines))
         sidecars = [self.cluster.sidecars[name] for name in ENGINES]
-        before = [len(traffic.started(each)) for each in sidecars]
-        held = [
-            traffic.ask(self.second, f'held-{number}', TOKENS)
+        before = [len(traffic.started_attempts(each)) for each in sidecars]
+        stalled = [
+            traffic.start_generation(self.second, f'held-{number}', TOKENS)
             for number in range(4)
         ]
 
-        async def holder():
+        async def find_busy_sidecar():
             for sidecar, count in zip(sidecars, before, strict=True):
-                if len(traffic.started(sidecar)) > count:
+                if len(traffic.started_attempts(sidecar)) > count:
                     return sidecar
             return None
 
-        sidecar = await asking.until(holder)
+        sidecar = await harness.wait_until(find_busy_sidecar)
         sidecar.terminate()
         self.assertEqual(await sidecar.wait(), 0)
         self.assertIn('event=attempt_unfinished', sidecar.log_text())
         await self.cluster.restart_ended()
         for name in ENGINES:
             await self.cluster.switch(self.cluster.upstreams[name], stall=False)
-        for task, answer in held:
+        for task, answer in stalled:
             await task
             self.assertTrue(answer.is_whole, answer.error)
-        later = await asking.settled(self.second, key='hanging-plan')
-        self.assertTrue(later.answered, later)
+        later = await harness.wait_for_outcome(self.second, key='hanging-plan')
+        self.assertTrue(later.succeeded, later)
 
-    async def restart_with_grace(self):
+    async def restart_with_short_grace(self):
         """Starts a router and the engines' sidecars with a short grace."""
         self.addCleanup(self.cluster.changes.update, self.CHANGES)
         self.cluster.changes['router'] = {'stop': {'grace_s': GRACE_S}}
         self.cluster.changes['sidecar'] = {'timing': {'grace_s': GRACE_S}}
-        await self.end_those_of_short_grace()
-        self.addCleanup(self.runner.run, self.end_those_of_short_grace())
+        await self.kill_processes_with_short_grace()
+        self.addCleanup(self.runner.run, self.kill_processes_with_short_grace())
         await self.restore()
 
-    async def end_those_of_short_grace(self):
+    async def kill_processes_with_short_grace(self):
         """Lets `restore` start them again, with what the settings are then."""
         router = self.cluster.routers[self.first.name]
         sidecars = [self.cluster.sidecars[name] for name in ENGINES]
--- a/tests/failure/test_silent_connections.py
+++ b/tests/failure/test_silent_connections.py
@@ -13,18 +13,18 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board, caller
-from tests.failure import asking, fixture, relayed
+from tests.failure import fixture, harness, relayed
 
 LINK = {'idle_s': 0.2, 'silence_s': 0.8}
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 LARGE = 48 << 20
 FAILED = 'event=attempt_failed'
-STORE_S = 0.5
-KEEP_ALIVE_S = 0.2
-ORDER_S = 2.0
+STORE_TIMEOUT_S = 0.5
+KEEP_ALIVE_INTERVAL_S = 0.2
+ORDER_TIMEOUT_S = 2.0
 # A loaded machine may take longer than a bound says, but not for good.
-SLACK = 8
-WAYS = ({}, {'up': False}, {'down': False})
+TIMEOUT_FACTOR = 8
+DIRECTIONS = ({}, {'up': False}, {'down': False})
 
 
 def _layout():
@@ -39,12 +39,15 @@
     LAYOUT = _layout()
     RELAYED = ('sidecar:', 'upstream:', 'store')
     CHANGES = {
-        'platform': {'timeout_s': STORE_S},
-        'sidecar': {'link': LINK, 'timing': {'stall_s': STALL_S}},
+        'platform': {'timeout_s': STORE_TIMEOUT_S},
+        'sidecar': {'link': LINK, 'timing': {'stall_s': STALL_TIMEOUT_S}},
         'router': {
             'links': LINK,
             'follow_interval_s': 0.2,
-            'requests': {'keep_alive_s': KEEP_ALIVE_S, 'write_stall_s': 1.0},
+            'requests': {
+                'keep_alive_s': KEEP_ALIVE_INTERVAL_S,
+                'write_stall_s': 1.0,
+            },
         },
     }
 
@@ -53,20 +56,20 @@
         cfg = super().configuration()
         for route in cfg.services[board.SERVICE].routes:
             if route.path == '/orders':
-                route.timeout_s = ORDER_S
+                route.timeout_s = ORDER_TIMEOUT_S
         return cfg
 
     async def restore(self):
-        app = self.cluster.upstreams[asking.APP]
+        app = self.cluster.upstreams[harness.APP]
         await self.cluster.switch(app, delay_s=0.0)
         await super().restore()
 
-    async def replaced(self, hop, bound_s):
+    async def wait_for_new_connection(self, hop, timeout_s):
         """Waits until the hop has a new connection, with slack for load."""
         before = self.relays[hop].accepted
-        async with asyncio.timeout(bound_s * SLACK):
+        async with asyncio.timeout(timeout_s * TIMEOUT_FACTOR):
             while self.relays[hop].accepted == before:  # noqa: ASYNC110
-                await asyncio.sleep(relayed.POLL_S)
+                await asyncio.sleep(relayed.POLL_INTERVAL_S)
 
     @fixture.on_cluster
     async def test_link_between_router_and_sidecar(self):
@@ -76,15 +79,17 @@
         is replaced within its silence bound; then the sidecar says that it
         never came, and it is sent again, for the first time to the engine.
         """
-        hop = f'sidecar:{asking.ENGINE}'
-        for ways in WAYS:
-            with self.subTest(ways):
-                self.relays[hop].silence(**ways)
-                answer, task = self.ask(10)
-                await self.replaced(hop, LINK['silence_s'] + LINK['idle_s'])
+        hop = f'sidecar:{harness.ENGINE}'
+        for directions in DIRECTIONS:
+            with self.subTest(directions):
+                self.relays[hop].silence(**directions)
+                answer, task = self.start_request(10)
+                await self.wait_for_new_connection(
+                    hop, LINK['silence_s'] + LINK['idle_s']
+                )
                 await task
                 self.assert_whole(answer, 10)
-        self.assertEqual(len(await self.new_runs()), len(WAYS))
+        self.assertEqual(len(await self.new_runs()), len(DIRECTIONS))
 
     @fixture.on_cluster
     async def test_stream_of_an_engine(self):
@@ -94,14 +99,14 @@
         and its successor in mid-answer; each is replaced within the stall
         bound, at the event that comes next.
         """
-        hop = f'upstream:{asking.ENGINE}'
-        engine = self.cluster.upstreams[asking.ENGINE]
+        hop = f'upstream:{harness.ENGINE}'
+        engine = self.cluster.upstreams[harness.ENGINE]
         await self.cluster.switch(engine, stall=True)
-        answer, task = self.ask(300)
-        await self.until(self.new_runs)
+        answer, task = self.start_request(300)
+        await self.wait_until(self.new_runs)
         self.relays[hop].silence()
         await self.cluster.switch(engine, stall=False)
-        await self.until_tokens(10, answer)
+        await self.wait_for_tokens(10, answer)
         self.assertLess(len(answer.texts), 300)
         self.relays[hop].silence(up=False)
         await task
@@ -117,20 +122,20 @@
         that the route allows. Then the shop is told that the outcome is
         unknown; the order is not repeated, and the next one goes through.
         """
-        app = self.cluster.upstreams[asking.APP]
+        app = self.cluster.upstreams[harness.APP]
         await self.cluster.switch(app, delay_s=0.5)
-        asked = asyncio.create_task(self.order('truck-1'))
-        await self.until(lambda: self.orders('truck-1'))
-        self.relays[f'upstream:{asking.APP}'].silence()
-        response = await asked
+        order_task = asyncio.create_task(self.send_order('truck-1'))
+        await self.wait_until(lambda: self.count_orders('truck-1'))
+        self.relays[f'upstream:{harness.APP}'].silence()
+        response = await order_task
         error = response.json()['error']
         self.assertIn(error['code'], ('deadline_exceeded', 'outcome_unknown'))
         self.assertIsNone(error['not_run'])
-        self.assertEqual((await self.order('truck-2')).status_code, 200)
+        self.assertEqual((await self.send_order('truck-2')).status_code, 200)
         for name in ('truck-1', 'truck-2'):
-            self.assertEqual(await self.orders(name), 1)
+            self.assertEqual(await self.count_orders(name), 1)
 
-    async def order(self, name):
+    async def send_order(self, name):
         """Orders from the service."""
         token = board.TOKENS['retailers']
         async with caller.open_client(self.url(), token) as client:
@@ -138,9 +143,9 @@
                 f'/services/{board.SERVICE}/orders', json={'id': name}
             )
 
-    async def orders(self, name):
+    async def count_orders(self, name):
         """How often the service took the order."""
-        return (await self.cluster.audit(asking.APP))['orders'].get(name, 0)
+        return (await self.cluster.audit(harness.APP))['orders'].get(name, 0)
 
     @fixture.on_cluster
     async def test_connections_to_the_store(self):
@@ -152,8 +157,8 @@
         """
         store = self.relays['store']
         store.silence()
-        prompt, prompting = self.ask(10)
-        await self.replaced('store', STORE_S)
+        prompt, prompting = self.start_request(10)
+        await self.wait_for_new_connection('store', STORE_TIMEOUT_S)
         await prompting
         self.assert_whole(prompt, 10)
         # What the launcher publishes doesn't pass the relay.
@@ -162,15 +167,15 @@
         store.silence(up=False)
 
         async def accepted(profile):
-            answer, task = self.ask(10, profile=profile)
+            answer, task = self.start_request(10, profile=profile)
             await task
             if answer.status == 503:
                 self.assertIs(answer.error['error']['not_run'], True)
             return answer.is_whole
 
-        async with asyncio.timeout(STORE_S * SLACK):
-            await self.until(lambda: accepted('patient'))
-        await self.until(lambda: accepted('fresh'))
+        async with asyncio.timeout(STORE_TIMEOUT_S * TIMEOUT_FACTOR):
+            await self.wait_until(lambda: accepted('patient'))
+        await self.wait_until(lambda: accepted('fresh'))
         served = [run['tokens'] for run in await self.new_runs()]
         self.assertEqual(served, [10, 10, 10])
 
@@ -182,17 +187,19 @@
         The caller finds it by the missing comment lines, and gets the whole
         plan by its key over a new connection; it is made once.
         """
-        middle = await self.caller_relay()
+        proxy = await self.caller_relay()
         token = board.TOKENS['retailers']
-        kept = {'idempotency_key': 'plan-of-the-day'}
+        key_header = {'idempotency_key': 'plan-of-the-day'}
         headers = {
-            'idempotency-key': kept['idempotency_key'],
+            'idempotency-key': key_header['idempotency_key'],
             'x-quetzalsill-profile': 'patient',
         }
         sent = relayed.body(300) | {'stream': True}
-        url = f'http://127.0.0.1:{middle.port}'
+        url = f'http://127.0.0.1:{proxy.port}'
         async with caller.open_client(url, token) as client:
-            client.timeout = httpx2.Timeout(KEEP_ALIVE_S * SLACK)
+            client.timeout = httpx2.Timeout(
+                KEEP_ALIVE_INTERVAL_S * TIMEOUT_FACTOR
+            )
             stream = client.stream(
                 'POST', '/v1/completions', json=sent, headers=headers
             )
@@ -200,10 +207,10 @@
                 async with stream as response:
                     lines = response.aiter_lines()
                     await anext(lines)
-                    middle.silence(up=False)
+                    proxy.silence(up=False)
                     async for _ in lines:
                         pass
-        answer, task = self.ask(300, profile='patient', **kept)
+        answer, task = self.start_request(300, profile='patient', **key_header)
         await task
         self.assert_whole(answer, 300)
         self.assertEqual(len(await self.new_runs()), 1)
@@ -215,7 +222,7 @@
         return self.relays['sidecar:caller']
 
     @fixture.on_cluster
-    async def test_caller_that_takes_nothing(self):
+    async def test_caller_that_reads_nothing(self):
         """Answers that nobody takes fill the memory and keep others out.
 
         A merchant's host vanishes while it fetches a proof that is too long
@@ -225,13 +232,13 @@
         token = board.TOKENS['retailers']
         path = f'/services/{board.SERVICE}/large?bytes={LARGE}'
         (router,) = self.cluster.routers.values()
-        sidecar = self.cluster.sidecars[asking.APP]
+        sidecar = self.cluster.sidecars[harness.APP]
         failed = sidecar.log_text().count(FAILED)
         async with (
             caller.open_client(self.url(), token) as client,
             client.stream('GET', path),
         ):
-            await self.until(
+            await self.wait_until(
                 lambda: (
                     'reason=write_stalled' in router.log_text()
                     and sidecar.log_text().count(FAILED) > failed
--- a/tests/failure/test_through_any_router.py
+++ b/tests/failure/test_through_any_router.py
@@ -7,12 +7,12 @@
 import unittest
 
 from quetzalsill_dev import board, caller, operate
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 BODY = {'model': board.MODEL, 'prompt': 'A long plan. [[tokens=4000]]'}
-VERDICT = {'X-Quetzalsill-Profile': 'verdict'}
+VERDICT_PROFILE = {'X-Quetzalsill-Profile': 'verdict'}
 ADMIN = '/admin/v1/requests'
-RARE = {'idle_s': 60, 'silence_s': 300}
+RARE_HEARTBEATS = {'idle_s': 60, 'silence_s': 300}
 
 
 class ThroughAnyRouterTest(fixture.SharedClusterTestCase):
@@ -22,30 +22,30 @@
     """
 
     CHANGES = {
-        'router': {'links': RARE},
-        'sidecar': {'link': RARE},
+        'router': {'links': RARE_HEARTBEATS},
+        'sidecar': {'link': RARE_HEARTBEATS},
     }
 
-    async def begin(self):
+    async def start_request(self):
         """Starts a streamed request at the first router."""
         self.first, self.second = self.cluster.routers.values()
         answer = caller.Answer()
         task = asyncio.create_task(self.stream(answer))
 
-        async def begun():
+        async def has_started():
             return answer.texts or task.done()
 
-        await asking.until(begun)
+        await harness.wait_until(has_started)
         self.assertEqual(answer.status, 200, answer.error)
         return answer, task
 
     async def stream(self, answer):
         token = board.TOKENS['retailers']
         async with caller.open_client(self.first.url, token) as client:
-            await caller.generate(client, BODY, VERDICT, answer=answer)
+            await caller.generate(client, BODY, VERDICT_PROFILE, answer=answer)
 
     async def assert_cancelled(self, answer, task):
-        async with asyncio.timeout(asking.BOUND_S):
+        async with asyncio.timeout(harness.TIMEOUT_S):
             await task
         self.assertEqual(answer.error['error']['code'], 'cancelled')
         self.assertLess(len(answer.texts), 4000)
@@ -57,13 +57,17 @@
         The command line asks one router, the balancer gave the request to
         another, and the operator is told that there is no such request.
         """
-        answer, task = await self.begin()
+        answer, task = await self.start_request()
         urls = [self.second.url]
-        shown = await operate.read(urls, 'request', 'show', answer.request)
-        self.assertEqual(shown['request'], answer.request)
-        self.assertEqual(shown['state'], 'running')
-        ended = await operate.operate(urls, 'request', 'cancel', answer.request)
-        self.assertEqual(ended.status, 0, ended.complaint)
+        description = await operate.read(
+            urls, 'request', 'show', answer.request
+        )
+        self.assertEqual(description['request'], answer.request)
+        self.assertEqual(description['state'], 'running')
+        command = await operate.operate(
+            urls, 'request', 'cancel', answer.request
+        )
+        self.assertEqual(command.status, 0, command.complaint)
         await self.assert_cancelled(answer, task)
 
     @fixture.on_cluster
@@ -72,11 +76,11 @@
 
         It got 404 and the generation went on to its end.
         """
-        answer, task = await self.begin()
+        answer, task = await self.start_request()
         token = board.TOKENS['retailers']
         async with caller.open_client(self.second.url, token) as client:
-            found = await client.delete(f'/v1/requests/{answer.request}')
-        self.assertEqual(found.status_code, asking.PENDING, found.text)
+            response = await client.delete(f'/v1/requests/{answer.request}')
+        self.assertEqual(response.status_code, harness.PENDING, response.text)
         await self.assert_cancelled(answer, task)
 
     @fixture.on_cluster
@@ -86,12 +90,12 @@
         Sidecars heard of it by the next heartbeat only.
         """
         *_, router = self.cluster.routers.values()
-        ended = await operate.operate(
+        command = await operate.operate(
             [router.url],
             *('profile', 'edit', 'prompt', '--set', 'max_output_tokens=500'),
         )
-        self.assertEqual(ended.status, 0, ended.complaint)
-        self.assertIn('in force on 4 nodes', ended.output)
+        self.assertEqual(command.status, 0, command.complaint)
+        self.assertIn('in force on 4 nodes', command.output)
 
     @fixture.on_cluster
     async def test_silent_router_is_named(self):
@@ -99,14 +103,14 @@
 
         The operator must not be told that no router runs it.
         """
-        answer, task = await self.begin()
+        answer, task = await self.start_request()
         self.first.stop()
         async with caller.open_client(
             self.second.url, board.OPERATOR_TOKEN
         ) as client:
-            found = await client.delete(f'{ADMIN}/{answer.request}')
-        self.assertEqual(found.status_code, 504, found.text)
-        error = json.loads(found.text)['error']
+            response = await client.delete(f'{ADMIN}/{answer.request}')
+        self.assertEqual(response.status_code, 504, response.text)
+        error = json.loads(response.text)['error']
         self.assertEqual(error['code'], 'outcome_unknown')
         paused = next(iter(self.cluster.routers))
         self.assertIn(paused, error['message'])
--- a/tests/failure/test_tls.py
+++ b/tests/failure/test_tls.py
@@ -25,12 +25,12 @@
 )
 
 
-def context(tls):
+def make_context(tls):
     """Context of a client that shows a certificate, if it has one."""
-    made = ssl.create_default_context(cafile=tls.authority)
+    context = ssl.create_default_context(cafile=tls.authority)
     if tls.certificate:
-        made.load_cert_chain(tls.certificate, tls.key)
-    return made
+        context.load_cert_chain(tls.certificate, tls.key)
+    return context
 
 
 class TlsTest(relayed.RelayedTestCase):
@@ -43,46 +43,48 @@
         cls.folder = pathlib.Path(
             cls.enterClassContext(tempfile.TemporaryDirectory())
         )
-        cls.ours = certificate.Authority(cls.folder, 'ours')
-        cls.other = certificate.Authority(cls.folder, 'other')
-        cls.caller = cls.ours.issue('caller')
-        router = dataclasses.asdict(cls.ours.issue('router'))
-        sidecar = dataclasses.asdict(cls.ours.issue('sidecar'))
+        cls.trusted = certificate.Authority(cls.folder, 'ours')
+        cls.other_authority = certificate.Authority(cls.folder, 'other')
+        cls.caller = cls.trusted.issue('caller')
+        router = dataclasses.asdict(cls.trusted.issue('router'))
+        sidecar = dataclasses.asdict(cls.trusted.issue('sidecar'))
         cls.CHANGES = {
             'router': {'tls': router, 'link_tls': router},
             'sidecar': {'tls': sidecar},
         }
-        cls.pem = cls.ours.path.read_bytes()
-        cls.TLS = context(cls.caller)
+        cls.pem = cls.trusted.path.read_bytes()
+        cls.TLS = make_context(cls.caller)
         super().setUpClass()
 
     async def restore(self):
-        self.ours.path.write_bytes(self.pem)
+        self.trusted.path.write_bytes(self.pem)
         for name in NAMES:
-            self.ours.issue(name)
-        self.cluster.tls = context(self.caller)
+            self.trusted.issue(name)
+        self.cluster.tls = make_context(self.caller)
         await super().restore()
 
-    def ask(self, tokens, name='plan', profile='prompt', router=0, **headers):
+    def start_request(
+        self, tokens, name='plan', profile='prompt', router=0, **headers
+    ):
         answer = caller.Answer()
         task = asyncio.create_task(self.stream(answer, tokens, self.caller))
         return answer, task
 
     async def stream(self, answer, tokens, tls):
         token = board.TOKENS['retailers']
-        made = context(tls)
-        async with caller.open_client(self.url(), token, made) as client:
+        context = make_context(tls)
+        async with caller.open_client(self.url(), token, context) as client:
             return await caller.generate(
                 client, relayed.body(tokens), answer=answer
             )
 
-    def strangers(self):
+    def untrusted_clients(self):
         """Who must not be let in."""
         authority = self.caller.authority
-        foreign = self.other.issue('foreign')
+        foreign = self.other_authority.issue('foreign')
         return {
             'none': section.Tls(authority=authority),
-            'expired': self.ours.issue('expired', -certificate.DAY),
+            'expired': self.trusted.issue('expired', -certificate.DAY),
             'foreign': dataclasses.replace(foreign, authority=authority),
         }
 
@@ -96,35 +98,35 @@
         finally:
             link.close()
 
-    def warnings(self, process):
+    def count_refusals(self, process):
         return process.log_text().count('event=handshake_refused')
 
     @relayed.fixture.on_cluster
-    async def test_strangers_are_refused_and_disturb_nobody(self):
+    async def test_untrusted_peers_are_refused_and_disturb_nobody(self):
         """Someone on the network calls the router and dials the sidecar.
 
         It has no certificate, one that has expired, or one of another
         authority, or it speaks no TLS. A caller is being answered meanwhile.
         """
-        answer, task = self.ask(200)
-        await self.until_tokens(1, answer)
+        answer, task = self.start_request(200)
+        await self.wait_for_tokens(1, answer)
         processes = [
             *self.cluster.routers.values(),
             *self.cluster.sidecars.values(),
         ]
-        before = [self.warnings(process) for process in processes]
-        for name, tls in self.strangers().items():
+        before = [self.count_refusals(process) for process in processes]
+        for name, tls in self.untrusted_clients().items():
             with self.subTest(name):
                 with self.assertRaises(httpx2.TransportError):
                     await self.stream(caller.Answer(), 3, tls)
                 with self.assertRaises(wire_error.WireError):
-                    await self.dial(context(tls))
+                    await self.dial(make_context(tls))
         with self.assertRaises(wire_error.WireError):
             await self.dial(None)
-        await self.dial(context(self.caller))
+        await self.dial(make_context(self.caller))
         self.assert_whole(await task, 200)
         for process, count in zip(processes, before, strict=True):
-            self.assertGreaterEqual(self.warnings(process), count + 3)
+            self.assertGreaterEqual(self.count_refusals(process), count + 3)
 
     @relayed.fixture.on_cluster
     async def test_files_are_replaced_while_the_processes_run(self):
@@ -134,28 +136,28 @@
         no link to it and refuses work as not run. Then all: new links and new
         callers go by the new authority, and the old certificate is refused.
         """
-        (middle,) = self.relays.values()
-        self.ours.issue('sidecar', -certificate.DAY)
-        middle.cut()
-        refused = await self.until_refused()
+        (proxy,) = self.relays.values()
+        self.trusted.issue('sidecar', -certificate.DAY)
+        proxy.cut()
+        refused = await self.wait_until_refused()
         self.assertIs(refused.error['error']['not_run'], True)
-        old = self.ours.issue('old')
-        shutil.copy(self.other.path, self.ours.path)
+        old = self.trusted.issue('old')
+        shutil.copy(self.other_authority.path, self.trusted.path)
         for name in NAMES:
-            self.other.issue(name)
-        middle.cut()
-        await self.until(self.is_served)
+            self.other_authority.issue(name)
+        proxy.cut()
+        await self.wait_until(self.is_served)
         with self.assertRaises(httpx2.TransportError):
             await self.stream(caller.Answer(), 3, old)
 
-    async def until_refused(self):
+    async def wait_until_refused(self):
         found = []
 
         async def refused():
-            found.append(await self.ask(1)[1])
+            found.append(await self.start_request(1)[1])
             return found[-1].status == 503
 
-        await self.until(refused)
+        await self.wait_until(refused)
         return found[-1]
 
 
--- a/tests/failure/test_tokens_once.py
+++ b/tests/failure/test_tokens_once.py
@@ -14,10 +14,10 @@
 SLOW = 500
 LARGE = 48 << 20
 FAULTS = (
-    ('cut', lambda middle: middle.cut()),
-    ('no word from the sidecar', lambda middle: middle.silence(up=False)),
-    ('no word from the router', lambda middle: middle.silence(down=False)),
-    ('silent both ways', lambda middle: middle.silence()),
+    ('cut', lambda proxy: proxy.cut()),
+    ('no word from the sidecar', lambda proxy: proxy.silence(up=False)),
+    ('no word from the router', lambda proxy: proxy.silence(down=False)),
+    ('silent both ways', lambda proxy: proxy.silence()),
 )
 SERVICE = f'/services/{board.SERVICE}'
 
@@ -38,9 +38,9 @@
         'router': {'links': LINK},
     }
 
-    def links(self):
+    def count_links(self):
         """Links dialled so far."""
-        return sum(middle.accepted for middle in self.relays.values())
+        return sum(proxy.accepted for proxy in self.relays.values())
 
     @fixture.on_cluster
     async def test_link_fails_twice_in_mid_answer(self):
@@ -51,17 +51,19 @@
         """
         for name, fail in FAULTS:
             with self.subTest(name):
-                asked = [self.ask(LONG) for _ in range(4)]
-                answers = [answer for answer, _ in asked]
+                requests = [self.start_request(LONG) for _ in range(4)]
+                answers = [answer for answer, _ in requests]
                 for _ in range(2):
-                    links = self.links()
-                    have = max(len(answer.texts) for answer in answers)
-                    await self.until_tokens(have + 10, *answers)
+                    links_before = self.count_links()
+                    received = max(len(answer.texts) for answer in answers)
+                    await self.wait_for_tokens(received + 10, *answers)
                     self.assertLess(max(len(a.texts) for a in answers), LONG)
-                    for middle in self.relays.values():
-                        fail(middle)
-                    await self.until(lambda n=links: self.links() >= n + 3)
-                for answer, task in asked:
+                    for proxy in self.relays.values():
+                        fail(proxy)
+                    await self.wait_until(
+                        lambda n=links_before: self.count_links() >= n + 3
+                    )
+                for answer, task in requests:
                     await task
                     self.assert_whole(answer, LONG)
         runs = await self.new_runs()
@@ -74,10 +76,10 @@
         The sidecar is killed twice in mid-answer and started again at its
         port; the engine runs on, and its one generation is taken up.
         """
-        answer, task = self.ask(LONG)
+        answer, task = self.start_request(LONG)
         engine = ''
         for _ in range(2):
-            await self.until_tokens(len(answer.texts) + 10, answer)
+            await self.wait_for_tokens(len(answer.texts) + 10, answer)
             # The engine may be through before the second kill, and the rest of
             # the answer still with the sidecar; the run stays where it is.
             engine = engine or await self.running_engine()
@@ -95,8 +97,8 @@
         """
         for process in self.cluster.upstreams.values():
             await self.cluster.switch(process, stall=True)
-        answer, task = self.ask(50)
-        await self.until(self.new_runs)
+        answer, task = self.start_request(50)
+        await self.wait_until(self.new_runs)
         stalled = await self.running_engine()
         for name in self.engines:
             if name != stalled:
@@ -115,17 +117,17 @@
         the patient one, of which nothing was, comes whole from one
         generation.
         """
-        streamed, streaming = self.ask(LONG)
-        whole, holding = self.ask(LONG, profile='patient')
+        streamed, streaming = self.start_request(LONG)
+        batch_answer, batch_task = self.start_request(LONG, profile='patient')
 
         async def both_run():
             runs = await self.new_runs()
             return [run['tokens'] > 10 for run in runs] == [True, True]
 
-        await self.until(both_run)
-        await self.until_tokens(10, streamed)
+        await self.wait_until(both_run)
+        await self.wait_for_tokens(10, streamed)
         await asyncio.gather(*map(self.restart_engine, self.engines))
-        await asyncio.gather(streaming, holding)
+        await asyncio.gather(streaming, batch_task)
         (name,) = streamed.generations
         count = len(streamed.texts)
         self.assertEqual(
@@ -133,8 +135,8 @@
         )
         self.assertLess(count, LONG)
         self.assertIs(streamed.error['error']['not_run'], False)
-        self.assert_whole(whole, LONG)
-        self.assertNotEqual(whole.generations, streamed.generations)
+        self.assert_whole(batch_answer, LONG)
+        self.assertNotEqual(batch_answer.generations, streamed.generations)
 
     @fixture.on_cluster
     async def test_slow_reader_beside_a_fast_one(self):
@@ -147,18 +149,18 @@
         token = board.TOKENS['retailers']
         async with (
             caller.open_client(self.url(), token) as client,
-            client.stream('GET', f'{SERVICE}/large?bytes={LARGE}') as proof,
+            client.stream('GET', f'{SERVICE}/large?bytes={LARGE}') as large,
             client.stream(
                 'POST',
                 '/v1/completions',
                 json=relayed.body(SLOW) | {'stream': True},
             ) as slow,
         ):
-            pieces, lines = proof.aiter_raw(), slow.aiter_lines()
+            pieces, lines = large.aiter_raw(), slow.aiter_lines()
             size = len(await anext(pieces))
             text = await anext(lines)
             for _ in range(3):
-                answer, task = self.ask(100)
+                answer, task = self.start_request(100)
                 fast = await client.get(f'{SERVICE}/stock')
                 self.assertEqual(fast.json()['target'], '/stock')
                 await task
--- a/tests/failure/test_trace.py
+++ b/tests/failure/test_trace.py
@@ -39,7 +39,11 @@
             for file in self.folder.iterdir()
             for line in file.read_text().splitlines()
         ]
-        return {ln['name']: ln for ln in lines if ln['trace'] == TRACE}
+        return {
+            record['name']: record
+            for record in lines
+            if record['trace'] == TRACE
+        }
 
     @relayed.fixture.on_cluster
     async def test_each_hop_has_a_span_of_the_callers_trace(self):
@@ -48,9 +52,11 @@
         A hop without a span, or with a trace of its own, hides it; so do log
         lines without the trace.
         """
-        answer, task = self.ask(3, traceparent=f'00-{TRACE}-{CALLER}-01')
+        answer, task = self.start_request(
+            3, traceparent=f'00-{TRACE}-{CALLER}-01'
+        )
         self.assert_whole(await task, 3)
-        await self.until(lambda: self.spans().keys() >= set(HOPS))
+        await self.wait_until(lambda: self.spans().keys() >= set(HOPS))
         spans = self.spans()
         parent = CALLER
         for name in ('router.request', 'router.dispatch', 'sidecar.attempt'):
@@ -62,7 +68,9 @@
         ):
             lines = process.log_text().splitlines()
             (line,) = (
-                ln for ln in lines if answer.request in ln and event in ln
+                record
+                for record in lines
+                if answer.request in record and event in record
             )
             self.assertIn(f'trace={TRACE}', line)
 
--- a/tests/failure/test_unknown.py
+++ b/tests/failure/test_unknown.py
@@ -7,11 +7,11 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, relayed
+from tests.failure import fixture, harness, relayed
 
 RECOVER_S = 4.0
 TOKENS = 300
-TAKEN = 100
+MIN_TOKENS = 100
 
 
 class UnknownOutcomeTest(relayed.RelayedTestCase):
@@ -41,7 +41,7 @@
             self.cluster.store, lose_answers=0, lose_only='', silent=False
         )
         await super().restore()
-        await asking.until_served(self.cluster)
+        await harness.wait_until_served(self.cluster)
         self.first, self.second = self.cluster.routers.values()
 
     @fixture.on_cluster
@@ -52,17 +52,21 @@
         falls silent. Once it is back the outcome can be had.
         """
         store = self.cluster.store
-        lost = await asking.count(store, 'lost')
+        lost = await harness.read_count(store, 'lost')
         # Not the answer to a router's renewal, which may come at any moment.
         await self.cluster.switch(store, lose_answers=1, lose_only='late')
-        asked = asyncio.create_task(asking.order(self.first, 'late', 'late'))
-        await asking.until_counted(store, 'lost', lost + 1)
+        tasks = asyncio.create_task(
+            harness.send_order(self.first, 'late', 'late')
+        )
+        await harness.wait_for_count(store, 'lost', lost + 1)
         await self.cluster.switch(store, silent=True)
-        told = await asked
+        result = await tasks
         await self.cluster.switch(store, silent=False)
-        later = await asking.settled(self.second, told)
-        self.assertEqual((later.request, later.not_run), (told.request, True))
-        self.assertEqual((await asking.ran(self.cluster)).count('late'), 0)
+        later = await harness.wait_for_outcome(self.second, result)
+        self.assertEqual((later.request, later.not_run), (result.request, True))
+        self.assertEqual(
+            (await harness.count_runs(self.cluster)).count('late'), 0
+        )
 
     @fixture.on_cluster
     async def test_link_that_is_lost_for_long(self):
@@ -73,43 +77,49 @@
         the router learns what became of each, and tells who asks.
         """
         asks = {
-            'order': (asking.order, '', 'deadline_exceeded'),
-            'order-key': (asking.order, 'order', 'deadline_exceeded'),
-            'brief': (asking.brief, 'brief', 'outcome_unknown'),
+            'order': (harness.send_order, '', 'deadline_exceeded'),
+            'order-key': (harness.send_order, 'order', 'deadline_exceeded'),
+            'brief': (harness.send_brief, 'brief', 'outcome_unknown'),
         }
         await self.slow_down(app_s=0.5, stall=True)
-        asked = {
+        tasks = {
             name: asyncio.create_task(ask(self.first, name, key))
             for name, (ask, key, _) in asks.items()
         }
-        await asking.until_ran(self.cluster, *asked)
-        for way in self.relays.values():
-            way.refusing = True
-            way.cut()
+        await harness.wait_until_ran(self.cluster, *tasks)
+        for proxy in self.relays.values():
+            proxy.refusing = True
+            proxy.cut()
         await self.slow_down(stall=False)
-        told = await asyncio.gather(*asked.values())
-        for way in self.relays.values():
-            way.refusing = False
-        for one, (name, (_, key, code)) in zip(told, asks.items(), strict=True):
+        results = await asyncio.gather(*tasks.values())
+        for proxy in self.relays.values():
+            proxy.refusing = False
+        for item, (name, (_, key, code)) in zip(
+            results, asks.items(), strict=True
+        ):
             with self.subTest(name):
-                self.assertEqual((one.code, one.not_run), (code, None))
+                self.assertEqual((item.code, item.not_run), (code, None))
                 later = [
-                    await asking.settled(router, one)
+                    await harness.wait_for_outcome(router, item)
                     for router in (self.first, self.second)
                 ]
                 if key:
-                    later.append(await asking.settled(self.second, key=key))
-                self.assertTrue(all(one.answered for one in later), later)
-        ran = await asking.ran(self.cluster)
-        self.assertEqual([ran.count(name) for name in asked], [1] * len(asked))
+                    later.append(
+                        await harness.wait_for_outcome(self.second, key=key)
+                    )
+                self.assertTrue(all(item.succeeded for item in later), later)
+        run_counts = await harness.count_runs(self.cluster)
+        self.assertEqual(
+            [run_counts.count(name) for name in tasks], [1] * len(tasks)
+        )
 
     async def slow_down(self, app_s=0.0, stall=False):
         """Sets how slow the service is, and whether the engine makes steps."""
         await self.cluster.switch(
-            self.cluster.upstreams[asking.APP], delay_s=app_s
+            self.cluster.upstreams[harness.APP], delay_s=app_s
         )
         await self.cluster.switch(
-            self.cluster.upstreams[asking.ENGINE], stall=stall
+            self.cluster.upstreams[harness.ENGINE], stall=stall
         )
 
     @fixture.on_cluster
@@ -120,34 +130,36 @@
         and that was killed. Nobody can tell now; "not found" is no "not run".
         """
         await self.cluster.switch(
-            self.cluster.upstreams[asking.APP], close_orders=1
+            self.cluster.upstreams[harness.APP], close_orders=1
         )
-        told = await asking.order(self.first, 'gone')
+        result = await harness.send_order(self.first, 'gone')
         self.first.kill()
         await self.first.wait()
-        for ask in ({'told': told}, {'key': 'never-sent'}):
-            later = await asking.settled(self.second, **ask)
+        for ask in ({'result': result}, {'key': 'never-sent'}):
+            later = await harness.wait_for_outcome(self.second, **ask)
             self.assertEqual((later.status, later.not_run), (404, None))
 
     @fixture.on_cluster
-    async def test_router_that_dies_in_mid_answer(self):
+    async def test_router_killed_in_mid_answer(self):
         """Every answer of a link stalls, because one was asked after.
 
         A router is killed after its caller took part of a streamed brief.
         Asked through another one, its outcome is that it ran; what else runs
         over the links of that router is not disturbed.
         """
-        answer, asked = self.ask(TOKENS, 'cut', 'brief', idempotency_key='cut')
-        await self.until_tokens(TAKEN, answer)
-        whole, other = self.ask(TOKENS, 'whole', router=1)
-        await self.until_tokens(1, whole)
+        answer, tasks = self.start_request(
+            TOKENS, 'cut', 'brief', idempotency_key='cut'
+        )
+        await self.wait_for_tokens(MIN_TOKENS, answer)
+        other_answer, other_task = self.start_request(TOKENS, 'whole', router=1)
+        await self.wait_for_tokens(1, other_answer)
         ended = self.second.log_text().count('event=link_ended')
         self.first.kill()
-        await asked
-        later = await asking.settled(self.second, key='cut')
+        await tasks
+        later = await harness.wait_for_outcome(self.second, key='cut')
         self.assertEqual(later.not_run, False, later)
-        await other
-        self.assert_whole(whole, TOKENS)
+        await other_task
+        self.assert_whole(other_answer, TOKENS)
         self.assertEqual(
             self.second.log_text().count('event=link_ended'), ended
         )
--- a/tests/failure/traffic.py
+++ b/tests/failure/traffic.py
@@ -11,15 +11,15 @@
 import httpx2
 
 from quetzalsill_dev import board, caller
-from tests.failure import asking
+from tests.failure import harness
 
 STARTED = re.compile(r'event=attempt_started\b.*\battempt=(\S+)')
 WORKERS = 8
 TOKENS = 5
 # Pause between requests that wait for one to reach an engine. Longer than an
 # engine takes to begin an answer.
-ASK_S = 0.1
-FIRST_ASKED = 6
+REQUEST_INTERVAL_S = 0.1
+INITIAL_REQUESTS = 6
 
 
 def prompt(name, tokens=TOKENS):
@@ -29,8 +29,8 @@
 
 def digest(name, tokens=TOKENS):
     """Digest of a prompt as the engine's audit gives it."""
-    plain = prompt(name, tokens).encode()
-    return hashlib.sha256(plain).hexdigest()[: asking.DIGEST_LENGTH]
+    encoded = prompt(name, tokens).encode()
+    return hashlib.sha256(encoded).hexdigest()[: harness.DIGEST_LENGTH]
 
 
 async def generate(
@@ -46,10 +46,10 @@
         return await caller.generate(client, body, headers, answer=answer)
 
 
-def ask(*args, **named):
+def start_generation(*args, **options):
     """Asks in a task; gives it with the answer that it fills meanwhile."""
     answer = caller.Answer()
-    task = asyncio.create_task(generate(*args, answer=answer, **named))
+    task = asyncio.create_task(generate(*args, answer=answer, **options))
     return task, answer
 
 
@@ -75,30 +75,30 @@
             asyncio.create_task(work())
             for work in [self._generate, self._order] * (WORKERS // 2)
         ]
-        await self.go_on()
+        await self.wait_for_more()
         return self
 
     async def __aexit__(self, *exc):
         self._stopped = True
         await asyncio.gather(*self._tasks)
 
-    async def go_on(self, count=15):
+    async def wait_for_more(self, count=15):
         """Waits until so many more generations and orders are answered."""
         wanted = [len(self.answers) + count, len(self.orders) + count]
 
-        async def answered():
+        async def enough_answered():
             have = [len(self.answers), len(self.orders)]
             return all(h >= w for h, w in zip(have, wanted, strict=True))
 
-        await asking.until(answered)
+        await harness.wait_until(enough_answered)
 
     def assert_served(self, case):
         """Checks that every caller got its whole answer."""
         for answer in self.answers:
             case.assertEqual(answer.status, 200, answer.error)
             case.assertTrue(answer.is_whole, answer)
-        for name, told in self.orders.items():
-            case.assertTrue(told.answered, (name, told))
+        for name, result in self.orders.items():
+            case.assertTrue(result.succeeded, (name, result))
 
     async def _generate(self):
         while not self._stopped:
@@ -108,29 +108,31 @@
     async def _order(self):
         while not self._stopped:
             name = f'traffic-{next(self._names)}'
-            self.orders[name] = await asking.order(next(self._routers), name)
+            self.orders[name] = await harness.send_order(
+                next(self._routers), name
+            )
 
 
-def started(process, since=0):
+def started_attempts(process, start=0):
     """Attempts that a sidecar said it started, from a place in its log."""
-    return STARTED.findall(process.log_text()[since:])
+    return STARTED.findall(process.log_text()[start:])
 
 
-async def logged(process, *words):
+async def wait_for_log(process, *words):
     """Waits for a line with all these words; gives where the log stood."""
 
     async def found():
-        place = 0
+        position = 0
         for line in process.log_text().splitlines(keepends=True):
             if all(word in line for word in words):
-                return place + 1
-            place += len(line)
+                return position + 1
+            position += len(line)
         return 0
 
-    return await asking.until(found) - 1
+    return await harness.wait_until(found) - 1
 
 
-async def runs(cluster):
+async def runs_by_upstream(cluster):
     """All runs of the engines that can be asked, by upstream."""
     found = {}
     for name, process in cluster.upstreams.items():
@@ -139,58 +141,63 @@
     return found
 
 
-async def until_sent(cluster, tokens, *names):
+async def wait_until_sent(cluster, tokens, *names):
     """Waits until an engine has each of these prompts."""
     wanted = {digest(name, tokens) for name in names}
 
     async def sent():
-        found = await runs(cluster)
+        found = await runs_by_upstream(cluster)
         return wanted <= {
             run['prompt_digest'] for each in found.values() for run in each
         }
 
-    await asking.until(sent)
+    await harness.wait_until(sent)
 
 
-async def until_running(cluster, upstream, count):
+async def wait_until_running(cluster, upstream, count):
     """Waits until an engine is in the middle of so many generations."""
 
     async def found():
-        return await _under_way(cluster, upstream) >= count
+        return await _count_running(cluster, upstream) >= count
 
-    await asking.until(found)
+    await harness.wait_until(found)
 
 
-async def ask_until_running(cluster, router, upstream, name, tokens):
+async def start_until_running(cluster, router, upstream, name, tokens):
     """Asks until an engine is in the middle of an answer; gives all asked.
 
     Which engine gets a request is the router's choice, made by loads that it
     was told some time ago: all of the first few may go to other engines. Each
     one there makes it dearer, so that the next go to this one.
     """
-    asked = [ask(router, f'{name}-{n}', tokens) for n in range(FIRST_ASKED)]
+    requests = [
+        start_generation(router, f'{name}-{n}', tokens)
+        for n in range(INITIAL_REQUESTS)
+    ]
 
     async def found():
-        await asyncio.sleep(ASK_S)
-        if await _under_way(cluster, upstream):
+        await asyncio.sleep(REQUEST_INTERVAL_S)
+        if await _count_running(cluster, upstream):
             return True
-        asked.append(ask(router, f'{name}-{len(asked)}', tokens))
+        requests.append(
+            start_generation(router, f'{name}-{len(requests)}', tokens)
+        )
         return False
 
-    await asking.until(found)
-    return asked
+    await harness.wait_until(found)
+    return requests
 
 
-async def _under_way(cluster, upstream):
+async def _count_running(cluster, upstream):
     audit = await cluster.audit(upstream)
-    return sum(map(_is_under_way, audit['runs']))
+    return sum(map(_is_running, audit['runs']))
 
 
-def _is_under_way(run):
+def _is_running(run):
     return run['tokens'] and not (run['finished'] or run['cancelled'])
 
 
-async def nodes(router):
+async def sidecar_nodes(router):
     """What a router tells of each upstream's sidecar."""
     async with caller.open_client(router.url, board.OPERATOR_TOKEN) as client:
         found = (await client.get('/admin/v1/nodes')).json()
@@ -211,18 +218,18 @@
     return 'live' if ready else 'unhealthy'
 
 
-async def until_state(routers, wanted, names=()):
+async def wait_for_state(routers, wanted, names=()):
     """Waits until all these routers see upstreams (or all) in a state."""
 
     async def seen():
         for router in routers:
-            found = await nodes(router)
+            found = await sidecar_nodes(router)
             states = {name: _state(node) for name, node in found.items()}
             if {states.get(name) for name in names or found} != {wanted}:
                 return False
         return True
 
-    await asking.until(seen)
+    await harness.wait_until(seen)
 
 
 async def drain(router, name, undo=False):
--- a/tests/test_import_circles.py
+++ b/tests/test_import_cycles.py
@@ -51,10 +51,10 @@
     }
 
 
-class ImportCirclesTest(unittest.TestCase):
+class ImportCyclesTest(unittest.TestCase):
     """A newcomer can read the modules from the bottom up."""
 
-    def test_modules_do_not_import_each_other_in_a_circle(self):
+    def test_modules_do_not_import_each_other_in_a_cycle(self):
         sorter = graphlib.TopologicalSorter(graph(modules()))
         try:
             sorter.prepare()
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -18,12 +18,12 @@
 METRIC = re.compile(r'`(quetzalsill_\w+)')
 
 
-def known():
+def event_names():
     """Returns the names of all events."""
     return {name for found in event.EVENTS.values() for name in found}
 
 
-def written(package):
+def source_text(package):
     """Returns the code that may write the events of a package."""
     folder = package.replace('_', '-')
     folders = [ROOT / 'packages' / folder]
@@ -43,8 +43,8 @@
     def test_each_event_stands_on_the_page(self):
         for package in event_table.PACKAGES:
             found = list(event_table.rows(package))
-            least = 20 if package == GATEWAY else 10
-            self.assertGreater(len(found), least)
+            minimum = 20 if package == GATEWAY else 10
+            self.assertGreater(len(found), minimum)
             for row in found:
                 self.assertIn(row, PAGE)
 
@@ -54,7 +54,7 @@
     def test_no_other_event_stands_there(self):
         table = PAGE.partition('## Events')[2]
         named = set(re.findall(r'^\| `(\w+)`', table, re.MULTILINE))
-        self.assertEqual(named, known())
+        self.assertEqual(named, event_names())
 
     def test_each_metric_on_the_page_exists(self):
         self.assertTrue(meter.requests)
@@ -67,7 +67,7 @@
 
     def test_each_event_is_written_and_tells_its_fields(self):
         for package, found in event.EVENTS.items():
-            code = written(package)
+            code = source_text(package)
             for cls in found.values():
                 with self.subTest(f'{package}.{cls.__name__}'):
                     # Called, or the value of a table that is.
@@ -75,7 +75,7 @@
                     for field in dataclasses.fields(cls):
                         self.assertIn(f'      {field.name}: ', cls.__doc__)
 
-    def test_no_line_is_written_past_the_events(self):
+    def test_no_log_line_bypasses_the_events(self):
         """A line is added in passing, and its fields drift from the page."""
         for folder in SOURCES:
             for path in folder.rglob('*.py'):
