--- a/tests/failure/fixture.py
+++ b/tests/failure/fixture.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes for each test of failure."""
+"""Test cases that run on a cluster of real processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def on_cluster(method):
-    """Makes a coroutine a test of `SharedClusterTestCase`."""
+    """Makes a coroutine function a test of `SharedClusterTestCase`."""
 
     @functools.wraps(method)
     def run(self):
@@ -24,7 +24,7 @@
 
 
 class _LogReportingTestCase(unittest.TestCase):
-    """Keeps logs, settings and steps of a failed test, and prints log ends."""
+    """Saves the logs and settings of a failed test and prints log tails."""
 
     def run(self, result=None):
         self.result = result or self.defaultTestResult()
@@ -43,7 +43,7 @@
 
 
 class ClusterTestCase(_LogReportingTestCase, unittest.IsolatedAsyncioTestCase):
-    """Starts a cluster before each test and ends it after.
+    """Starts a cluster before each test and stops it afterwards.
 
     Attributes:
       LAYOUT: Processes of the cluster; a subclass may set its own.
@@ -68,24 +68,25 @@
         await self.cluster.start()
 
     def configuration(self):
-        """First configuration of the cluster."""
+        """Initial configuration of the cluster."""
         return board.configuration()
 
     async def via(self, hop, address):
-        """Address told to others for a hop; a subclass may put a relay in."""
+        """Address that peers use for a hop; a subclass may insert a relay."""
         return address
 
 
 class SharedClusterTestCase(_LogReportingTestCase):
-    """Runs all tests of a class on one cluster, which starts but once.
+    """Runs all tests of a class on one shared cluster.
 
-    Its tests are coroutines under `on_cluster`. One may leave processes
-    killed or paused and switches set: the next begins with `restore`.
+    The tests are coroutine functions decorated with `on_cluster`. A test may
+    leave processes killed or paused and fault switches set: `restore` runs
+    before each test.
 
     Attributes:
       LAYOUT: Processes of the cluster.
       CHANGES: Changes to the settings; see `cluster.Cluster.changes`.
-      TLS: Context towards the routers, if they listen with TLS.
+      TLS: TLS context for the routers, if they listen with TLS.
     """
 
     LAYOUT = board.board_layout(engines=1, services=1, routers=2)
@@ -109,12 +110,12 @@
 
     @classmethod
     def configuration(cls):
-        """First configuration of the cluster."""
+        """Initial configuration of the cluster."""
         return board.configuration()
 
     @classmethod
     async def via(cls, hop, address):
-        """Address told to others for a hop; a subclass may put a relay in."""
+        """Address that peers use for a hop; a subclass may insert a relay."""
         return address
 
     def setUp(self):
@@ -122,7 +123,7 @@
         self.runner.run(self.restore())
 
     async def restore(self):
-        """Brings every process back; a subclass resets its switches too."""
+        """Restores all processes; a subclass also resets its switches."""
         for process in self.launcher.processes:
             process.cont()
         await self.cluster.restart_ended()
--- a/tests/failure/harness.py
+++ b/tests/failure/harness.py
@@ -1,7 +1,7 @@
-"""Callers that repeat what they are told did not run, and the upstreams' word.
+"""Client calls and waits for the failure tests, and counts of what ran.
 
-An order goes to the plain service, a brief to the model engine; neither may
-run twice. The stand-ins count what reached them under each name.
+An order goes to the HTTP service, a brief to the model engine; neither may
+run twice. The upstream stand-ins count the requests received for each name.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclasses.dataclass
 class CallResult:
-    """What a caller was told.
+    """Result of a call as the client sees it.
 
     Attributes:
       status: HTTP status; 0 if the connection broke.
-      code: Code of the failure; empty for an answer.
-      not_run: As the failure says; None if it was not told.
-      request: Id of the request, if it was told.
-      body: The answer.
+      code: Error code; empty for a successful response.
+      not_run: `not_run` of the error; None if unknown.
+      request: Request id; empty if there was none.
+      body: Decoded response body.
       retry_after: Value of that header; empty if there was none.
     """
 
@@ -45,23 +45,23 @@
 
     @property
     def succeeded(self):
-        """The whole answer came."""
+        """Whether the complete response was received."""
         return self.status == httpx2.codes.OK
 
 
 async def send_order(router, name, key=''):
-    """Orders from the plain service."""
+    """Sends an order to the HTTP service."""
     return await _post(router, '/services/ordering/orders', {'id': name}, key)
 
 
 async def send_brief(router, name, key='', profile='brief'):
-    """Asks for a generation that may not run twice."""
+    """Requests a generation that may not run twice."""
     body = {'model': board.MODEL, 'prompt': _prompt(name)}
     return await _post(router, '/v1/completions', body, key, profile)
 
 
 async def submit_long_brief(router, name, tokens, profile):
-    """Has a generation of a length accepted, to be fetched later."""
+    """Submits an asynchronous generation of `tokens` tokens."""
     body = {'model': board.MODEL, 'prompt': _prompt(name, tokens)}
     headers = {'x-quetzalsill-profile': profile, 'prefer': 'respond-async'}
     return await _send(
@@ -70,7 +70,7 @@
 
 
 async def send_scene(router, name, key=''):
-    """Asks for a durable generation that may not run twice."""
+    """Requests a durable generation that may not run twice."""
     return await send_brief(router, name, key, 'scene')
 
 
@@ -82,7 +82,7 @@
 
 
 async def wait_for_outcome(router, result=None, key=''):
-    """The settled outcome of a request, by its id or by its key."""
+    """Polls a request, by id or idempotency key, until it has an outcome."""
     path = f'/v1/requests?idempotency_key={key}'
     if result is not None:
         path = f'/v1/requests/{result.request}'
@@ -95,9 +95,9 @@
 
 
 async def retry(ask, router, name, key):
-    """Repeats a request under its key until its outcome is told.
+    """Retries a request under its idempotency key until it has an outcome.
 
-    A caller may do so whatever it was told before: the key makes it safe.
+    The key makes this safe after any earlier response.
     """
     async with asyncio.timeout(TIMEOUT_S):
         while True:
@@ -131,25 +131,25 @@
 
 
 def digest(name, tokens=5):
-    """Digest of a prompt, as the engine's audit tells it."""
+    """Returns the digest of a prompt as in the engine's audit."""
     full_digest = hashlib.sha256(_prompt(name, tokens).encode()).hexdigest()
     return full_digest[:DIGEST_LENGTH]
 
 
 async def send_query(router, name, key=''):
-    """Asks for a generation that may be repeated."""
+    """Requests a generation that may be repeated."""
     return await send_brief(router, name, key, 'prompt')
 
 
 async def count_runs(cluster, engines=(ENGINE,)):
-    """How often each order and brief reached its upstream, by name."""
+    """Counts how often each order and brief reached its upstream."""
     audits = [await cluster.audit(name) for name in engines]
     runs = [run for audit in audits for run in audit['runs']]
     return RunCounts((await cluster.audit(APP))['orders'], runs)
 
 
 class RunCounts:
-    """The word of the upstreams on what ran.
+    """Counts of what ran, from the audits of the upstreams.
 
     Attributes:
       attempts: Ids of the attempts that reached an engine.
@@ -161,12 +161,16 @@
         self._briefs = collections.Counter(run['prompt_digest'] for run in runs)
 
     def count(self, name):
-        """How often an order or brief of this name reached its upstream."""
+        """Returns how often this order or brief reached its upstream."""
         return self._orders.get(name, 0) + self._briefs[digest(name)]
 
 
 async def wait_until(check):
-    """Waits until the coroutine `check()` gives a true value, and gives it."""
+    """Polls the coroutine function `check` until its result is true.
+
+    Returns:
+      That result.
+    """
     async with asyncio.timeout(TIMEOUT_S):
         while True:
             found = await check()
@@ -176,13 +180,13 @@
 
 
 async def read_count(stand_in, name):
-    """A count of a platform stand-in."""
+    """Reads a counter of a platform stand-in."""
     async with caller.open_client(stand_in.url) as client:
         return (await client.get('/stand-in/counts')).json().get(name, 0)
 
 
 async def wait_for_count(stand_in, name, minimum):
-    """Waits until a platform stand-in has counted so many."""
+    """Waits until a counter of a platform stand-in reaches `minimum`."""
 
     async def reached():
         return await read_count(stand_in, name) >= minimum
@@ -191,7 +195,7 @@
 
 
 async def wait_until_ran(cluster, *names):
-    """Waits until each of these has reached its upstream."""
+    """Waits until each of the named requests has reached its upstream."""
 
     async def all_ran():
         found = await count_runs(cluster)
--- a/tests/failure/patient.py
+++ b/tests/failure/patient.py
@@ -1,4 +1,4 @@
-"""Accepted plans and briefs, faults that strike, and what has to be kept."""
+"""Fault injection for accepted plans and briefs, and checks of outcomes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from quetzalsill_dev import board
 from tests.failure import fixture, harness
 
-# Longer than every bound of ours in `CHANGES`.
+# Longer than every timeout in `CHANGES`.
 OUTAGE_S = 2.5
-# What isn't away but spoilt lasts shorter; the killed come back at once.
+# Degraded stores recover sooner; killed processes restart at once.
 FAULT_DURATION_S = {
     'router': 0,
     'sidecar': 0,
@@ -27,7 +27,7 @@
 
 
 class PatientTestCase(fixture.SharedClusterTestCase):
-    """Two routers and two engines; accepted work outlives all of them."""
+    """Two routers and two engines; accepted work survives their failure."""
 
     LAYOUT = board.board_layout(engines=2, services=0, routers=2)
     CHANGES = {
@@ -61,12 +61,12 @@
         await self.set_store()
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
-        # Both stores of a router must know that the platform is back.
+        # Both store clients of a router must have seen the platform recover.
         for router in (self.first, self.second):
             await harness.wait_until(functools.partial(self.serves, router))
 
     async def set_store(self, slow_s=0.0, lose_answers=0, **faults):
-        """Sets what is wrong with the store; without arguments nothing."""
+        """Sets the faults of the store; without arguments it has none."""
         broken = dict.fromkeys(STORE_FAULTS, False) | faults
         await self.cluster.switch(
             self.cluster.store,
@@ -76,7 +76,7 @@
         )
 
     async def serves(self, router):
-        """Whether a router answers prompt and patient work."""
+        """Whether a router answers work of both profiles."""
         results = [
             await harness.send_brief(router, 'test', profile=profile)
             for profile in ('prompt', 'patient')
@@ -84,7 +84,7 @@
         return all(item.succeeded for item in results)
 
     async def submit(self, name, router, kinds=('plan', 'brief')):
-        """Has plans and briefs accepted; gives what was told, by name."""
+        """Submits plans and briefs; returns the acceptances by name."""
         asked = {
             f'{name}-{kind}-{number}': kind
             for kind in kinds
@@ -101,7 +101,7 @@
         return dict(zip(asked, results, strict=True))
 
     async def wait_for_first_tokens(self, accepted):
-        """Waits until each accepted request has made tokens."""
+        """Waits until each accepted request has generated tokens."""
 
         async def have_tokens():
             runs = await self.runs()
@@ -113,7 +113,7 @@
         await harness.wait_until(have_tokens)
 
     async def runs(self):
-        """All runs that live engines know, by digest of the prompt."""
+        """All runs in the audits of running engines, by prompt digest."""
         found = collections.defaultdict(list)
         for name, engine in self.cluster.upstreams.items():
             if not engine.running:
@@ -127,7 +127,7 @@
         await process.wait()
 
     def faults(self):
-        """What can fail, by name."""
+        """Functions that inject a fault, by name of the fault."""
         first, *_ = self.cluster.upstreams
         return {
             'router': lambda: self.kill(self.first),
@@ -144,7 +144,7 @@
         self.first.stop()
 
     async def clear_faults(self):
-        """Restores what failed, without a look at whether all serve."""
+        """Removes the faults without waiting until the cluster is ready."""
         for process in self.launcher.processes:
             process.cont()
         await self.set_store()
@@ -154,10 +154,10 @@
         await self.cluster.restart_ended()
 
     async def inject(self, *names):
-        """Lets faults strike at once, last, and end.
+        """Injects faults together, waits for their duration and clears them.
 
         Returns:
-          Runs known before an engine forgets them by its restart.
+          Runs before the faults; an engine loses its audit in a restart.
         """
         before = await self.runs()
         async with asyncio.TaskGroup() as group:
@@ -170,13 +170,13 @@
         return before
 
     async def assert_outcomes(self, accepted, before=None, known=True):
-        """Each plan has its whole answer; no brief ran twice.
+        """Checks that each plan has a complete answer and no brief ran twice.
 
         Args:
-          accepted: What was told at acceptance, by name.
+          accepted: Acceptances by name.
           before: Runs of engines that were restarted since.
-          known: The engines and sidecars lived, so that each brief's outcome
-            is known too.
+          known: No engine or sidecar failed, so that the outcome of each
+            brief must be known too.
         """
         settled = await asyncio.gather(
             *(
@@ -202,7 +202,7 @@
                     self.assertFalse(own)
 
     def assert_whole(self, result, runs):
-        """The answer is all of one generation, which an engine finished."""
+        """Checks that the answer is one complete generation of an engine."""
         (choice,) = result.body['choices']
         tokens = choice['text'].split()
         generation = tokens[0].partition('.')[0]
@@ -211,7 +211,7 @@
         self.assertIn(TOKENS, [run['tokens'] for run in runs])
 
     async def run_case(self, name, *rounds):
-        """Has work accepted, lets faults strike round by round, and checks."""
+        """Submits work, injects each round of faults and checks outcomes."""
         with self.subTest(name):
             await self.restore()
             accepted = await self.submit(name, self.first)
--- a/tests/failure/relayed.py
+++ b/tests/failure/relayed.py
@@ -1,4 +1,4 @@
-"""A shared cluster with relays on its hops, and callers that are watched."""
+"""A shared cluster with relays between its processes, and its clients."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def body(tokens: int, name: str = 'plan') -> dict[str, str]:
-    """Request of an answer of that many tokens."""
+    """Returns a request body whose answer has that many tokens."""
     return {'model': board.MODEL, 'prompt': f'{name} [[tokens={tokens}]]'}
 
 
 class RelayedTestCase(fixture.SharedClusterTestCase):
-    """Puts a relay into the hops whose names begin as `RELAYED` says.
+    """Inserts a relay into each hop whose name starts with one of `RELAYED`.
 
     Attributes:
       relays: Relays by hop.
@@ -82,7 +82,7 @@
     def start_request(
         self, tokens, name='plan', profile='prompt', router=0, **headers
     ):
-        """Asks in the background; gives the answer as it grows, and a task."""
+        """Starts a request; returns the growing answer and its task."""
         answer = caller.Answer()
         token = board.TOKENS['retailers']
         sent = {k.replace('_', '-'): v for k, v in headers.items()}
@@ -99,7 +99,7 @@
         return answer, asyncio.create_task(run())
 
     async def wait_until(self, condition):
-        """Waits for a condition, which may be a coroutine function."""
+        """Polls a condition, which may be a coroutine function."""
         async with asyncio.timeout(TIMEOUT_S):
             while True:
                 found = condition()
@@ -110,13 +110,13 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_for_tokens(self, minimum, *answers):
-        """Waits until each answer has that many tokens."""
+        """Waits until each answer has at least `minimum` tokens."""
         await self.wait_until(
             lambda: min(len(a.texts) for a in answers) >= minimum
         )
 
     async def new_runs(self):
-        """Runs on all engines since the test began."""
+        """Runs on all engines since the start of the test."""
         return [
             run
             for name in self.engines
@@ -125,7 +125,7 @@
         ]
 
     async def running_engine(self):
-        """Name of an engine that runs something now."""
+        """Name of an engine with a run in progress; empty if there is none."""
         for name in self.engines:
             for run in (await self.cluster.audit(name))['runs']:
                 if not run['finished'] and not run['cancelled']:
@@ -133,7 +133,7 @@
         return ''
 
     async def is_served(self):
-        """Each router answers."""
+        """Whether each router returns a complete answer."""
         answers = [
             await self.start_request(1, router=i)[1] for i in self._routers()
         ]
@@ -147,19 +147,19 @@
         return {run['request_id'] for run in runs}
 
     async def restart_engine(self, name):
-        """Kills an engine and starts it at its address."""
+        """Kills an engine and restarts it at the same address."""
         self.cluster.upstreams[name].kill()
         await self.cluster.upstreams[name].wait()
         await self.cluster.start_upstream(name)
 
     async def restart_sidecar(self, name):
-        """Kills a sidecar and starts it at its address."""
+        """Kills a sidecar and restarts it at the same address."""
         self.cluster.sidecars[name].kill()
         await self.cluster.sidecars[name].wait()
         await self.cluster.start_sidecar(name)
 
     def assert_own(self, answer, prompt, runs):
-        """All that came of an answer is from the run of its prompt.
+        """Checks that all tokens received are from the run of this prompt.
 
         Returns:
           The run.
@@ -173,7 +173,7 @@
         return run
 
     def assert_whole(self, answer, tokens):
-        """The answer is whole, from one generation, and as long as asked."""
+        """Checks that the answer is complete and has `tokens` tokens."""
         self.assertEqual(answer.status, 200, answer.error)
         self.assertTrue(answer.is_whole, (answer.error, answer.texts[-3:]))
         self.assertEqual(len(answer.texts), tokens)
--- a/tests/failure/test_at_most_once.py
+++ b/tests/failure/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Orders and briefs reach their upstream once at most, whatever fails."""
+"""Orders and briefs reach their upstream at most once during failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quetzalsill_dev import board
 from tests.failure import fixture, harness
 
-# A way to ask by each kind of work that may not run twice.
+# A request function for each kind of work that may not run twice.
 ASKS = {
     'order': harness.send_order,
     'brief': harness.send_brief,
@@ -20,7 +20,7 @@
 
 
 class AtMostOnceTest(fixture.SharedClusterTestCase):
-    """Two routers, a plain service and an engine."""
+    """Two routers, an HTTP service and an engine."""
 
     CHANGES = {
         'router': {
@@ -53,7 +53,7 @@
         return self.cluster.upstreams[harness.APP]
 
     async def slow_down(self, store_s=0.0, app_s=0.0, stall=False):
-        """Sets how slow the store, the service and the engine are."""
+        """Sets the delays of store and service; `stall` stops the engine."""
         engine = self.cluster.upstreams[harness.ENGINE]
         await self.cluster.switch(self.cluster.store, slow_s=store_s)
         await self.cluster.switch(self.app, delay_s=app_s)
@@ -61,25 +61,25 @@
 
     @fixture.on_cluster
     async def test_repeat_while_the_first_router_is_paused(self):
-        """Two trucks of melting product come to one door."""
+        """An order runs twice: its router is paused and the client retries."""
         for step in ('unread', 'claimed', 'dispatched'):
             await self.check_fault_at(step, 'pause', self.pause)
 
     @fixture.on_cluster
     async def test_repeat_after_the_first_router_was_killed(self):
-        """A brief is billed twice."""
+        """A brief runs twice: its router is killed and the client retries."""
         for step in ('claimed', 'dispatched'):
             await self.check_fault_at(step, 'kill', self.kill)
 
     @fixture.on_cluster
     async def test_repeat_after_router_and_sidecars_were_killed(self):
-        """The router that takes over believes a sidecar that can't know."""
+        """The new owner trusts a restarted sidecar that has lost its state."""
         await self.check_fault_at(
             'dispatched', 'rack', self.kill_router_and_sidecars, lost=('order',)
         )
 
     async def pause(self):
-        """Stops the first router."""
+        """Pauses the first router."""
         self.first.stop()
 
     async def kill(self):
@@ -87,12 +87,12 @@
         self.first.kill()
 
     async def kill_router_and_sidecars(self):
-        """Kills the first router and the sidecars, which come back."""
+        """Kills the first router and the sidecars, and restarts the latter."""
         self.first.kill()
         await self.restart_sidecars()
 
     async def restart_sidecars(self):
-        """Kills all sidecars and starts them at their addresses."""
+        """Kills all sidecars and restarts them at their addresses."""
         sidecars = dict(self.cluster.sidecars)
         for sidecar in sidecars.values():
             sidecar.kill()
@@ -101,13 +101,13 @@
         await asyncio.gather(*map(self.cluster.start_sidecar, sidecars))
 
     async def check_fault_at(self, step, fault, inject, lost=()):
-        """Lets a fault strike the first router; its callers repeat.
+        """Injects a fault into the first router while its clients retry.
 
         Args:
-          step: How far the requests are by then.
-          fault: Its name.
-          inject: Does it.
-          lost: Kinds of which nobody can tell the outcome afterwards.
+          step: State of the requests when the fault is injected.
+          fault: Name of the fault.
+          inject: Injects the fault.
+          lost: Kinds of work whose outcome is unknown afterwards.
         """
         await self.restore()
         names = {f'{kind}-{fault}-{step}': ASKS[kind] for kind in ASKS}
@@ -136,11 +136,11 @@
                 self.assertEqual(task.result().code, code)
 
     async def send_until(self, step, names):
-        """Asks the first router and waits until all are at a step.
+        """Sends requests to the first router and waits until all are at a step.
 
         Returns:
-          The tasks of the callers with a key, and of those without by name:
-          they have nothing to repeat a request by.
+          The tasks of requests with an idempotency key; and, by name, those
+          without one, which can't be retried.
         """
         store_s = 0.4 if step == 'claimed' else 0
         runs = step == 'dispatched'
@@ -166,7 +166,10 @@
 
     @fixture.on_cluster
     async def test_lost_answer_to_the_write_of_a_claim(self):
-        """An order is refused for ever, or doubled by its repeat."""
+        """An order is refused forever, or a retry runs it again.
+
+        The store writes the claim of the key, but its response is lost.
+        """
         for losses in (1, 2, 20):
             names = {kind: f'{kind}-lost-{losses}' for kind in ASKS}
             lost = await harness.read_count(self.cluster.store, 'lost')
@@ -198,7 +201,7 @@
 
     @fixture.on_cluster
     async def test_sidecar_is_killed_while_its_upstream_works(self):
-        """A new sidecar repeats what the old one had sent."""
+        """A restarted sidecar sends again what the old process had sent."""
         await self.slow_down(app_s=1.0, stall=True)
         names = {
             f'{kind}-sidecar-{key}': (ask, key * f'{kind}-sidecar')
@@ -223,7 +226,7 @@
                 await self.assert_unknown(first_result)
 
     async def assert_unknown(self, result, code='outcome_unknown'):
-        """The caller was told "unknown", and is told so again later."""
+        """Checks that the outcome is unknown, and `code` when polled later."""
         self.assertEqual(
             (result.code, result.not_run), ('outcome_unknown', None)
         )
@@ -233,7 +236,7 @@
 
     @fixture.on_cluster
     async def test_service_closes_the_connection_under_an_order(self):
-        """An HTTP client doubles an order by itself."""
+        """The HTTP client library resends an order on a closed connection."""
         await self.cluster.switch(self.app, close_orders=2)
         names = {'order-closed': '', 'order-closed-key': 'closed'}
         for name, key in names.items():
--- a/tests/failure/test_bad_input.py
+++ b/tests/failure/test_bad_input.py
@@ -1,7 +1,7 @@
-"""Bad input at every interface of running processes, table by table.
+"""Invalid input at every interface of running processes.
 
-Each case is told what is wrong in a typed failure, leaves a line in the log,
-and disturbs neither the process nor the answer that streams meanwhile.
+Each case gets a typed error that names the fault and is logged. It affects
+neither the process nor an answer that is streamed at the same time.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 GOOD = {'model': board.MODEL, 'prompt': 'Slots? [[tokens=2]]'}
 DIGEST = '0' * 64
 
-# Method, path, headers, body; status, code, and what the message names.
+# Method, path, headers, body; status, code, and a word of the error.
 CALLER_CASES = [
     ('POST', COMPLETIONS, {}, b'{', 400, 'bad_request', 'body'),
     ('POST', COMPLETIONS, {}, b'\xff\xfe', 400, 'bad_request', 'body'),
@@ -127,7 +127,7 @@
 ]  # fmt: skip
 
 HEAD = b'POST /v1/completions HTTP/1.1\r\nhost: x\r\n'
-# Bytes that no HTTP client would send, and the status that they get.
+# Malformed requests, and the status of the response.
 RAW_CASES = [
     (b'\x16\x03\x01\x00\xa5garbage\r\n\r\n', 400),
     (b'GET / HTTP/9.9\r\n\r\n', 400),
@@ -139,16 +139,16 @@
     (HEAD + b'content-length: -1\r\n\r\n', 400),
     (HEAD + b'content-length: 1\r\ncontent-length: 2\r\n\r\n{}', 400),
     (HEAD + b'content-length: 2\r\ntransfer-encoding: chunked\r\n\r\n{}', 400),
-    # Behind a whole head an answer may be on its way, so there is none.
+    # After a complete head a response may have begun, so none is sent.
     (HEAD + b'transfer-encoding: chunked\r\n\r\nzz\r\n', 0),
-    # Slow-loris: a head that never ends.
+    # Slowloris: an incomplete head.
     (HEAD, 408),
 ]
 
 HELLO = message.Hello(
     message.VERSION, 'eve', 1, process_settings.CREDENTIAL, 'ikeja-hall', 0
 )
-# First bytes of a dialler, and the code of the Reject.
+# First bytes on a link, and the code of the Reject.
 FIRST_FRAMES = [
     (b'GET / HTTP/1.1\r\n\r\n', 'oversize_frame'),
     ((2**32 - 1).to_bytes(4, 'big'), 'oversize_frame'),
@@ -160,7 +160,7 @@
      'version_mismatch'),
     (frame.pack(codec.encode(dataclasses.replace(HELLO, credential='no'))),
      'wrong_credential'),
-    # Slow-loris: a frame that never ends.
+    # Slowloris: an incomplete frame.
     (b'\x00\x00', 'handshake_timeout'),
 ]  # fmt: skip
 LATER_FRAMES = [
@@ -168,7 +168,7 @@
     (frame.pack(b'\xc1'), 'malformed_frame'),
     (frame.pack(codec.encode(HELLO)), 'protocol_violation'),
 ]
-# Changes to a Dispatch that fits, and the code of its refusal.
+# Changes to a valid Dispatch, and the code of the refusal.
 DISPATCHES = [
     ({'kind': 'no'}, 'bad_request'),
     ({'model': 'no'}, 'no_upstream'),
@@ -182,7 +182,7 @@
     ({'payload': b'{'}, 'bad_request'),
 ]
 
-# Words of a command, its token, its exit status and what it complains of.
+# Arguments, token, exit status and a word of the error message.
 COMMANDS = [
     (('profile', 'show', 'no'), board.OPERATOR_TOKEN, 2, 'no'),
     (('profile', 'edit', 'prompt', '--set', 'deadline_s=-1'),
@@ -205,7 +205,7 @@
 
 
 class BadInputTest(relayed.RelayedTestCase):
-    """One router, an engine and a service with their sidecars."""
+    """One router, and an engine and a service with their sidecars."""
 
     RELAYED = ()
     LAYOUT = board.board_layout(engines=1, services=1, routers=1)
@@ -219,7 +219,7 @@
 
     @contextlib.asynccontextmanager
     async def undisturbed(self):
-        """Answers stream meanwhile; all are whole and no process has ended."""
+        """Checks that concurrent answers are complete and no process ends."""
         finished = asyncio.Event()
         first, task = self.start_request(TOKENS)
 
@@ -241,7 +241,7 @@
             self.assertNotIn('Traceback', process.log_text(), process.name)
 
     async def call(self, client, case):
-        """Makes a bad call and checks what it is told."""
+        """Sends an invalid request and checks the error."""
         method, path, headers, body, status, code, names = case
         if isinstance(body, dict):
             whole = body if path.startswith(ADMIN) else GOOD | body
@@ -257,7 +257,7 @@
             self.assertEqual(error['code'], code)
             self.assertIn(names, json.dumps(error))
             self.assertTrue(error['advice'], error)
-            # Whether a request ran that nobody knows is not known either.
+            # Whether an unknown request has run is unknown too.
             asked = path.startswith('/v1/requests/r-')
             self.assertIs(error['not_run'], None if asked else True)
             self.assertNotIn('x-evil', found.headers)
@@ -265,7 +265,7 @@
 
     @relayed.fixture.on_cluster
     async def test_callers(self):
-        """A caller's program is wrong, or it tries what it can do."""
+        """A faulty or malicious client sends invalid requests."""
         token = board.TOKENS['retailers']
         async with (
             self.undisturbed(),
@@ -276,7 +276,7 @@
 
     @relayed.fixture.on_cluster
     async def test_administration(self):
-        """An operator's script is wrong; nothing of it comes into force."""
+        """An operator's script sends invalid edits; none is applied."""
         async with (
             self.undisturbed(),
             caller.open_client(self.router.url, board.OPERATOR_TOKEN) as client,
@@ -288,7 +288,7 @@
 
     @relayed.fixture.on_cluster
     async def test_bytes_that_are_no_request(self):
-        """A scanner reaches the listener, or someone smuggles requests."""
+        """A port scanner or request smuggling reaches the listener."""
         async with self.undisturbed():
             answers = await asyncio.gather(
                 *(self.send(self.router, data) for data, _ in RAW_CASES)
@@ -303,7 +303,7 @@
 
     @relayed.fixture.on_cluster
     async def test_frames_that_break_the_protocol(self):
-        """A scanner or a broken router reaches a sidecar's port."""
+        """A port scanner or a faulty router connects to a sidecar."""
         async with self.undisturbed():
             answers = await asyncio.gather(
                 *(self.send(self.sidecar, data) for data, _ in FIRST_FRAMES)
@@ -324,7 +324,7 @@
 
     @relayed.fixture.on_cluster
     async def test_dispatches_that_do_not_fit(self):
-        """A router with a fault of its own dispatches what cannot be."""
+        """A faulty router sends invalid Dispatch messages."""
         timing = section.LinkTiming()
         async with self.undisturbed():
             link = await dial.dial(
@@ -349,7 +349,7 @@
 
     @relayed.fixture.on_cluster
     async def test_commands(self):
-        """An operator mistypes; the command names the word and its restore."""
+        """Invalid commands fail with an error that names the argument."""
         with tempfile.NamedTemporaryFile('w', suffix='.json') as file:
             file.write('{"profiles": {"prompt": {"deadline_s": "FILE"}}}')
             file.flush()
@@ -366,7 +366,7 @@
                 self.assertNotIn('Traceback', ended.complaint)
 
     async def command(self, case, file):
-        """Runs a command; no more than a few at once."""
+        """Runs a command, with a limit on concurrent ones."""
         words, token, *_ = case
         arguments = [word.replace('FILE', file) for word in words]
         async with self.commands:
@@ -375,11 +375,11 @@
             )
 
     async def wait_for_log(self, process, text, minimum=1):
-        """Waits until the process has logged a text so many times."""
+        """Waits until the process has logged a text `minimum` times."""
         await self.wait_until(lambda: process.log_text().count(text) >= minimum)
 
     def dispatch(self, link):
-        """A Dispatch that fits."""
+        """Returns a valid Dispatch."""
         return message.Dispatch(
             attempt='', request='eve-1', incarnation=link.peer.incarnation,
             revision=1, fence=0, account='retailers', profile='prompt',
@@ -391,7 +391,7 @@
         )  # fmt: skip
 
     async def last_messages(self, link, count):
-        """The last message of each attempt."""
+        """Receives the last message of each attempt."""
         ended = {}
         kinds = (message.Refused, message.Finished, message.Failed)
         async with asyncio.timeout(relayed.TIMEOUT_S):
@@ -403,7 +403,7 @@
         return ended
 
     async def send(self, process, data):
-        """Sends bytes on a connection of its own and reads to the end."""
+        """Sends bytes on a new connection and reads to the end."""
         async with asyncio.timeout(relayed.TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
                 '127.0.0.1', process.port
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -1,7 +1,7 @@
-"""An accepted edit is in force everywhere within seconds and never reverts.
+"""An accepted edit becomes active everywhere in seconds and never reverts.
 
-The profile bounds an answer's tokens, so that its length tells under which
-revision a request was served.
+The profile limits the tokens of an answer, so that its length shows under
+which revision a request was served.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def large_layout():
-    """Two routers and two engines, whose memory bounds nothing here."""
+    """Two routers and two engines with more memory than the tests use."""
     layout = board.board_layout(engines=2, services=0, routers=2)
     for spec in layout.engines:
         spec.capacity_tokens = 1_000_000
@@ -54,7 +54,7 @@
 
     @classmethod
     def delay_sidecars(cls, seconds):
-        """Delays what routers and sidecars tell each other."""
+        """Delays the messages between routers and sidecars."""
         for link_relay in cls.relays.values():
             link_relay.delay(seconds)
 
@@ -75,7 +75,7 @@
         await self.wait_for_one_revision()
 
     async def edit(self, tokens, *options, urls=None):
-        """Bounds answers by an edit, which must be in force when it ends."""
+        """Edits the token limit; it is active when the command ends."""
         change = f'--set=max_output_tokens={tokens}'
         args = ('profile', 'edit', 'prompt', change, *options)
         ended = await operate.operate(urls or self.urls, *args)
@@ -83,7 +83,7 @@
         return tokens
 
     async def read_nodes(self, router):
-        """What a router tells of itself and of all nodes."""
+        """Returns a router's revision and its view of all nodes."""
         token = board.OPERATOR_TOKEN
         async with caller.open_client(router.url, token) as client:
             response = await client.get('/admin/v1/nodes')
@@ -93,7 +93,7 @@
         }
 
     async def wait_for_one_revision(self, *routers, after=0):
-        """Waits until these routers and all sidecars are at one revision."""
+        """Waits until the routers and all sidecars have the same revision."""
 
         async def same_revision():
             revisions = set()
@@ -107,7 +107,7 @@
         return await harness.wait_until(same_revision)
 
     async def wait_until_unlinked(self, name, *routers):
-        """Waits until the routers have given up their links to a sidecar."""
+        """Waits until the routers have dropped their links to a sidecar."""
 
         async def unlinked():
             replies = [await self.read_nodes(router) for router in routers]
@@ -116,7 +116,7 @@
         await harness.wait_until(unlinked)
 
     async def send_request(self, router, tokens=LONG, answer=None):
-        """Asks for an answer that is longer than its bound."""
+        """Requests an answer that is longer than the limit."""
         prompt = f'Slots? [[tokens={tokens}]]'
         body = {'model': board.MODEL, 'prompt': prompt}
         token = board.TOKENS['retailers']
@@ -124,7 +124,7 @@
             return await caller.generate(client, body, answer=answer)
 
     async def send_until_served(self, router):
-        """Asks again while it is refused, which must be as not run."""
+        """Retries while refused; each refusal must say `not_run`."""
 
         async def served():
             answer = await self.send_request(router)
@@ -136,7 +136,7 @@
         return await harness.wait_until(served)
 
     async def send_concurrently(self, router, count=20):
-        """Asks many times at once; gives the lengths of the answers."""
+        """Sends concurrent requests; returns the lengths of the answers."""
         answers = await asyncio.gather(
             *(self.send_request(router) for _ in range(count))
         )
@@ -147,11 +147,11 @@
 
     @fixture.on_cluster
     async def test_racing_operators(self):
-        """An operator's accepted edit is gone after a colleague's.
+        """A concurrent edit overwrites an accepted one.
 
-        Three operators change the same profile through different routers,
-        each from what they just read; who was too late makes it again. The
-        store is slow, so that edits overlap between its reads and writes.
+        Three operators edit one profile through different routers and retry
+        on a conflict. The store is slow, so that one edit is written between
+        the read and the write of another.
         """
         await self.cluster.switch(self.cluster.store, slow_s=STORE_DELAY_S)
         keys = ('priority', 'retries', 'queue_wait_s')
@@ -187,10 +187,10 @@
 
     @fixture.on_cluster
     async def test_lost_answer_to_an_edit(self):
-        """An operator is told of a failure, and the edit is in force, or twice.
+        """An edit is reported as failed but is active, or is applied twice.
 
-        The store makes an edit the newest one and its answer is lost, once or
-        again and again.
+        The store commits an edit and its response is lost, once or several
+        times in a row.
         """
         for tokens, losses in ((31, 1), (32, 3)):
             before = await self.wait_for_one_revision()
@@ -204,11 +204,11 @@
 
     @fixture.on_cluster
     async def test_restarts_while_the_store_is_down(self):
-        """An accepted edit reverts in an outage of the store.
+        """An accepted edit reverts during an outage of the store.
 
-        The store fails right after it was accepted. A sidecar and both
-        routers are killed and started anew one after the other: each has to
-        take the newest revision from its peers before it serves.
+        The store fails right after the edit was accepted. A sidecar and both
+        routers are killed and restarted in turn: each has to fetch the newest
+        revision from its peers before it serves.
         """
         before = await self.wait_for_one_revision()
         await self.edit(41, '--no-wait', urls=[self.first.url])
@@ -229,11 +229,12 @@
 
     @fixture.on_cluster
     async def test_router_resumes_with_an_old_revision(self):
-        """A request is served under a revision that was edited long ago.
+        """A request is served under an outdated revision.
 
-        A router is paused, misses an edit, and its links time out, or don't.
-        Requests that waited at its port are read first when it wakes: the
-        store is down, and the sidecars' words of the newer revision are late.
+        A router is paused and misses an edit, with or without its links
+        timing out. When it resumes it first reads the requests in its socket
+        backlog: the store is down, and the sidecars' messages about the newer
+        revision are delayed.
         """
         for tokens, pause_s in ((51, 0), (52, SILENCE_S + 1)):
             before = await self.wait_for_one_revision()
@@ -257,10 +258,10 @@
 
     @fixture.on_cluster
     async def test_sidecar_resumes_with_an_old_revision(self):
-        """A drained upstream gets new work, or a request old bounds.
+        """A drained upstream gets new work, or a request an outdated limit.
 
-        A sidecar is paused, misses two edits, its links time out, and it
-        wakes while the store is down.
+        A sidecar is paused and misses two edits, its links time out, and it
+        resumes while the store is down.
         """
         name, sidecar = next(iter(self.cluster.sidecars.items()))
         other = next(n for n in self.cluster.sidecars if n != name)
--- a/tests/failure/test_leaving.py
+++ b/tests/failure/test_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that is leaving gets nothing new, and loses nothing."""
+"""An upstream that is leaving gets no new work and loses none."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 class LeavingTest(relayed.RelayedTestCase):
     """Two routers; three engines and two services, of which three leave.
 
-    The host list lags by 30 s, longer than any of the tests, and what is
-    said on the leaving upstreams' links is 0.2 s under way, so that work is
-    sent to them after their notice.
+    The host list lags by 30 s, longer than any of the tests. Messages on the
+    links of the leaving upstreams are delayed by 0.2 s, so that routers send
+    them work after the notice.
     """
 
     LAYOUT = board.board_layout(engines=3, services=2, routers=2)
@@ -53,23 +53,23 @@
         await traffic.wait_for_state(self.routers, 'live')
 
     async def announce_by_engine(self, name=RECLAIMED):
-        """The notice comes by the engine's load report."""
+        """Gives notice through the engine's load report."""
         await self.cluster.switch(self.cluster.upstreams[name], leaving=True)
         return await self.wait_for_leaving(name)
 
     async def terminate_sidecar(self, name):
-        """The notice comes as a signal to the sidecar."""
+        """Gives notice by SIGTERM to the sidecar."""
         self.cluster.sidecars[name].terminate()
         return await self.wait_for_leaving(name)
 
     async def wait_for_leaving(self, name):
-        """Gives the place of the sidecar's word in its log."""
+        """Waits until the sidecar logs the notice; returns the log position."""
         return await traffic.wait_for_log(
             self.cluster.sidecars[name], 'event=leaving'
         )
 
     async def drain_as_operator(self, name):
-        """An operator drains the upstream; gives where its log stood then."""
+        """Drains the upstream as an operator; returns the log position."""
         revision = await traffic.drain(self.routers[1], name)
         return await traffic.wait_for_log(
             self.cluster.sidecars[name],
@@ -79,7 +79,7 @@
 
     @fixture.on_cluster
     async def test_nothing_new_after_the_notice(self):
-        """A shop's query starts on a host that is about to go."""
+        """A request starts on an upstream that has given notice."""
         async with traffic.Traffic(self.routers) as load:
             positions = await asyncio.gather(
                 self.announce_by_engine(RECLAIMED),
@@ -94,7 +94,7 @@
 
     @fixture.on_cluster
     async def test_orders_on_their_way_while_the_sidecar_ends(self):
-        """Orders are lost between a router and a sidecar that has ended."""
+        """Orders in transit are lost when their sidecar exits."""
         proxy = self.relays[f'sidecar:{APP}']
         proxy.delay(SLOW_LINK_S)
         before = proxy.received_up
@@ -116,7 +116,7 @@
 
     @fixture.on_cluster
     async def test_nothing_new_after_a_drain(self):
-        """A host is worked on while it still gets orders."""
+        """A drained host still gets new work."""
         drained = (RECLAIMED, APP)
         async with traffic.Traffic(self.routers) as load:
             positions = [await self.drain_as_operator(name) for name in drained]
@@ -127,7 +127,7 @@
             await traffic.drain(self.routers[1], name, undo=True)
 
     async def assert_nothing_new(self, names, positions):
-        """Compares each log and audit with the place of the notice."""
+        """Checks that no attempt started after each log position."""
         for name, position in zip(names, positions, strict=True):
             with self.subTest(name):
                 sidecar = self.cluster.sidecars[name]
@@ -138,7 +138,7 @@
                 await self.assert_ran_only_what_was_started(name)
 
     async def assert_ran_only_what_was_started(self, name):
-        """Compares the upstream's audit with what its sidecars started."""
+        """Checks that the upstream ran only what its sidecars started."""
         started = [
             ident
             for process in self.launcher.processes
@@ -154,7 +154,7 @@
 
     @fixture.on_cluster
     async def test_reclaimed_at_short_notice(self):
-        """A loading plan is lost with the engine that wrote it."""
+        """A generation is lost with an engine killed soon after its notice."""
         names = [f'plan-{number}' for number in range(PLANS)]
         tasks = [
             asyncio.create_task(
@@ -166,7 +166,7 @@
         for name in reclaimed:
             await traffic.wait_until_running(self.cluster, name, 3)
         await asyncio.gather(*map(self.announce_by_engine, reclaimed))
-        # A plan that ends between an engine's audit and its kill is in neither.
+        # A run that ends between the audit and the kill would be in no audit.
         for name in reclaimed:
             engine = self.cluster.upstreams[name]
             await self.cluster.switch(engine, stall=True)
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -1,4 +1,4 @@
-"""A router keeps up with upstreams that come, go, die and return."""
+"""A router follows upstreams that are added, removed or replaced."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.failure import fixture, harness, traffic
 from tests.quetzalsill_sidecar import support
 
-# In the router's own availability zone, where it sends work first.
+# In the router's availability zone, which it prefers.
 TARGET = 'model-ikeja-hall-1'
 LAG_S = 0.5
 LINKS = {'silence_s': 1.0, 'idle_s': 0.3, 'connect_s': 0.5}
@@ -20,12 +20,12 @@
 
 
 class MembershipTest(fixture.SharedClusterTestCase):
-    """One router, two engines and a service; the host list lags."""
+    """One router, two engines and a service; the host list is delayed."""
 
     LAYOUT = board.board_layout(engines=2, services=1, routers=1)
     CHANGES = {
-        # An answer under way when the sidecar dies waits for the new one,
-        # which the test holds back for as long as its other steps last.
+        # Answers in progress when the sidecar is killed wait for the new one,
+        # which starts only after other steps of the test.
         'router': {
             'links': LINKS,
             'hosts_interval_s': 0.2,
@@ -42,24 +42,24 @@
         await traffic.wait_for_state([self.router], 'live')
 
     async def wait_for_target_state(self, state):
-        """Waits until the router sees the moving upstream in a state."""
+        """Waits until the router sees the target upstream in a state."""
         await traffic.wait_for_state([self.router], state, [TARGET])
 
     @contextlib.asynccontextmanager
     async def serving(self):
-        """Callers ask without pause, and each gets its whole answer."""
+        """Applies continuous load; checks that each answer is complete."""
         async with traffic.Traffic([self.router]) as load:
             yield load
         load.assert_served(self)
 
     def count_started(self):
-        """How many attempts the present sidecar has started."""
+        """Number of attempts that the current sidecar has started."""
         return len(traffic.started_attempts(self.cluster.sidecars[TARGET]))
 
     async def assert_unused(self, load):
-        """The moving upstream gets nothing while callers are served.
+        """Checks that the target upstream gets no work under load.
 
-        What was sent to it before may still be on its way.
+        Requests sent to it before may still be in transit.
         """
         await load.wait_for_more()
         before = self.count_started()
@@ -67,7 +67,7 @@
         self.assertEqual(self.count_started(), before)
 
     async def wait_until_used(self):
-        """Waits until the moving upstream gets work again."""
+        """Waits until the target upstream gets work again."""
         before = self.count_started()
 
         async def has_more():
@@ -77,10 +77,10 @@
 
     @fixture.on_cluster
     async def test_removed_and_added_by_an_edit(self):
-        """An edit cuts what runs on an upstream, or is never noticed.
+        """An edit interrupts running answers, or is never noticed.
 
-        An operator removes an engine that is in the middle of an answer,
-        under load, and adds it again.
+        An operator removes an engine with an answer in progress, under load,
+        and adds it again.
         """
         requests = await traffic.start_until_running(
             self.cluster, self.router, TARGET, 'long', TOKENS
@@ -99,10 +99,10 @@
 
     @fixture.on_cluster
     async def test_host_list_says_leaving(self):
-        """A host that only the host list calls leaving gets work to its end.
+        """A host that only the host list reports as leaving still gets work.
 
-        Its sidecar knows of nothing. The list then fails, and what it said
-        last goes on; it comes back and calls the host live.
+        Its sidecar has no notice. The list then fails, and its last content
+        stays in effect; when it recovers it lists the host as live.
         """
         async with self.serving() as load:
             await self.cluster.set_hosts(leaving=(TARGET,))
@@ -117,20 +117,20 @@
 
     @fixture.on_cluster
     async def test_replaced_host_is_found_by_the_host_list(self):
-        """A new host stands idle until an operator edits its address.
+        """A replacement host is idle until an operator edits its address.
 
-        A sidecar dies with the host list down, which names the old host
-        leaving as it comes back; the new sidecar has another address than
-        the configuration says. The list tells it, and its old word about the
-        old host does not hold for the new one.
+        A sidecar is killed while the host list is down, and its replacement
+        has another address than the configuration. The list recovers with
+        the new address, and with the old host as leaving, which must not
+        apply to the new one.
         """
         async with self.serving() as load:
             await self.cluster.switch(self.cluster.hosts, down=True)
             old = self.cluster.sidecars.pop(TARGET)
             old.kill()
             await self.wait_for_target_state('unlinked')
-            # Callers whose answers were under way at the killed sidecar wait
-            # for the new one, and these may be all; others must be served.
+            # All clients of `load` may wait for the new sidecar, if their
+            # answers were in progress at the old one; others must be served.
             async with self.serving() as others:
                 await self.cluster.start_sidecar(TARGET)
                 await self.assert_unused(others)
@@ -143,11 +143,11 @@
 
     @fixture.on_cluster
     async def test_new_incarnation_is_never_the_old_one(self):
-        """Work meant for a sidecar that died reaches its successor.
+        """Work for an old incarnation of a sidecar reaches the new one.
 
-        A sidecar is paused in mid-answer and replaced; the router takes the
-        answers up with the new one. The old one wakes and is not listened
-        to. What still names the old incarnation is refused by the new one.
+        A sidecar is paused in mid-answer and replaced; the router resumes the
+        answers at the new one. The old one resumes and is ignored. A Dispatch
+        for the old incarnation is refused by the new one.
         """
         requests = await traffic.start_until_running(
             self.cluster, self.router, TARGET, 'taken-up', TOKENS
@@ -177,15 +177,15 @@
         self.assertEqual(traffic.started_attempts(old), started_before)
 
     async def incarnation(self):
-        """Incarnation of the moving sidecar that the router knows."""
+        """Incarnation of the target sidecar that the router knows."""
         return (await traffic.sidecar_nodes(self.router))[TARGET]['incarnation']
 
     async def runs(self):
-        """Runs of the moving engine."""
+        """Runs of the target engine."""
         return (await self.cluster.audit(TARGET))['runs']
 
     async def send_late_dispatch(self, incarnation):
-        """Sends what a router had for the old sidecar; gives the refusal."""
+        """Sends a Dispatch for an incarnation; returns the refusal code."""
         node = (await traffic.sidecar_nodes(self.router))[TARGET]
         hello = message.Hello(
             message.VERSION,
--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -1,8 +1,7 @@
-"""What is called "not run" never ran, whatever fails meanwhile.
+"""A request reported as "not run" never ran, whatever fails meanwhile.
 
-Callers ask for more than two small engines and a service take. What each was
-told, and what each sidecar refused, is held against what the upstreams say
-reached them.
+Clients overload two small engines and a service. Each response, and each
+refusal of a sidecar, is checked against the audits of the upstreams.
 """
 
 from __future__ import annotations
@@ -56,12 +55,12 @@
         await harness.wait_until_served(self.cluster)
 
     async def slow_down(self, factor, stall=False):
-        """Sets how slow the first engine is, and whether it makes no step."""
+        """Sets the slowdown of the first engine, and whether it stalls."""
         engine = self.cluster.upstreams[harness.ENGINE]
         await self.cluster.switch(engine, slow=factor, stall=stall)
 
     def start_all(self, prefix):
-        """Starts all callers; gives their tasks by name of the work."""
+        """Starts all requests; returns their tasks by name."""
         routers = list(self.cluster.routers.values())
         return {
             f'{prefix}-{n}': asyncio.create_task(
@@ -71,7 +70,7 @@
         }
 
     async def wait_until_some_ran(self, tasks):
-        """Waits until a few of the callers' requests reached an upstream."""
+        """Waits until a few of the requests have reached an upstream."""
 
         async def some_ran():
             run_counts = await harness.count_runs(self.cluster, ENGINES)
@@ -80,7 +79,7 @@
         await harness.wait_until(some_ran)
 
     async def check_refusals(self, tasks):
-        """Holds every refusal against what ran."""
+        """Checks every response and refusal against what ran."""
         results = {name: await task for name, task in tasks.items()}
         run_counts = await harness.count_runs(self.cluster, ENGINES)
         for number, (name, result) in enumerate(results.items()):
@@ -97,7 +96,7 @@
         return results
 
     def log_matches(self, what):
-        """What a pattern finds in the logs of routers and sidecars."""
+        """Matches of a pattern in the logs of all processes."""
         return [
             found
             for process in self.launcher.processes
@@ -105,14 +104,14 @@
         ]
 
     def count_in_logs(self, what):
-        """How often a pattern is found in the logs."""
+        """Number of matches of a pattern in the logs."""
         return len(self.log_matches(what))
 
     @fixture.on_cluster
     async def test_while_queues_overflow(self):
-        """A shop is told to come back, and its order is on the truck.
+        """A request is refused as overloaded although it ran.
 
-        More callers come at once than the queues hold; those in excess are
+        More requests arrive at once than the queues hold; the excess is
         refused, some after a second upstream was tried.
         """
         results = await self.check_refusals(self.start_all('full'))
@@ -120,10 +119,10 @@
 
     @fixture.on_cluster
     async def test_while_links_break_under_a_dispatch(self):
-        """A brief is called "not run" because nobody answered for it.
+        """A brief is reported as "not run" because its link was lost.
 
         All links are cut with Dispatches and answers in flight, and again
-        once they are back.
+        after they reconnect.
         """
         for proxy in self.relays.values():
             proxy.delay(LINK_DELAY_S)
@@ -146,10 +145,11 @@
 
     @fixture.on_cluster
     async def test_while_dispatches_arrive_late(self):
-        """An order is sent elsewhere, and its first Dispatch still arrives.
+        """An order is dispatched again, and its first Dispatch still arrives.
 
-        Links fall silent with Dispatches in them; routers ask on new ones,
-        are told that nothing came, and only then the old ones deliver.
+        Links stop forwarding with Dispatches in transit. Routers query the
+        sidecars on new links, which have not received them, and only then do
+        the old links deliver.
         """
         lost_before, ended = map(self.count_in_logs, (DISPATCH_LOST, UNLINKED))
         for proxy in self.relays.values():
@@ -168,11 +168,11 @@
 
     @fixture.on_cluster
     async def test_while_sidecars_are_paused(self):
-        """A paused sidecar wakes and serves what was sent elsewhere.
+        """A resumed sidecar serves work that was dispatched elsewhere.
 
-        Sidecars are stopped with Dispatches unread. Routers find their links
-        silent and dial anew; at the wake both the old links and the new ones
-        have something to say of the same attempts.
+        Sidecars are paused with Dispatches unread. Routers time out their
+        links and reconnect; after the pause both the old and the new links
+        carry messages about the same attempts.
         """
         ended = self.count_in_logs(LINK_ENDED)
         for sidecar in self.cluster.sidecars.values():
@@ -190,11 +190,11 @@
 
     @fixture.on_cluster
     async def test_while_withdrawals_race_the_start(self):
-        """A tag check is made by two engines.
+        """A request runs on two engines.
 
-        The link to a slow engine is lost while some wait there. The routers
-        take them back for the idle engine as soon as they are linked again,
-        while the sidecar goes on starting one after the other.
+        The link to a slow engine is lost while requests are queued there. The
+        routers withdraw them for the idle engine as soon as the link is back,
+        while the sidecar continues to start them one by one.
         """
         proxy = self.relays[f'sidecar:{harness.ENGINE}']
         before = self.count_in_logs(WITHDRAWN)
@@ -208,8 +208,8 @@
         first = await self.count_first_engine_runs()
         proxy.refusing = True
         proxy.cut()
-        # By then both routers want back what waits; what starts in spite of
-        # that, while they are not linked, must not be given back.
+        # By then both routers have decided to withdraw the queued requests;
+        # one that starts before the link is back must not be withdrawn.
         await asyncio.sleep(WITHDRAW_WAIT_S)
         await self.slow_down(SLOW_FACTOR)
 
@@ -228,14 +228,14 @@
         await self.check_refusals(tasks)
 
     async def count_first_engine_runs(self):
-        """How many attempts reached the first engine."""
+        """Number of attempts that reached the first engine."""
         return len((await self.cluster.audit(harness.ENGINE))['runs'])
 
     @fixture.on_cluster
     async def test_while_sidecars_restart(self):
-        """What a killed sidecar had sent is called "not run" by the next.
+        """A restarted sidecar reports as "not run" what the old one had sent.
 
-        All sidecars are killed under load and started anew on their ports.
+        All sidecars are killed under load and restarted on their ports.
         """
         tasks = self.start_all('restart')
         await self.wait_until_some_ran(tasks)
@@ -243,7 +243,7 @@
         await self.check_refusals(tasks)
 
     async def restart(self, *upstreams):
-        """Kills sidecars and starts them anew on their ports."""
+        """Kills sidecars and restarts them on their ports."""
         for name in upstreams:
             self.cluster.sidecars[name].kill()
             await self.cluster.sidecars[name].wait()
--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -1,4 +1,8 @@
-"""Engines are brought to their desired state, and kept there."""
+"""Sidecars bring engines to their desired state and keep them there.
+
+An order is a command of a sidecar to its engine to load or unload a model or
+an adapter.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 
 def layout():
-    """Two engines, of which the second checks fences, and a router."""
+    """Two engines, of which only the second checks fences, and a router."""
     found = board.board_layout(engines=2, services=0, routers=1)
     found.engines[1].checks_fence = True
     return found
@@ -53,7 +57,7 @@
             await self.wait_until_loaded(name, [board.MODEL], [])
 
     def desired(self, name):
-        """Desired state of an upstream, to be changed and published."""
+        """Desired state of an upstream, for the test to change and publish."""
         return self.cluster.configuration.upstreams[name]
 
     async def read(self, url, path):
@@ -61,12 +65,12 @@
             return (await client.get(path)).json()
 
     async def commands(self, name):
-        """Orders that an engine has had, with their fences."""
+        """Commands that an engine has received, with their fences."""
         history = (await self.cluster.audit(name))['orders']
         return [(o['kind'], o['name'], o['fence']) for o in history]
 
     async def wait_until_loaded(self, name, models, adapters):
-        """Waits until an engine has just these loaded."""
+        """Waits until an engine has exactly these models and adapters."""
 
         async def is_loaded():
             load = await self.read(self.cluster.upstreams[name].url, '/load')
@@ -75,12 +79,12 @@
         await harness.wait_until(is_loaded)
 
     async def confirmation_count(self, name):
-        """How often a sidecar has told what is loaded."""
+        """Number of times a sidecar has confirmed what is loaded."""
         path = f'/table/placement/{name}'
         return (await self.read(self.cluster.store.url, path))['version']
 
     async def wait_for_confirmations(self, *names):
-        """Waits until each sidecar has looked at its engine some times."""
+        """Waits until each sidecar has confirmed its engine's state again."""
         for name in names:
             before = await self.confirmation_count(name)
 
@@ -94,10 +98,10 @@
 
     @fixture.on_cluster
     async def test_the_last_engine_of_a_model_stays(self):
-        """All planning stops: an edit took the model off every engine.
+        """An edit that moves every engine to another model leaves none.
 
-        Both engines are to change to another model at once. Both load it;
-        one gives the first model up, and the other, now its last, may not.
+        Both engines load the new model; one unloads the old model, and the
+        other, now the last with it, must not.
         """
         for name in (UNFENCED, FENCED):
             self.desired(name).models = [OTHER_MODEL]
@@ -125,10 +129,10 @@
 
     @fixture.on_cluster
     async def test_no_orders_while_the_store_is_down(self):
-        """An outage of the store stops the planning, or unloads engines.
+        """An outage of the store stops placement for good, or unloads engines.
 
-        The newest revision wants an adapter; orders need lease and slot.
-        Answers go on meanwhile, and the order follows the outage.
+        The newest revision adds adapters, and commands need lease and slot.
+        Requests are served meanwhile, and the command follows the outage.
         """
         router = next(iter(self.cluster.routers.values()))
         await self.cluster.switch(self.cluster.upstreams[UNFENCED], order_s=1.0)
@@ -149,7 +153,7 @@
         await self.wait_until_loaded(UNFENCED, [board.MODEL], ['x1', 'x2'])
 
     async def wait_for_commands(self, name, count):
-        """Waits until an engine has had so many orders."""
+        """Waits until an engine has received `count` commands."""
 
         async def has_commands():
             return len(await self.commands(name)) >= count
@@ -166,12 +170,12 @@
 
     @fixture.on_cluster
     async def test_paused_sidecar_resumes_beside_its_successor(self):
-        """An engine ends with what nobody wants any more.
+        """A resumed sidecar applies an outdated plan to its engine.
 
-        A sidecar is paused with orders left to give, past its lease. Its
-        successor, at another address, orders otherwise under a newer
-        revision and gives the lease back. The first wakes with its old
-        configuration, to a free lease and no link.
+        A sidecar is paused past its lease with commands left to send. Its
+        successor, at another address, applies a newer revision and releases
+        the lease. The first resumes with its old configuration, a free lease
+        and no link.
         """
         for name in (UNFENCED, FENCED):
             with self.subTest(name):
--- a/tests/failure/test_own_answer.py
+++ b/tests/failure/test_own_answer.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request."""
+"""Each client gets the complete answer to its own request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 CALLERS = 200
 DELAYS_S = (0.005, 0.01, 0.03)
-# Answers between two cuts.
+# Answers completed between two link cuts.
 ANSWERS_PER_CUT = 25
 
 
@@ -32,11 +32,11 @@
 
     @fixture.on_cluster
     async def test_answers_that_come_late_and_crossed(self):
-        """A clerk reads another depot's plan, or the end of one.
+        """A client gets another client's answer, or part of one.
 
-        Many callers ask at once through both routers. The links delay what
-        they carry, one more than the other, and are cut now and then, so
-        that answers cross and each router resumes many at once.
+        Many clients send requests through both routers at once. The links
+        have different delays and are cut repeatedly, so that answers cross
+        and each router resumes many at once.
         """
         rng = random.Random(4)
         lengths = [rng.randint(5, 60) for _ in range(CALLERS)]
@@ -50,7 +50,7 @@
                 lambda n=goal: sum(task.done() for task in tasks) >= n
             )
             for link in self.relays.values():
-                # What the relay holds back is lost with the connection.
+                # Delayed data is lost with the connection.
                 link.cut()
                 link.delay(rng.choice(DELAYS_S))
         await asyncio.gather(*tasks)
@@ -65,11 +65,11 @@
 
     @fixture.on_cluster
     async def test_ids_after_a_restart(self):
-        """A handset gets the answer that was meant for another one.
+        """Attempt ids are reused and a client gets another client's answer.
 
-        A router is killed with answers open and started again at its
-        address, twice. It counts its attempts from the beginning, while
-        sidecars and engines still hold those of the process before.
+        A router is killed with answers in progress and restarted at its
+        address, twice. Its attempt counter restarts, while sidecars and
+        engines still hold the attempts of the previous process.
         """
         waves = []
         router = next(iter(self.cluster.routers))
@@ -97,12 +97,13 @@
 
     @fixture.on_cluster
     async def test_patient_caller_comes_back_through_another_router(self):
-        """A clerk's plan is lost with the entry host that took it.
+        """An accepted answer is lost with the router that accepted it.
 
-        The router that accepted the plan is killed while it is generated;
-        the clerk asks for it by its key through another router, then sends
-        it again under that key. Both give the same whole plan. It may be made
-        twice, since patient work may be repeated, but one is kept.
+        That router is killed during the generation; the client fetches the
+        answer by its idempotency key through another router, then sends the
+        request again under the key. Both return the same complete answer. The
+        generation may run twice, since patient work may be repeated, but only
+        one result is kept.
         """
         first, second = self.cluster.routers.values()
         key_header = {'idempotency_key': 'plan-of-the-day'}
--- a/tests/failure/test_patient.py
+++ b/tests/failure/test_patient.py
@@ -1,4 +1,4 @@
-"""Patient work that was accepted is answered whole, whatever fails."""
+"""Accepted patient work gets a complete answer, whatever fails."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class PatientTest(patient.PatientTestCase):
-    """One failure at a time, and work that comes meanwhile."""
+    """Single failures, and new work during a failure."""
 
     @fixture.on_cluster
     async def test_one_failure(self):
-        """A plan is lost, and trucks stand idle at the gate.
+        """An accepted plan is lost.
 
-        Plans and briefs are accepted and run. A router, sidecar or engine
-        dies, a router sleeps, or the store is down, silent, slow or loses
-        answers for longer than any bound of ours.
+        Plans and briefs are accepted and running. A router, sidecar or engine
+        is killed, a router is paused, or the store is down, unresponsive,
+        slow or loses responses for longer than any timeout of the cluster.
         """
         for fault in self.faults():
             await self.run_case(fault, (fault,))
 
     @fixture.on_cluster
     async def test_new_work_while_the_store_is_away(self):
-        """A clerk waits on a plan that nobody took; handsets wait as well.
+        """New work waits for a failed store, and so does interactive work.
 
-        The store fails in each way. New patient work is refused as not run,
-        with a time to come back and not by the bound on an acceptance; slot
-        queries are answered all the while.
+        The store fails in each way. New patient work is refused as not run
+        with a Retry-After, without waiting for the acceptance timeout;
+        requests of the prompt profile are answered throughout.
         """
         for fault in patient.STORE_FAULTS:
             await self.restore()
             await self.set_store(**{fault: True})
-            # The first may have to find out; from then on it is known.
+            # The first request may have to detect the failure.
             await harness.submit_long_brief(
                 self.first, fault, patient.TOKENS, 'patient'
             )
@@ -61,7 +61,7 @@
                 for name, result in zip(names, refused, strict=True):
                     self.assertEqual(result.code, 'store_unavailable', result)
                     self.assertIs(result.not_run, True)
-                    # Not what ends a wait at its bound: "is slow".
+                    # A refusal after the timeout says "is slow" instead.
                     self.assertIn(
                         UNAVAILABLE_MESSAGE, result.body['error']['message']
                     )
--- a/tests/failure/test_patient_twice.py
+++ b/tests/failure/test_patient_twice.py
@@ -1,4 +1,4 @@
-"""Patient work is kept when failures come together or again."""
+"""Accepted patient work survives simultaneous and repeated failures."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class PatientTwiceTest(patient.PatientTestCase):
-    """Two failures at once, and one after the other."""
+    """Two failures at once, and the same failure twice."""
 
     @fixture.on_cluster
     async def test_two_failures_at_once(self):
-        """A plan is lost since its router died while the store was away.
+        """A plan is lost if its router is killed while the store is down.
 
-        The store holds the only other trace of a request, and the sidecar
-        the only word on its run; each fails along with another part.
+        The store holds the only other record of a request, and the sidecar
+        the only record of its run; each fails along with another component.
         """
         for pair in (
             ('router', 'down'),
@@ -29,10 +29,10 @@
 
     @fixture.on_cluster
     async def test_the_same_failure_twice(self):
-        """A plan survives a failure, and the same once more loses it.
+        """A plan survives one failure and is lost in the second.
 
-        The second strikes while the first is being recovered from; for
-        routers it strikes the one that took the work over.
+        The second is injected during recovery from the first; for routers, it
+        hits the one that took over the work.
         """
         for fault in ('router', 'sidecar', 'engine', 'down', 'lost'):
             await self.run_case(f'twice-{fault}', (fault,), (fault,))
--- a/tests/failure/test_restart.py
+++ b/tests/failure/test_restart.py
@@ -1,4 +1,4 @@
-"""Processes that are killed and come back at their address."""
+"""Processes that are killed and restarted at their address."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (self.router,) = self.cluster.routers.values()
 
     async def send_until_answered(self):
-        """An answer, asked for again while it is refused as not run."""
+        """Sends a request, with retries while it is refused as not run."""
         token = board.TOKENS['retailers']
         async with caller.open_client(self.router.url, token) as client:
             for _ in range(MAX_TRIES):
@@ -34,11 +34,11 @@
         return answer
 
     async def test_restarted_sidecar_serves_again(self):
-        """A sidecar is killed and its supervisor starts it again.
+        """A sidecar is killed and its supervisor restarts it.
 
-        Callers are refused as not run until the router has a link to the
-        new process; then answers are whole again, and the engine has run
-        each answered request once and nothing else.
+        Requests are refused as not run until the router has a link to the new
+        process; then answers are complete again, and the engine has run each
+        answered request once and nothing else.
         """
         first = await self.send_until_answered()
         self.cluster.sidecars[self.name].kill()
--- a/tests/failure/test_shutdown.py
+++ b/tests/failure/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown cuts nothing, and says what it waits for."""
+"""A graceful shutdown interrupts nothing and logs what is unfinished."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
     @fixture.on_cluster
     async def test_nothing_is_cut(self):
-        """A deployment cuts plans, shop queries and orders in the middle.
+        """A deployment interrupts requests in progress.
 
-        A router with streams, an order and a queue of plans, a sidecar that
-        has half of these, and the service's sidecar get SIGTERM at once, and
-        again. All is answered whole, and then all three end.
+        A router with streams, an order and queued plans, a sidecar with half
+        of these, and the service's sidecar get SIGTERM together, repeatedly.
+        All requests get complete answers, and then all three processes exit.
         """
         service = self.cluster.upstreams[APP]
         await self.cluster.switch(service, delay_s=1.5)
@@ -87,9 +87,9 @@
         )
 
     async def is_shutting_down(self):
-        """The first router takes nothing new, and says that it did not run.
+        """Whether the first router refuses new work as it is shutting down.
 
-        Before, the order is refused as its only service is leaving.
+        Until then the order is refused because its only service is leaving.
         """
         self.assertEqual(await traffic.readiness(self.first), REFUSED)
         result = await harness.send_order(self.first, 'late')
@@ -98,12 +98,12 @@
 
     @fixture.on_cluster
     async def test_sidecar_waits_for_a_paused_router(self):
-        """An answer that is complete is lost on its last hop.
+        """A finished answer is lost between sidecar and router.
 
-        A router that takes 8 tokens at a time is paused in mid-answer until
-        its link is dropped as silent. The engine ends the answer meanwhile
-        and the sidecar gets SIGTERM; it stays until the router has woken and
-        taken the rest.
+        A router with a flow-control credit of 8 tokens is paused in
+        mid-answer until its link times out. The engine finishes the answer
+        and the sidecar gets SIGTERM; it runs until the router has resumed and
+        received the rest.
         """
         task, answer = traffic.start_generation(
             self.first, 'paused', SHORT_TOKENS
@@ -136,17 +136,17 @@
         return self.first.name
 
     async def has_tokens(self, answer):
-        """The answer has begun."""
+        """Whether the answer has more than one token."""
         return len(answer.texts) > 1
 
     async def log_contains(self, process, position, parts):
-        """The log holds these words after the place."""
+        """Whether a log line after the position contains all the parts."""
         expected = parts.split()
         lines = process.log_text()[position:].splitlines()
         return any(all(word in line for word in expected) for line in lines)
 
     async def find_sidecar(self, name):
-        """The sidecar whose engine runs the prompt of this name."""
+        """Returns the sidecar whose engine runs the prompt of this name."""
         expected = traffic.digest(name, SHORT_TOKENS)
         for upstream, runs in (
             await traffic.runs_by_upstream(self.cluster)
@@ -157,11 +157,11 @@
 
     @fixture.on_cluster
     async def test_bound_of_the_wait(self):
-        """A host that should go hangs for ever, and nobody knows why.
+        """A process never exits after SIGTERM and logs no reason.
 
-        Engines stall with queries and a plan in hand; a router and then a
-        sidecar get SIGTERM. At the end of their grace they name what still
-        runs and end; the plan is answered through the other router.
+        Engines stall with queries and a plan in progress; a router and then a
+        sidecar get SIGTERM. After the grace period they log what is unfinished
+        and exit; the plan is answered through the other router.
         """
         await self.restart_with_short_grace()
         for name in ENGINES:
@@ -211,7 +211,7 @@
         self.assertTrue(later.succeeded, later)
 
     async def restart_with_short_grace(self):
-        """Starts a router and the engines' sidecars with a short grace."""
+        """Restarts a router and the engine sidecars with a short grace."""
         self.addCleanup(self.cluster.changes.update, self.CHANGES)
         self.cluster.changes['router'] = {'stop': {'grace_s': GRACE_S}}
         self.cluster.changes['sidecar'] = {'timing': {'grace_s': GRACE_S}}
@@ -220,7 +220,7 @@
         await self.restore()
 
     async def kill_processes_with_short_grace(self):
-        """Lets `restore` start them again, with what the settings are then."""
+        """Kills these processes, so that `restore` applies new settings."""
         router = self.cluster.routers[self.first.name]
         sidecars = [self.cluster.sidecars[name] for name in ENGINES]
         for process in (router, *sidecars):
--- a/tests/failure/test_silent_connections.py
+++ b/tests/failure/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""Connections that are dead although new ones work, on each hop.
+"""Half-open connections on each hop, while new connections work.
 
-A relay stops to forward on the connections open now and keeps them open, as
-when something between the ends has lost track of them; new ones work.
+A relay stops forwarding on its open connections without closing them, as when
+a middlebox has lost their state; new connections work.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 STORE_TIMEOUT_S = 0.5
 KEEP_ALIVE_INTERVAL_S = 0.2
 ORDER_TIMEOUT_S = 2.0
-# A loaded machine may take longer than a bound says, but not for good.
+# Timeouts may expire late on a loaded machine.
 TIMEOUT_FACTOR = 8
 DIRECTIONS = ({}, {'up': False}, {'down': False})
 
@@ -34,7 +34,7 @@
 
 
 class SilentTest(relayed.RelayedTestCase):
-    """One engine, one plain service, one router; relays on each hop."""
+    """One engine, one HTTP service, one router; relays on each hop."""
 
     LAYOUT = _layout()
     RELAYED = ('sidecar:', 'upstream:', 'store')
@@ -65,7 +65,7 @@
         await super().restore()
 
     async def wait_for_new_connection(self, hop, timeout_s):
-        """Waits until the hop has a new connection, with slack for load."""
+        """Waits until the hop has a new connection, with a scaled timeout."""
         before = self.relays[hop].accepted
         async with asyncio.timeout(timeout_s * TIMEOUT_FACTOR):
             while self.relays[hop].accepted == before:  # noqa: ASYNC110
@@ -73,11 +73,11 @@
 
     @fixture.on_cluster
     async def test_link_between_router_and_sidecar(self):
-        """A handset waits for its deadline at a host that is well.
+        """A request waits for its deadline although its upstream is healthy.
 
-        The idle link falls silent, and a request is sent into it. The link
-        is replaced within its silence bound; then the sidecar says that it
-        never came, and it is sent again, for the first time to the engine.
+        A request is sent on an idle link that no longer forwards. The link is
+        replaced within its timeout; then the sidecar reports that it never
+        received the request, which is sent again and reaches the engine once.
         """
         hop = f'sidecar:{harness.ENGINE}'
         for directions in DIRECTIONS:
@@ -93,11 +93,11 @@
 
     @fixture.on_cluster
     async def test_stream_of_an_engine(self):
-        """A plan stops in the middle and never goes on.
+        """An answer stops in the middle and never continues.
 
-        The connection to the engine falls silent before the answer's head,
-        and its successor in mid-answer; each is replaced within the stall
-        bound, at the event that comes next.
+        The connection to the engine stops forwarding before the response
+        head, and its replacement in mid-answer; each is replaced within the
+        stall timeout, and the stream resumes at the next event.
         """
         hop = f'upstream:{harness.ENGINE}'
         engine = self.cluster.upstreams[harness.ENGINE]
@@ -115,12 +115,12 @@
 
     @fixture.on_cluster
     async def test_order_whose_answer_never_comes(self):
-        """A shop is told that its order did not run, though it did.
+        """An order is reported as not run although it ran.
 
-        The connection to the app server falls silent with an order under
-        way. Nothing tells that from a slow server, so its bound is the time
-        that the route allows. Then the shop is told that the outcome is
-        unknown; the order is not repeated, and the next one goes through.
+        The connection to the service stops forwarding with an order in
+        progress. This can't be told from a slow server, so only the timeout of
+        the route ends it. The outcome is then unknown; the order is not
+        repeated, and the next one succeeds.
         """
         app = self.cluster.upstreams[harness.APP]
         await self.cluster.switch(app, delay_s=0.5)
@@ -136,7 +136,7 @@
             self.assertEqual(await self.count_orders(name), 1)
 
     async def send_order(self, name):
-        """Orders from the service."""
+        """Sends an order to the service."""
         token = board.TOKENS['retailers']
         async with caller.open_client(self.url(), token) as client:
             return await client.post(
@@ -144,16 +144,16 @@
             )
 
     async def count_orders(self, name):
-        """How often the service took the order."""
+        """Number of times the service received the order."""
         return (await self.cluster.audit(harness.APP))['orders'].get(name, 0)
 
     @fixture.on_cluster
     async def test_connections_to_the_store(self):
-        """Patient plans are refused, and edits ignored, though the store is up.
+        """Patient work is refused and edits ignored although the store is up.
 
-        All connections to the store fall silent. Each call on one ends in
-        its timeout and takes the others with it; prompt work goes on, then
-        plans are accepted again and the newest edit comes into force.
+        All connections to the store stop forwarding. A call that times out
+        closes the other connections too; prompt work is served meanwhile,
+        then plans are accepted again and the newest edit becomes active.
         """
         store = self.relays['store']
         store.silence()
@@ -161,7 +161,7 @@
         await self.wait_for_new_connection('store', STORE_TIMEOUT_S)
         await prompting
         self.assert_whole(prompt, 10)
-        # What the launcher publishes doesn't pass the relay.
+        # The launcher publishes without the relay.
         self.cluster.configuration.profiles['fresh'] = model.Profile()
         await self.cluster.publish()
         store.silence(up=False)
@@ -181,11 +181,12 @@
 
     @fixture.on_cluster
     async def test_connection_of_a_caller(self):
-        """A clerk's browser shows half a plan for ever.
+        """A client waits forever for the rest of an answer.
 
-        The connection between caller and router falls silent in mid-answer.
-        The caller finds it by the missing comment lines, and gets the whole
-        plan by its key over a new connection; it is made once.
+        The connection between client and router stops forwarding in
+        mid-answer. The client detects it by the missing comment lines, and
+        gets the complete answer by its idempotency key on a new connection;
+        the generation runs once.
         """
         proxy = await self.caller_relay()
         token = board.TOKENS['retailers']
@@ -216,18 +217,18 @@
         self.assertEqual(len(await self.new_runs()), 1)
 
     async def caller_relay(self):
-        """A relay between a caller and the router."""
+        """Returns a relay between a client and the router."""
         (router,) = self.cluster.routers.values()
         await self.via('sidecar:caller', router.address)
         return self.relays['sidecar:caller']
 
     @fixture.on_cluster
     async def test_caller_that_reads_nothing(self):
-        """Answers that nobody takes fill the memory and keep others out.
+        """Unread responses fill the memory and block other requests.
 
-        A merchant's host vanishes while it fetches a proof that is too long
-        for all buffers; its connection takes no more bytes. The router closes
-        it within the bound on that, and the call on the service ends.
+        A client stops reading a response that is larger than all buffers. The
+        router closes the connection within the write timeout, and the call to
+        the service ends.
         """
         token = board.TOKENS['retailers']
         path = f'/services/{board.SERVICE}/large?bytes={LARGE}'
--- a/tests/failure/test_through_any_router.py
+++ b/tests/failure/test_through_any_router.py
@@ -1,4 +1,4 @@
-"""What runs in one router is seen and cancelled through another."""
+"""A request of one router is found and cancelled through another."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ThroughAnyRouterTest(fixture.SharedClusterTestCase):
-    """Two routers; the first runs a request, the second is asked.
+    """Two routers; the first runs a request, the second is queried.
 
-    No heartbeat is due while a test lasts.
+    No heartbeat is due during a test.
     """
 
     CHANGES = {
@@ -52,10 +52,10 @@
 
     @fixture.on_cluster
     async def test_operator_asks_the_other_router(self):
-        """An operator looks for a request that holds up an engine.
+        """An operator gets "not found" for a request that is running.
 
-        The command line asks one router, the balancer gave the request to
-        another, and the operator is told that there is no such request.
+        The command line queries one router, and the load balancer sent the
+        request to another.
         """
         answer, task = await self.start_request()
         urls = [self.second.url]
@@ -72,9 +72,9 @@
 
     @fixture.on_cluster
     async def test_caller_cancels_at_the_other_router(self):
-        """A caller's cancellation comes to a router that doesn't run it.
+        """A cancellation reaches a router that doesn't run the request.
 
-        It got 404 and the generation went on to its end.
+        The client got 404 and the generation ran to its end.
         """
         answer, task = await self.start_request()
         token = board.TOKENS['retailers']
@@ -85,9 +85,9 @@
 
     @fixture.on_cluster
     async def test_accepted_edit_does_not_wait_for_a_heartbeat(self):
-        """An operator edits a profile and waits until it is in force.
+        """An edit reaches sidecars only with the next heartbeat.
 
-        Sidecars heard of it by the next heartbeat only.
+        The command waits until the edit is active on all nodes.
         """
         *_, router = self.cluster.routers.values()
         command = await operate.operate(
@@ -99,9 +99,9 @@
 
     @fixture.on_cluster
     async def test_silent_router_is_named(self):
-        """The router that runs the request is paused.
+        """A request is reported as not found while its router is paused.
 
-        The operator must not be told that no router runs it.
+        The outcome is unknown, and the error names the unreachable router.
         """
         answer, task = await self.start_request()
         self.first.stop()
--- a/tests/failure/test_tls.py
+++ b/tests/failure/test_tls.py
@@ -1,4 +1,4 @@
-"""Routers and sidecars that talk with certificates, as processes."""
+"""Mutual TLS between processes of routers and sidecars."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def make_context(tls):
-    """Context of a client that shows a certificate, if it has one."""
+    """Returns a client context, with a certificate if `tls` has one."""
     context = ssl.create_default_context(cafile=tls.authority)
     if tls.certificate:
         context.load_cert_chain(tls.certificate, tls.key)
@@ -34,7 +34,7 @@
 
 
 class TlsTest(relayed.RelayedTestCase):
-    """A router and a sidecar that demand certificates, a relay between."""
+    """A router and a sidecar that require certificates, and a relay."""
 
     LAYOUT = board.board_layout(engines=1, services=0, routers=1)
 
@@ -79,7 +79,7 @@
             )
 
     def untrusted_clients(self):
-        """Who must not be let in."""
+        """TLS settings of clients that must be refused."""
         authority = self.caller.authority
         foreign = self.other_authority.issue('foreign')
         return {
@@ -103,10 +103,10 @@
 
     @relayed.fixture.on_cluster
     async def test_untrusted_peers_are_refused_and_disturb_nobody(self):
-        """Someone on the network calls the router and dials the sidecar.
+        """An untrusted client gets through to a router or a sidecar.
 
-        It has no certificate, one that has expired, or one of another
-        authority, or it speaks no TLS. A caller is being answered meanwhile.
+        It has no certificate, one that has expired or one of another
+        authority, or doesn't use TLS. An answer is streamed meanwhile.
         """
         answer, task = self.start_request(200)
         await self.wait_for_tokens(1, answer)
@@ -130,11 +130,11 @@
 
     @relayed.fixture.on_cluster
     async def test_files_are_replaced_while_the_processes_run(self):
-        """The authority and all certificates are replaced before they end.
+        """The authority and all certificates are replaced without a restart.
 
-        First the sidecar's alone, by one that has expired: the router takes
-        no link to it and refuses work as not run. Then all: new links and new
-        callers go by the new authority, and the old certificate is refused.
+        First the sidecar's alone, by one that has expired: the router does
+        not link to it and refuses work as not run. Then all: new links and
+        clients use the new authority, and the old certificate is refused.
         """
         (proxy,) = self.relays.values()
         self.trusted.issue('sidecar', -certificate.DAY)
--- a/tests/failure/test_tokens_once.py
+++ b/tests/failure/test_tokens_once.py
@@ -1,4 +1,4 @@
-"""Each token once, in order and from one generation, whatever fails."""
+"""Each token is delivered once, in order and from one generation."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 LARGE = 48 << 20
 FAULTS = (
     ('cut', lambda proxy: proxy.cut()),
-    ('no word from the sidecar', lambda proxy: proxy.silence(up=False)),
-    ('no word from the router', lambda proxy: proxy.silence(down=False)),
-    ('silent both ways', lambda proxy: proxy.silence()),
+    ('sidecar to router silent', lambda proxy: proxy.silence(up=False)),
+    ('router to sidecar silent', lambda proxy: proxy.silence(down=False)),
+    ('both directions silent', lambda proxy: proxy.silence()),
 )
 SERVICE = f'/services/{board.SERVICE}'
 
@@ -39,15 +39,15 @@
     }
 
     def count_links(self):
-        """Links dialled so far."""
+        """Number of links opened so far."""
         return sum(proxy.accepted for proxy in self.relays.values())
 
     @fixture.on_cluster
     async def test_link_fails_twice_in_mid_answer(self):
-        """A clerk reads a plan with a hole, or with lines twice.
+        """An answer has a gap or repeated tokens.
 
-        The link between router and sidecar breaks or falls silent, one way
-        or both, while answers come, and its successor does so too.
+        The link between router and sidecar breaks or stops forwarding, in one
+        direction or both, during answers, and so does its replacement.
         """
         for name, fail in FAULTS:
             with self.subTest(name):
@@ -71,17 +71,17 @@
 
     @fixture.on_cluster
     async def test_sidecar_is_killed_in_mid_answer(self):
-        """A clerk's plan stops, or begins anew in the middle.
+        """An answer stops, or restarts in the middle.
 
-        The sidecar is killed twice in mid-answer and started again at its
-        port; the engine runs on, and its one generation is taken up.
+        The sidecar is killed twice in mid-answer and restarted on its port;
+        the engine keeps running, and its generation is resumed.
         """
         answer, task = self.start_request(LONG)
         engine = ''
         for _ in range(2):
             await self.wait_for_tokens(len(answer.texts) + 10, answer)
-            # The engine may be through before the second kill, and the rest of
-            # the answer still with the sidecar; the run stays where it is.
+            # The engine may finish before the second kill, with the rest of
+            # the answer at the sidecar; the run stays on that engine.
             engine = engine or await self.running_engine()
             await self.restart_sidecar(engine)
         await task
@@ -90,10 +90,11 @@
 
     @fixture.on_cluster
     async def test_engine_is_killed_before_the_first_token(self):
-        """A handset waits for its deadline, or gets two answers' tokens.
+        """A request waits for its deadline, or mixes tokens of two answers.
 
-        The engine dies with the request taken and nothing generated; the
-        work may be repeated, and the new engine's answer comes whole.
+        The engine is killed after it accepted the request and before the
+        first token; the work may be repeated, and the answer of another
+        engine is complete.
         """
         for process in self.cluster.upstreams.values():
             await self.cluster.switch(process, stall=True)
@@ -110,12 +111,12 @@
 
     @fixture.on_cluster
     async def test_engine_is_killed_after_the_tenth_token(self):
-        """A handset's answer goes on with another generation's tokens.
+        """An answer continues with the tokens of another generation.
 
-        The engines die after both callers' tenth token. What was delivered
-        can't be taken back, so the streamed answer ends in a typed failure;
-        the patient one, of which nothing was, comes whole from one
-        generation.
+        The engines are killed after the tenth token of both answers.
+        Delivered tokens can't be withdrawn, so the streamed answer ends in a
+        typed error; the patient one, of which none was delivered, is complete
+        and from one generation.
         """
         streamed, streaming = self.start_request(LONG)
         batch_answer, batch_task = self.start_request(LONG, profile='patient')
@@ -140,11 +141,11 @@
 
     @fixture.on_cluster
     async def test_slow_reader_beside_a_fast_one(self):
-        """Every handset waits for one merchant's stalled browser.
+        """A client that stops reading blocks all others.
 
-        One caller stops reading a proof that is too long for all buffers on
-        the way, and an answer; others read theirs to the end meanwhile, over
-        the same links. Then the slow one gets all of its own.
+        It stops reading a response that is larger than all buffers on the
+        path, and a stream; other clients receive theirs to the end over the
+        same links. Then it reads all of its own.
         """
         token = board.TOKENS['retailers']
         async with (
--- a/tests/failure/test_trace.py
+++ b/tests/failure/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a request over all its hops, as processes write it."""
+"""Tracing of a request across all hops."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TraceTest(relayed.RelayedTestCase):
-    """One router and one sidecar, which write their spans to one folder."""
+    """One router and one sidecar, which write spans to the same folder."""
 
     RELAYED = ()
     LAYOUT = board.board_layout(engines=1, services=0, routers=1)
@@ -33,7 +33,7 @@
         super().setUpClass()
 
     def spans(self):
-        """Spans of the caller's trace, by name."""
+        """Spans of the client's trace, by name."""
         lines = [
             json.loads(line)
             for file in self.folder.iterdir()
@@ -47,10 +47,10 @@
 
     @relayed.fixture.on_cluster
     async def test_each_hop_has_a_span_of_the_callers_trace(self):
-        """An operator looks for the hop that made a caller wait.
+        """The slow hop of a request can't be found.
 
-        A hop without a span, or with a trace of its own, hides it; so do log
-        lines without the trace.
+        This happens if a hop has no span or a separate trace, or if its log
+        lines lack the trace id.
         """
         answer, task = self.start_request(
             3, traceparent=f'00-{TRACE}-{CALLER}-01'
--- a/tests/failure/test_unknown.py
+++ b/tests/failure/test_unknown.py
@@ -1,4 +1,4 @@
-"""Who is told "unknown" can ask later, and is told what became of it."""
+"""A client that gets "outcome unknown" can query the outcome later."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
     @fixture.on_cluster
     async def test_acceptance(self):
-        """A clerk is told "unknown" under an id that nobody knows.
+        """A client gets "outcome unknown" with a request id that is not found.
 
-        The store takes the acceptance, its answer is lost, and the store
-        falls silent. Once it is back the outcome can be had.
+        The store writes the acceptance, its response is lost, and the store
+        stops responding. After its recovery the outcome can be queried.
         """
         store = self.cluster.store
         lost = await harness.read_count(store, 'lost')
-        # Not the answer to a router's renewal, which may come at any moment.
+        # Only this write, not a router's renewal, which may come at any time.
         await self.cluster.switch(store, lose_answers=1, lose_only='late')
         tasks = asyncio.create_task(
             harness.send_order(self.first, 'late', 'late')
@@ -70,11 +70,12 @@
 
     @fixture.on_cluster
     async def test_link_that_is_lost_for_long(self):
-        """A shop is told "unknown" for ever about an order that was taken.
+        """The outcome of an order that ran stays unknown forever.
 
-        The links to both sidecars are lost under orders, which are overdue
-        soon, and a brief, whose link is given up before. Once they are back
-        the router learns what became of each, and tells who asks.
+        The links to both sidecars are lost with orders in progress, which
+        soon exceed their deadline, and a brief, whose recovery times out.
+        After reconnecting, the router learns the outcome of each and returns
+        it on query.
         """
         asks = {
             'order': (harness.send_order, '', 'deadline_exceeded'),
@@ -114,7 +115,7 @@
         )
 
     async def slow_down(self, app_s=0.0, stall=False):
-        """Sets how slow the service is, and whether the engine makes steps."""
+        """Sets the delay of the service, and whether the engine stalls."""
         await self.cluster.switch(
             self.cluster.upstreams[harness.APP], delay_s=app_s
         )
@@ -124,10 +125,10 @@
 
     @fixture.on_cluster
     async def test_request_that_nobody_knows_any_more(self):
-        """A shop repeats an order that was taken, as told to.
+        """A client repeats an order that ran, because it is not found.
 
-        An order without a key was unknown to the only router that knew it,
-        and that was killed. Nobody can tell now; "not found" is no "not run".
+        The outcome of an order without a key is unknown, and the only router
+        with a record of it is killed. "Not found" must not mean "not run".
         """
         await self.cluster.switch(
             self.cluster.upstreams[harness.APP], close_orders=1
@@ -141,11 +142,11 @@
 
     @fixture.on_cluster
     async def test_router_killed_in_mid_answer(self):
-        """Every answer of a link stalls, because one was asked after.
+        """A query about one answer stalls all others on the link.
 
-        A router is killed after its caller took part of a streamed brief.
-        Asked through another one, its outcome is that it ran; what else runs
-        over the links of that router is not disturbed.
+        A router is killed after its client received part of a streamed brief.
+        Queried through another router, the outcome is that it ran; other
+        answers on the links of that router are unaffected.
         """
         answer, tasks = self.start_request(
             TOKENS, 'cut', 'brief', idempotency_key='cut'
--- a/tests/failure/traffic.py
+++ b/tests/failure/traffic.py
@@ -1,4 +1,4 @@
-"""Callers that ask without pause, and what the processes say of it."""
+"""Continuous client load, and queries of logs, audits and node states."""
 
 from __future__ import annotations
 
@@ -16,19 +16,18 @@
 STARTED = re.compile(r'event=attempt_started\b.*\battempt=(\S+)')
 WORKERS = 8
 TOKENS = 5
-# Pause between requests that wait for one to reach an engine. Longer than an
-# engine takes to begin an answer.
+# Longer than an engine takes to return the first token.
 REQUEST_INTERVAL_S = 0.1
 INITIAL_REQUESTS = 6
 
 
 def prompt(name, tokens=TOKENS):
-    """A prompt whose answer has so many tokens."""
+    """Returns a prompt whose answer has `tokens` tokens."""
     return f'{name} [[tokens={tokens}]]'
 
 
 def digest(name, tokens=TOKENS):
-    """Digest of a prompt as the engine's audit gives it."""
+    """Returns the digest of a prompt as in the engine's audit."""
     encoded = prompt(name, tokens).encode()
     return hashlib.sha256(encoded).hexdigest()[: harness.DIGEST_LENGTH]
 
@@ -36,7 +35,7 @@
 async def generate(
     router, name, tokens=TOKENS, profile='', answer=None, key=''
 ):
-    """Asks one router for a generation."""
+    """Requests a generation from a router."""
     headers = {'x-quetzalsill-profile': profile} if profile else {}
     if key:
         headers['idempotency-key'] = key
@@ -47,18 +46,18 @@
 
 
 def start_generation(*args, **options):
-    """Asks in a task; gives it with the answer that it fills meanwhile."""
+    """Starts a generation; returns its task and the growing answer."""
     answer = caller.Answer()
     task = asyncio.create_task(generate(*args, answer=answer, **options))
     return task, answer
 
 
 class Traffic:
-    """Prompt requests and orders at all routers, again and again.
+    """Continuous generations and orders at all routers.
 
     Attributes:
       answers: Answers to generations so far.
-      orders: What the callers of orders were told, by the order's name.
+      orders: Results of orders so far, by name.
     """
 
     _names = itertools.count(1)
@@ -83,7 +82,7 @@
         await asyncio.gather(*self._tasks)
 
     async def wait_for_more(self, count=15):
-        """Waits until so many more generations and orders are answered."""
+        """Waits until `count` more generations and orders are answered."""
         wanted = [len(self.answers) + count, len(self.orders) + count]
 
         async def enough_answered():
@@ -93,7 +92,7 @@
         await harness.wait_until(enough_answered)
 
     def assert_served(self, case):
-        """Checks that every caller got its whole answer."""
+        """Checks that every client received a complete answer."""
         for answer in self.answers:
             case.assertEqual(answer.status, 200, answer.error)
             case.assertTrue(answer.is_whole, answer)
@@ -114,12 +113,12 @@
 
 
 def started_attempts(process, start=0):
-    """Attempts that a sidecar said it started, from a place in its log."""
+    """Attempts that a sidecar logged as started, from a log position."""
     return STARTED.findall(process.log_text()[start:])
 
 
 async def wait_for_log(process, *words):
-    """Waits for a line with all these words; gives where the log stood."""
+    """Waits for a log line with all these words; returns its position."""
 
     async def found():
         position = 0
@@ -133,7 +132,7 @@
 
 
 async def runs_by_upstream(cluster):
-    """All runs of the engines that can be asked, by upstream."""
+    """All runs of the running engines, by upstream."""
     found = {}
     for name, process in cluster.upstreams.items():
         if process.running and 'model' in name:
@@ -142,7 +141,7 @@
 
 
 async def wait_until_sent(cluster, tokens, *names):
-    """Waits until an engine has each of these prompts."""
+    """Waits until each of these prompts has reached an engine."""
     wanted = {digest(name, tokens) for name in names}
 
     async def sent():
@@ -155,7 +154,7 @@
 
 
 async def wait_until_running(cluster, upstream, count):
-    """Waits until an engine is in the middle of so many generations."""
+    """Waits until an engine has `count` generations in progress."""
 
     async def found():
         return await _count_running(cluster, upstream) >= count
@@ -164,11 +163,11 @@
 
 
 async def start_until_running(cluster, router, upstream, name, tokens):
-    """Asks until an engine is in the middle of an answer; gives all asked.
+    """Starts requests until one is in progress on an engine; returns them all.
 
-    Which engine gets a request is the router's choice, made by loads that it
-    was told some time ago: all of the first few may go to other engines. Each
-    one there makes it dearer, so that the next go to this one.
+    The router chooses engines by load reports that may be stale, so the first
+    few requests may all go to other engines. Each of them raises the load
+    there, so that later ones go to this engine.
     """
     requests = [
         start_generation(router, f'{name}-{n}', tokens)
@@ -198,7 +197,7 @@
 
 
 async def sidecar_nodes(router):
-    """What a router tells of each upstream's sidecar."""
+    """Returns a router's view of each sidecar, by upstream."""
     async with caller.open_client(router.url, board.OPERATOR_TOKEN) as client:
         found = (await client.get('/admin/v1/nodes')).json()
     return {
@@ -219,7 +218,7 @@
 
 
 async def wait_for_state(routers, wanted, names=()):
-    """Waits until all these routers see upstreams (or all) in a state."""
+    """Waits until all routers see the upstreams (default: all) in a state."""
 
     async def seen():
         for router in routers:
@@ -233,7 +232,7 @@
 
 
 async def drain(router, name, undo=False):
-    """Drains an upstream as an operator; gives the revision that does."""
+    """Drains an upstream as an operator; returns the new revision."""
     path = f'/admin/v1/upstreams/{name}/{"undrain" if undo else "drain"}'
     async with caller.open_client(router.url, board.OPERATOR_TOKEN) as client:
         found = (await client.get('/admin/v1/config')).json()
@@ -243,7 +242,7 @@
 
 
 async def readiness(router):
-    """Status of `/readyz`; 0 if nobody listens."""
+    """Status of `/readyz`; 0 if the connection fails."""
     with contextlib.suppress(httpx2.TransportError):
         async with caller.open_client(router.url) as client:
             return (await client.get('/readyz')).status_code
--- a/tests/test_failures_page.py
+++ b/tests/test_failures_page.py
@@ -17,7 +17,7 @@
 
 
 class FailuresPageTest(unittest.TestCase):
-    """An operator searches the logs for a line that was renamed."""
+    """The page names a log event, metric or setting that was renamed."""
 
     def test_each_name_stands_in_the_code(self):
         files = (ROOT / 'packages').glob('*/src/**/*.py')
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""No module of the packages imports itself by way of others."""
+"""The modules of the packages have no import cycles."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def modules() -> dict[str, pathlib.Path]:
-    """Returns the files of all modules by dotted name; packages too."""
+    """Returns the files of all modules and packages by dotted name."""
     found = {}
     for source in SOURCES:
         for file in source.rglob('*.py'):
@@ -28,10 +28,9 @@
 
 
 def imported(tree: ast.Module) -> Iterator[str]:
-    """Yields every dotted name that a module may mean by its imports.
+    """Yields every dotted name that the imports of a module may refer to.
 
-    Those under TYPE_CHECKING count: a reader has to follow them all the
-    same.
+    Imports under TYPE_CHECKING count: a reader has to follow them too.
     """
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -43,7 +42,7 @@
 
 
 def graph(files: dict[str, pathlib.Path]) -> dict[str, set[str]]:
-    """Returns which modules each module imports, packages left out."""
+    """Returns the modules that each module imports, without packages."""
     leaves = {n for n, f in files.items() if f.name != '__init__.py'}
     return {
         name: leaves.intersection(imported(ast.parse(files[name].read_text())))
@@ -52,7 +51,7 @@
 
 
 class ImportCyclesTest(unittest.TestCase):
-    """A newcomer can read the modules from the bottom up."""
+    """Modules can be read in the order of their imports."""
 
     def test_modules_do_not_import_each_other_in_a_cycle(self):
         sorter = graphlib.TopologicalSorter(graph(modules()))
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""docs/OPERATIONS.md tells the events and metrics that there are."""
+"""docs/OPERATIONS.md lists exactly the existing events and metrics."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def source_text(package):
-    """Returns the code that may write the events of a package."""
+    """Returns the source code that may log the events of a package."""
     folder = package.replace('_', '-')
     folders = [ROOT / 'packages' / folder]
     if package == GATEWAY:
@@ -38,7 +38,7 @@
 
 
 class OperationsPageTest(unittest.TestCase):
-    """An engineer on call searches for a line that was renamed."""
+    """The page lists an event or metric that was renamed."""
 
     def test_each_event_stands_on_the_page(self):
         for package in event_table.PACKAGES:
@@ -70,13 +70,13 @@
             code = source_text(package)
             for cls in found.values():
                 with self.subTest(f'{package}.{cls.__name__}'):
-                    # Called, or the value of a table that is.
+                    # Called directly, or listed in a table of events.
                     self.assertRegex(code, rf'event\.{cls.__name__}[(,]')
                     for field in dataclasses.fields(cls):
                         self.assertIn(f'      {field.name}: ', cls.__doc__)
 
     def test_no_log_line_bypasses_the_events(self):
-        """A line is added in passing, and its fields drift from the page."""
+        """A log line without an event class is missing from the page."""
         for folder in SOURCES:
             for path in folder.rglob('*.py'):
                 is_product = 'quetzalsill-dev' not in path.parts
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -15,7 +15,7 @@
     """Each row names a test, or says why there is none."""
 
     def test_each_named_test_exists(self):
-        """A promise is claimed by a test that was renamed or removed."""
+        """A row names a test that was renamed or removed."""
         for name in TEST.findall(PROOFS.read_text()):
             with self.subTest(name):
                 found = pkgutil.resolve_name(name)
