--- a/tests/failure/patient.py
+++ b/tests/failure/patient.py
@@ -85,7 +85,7 @@
 
     async def submit(self, name, router, kinds=('plan', 'brief')):
         """Submits plans and briefs; returns the acceptances by name."""
-        asked = {
+        kind_by_name = {
             f'{name}-{kind}-{number}': kind
             for kind in kinds
             for number in range(REQUESTS_PER_KIND)
@@ -93,12 +93,12 @@
         results = await asyncio.gather(
             *(
                 harness.submit_long_brief(router, item, TOKENS, PROFILES[kind])
-                for item, kind in asked.items()
+                for item, kind in kind_by_name.items()
             )
         )
         for item in results:
             self.assertEqual(item.status, harness.PENDING, item)
-        return dict(zip(asked, results, strict=True))
+        return dict(zip(kind_by_name, results, strict=True))
 
     async def wait_for_first_tokens(self, accepted):
         """Waits until each accepted request has generated tokens."""
@@ -206,8 +206,8 @@
         (choice,) = result.body['choices']
         tokens = choice['text'].split()
         generation = tokens[0].partition('.')[0]
-        whole = [f'{generation}.{index}' for index in range(TOKENS)]
-        self.assertEqual(tokens, whole)
+        expected = [f'{generation}.{index}' for index in range(TOKENS)]
+        self.assertEqual(tokens, expected)
         self.assertIn(TOKENS, [run['tokens'] for run in runs])
 
     async def run_case(self, name, *rounds):
--- a/tests/failure/test_bad_input.py
+++ b/tests/failure/test_bad_input.py
@@ -244,8 +244,8 @@
         """Sends an invalid request and checks the error."""
         method, path, headers, body, status, code, names = case
         if isinstance(body, dict):
-            whole = body if path.startswith(ADMIN) else GOOD | body
-            body = json.dumps(whole).encode()
+            content = body if path.startswith(ADMIN) else GOOD | body
+            body = json.dumps(content).encode()
         with self.subTest(
             path, headers=str(headers)[:60], body=body and body[:60]
         ):
@@ -258,8 +258,8 @@
             self.assertIn(names, json.dumps(error))
             self.assertTrue(error['advice'], error)
             # Whether an unknown request has run is unknown too.
-            asked = path.startswith('/v1/requests/r-')
-            self.assertIs(error['not_run'], None if asked else True)
+            is_unknown = path.startswith('/v1/requests/r-')
+            self.assertIs(error['not_run'], None if is_unknown else True)
             self.assertNotIn('x-evil', found.headers)
             await self.wait_for_log(self.router, f'code={code}')
 
--- a/tests/failure/test_trace.py
+++ b/tests/failure/test_trace.py
@@ -11,7 +11,7 @@
 from tests.failure import relayed
 
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
-CALLER = '00f067aa0ba902b7'
+CALLER_SPAN = '00f067aa0ba902b7'
 HOPS = ['router.request', 'router.route', 'router.dispatch', 'sidecar.attempt']
 
 
@@ -53,12 +53,12 @@
         lines lack the trace id.
         """
         answer, task = self.start_request(
-            3, traceparent=f'00-{TRACE}-{CALLER}-01'
+            3, traceparent=f'00-{TRACE}-{CALLER_SPAN}-01'
         )
         self.assert_whole(await task, 3)
         await self.wait_until(lambda: self.spans().keys() >= set(HOPS))
         spans = self.spans()
-        parent = CALLER
+        parent = CALLER_SPAN
         for name in ('router.request', 'router.dispatch', 'sidecar.attempt'):
             self.assertEqual(spans[name]['parent'], parent, name)
             parent = spans[name]['span']
