--- a/tests/failure/test_through_any_router.py
+++ b/tests/failure/test_through_any_router.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 
-from quetzalsill_dev import board, caller, operate
+from quetzalsill_dev import board, caller, operator_cli
 from tests.failure import fixture, harness
 
 BODY = {'model': board.MODEL, 'prompt': 'A long plan. [[tokens=4000]]'}
@@ -59,15 +59,15 @@
         """
         answer, task = await self.start_request()
         urls = [self.second.url]
-        description = await operate.read(
+        description = await operator_cli.run_json(
             urls, 'request', 'show', answer.request
         )
         self.assertEqual(description['request'], answer.request)
         self.assertEqual(description['state'], 'running')
-        command = await operate.operate(
+        command = await operator_cli.run(
             urls, 'request', 'cancel', answer.request
         )
-        self.assertEqual(command.status, 0, command.complaint)
+        self.assertEqual(command.exit_status, 0, command.stderr)
         await self.assert_cancelled(answer, task)
 
     @fixture.on_cluster
@@ -90,12 +90,12 @@
         The command waits until the edit is active on all nodes.
         """
         *_, router = self.cluster.routers.values()
-        command = await operate.operate(
+        command = await operator_cli.run(
             [router.url],
             *('profile', 'edit', 'prompt', '--set', 'max_output_tokens=500'),
         )
-        self.assertEqual(command.status, 0, command.complaint)
-        self.assertIn('in force on 4 nodes', command.output)
+        self.assertEqual(command.exit_status, 0, command.stderr)
+        self.assertIn('in force on 4 nodes', command.stdout)
 
     @fixture.on_cluster
     async def test_silent_router_is_named(self):
