--- a/tests/failure/patient.py
+++ b/tests/failure/patient.py
@@ -1,4 +1,4 @@
-"""Accepted plans and briefs, faults that strike, and what has to be kept."""
+"""Fault injection for accepted plans and briefs, and checks of outcomes."""
 
 from __future__ import annotations
 
@@ -8,20 +8,26 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
-# Longer than every bound of ours in `CHANGES`.
+# Longer than every timeout in `CHANGES`.
 OUTAGE_S = 2.5
-# What isn't away but spoilt lasts shorter; the killed come back at once.
-LASTS_S = {'router': 0, 'sidecar': 0, 'engine': 0, 'slow': 1, 'lost': 1}
+# Degraded stores recover sooner; killed processes restart at once.
+FAULT_DURATION_S = {
+    'router': 0,
+    'sidecar': 0,
+    'engine': 0,
+    'slow': 1,
+    'lost': 1,
+}
 TOKENS = 120
-PLANS = 4
+REQUESTS_PER_KIND = 4
 PROFILES = {'plan': 'patient', 'brief': 'scene'}
-BROKEN_STORE = ('down', 'reset', 'silent')
+STORE_FAULTS = ('down', 'reset', 'silent')
 
 
 class PatientTestCase(fixture.SharedClusterTestCase):
-    """Two routers and two engines; accepted work outlives all of them."""
+    """Two routers and two engines; accepted work survives their failure."""
 
     LAYOUT = board.board_layout(engines=2, services=0, routers=2)
     CHANGES = {
@@ -55,13 +61,13 @@
         await self.set_store()
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
-        # Both stores of a router must know that the platform is back.
+        # Both store clients of a router must have seen the platform recover.
         for router in (self.first, self.second):
-            await asking.until(functools.partial(self.serves, router))
+            await harness.wait_until(functools.partial(self.serves, router))
 
     async def set_store(self, slow_s=0.0, lose_answers=0, **faults):
-        """Sets what is wrong with the store; without arguments nothing."""
-        broken = dict.fromkeys(BROKEN_STORE, False) | faults
+        """Sets the faults of the store; without arguments it has none."""
+        broken = dict.fromkeys(STORE_FAULTS, False) | faults
         await self.cluster.switch(
             self.cluster.store,
             slow_s=slow_s,
@@ -70,44 +76,44 @@
         )
 
     async def serves(self, router):
-        """Whether a router answers prompt and patient work."""
-        told = [
-            await asking.brief(router, 'test', profile=profile)
+        """Whether a router answers work of both profiles."""
+        results = [
+            await harness.send_brief(router, 'test', profile=profile)
             for profile in ('prompt', 'patient')
         ]
-        return all(one.answered for one in told)
+        return all(item.succeeded for item in results)
 
     async def submit(self, name, router, kinds=('plan', 'brief')):
-        """Has plans and briefs accepted; gives what was told, by name."""
-        asked = {
+        """Submits plans and briefs; returns the acceptances by name."""
+        kind_by_name = {
             f'{name}-{kind}-{number}': kind
             for kind in kinds
-            for number in range(PLANS)
+            for number in range(REQUESTS_PER_KIND)
         }
-        told = await asyncio.gather(
+        results = await asyncio.gather(
             *(
-                asking.long_brief(router, one, TOKENS, PROFILES[kind])
-                for one, kind in asked.items()
+                harness.submit_long_brief(router, item, TOKENS, PROFILES[kind])
+                for item, kind in kind_by_name.items()
             )
         )
-        for one in told:
-            self.assertEqual(one.status, asking.PENDING, one)
-        return dict(zip(asked, told, strict=True))
+        for item in results:
+            self.assertEqual(item.status, harness.PENDING, item)
+        return dict(zip(kind_by_name, results, strict=True))
 
-    async def until_first_tokens(self, accepted):
-        """Waits until each accepted request has made tokens."""
+    async def wait_for_first_tokens(self, accepted):
+        """Waits until each accepted request has generated tokens."""
 
-        async def made():
+        async def have_tokens():
             runs = await self.runs()
             return all(
-                any(run['tokens'] for run in runs[asking.digest(name, TOKENS)])
+                any(run['tokens'] for run in runs[harness.digest(name, TOKENS)])
                 for name in accepted
             )
 
-        await asking.until(made)
+        await harness.wait_until(have_tokens)
 
     async def runs(self):
-        """All runs that live engines know, by digest of the prompt."""
+        """All runs in the audits of running engines, by prompt digest."""
         found = collections.defaultdict(list)
         for name, engine in self.cluster.upstreams.items():
             if not engine.running:
@@ -121,7 +127,7 @@
         await process.wait()
 
     def faults(self):
-        """What can fail, by name."""
+        """Functions that inject a fault, by name of the fault."""
         first, *_ = self.cluster.upstreams
         return {
             'router': lambda: self.kill(self.first),
@@ -137,8 +143,8 @@
     async def pause(self):
         self.first.stop()
 
-    async def heal(self):
-        """Restores what failed, without a look at whether all serve."""
+    async def clear_faults(self):
+        """Removes the faults without waiting until the cluster is ready."""
         for process in self.launcher.processes:
             process.cont()
         await self.set_store()
@@ -147,70 +153,75 @@
                 await self.cluster.start_upstream(name)
         await self.cluster.restart_ended()
 
-    async def strike(self, *names):
-        """Lets faults strike at once, last, and end.
+    async def inject(self, *names):
+        """Injects faults together, waits for their duration and clears them.
 
         Returns:
-          Runs known before an engine forgets them by its restart.
+          Runs before the faults; an engine loses its audit in a restart.
         """
         before = await self.runs()
         async with asyncio.TaskGroup() as group:
             for name in names:
                 group.create_task(self.faults()[name]())
-        await asyncio.sleep(max(LASTS_S.get(n, OUTAGE_S) for n in names))
-        await self.heal()
+        await asyncio.sleep(
+            max(FAULT_DURATION_S.get(n, OUTAGE_S) for n in names)
+        )
+        await self.clear_faults()
         return before
 
-    async def assert_kept(self, accepted, before=None, known=True):
-        """Each plan has its whole answer; no brief ran twice.
+    async def assert_outcomes(self, accepted, before=None, known=True):
+        """Checks that each plan has a complete answer and no brief ran twice.
 
         Args:
-          accepted: What was told at acceptance, by name.
+          accepted: Acceptances by name.
           before: Runs of engines that were restarted since.
-          known: The engines and sidecars lived, so that each brief's outcome
-            is known too.
+          known: No engine or sidecar failed, so that the outcome of each
+            brief must be known too.
         """
         settled = await asyncio.gather(
-            *(asking.settled(self.second, told) for told in accepted.values())
+            *(
+                harness.wait_for_outcome(self.second, result)
+                for result in accepted.values()
+            )
         )
         runs = await self.runs()
-        for name, told in zip(accepted, settled, strict=True):
+        for name, result in zip(accepted, settled, strict=True):
             with self.subTest(name):
                 is_plan = '-plan-' in name
-                digest = asking.digest(name, TOKENS)
+                digest = harness.digest(name, TOKENS)
                 own = {run['request_id']: run for run in runs[digest]}
                 for run in (before or {}).get(digest, ()):
                     own.setdefault(run['request_id'], run)
                 if not is_plan:
                     self.assertLessEqual(len(own), 1, own)
                 if is_plan or known:
-                    self.assertTrue(told.answered, told)
-                if told.answered:
-                    self.assert_whole(told, own.values())
-                elif told.not_run:
+                    self.assertTrue(result.succeeded, result)
+                if result.succeeded:
+                    self.assert_whole(result, own.values())
+                elif result.not_run:
                     self.assertFalse(own)
 
-    def assert_whole(self, told, runs):
-        """The answer is all of one generation, which an engine finished."""
-        (choice,) = told.body['choices']
+    def assert_whole(self, result, runs):
+        """Checks that the answer is one complete generation of an engine."""
+        (choice,) = result.body['choices']
         tokens = choice['text'].split()
         generation = tokens[0].partition('.')[0]
-        whole = [f'{generation}.{index}' for index in range(TOKENS)]
-        self.assertEqual(tokens, whole)
+        expected = [f'{generation}.{index}' for index in range(TOKENS)]
+        self.assertEqual(tokens, expected)
         self.assertIn(TOKENS, [run['tokens'] for run in runs])
 
     async def run_case(self, name, *rounds):
-        """Has work accepted, lets faults strike round by round, and checks."""
+        """Submits work, injects each round of faults and checks outcomes."""
         with self.subTest(name):
             await self.restore()
             accepted = await self.submit(name, self.first)
-            await self.until_first_tokens(accepted)
+            await self.wait_for_first_tokens(accepted)
             before = {}
             for faults in rounds:
-                for digest, runs in (await self.strike(*faults)).items():
+                for digest, runs in (await self.inject(*faults)).items():
                     before.setdefault(digest, []).extend(runs)
                 self.first, self.second = self.second, self.first
-            struck = {fault for faults in rounds for fault in faults}
-            known = not struck & {'engine', 'sidecar'}
+            injected = {fault for faults in rounds for fault in faults}
+            known = not injected & {'engine', 'sidecar'}
             await self.cluster.wait_ready()
-            await self.assert_kept(accepted, before, known)
+            await self.assert_outcomes(accepted, before, known)
--- a/tests/failure/relayed.py
+++ b/tests/failure/relayed.py
@@ -1,4 +1,4 @@
-"""A shared cluster with relays on its hops, and callers that are watched."""
+"""A shared cluster with relays between its processes, and its clients."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 import httpx2
 
 from quetzalsill_dev import board, caller, relay
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 __all__ = ['RelayedTestCase', 'body']
 
-BOUND_S = 30.0
-POLL_S = 0.01
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.01
 
 
 def body(tokens: int, name: str = 'plan') -> dict[str, str]:
-    """Request of an answer of that many tokens."""
+    """Returns a request body whose answer has that many tokens."""
     return {'model': board.MODEL, 'prompt': f'{name} [[tokens={tokens}]]'}
 
 
 class RelayedTestCase(fixture.SharedClusterTestCase):
-    """Puts a relay into the hops whose names begin as `RELAYED` says.
+    """Inserts a relay into each hop whose name starts with one of `RELAYED`.
 
     Attributes:
       relays: Relays by hop.
@@ -57,15 +57,15 @@
 
     @classmethod
     async def _stop_relays(cls):
-        for middle in cls.relays.values():
-            await middle.stop()
+        for proxy in cls.relays.values():
+            await proxy.stop()
 
     async def restore(self):
-        for middle in self.relays.values():
-            middle.refusing = False
-            middle.delay(0.0)
+        for proxy in self.relays.values():
+            proxy.refusing = False
+            proxy.delay(0.0)
         await super().restore()
-        await self.until(self.is_served)
+        await self.wait_until(self.is_served)
         self.seen_runs = {
             name: await self._run_ids(name) for name in self.engines
         }
@@ -79,8 +79,10 @@
         """Base URL of a router."""
         return [*self.cluster.routers.values()][router].url
 
-    def ask(self, tokens, name='plan', profile='prompt', router=0, **headers):
-        """Asks in the background; gives the answer as it grows, and a task."""
+    def start_request(
+        self, tokens, name='plan', profile='prompt', router=0, **headers
+    ):
+        """Starts a request; returns the growing answer and its task."""
         answer = caller.Response()
         token = board.TOKENS['retailers']
         sent = {k.replace('_', '-'): v for k, v in headers.items()}
@@ -96,23 +98,25 @@
 
         return answer, asyncio.create_task(run())
 
-    async def until(self, condition):
-        """Waits for a condition, which may be a coroutine function."""
-        async with asyncio.timeout(BOUND_S):
+    async def wait_until(self, condition):
+        """Polls a condition, which may be a coroutine function."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 found = condition()
                 if asyncio.iscoroutine(found):
                     found = await found
                 if found:
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def until_tokens(self, least, *answers):
-        """Waits until each answer has that many tokens."""
-        await self.until(lambda: min(len(a.texts) for a in answers) >= least)
+    async def wait_for_tokens(self, minimum, *answers):
+        """Waits until each answer has at least `minimum` tokens."""
+        await self.wait_until(
+            lambda: min(len(a.texts) for a in answers) >= minimum
+        )
 
     async def new_runs(self):
-        """Runs on all engines since the test began."""
+        """Runs on all engines since the start of the test."""
         return [
             run
             for name in self.engines
@@ -121,7 +125,7 @@
         ]
 
     async def running_engine(self):
-        """Name of an engine that runs something now."""
+        """Name of an engine with a run in progress; empty if there is none."""
         for name in self.engines:
             for run in (await self.cluster.audit(name))['runs']:
                 if not run['finished'] and not run['cancelled']:
@@ -129,8 +133,10 @@
         return ''
 
     async def is_served(self):
-        """Each router answers."""
-        answers = [await self.ask(1, router=i)[1] for i in self._routers()]
+        """Whether each router returns a complete answer."""
+        answers = [
+            await self.start_request(1, router=i)[1] for i in self._routers()
+        ]
         return all(answer.is_complete for answer in answers)
 
     def _routers(self):
@@ -141,19 +147,19 @@
         return {run['request_id'] for run in runs}
 
     async def restart_engine(self, name):
-        """Kills an engine and starts it at its address."""
+        """Kills an engine and restarts it at the same address."""
         self.cluster.upstreams[name].kill()
         await self.cluster.upstreams[name].wait()
         await self.cluster.start_upstream(name)
 
     async def restart_sidecar(self, name):
-        """Kills a sidecar and starts it at its address."""
+        """Kills a sidecar and restarts it at the same address."""
         self.cluster.sidecars[name].kill()
         await self.cluster.sidecars[name].wait()
         await self.cluster.start_sidecar(name)
 
     def assert_own(self, answer, prompt, runs):
-        """All that came of an answer is from the run of its prompt.
+        """Checks that all tokens received are from the run of this prompt.
 
         Returns:
           The run.
@@ -161,13 +167,13 @@
         (name,) = answer.generations
         (run,) = [run for run in runs if f'g{run["generation"]}' == name]
         digest = hashlib.sha256(prompt.encode()).hexdigest()
-        self.assertEqual(run['prompt_digest'], digest[: asking.DIGEST_LENGTH])
+        self.assertEqual(run['prompt_digest'], digest[: harness.DIGEST_LENGTH])
         expected = [f'{name}.{i} ' for i in range(len(answer.texts))]
         self.assertEqual(answer.texts, expected)
         return run
 
     def assert_whole(self, answer, tokens):
-        """The answer is whole, from one generation, and as long as asked."""
+        """Checks that the answer is complete and has `tokens` tokens."""
         self.assertEqual(answer.status, 200, answer.error)
         self.assertTrue(answer.is_complete, (answer.error, answer.texts[-3:]))
         self.assertEqual(len(answer.texts), tokens)
--- a/tests/failure/test_configuration.py
+++ b/tests/failure/test_configuration.py
@@ -1,7 +1,7 @@
-"""An accepted edit is in force everywhere within seconds and never reverts.
+"""An accepted edit becomes active everywhere in seconds and never reverts.
 
-The profile bounds an answer's tokens, so that its length tells under which
-revision a request was served.
+The profile limits the tokens of an answer, so that its length shows under
+which revision a request was served.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 import unittest
 
 from quetzalsill_dev import board, caller, operator_cli, relay
-from tests.failure import asking, fixture
+from tests.failure import fixture, harness
 
 LONG = 400
 HEAD = '"head"'
 CONFLICT = 4
-ROUNDS = (6, 7)
+VALUES = (6, 7)
 SILENCE_S = 3.0
-LATE_S = 0.3
-SLOW_S = 0.1
+LINK_DELAY_S = 0.3
+STORE_DELAY_S = 0.1
 
 
-def roomy_layout():
-    """Two routers and two engines, whose memory bounds nothing here."""
+def large_layout():
+    """Two routers and two engines with more memory than the tests use."""
     layout = board.board_layout(engines=2, services=0, routers=2)
     for spec in layout.engines:
         spec.capacity_tokens = 1_000_000
@@ -33,7 +33,7 @@
     """Two routers, and two engines with their sidecars."""
 
     relays = {}
-    LAYOUT = roomy_layout()
+    LAYOUT = large_layout()
     CHANGES = {
         'router': {
             'follow_interval_s': 0.2,
@@ -54,9 +54,9 @@
 
     @classmethod
     def delay_sidecars(cls, seconds):
-        """Delays what routers and sidecars tell each other."""
-        for one in cls.relays.values():
-            one.delay(seconds)
+        """Delays the messages between routers and sidecars."""
+        for link_relay in cls.relays.values():
+            link_relay.delay(seconds)
 
     async def restore(self):
         self.delay_sidecars(0)
@@ -72,71 +72,73 @@
         await super().restore()
         self.first, self.second = self.cluster.routers.values()
         self.urls = [self.first.url, self.second.url]
-        await self.until_everywhere()
+        await self.wait_for_one_revision()
 
     async def edit(self, tokens, *options, urls=None):
-        """Bounds answers by an edit, which must be in force when it ends."""
+        """Edits the token limit; it is active when the command ends."""
         change = f'--set=max_output_tokens={tokens}'
         args = ('profile', 'edit', 'prompt', change, *options)
         ended = await operator_cli.run(urls or self.urls, *args)
         self.assertEqual(ended.exit_status, 0, ended.stderr)
         return tokens
 
-    async def look(self, router):
-        """What a router tells of itself and of all nodes."""
+    async def read_nodes(self, router):
+        """Returns a router's revision and its view of all nodes."""
         token = board.OPERATOR_TOKEN
         async with caller.open_client(router.url, token) as client:
             response = await client.get('/admin/v1/nodes')
-        told = response.raise_for_status().json()
-        return told['revision'], {node['name']: node for node in told['nodes']}
+        reply = response.raise_for_status().json()
+        return reply['revision'], {
+            node['name']: node for node in reply['nodes']
+        }
 
-    async def until_everywhere(self, *routers, after=0):
-        """Waits until these routers and all sidecars are at one revision."""
+    async def wait_for_one_revision(self, *routers, after=0):
+        """Waits until the routers and all sidecars have the same revision."""
 
-        async def as_one():
+        async def same_revision():
             revisions = set()
             for router in routers or (self.first, self.second):
-                own, nodes = await self.look(router)
+                own, nodes = await self.read_nodes(router)
                 shown = (nodes[name] for name in self.cluster.sidecars)
                 revisions |= {own, *(node['revision'] for node in shown)}
             newest = max(revisions)
             return len(revisions) == 1 and newest > after and newest
 
-        return await asking.until(as_one)
+        return await harness.wait_until(same_revision)
 
-    async def until_unlinked(self, name, *routers):
-        """Waits until the routers have given up their links to a sidecar."""
+    async def wait_until_unlinked(self, name, *routers):
+        """Waits until the routers have dropped their links to a sidecar."""
 
         async def unlinked():
-            looks = [await self.look(router) for router in routers]
-            return all(n[name]['state'] == 'unlinked' for _, n in looks)
+            replies = [await self.read_nodes(router) for router in routers]
+            return all(n[name]['state'] == 'unlinked' for _, n in replies)
 
-        await asking.until(unlinked)
+        await harness.wait_until(unlinked)
 
-    async def ask(self, router, tokens=LONG, answer=None):
-        """Asks for an answer that is longer than its bound."""
+    async def send_request(self, router, tokens=LONG, answer=None):
+        """Requests an answer that is longer than the limit."""
         prompt = f'Slots? [[tokens={tokens}]]'
         body = {'model': board.MODEL, 'prompt': prompt}
         token = board.TOKENS['retailers']
         async with caller.open_client(router.url, token) as client:
             return await caller.generate(client, body, answer=answer)
 
-    async def ask_until_served(self, router):
-        """Asks again while it is refused, which must be as not run."""
+    async def send_until_served(self, router):
+        """Retries while refused; each refusal must say `not_run`."""
 
         async def served():
-            answer = await self.ask(router)
+            answer = await self.send_request(router)
             if answer.status == 200:
                 return answer
             self.assertIs(answer.error['error']['not_run'], True)
             return None
 
-        return await asking.until(served)
+        return await harness.wait_until(served)
 
-    async def ask_at_once(self, router, count=20):
-        """Asks many times at once; gives the lengths of the answers."""
+    async def send_concurrently(self, router, count=20):
+        """Sends concurrent requests; returns the lengths of the answers."""
         answers = await asyncio.gather(
-            *(self.ask(router) for _ in range(count))
+            *(self.send_request(router) for _ in range(count))
         )
         for answer in answers:
             if answer.status != 200:
@@ -145,21 +147,21 @@
 
     @fixture.on_cluster
     async def test_racing_operators(self):
-        """An operator's accepted edit is gone after a colleague's.
+        """A concurrent edit overwrites an accepted one.
 
-        Three operators change the same profile through different routers,
-        each from what they just read; who was too late makes it again. The
-        store is slow, so that edits overlap between its reads and writes.
+        Three operators edit one profile through different routers and retry
+        on a conflict. The store is slow, so that one edit is written between
+        the read and the write of another.
         """
-        await self.cluster.switch(self.cluster.store, slow_s=SLOW_S)
+        await self.cluster.switch(self.cluster.store, slow_s=STORE_DELAY_S)
         keys = ('priority', 'retries', 'queue_wait_s')
-        before = await self.until_everywhere()
+        before = await self.wait_for_one_revision()
 
         async def operate_on(number, key):
             urls = self.urls[number % 2 :] + self.urls[: number % 2]
-            for value in ROUNDS:
+            for value in VALUES:
                 args = ('profile', 'edit', 'prompt', f'--set={key}={value}')
-                if value != ROUNDS[-1]:
+                if value != VALUES[-1]:
                     args += ('--no-wait',)
                 ended = None
                 while ended is None or ended.exit_status == CONFLICT:
@@ -170,50 +172,50 @@
         profile = await operator_cli.run_json(
             self.urls, 'profile', 'show', 'prompt'
         )
-        self.assertEqual({profile['value'][k] for k in keys}, {ROUNDS[-1]})
-        told = await operator_cli.run_json(
+        self.assertEqual({profile['value'][k] for k in keys}, {VALUES[-1]})
+        reply = await operator_cli.run_json(
             self.urls, 'profile', 'history', 'prompt', '--limit=9'
         )
         made = [
             (change['path'].rpartition('.')[2], change['after'])
-            for entry in reversed(told['entries'])
+            for entry in reversed(reply['entries'])
             if entry['revision'] > before
             for change in entry['changes']
         ]
         for key in keys:
             values = [value for changed, value in made if changed == key]
-            self.assertEqual(values, list(ROUNDS))
-        self.assertEqual(len(made), len(keys) * len(ROUNDS))
+            self.assertEqual(values, list(VALUES))
+        self.assertEqual(len(made), len(keys) * len(VALUES))
 
     @fixture.on_cluster
     async def test_lost_answer_to_an_edit(self):
-        """An operator is told of a failure, and the edit is in force, or twice.
+        """An edit is reported as failed but is active, or is applied twice.
 
-        The store makes an edit the newest one and its answer is lost, once or
-        again and again.
+        The store commits an edit and its response is lost, once or several
+        times in a row.
         """
         for tokens, losses in ((31, 1), (32, 3)):
-            before = await self.until_everywhere()
+            before = await self.wait_for_one_revision()
             await self.cluster.switch(
                 self.cluster.store, lose_answers=losses, lose_only=HEAD
             )
             await self.edit(tokens)
             await self.cluster.switch(self.cluster.store, lose_answers=0)
-            self.assertEqual(await self.until_everywhere(), before + 1)
-            self.assertEqual(await self.ask_at_once(self.first), {tokens})
+            self.assertEqual(await self.wait_for_one_revision(), before + 1)
+            self.assertEqual(await self.send_concurrently(self.first), {tokens})
 
     @fixture.on_cluster
     async def test_restarts_while_the_store_is_down(self):
-        """An accepted edit reverts in an outage of the store.
+        """An accepted edit reverts during an outage of the store.
 
-        The store fails right after it was accepted. A sidecar and both
-        routers are killed and started anew one after the other: each has to
-        take the newest revision from its peers before it serves.
+        The store fails right after the edit was accepted. A sidecar and both
+        routers are killed and restarted in turn: each has to fetch the newest
+        revision from its peers before it serves.
         """
-        before = await self.until_everywhere()
+        before = await self.wait_for_one_revision()
         await self.edit(41, '--no-wait', urls=[self.first.url])
         await self.cluster.switch(self.cluster.store, down=True)
-        revision = await self.until_everywhere(self.first, after=before)
+        revision = await self.wait_for_one_revision(self.first, after=before)
         name, sidecar = next(iter(self.cluster.sidecars.items()))
         sidecar.kill()
         await sidecar.wait()
@@ -223,49 +225,50 @@
             await self.cluster.routers[key].wait()
             router = await self.cluster.start_router(key)
             await self.cluster.wait_ready()
-            self.assertEqual((await self.look(router))[0], revision)
-            answer = await self.ask_until_served(router)
+            self.assertEqual((await self.read_nodes(router))[0], revision)
+            answer = await self.send_until_served(router)
             self.assertEqual(len(answer.texts), 41)
 
     @fixture.on_cluster
-    async def test_router_wakes_with_an_old_revision(self):
-        """A request is served under a revision that was edited long ago.
+    async def test_router_resumes_with_an_old_revision(self):
+        """A request is served under an outdated revision.
 
-        A router is paused, misses an edit, and its links time out, or don't.
-        Requests that waited at its port are read first when it wakes: the
-        store is down, and the sidecars' words of the newer revision are late.
+        A router is paused and misses an edit, with or without its links
+        timing out. When it resumes it first reads the requests in its socket
+        backlog: the store is down, and the sidecars' messages about the newer
+        revision are delayed.
         """
         for tokens, pause_s in ((51, 0), (52, SILENCE_S + 1)):
-            before = await self.until_everywhere()
-            await self.ask_until_served(self.first)
+            before = await self.wait_for_one_revision()
+            await self.send_until_served(self.first)
             self.first.stop()
-            waiting = asyncio.create_task(self.ask_at_once(self.first))
+            waiting = asyncio.create_task(self.send_concurrently(self.first))
             profiles = self.cluster.configuration.profiles
             profiles['prompt'].max_output_tokens = tokens
             await self.cluster.publish()
-            await self.until_everywhere(self.second, after=before)
+            await self.wait_for_one_revision(self.second, after=before)
             await asyncio.sleep(pause_s)
             await self.cluster.switch(self.cluster.store, down=True)
-            self.delay_sidecars(LATE_S)
+            self.delay_sidecars(LINK_DELAY_S)
             self.first.cont()
             self.assertLessEqual(await waiting, {tokens})
-            answer = await self.ask_until_served(self.first)
+            answer = await self.send_until_served(self.first)
             self.assertEqual(len(answer.texts), tokens)
-            self.assertEqual((await self.look(self.first))[0], before + 1)
+            self.assertEqual((await self.read_nodes(self.first))[0], before + 1)
             self.delay_sidecars(0)
             await self.cluster.switch(self.cluster.store, down=False)
 
     @fixture.on_cluster
-    async def test_sidecar_wakes_with_an_old_revision(self):
-        """A drained upstream gets new work, or a request old bounds.
+    async def test_sidecar_resumes_with_an_old_revision(self):
+        """A drained upstream gets new work, or a request an outdated limit.
 
-        A sidecar is paused, misses two edits, its links time out, and it
-        wakes while the store is down.
+        A sidecar is paused and misses two edits, its links time out, and it
+        resumes while the store is down.
         """
         name, sidecar = next(iter(self.cluster.sidecars.items()))
         other = next(n for n in self.cluster.sidecars if n != name)
         sidecar.stop()
-        await self.until_unlinked(name, self.first, self.second)
+        await self.wait_until_unlinked(name, self.first, self.second)
         await self.edit(61)
         drain = await operator_cli.run(self.urls, 'upstream', 'drain', name)
         self.assertEqual(drain.exit_status, 0, drain.stderr)
@@ -273,9 +276,9 @@
         runs = len((await self.cluster.audit(name))['runs'])
         sidecar.cont()
         for router in (self.first, self.second):
-            self.assertEqual(await self.ask_at_once(router), {61})
-        await self.until_everywhere()
-        self.assertEqual(await self.ask_at_once(self.first), {61})
+            self.assertEqual(await self.send_concurrently(router), {61})
+        await self.wait_for_one_revision()
+        self.assertEqual(await self.send_concurrently(self.first), {61})
         self.assertEqual(len((await self.cluster.audit(name))['runs']), runs)
         self.assertTrue((await self.cluster.audit(other))['runs'])
         await self.cluster.switch(self.cluster.store, down=False)
--- a/tests/failure/test_tokens_once.py
+++ b/tests/failure/test_tokens_once.py
@@ -1,4 +1,4 @@
-"""Each token once, in order and from one generation, whatever fails."""
+"""Each token is delivered once, in order and from one generation."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 SLOW = 500
 LARGE = 48 << 20
 FAULTS = (
-    ('cut', lambda middle: middle.cut()),
-    ('no word from the sidecar', lambda middle: middle.silence(up=False)),
-    ('no word from the router', lambda middle: middle.silence(down=False)),
-    ('silent both ways', lambda middle: middle.silence()),
+    ('cut', lambda proxy: proxy.cut()),
+    ('sidecar to router silent', lambda proxy: proxy.silence(up=False)),
+    ('router to sidecar silent', lambda proxy: proxy.silence(down=False)),
+    ('both directions silent', lambda proxy: proxy.silence()),
 )
 SERVICE = f'/services/{board.SERVICE}'
 
@@ -38,30 +38,32 @@
         'router': {'links': LINK},
     }
 
-    def links(self):
-        """Links dialled so far."""
-        return sum(middle.accepted for middle in self.relays.values())
+    def count_links(self):
+        """Number of links opened so far."""
+        return sum(proxy.accepted for proxy in self.relays.values())
 
     @fixture.on_cluster
     async def test_link_fails_twice_in_mid_answer(self):
-        """A clerk reads a plan with a hole, or with lines twice.
+        """An answer has a gap or repeated tokens.
 
-        The link between router and sidecar breaks or falls silent, one way
-        or both, while answers come, and its successor does so too.
+        The link between router and sidecar breaks or stops forwarding, in one
+        direction or both, during answers, and so does its replacement.
         """
         for name, fail in FAULTS:
             with self.subTest(name):
-                asked = [self.ask(LONG) for _ in range(4)]
-                answers = [answer for answer, _ in asked]
+                requests = [self.start_request(LONG) for _ in range(4)]
+                answers = [answer for answer, _ in requests]
                 for _ in range(2):
-                    links = self.links()
-                    have = max(len(answer.texts) for answer in answers)
-                    await self.until_tokens(have + 10, *answers)
+                    links_before = self.count_links()
+                    received = max(len(answer.texts) for answer in answers)
+                    await self.wait_for_tokens(received + 10, *answers)
                     self.assertLess(max(len(a.texts) for a in answers), LONG)
-                    for middle in self.relays.values():
-                        fail(middle)
-                    await self.until(lambda n=links: self.links() >= n + 3)
-                for answer, task in asked:
+                    for proxy in self.relays.values():
+                        fail(proxy)
+                    await self.wait_until(
+                        lambda n=links_before: self.count_links() >= n + 3
+                    )
+                for answer, task in requests:
                     await task
                     self.assert_whole(answer, LONG)
         runs = await self.new_runs()
@@ -69,17 +71,17 @@
 
     @fixture.on_cluster
     async def test_sidecar_is_killed_in_mid_answer(self):
-        """A clerk's plan stops, or begins anew in the middle.
+        """An answer stops, or restarts in the middle.
 
-        The sidecar is killed twice in mid-answer and started again at its
-        port; the engine runs on, and its one generation is taken up.
+        The sidecar is killed twice in mid-answer and restarted on its port;
+        the engine keeps running, and its generation is resumed.
         """
-        answer, task = self.ask(LONG)
+        answer, task = self.start_request(LONG)
         engine = ''
         for _ in range(2):
-            await self.until_tokens(len(answer.texts) + 10, answer)
-            # The engine may be through before the second kill, and the rest of
-            # the answer still with the sidecar; the run stays where it is.
+            await self.wait_for_tokens(len(answer.texts) + 10, answer)
+            # The engine may finish before the second kill, with the rest of
+            # the answer at the sidecar; the run stays on that engine.
             engine = engine or await self.running_engine()
             await self.restart_sidecar(engine)
         await task
@@ -88,15 +90,16 @@
 
     @fixture.on_cluster
     async def test_engine_is_killed_before_the_first_token(self):
-        """A handset waits for its deadline, or gets two answers' tokens.
+        """A request waits for its deadline, or mixes tokens of two answers.
 
-        The engine dies with the request taken and nothing generated; the
-        work may be repeated, and the new engine's answer comes whole.
+        The engine is killed after it accepted the request and before the
+        first token; the work may be repeated, and the answer of another
+        engine is complete.
         """
         for process in self.cluster.upstreams.values():
             await self.cluster.switch(process, stall=True)
-        answer, task = self.ask(50)
-        await self.until(self.new_runs)
+        answer, task = self.start_request(50)
+        await self.wait_until(self.new_runs)
         stalled = await self.running_engine()
         for name in self.engines:
             if name != stalled:
@@ -108,24 +111,24 @@
 
     @fixture.on_cluster
     async def test_engine_is_killed_after_the_tenth_token(self):
-        """A handset's answer goes on with another generation's tokens.
+        """An answer continues with the tokens of another generation.
 
-        The engines die after both callers' tenth token. What was delivered
-        can't be taken back, so the streamed answer ends in a typed failure;
-        the patient one, of which nothing was, comes whole from one
-        generation.
+        The engines are killed after the tenth token of both answers.
+        Delivered tokens can't be withdrawn, so the streamed answer ends in a
+        typed error; the patient one, of which none was delivered, is complete
+        and from one generation.
         """
-        streamed, streaming = self.ask(LONG)
-        whole, holding = self.ask(LONG, profile='patient')
+        streamed, streaming = self.start_request(LONG)
+        batch_answer, batch_task = self.start_request(LONG, profile='patient')
 
         async def both_run():
             runs = await self.new_runs()
             return [run['tokens'] > 10 for run in runs] == [True, True]
 
-        await self.until(both_run)
-        await self.until_tokens(10, streamed)
+        await self.wait_until(both_run)
+        await self.wait_for_tokens(10, streamed)
         await asyncio.gather(*map(self.restart_engine, self.engines))
-        await asyncio.gather(streaming, holding)
+        await asyncio.gather(streaming, batch_task)
         (name,) = streamed.generations
         count = len(streamed.texts)
         self.assertEqual(
@@ -133,32 +136,32 @@
         )
         self.assertLess(count, LONG)
         self.assertIs(streamed.error['error']['not_run'], False)
-        self.assert_whole(whole, LONG)
-        self.assertNotEqual(whole.generations, streamed.generations)
+        self.assert_whole(batch_answer, LONG)
+        self.assertNotEqual(batch_answer.generations, streamed.generations)
 
     @fixture.on_cluster
     async def test_slow_reader_beside_a_fast_one(self):
-        """Every handset waits for one merchant's stalled browser.
+        """A client that stops reading blocks all others.
 
-        One caller stops reading a proof that is too long for all buffers on
-        the way, and an answer; others read theirs to the end meanwhile, over
-        the same links. Then the slow one gets all of its own.
+        It stops reading a response that is larger than all buffers on the
+        path, and a stream; other clients receive theirs to the end over the
+        same links. Then it reads all of its own.
         """
         token = board.TOKENS['retailers']
         async with (
             caller.open_client(self.url(), token) as client,
-            client.stream('GET', f'{SERVICE}/large?bytes={LARGE}') as proof,
+            client.stream('GET', f'{SERVICE}/large?bytes={LARGE}') as large,
             client.stream(
                 'POST',
                 '/v1/completions',
                 json=relayed.body(SLOW) | {'stream': True},
             ) as slow,
         ):
-            pieces, lines = proof.aiter_raw(), slow.aiter_lines()
+            pieces, lines = large.aiter_raw(), slow.aiter_lines()
             size = len(await anext(pieces))
             text = await anext(lines)
             for _ in range(3):
-                answer, task = self.ask(100)
+                answer, task = self.start_request(100)
                 fast = await client.get(f'{SERVICE}/stock')
                 self.assertEqual(fast.json()['target'], '/stock')
                 await task
--- a/tests/failure/test_trace.py
+++ b/tests/failure/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a request over all its hops, as processes write it."""
+"""Tracing of a request across all hops."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.failure import relayed
 
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
-CALLER = '00f067aa0ba902b7'
+CALLER_SPAN = '00f067aa0ba902b7'
 HOPS = ['router.request', 'router.route', 'router.dispatch', 'sidecar.attempt']
 
 
 class TraceTest(relayed.RelayedTestCase):
-    """One router and one sidecar, which write their spans to one folder."""
+    """One router and one sidecar, which write spans to the same folder."""
 
     RELAYED = ()
     LAYOUT = board.board_layout(engines=1, services=0, routers=1)
@@ -33,26 +33,32 @@
         super().setUpClass()
 
     def spans(self):
-        """Spans of the caller's trace, by name."""
+        """Spans of the client's trace, by name."""
         lines = [
             json.loads(line)
             for file in self.folder.iterdir()
             for line in file.read_text().splitlines()
         ]
-        return {ln['name']: ln for ln in lines if ln['trace'] == TRACE}
+        return {
+            record['name']: record
+            for record in lines
+            if record['trace'] == TRACE
+        }
 
     @relayed.fixture.on_cluster
     async def test_each_hop_has_a_span_of_the_callers_trace(self):
-        """An operator looks for the hop that made a caller wait.
+        """The slow hop of a request can't be found.
 
-        A hop without a span, or with a trace of its own, hides it; so do log
-        lines without the trace.
+        This happens if a hop has no span or a separate trace, or if its log
+        lines lack the trace id.
         """
-        answer, task = self.ask(3, traceparent=f'00-{TRACE}-{CALLER}-01')
+        answer, task = self.start_request(
+            3, traceparent=f'00-{TRACE}-{CALLER_SPAN}-01'
+        )
         self.assert_whole(await task, 3)
-        await self.until(lambda: self.spans().keys() >= set(HOPS))
+        await self.wait_until(lambda: self.spans().keys() >= set(HOPS))
         spans = self.spans()
-        parent = CALLER
+        parent = CALLER_SPAN
         for name in ('router.request', 'router.dispatch', 'sidecar.attempt'):
             self.assertEqual(spans[name]['parent'], parent, name)
             parent = spans[name]['span']
@@ -62,7 +68,9 @@
         ):
             lines = process.log_text().splitlines()
             (line,) = (
-                ln for ln in lines if answer.request in ln and event in ln
+                record
+                for record in lines
+                if answer.request in record and event in record
             )
             self.assertIn(f'trace={TRACE}', line)
 
--- a/tests/failure/test_unknown.py
+++ b/tests/failure/test_unknown.py
@@ -1,4 +1,4 @@
-"""Who is told "unknown" can ask later, and is told what became of it."""
+"""A client that gets "outcome unknown" can query the outcome later."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from quetzalsill.config import model
 from quetzalsill_dev import board
-from tests.failure import asking, fixture, relayed
+from tests.failure import fixture, harness, relayed
 
 RECOVER_S = 4.0
 TOKENS = 300
-TAKEN = 100
+MIN_TOKENS = 100
 
 
 class UnknownOutcomeTest(relayed.RelayedTestCase):
@@ -41,113 +41,126 @@
             self.cluster.store, lose_answers=0, lose_only='', silent=False
         )
         await super().restore()
-        await asking.until_served(self.cluster)
+        await harness.wait_until_served(self.cluster)
         self.first, self.second = self.cluster.routers.values()
 
     @fixture.on_cluster
     async def test_acceptance(self):
-        """A clerk is told "unknown" under an id that nobody knows.
+        """A client gets "outcome unknown" with a request id that is not found.
 
-        The store takes the acceptance, its answer is lost, and the store
-        falls silent. Once it is back the outcome can be had.
+        The store writes the acceptance, its response is lost, and the store
+        stops responding. After its recovery the outcome can be queried.
         """
         store = self.cluster.store
-        lost = await asking.count(store, 'lost')
-        # Not the answer to a router's renewal, which may come at any moment.
+        lost = await harness.read_count(store, 'lost')
+        # Only this write, not a router's renewal, which may come at any time.
         await self.cluster.switch(store, lose_answers=1, lose_only='late')
-        asked = asyncio.create_task(asking.order(self.first, 'late', 'late'))
-        await asking.until_counted(store, 'lost', lost + 1)
+        tasks = asyncio.create_task(
+            harness.send_order(self.first, 'late', 'late')
+        )
+        await harness.wait_for_count(store, 'lost', lost + 1)
         await self.cluster.switch(store, silent=True)
-        told = await asked
+        result = await tasks
         await self.cluster.switch(store, silent=False)
-        later = await asking.settled(self.second, told)
-        self.assertEqual((later.request, later.not_run), (told.request, True))
-        self.assertEqual((await asking.ran(self.cluster)).count('late'), 0)
+        later = await harness.wait_for_outcome(self.second, result)
+        self.assertEqual((later.request, later.not_run), (result.request, True))
+        self.assertEqual(
+            (await harness.count_runs(self.cluster)).count('late'), 0
+        )
 
     @fixture.on_cluster
     async def test_link_that_is_lost_for_long(self):
-        """A shop is told "unknown" for ever about an order that was taken.
+        """The outcome of an order that ran stays unknown forever.
 
-        The links to both sidecars are lost under orders, which are overdue
-        soon, and a brief, whose link is given up before. Once they are back
-        the router learns what became of each, and tells who asks.
+        The links to both sidecars are lost with orders in progress, which
+        soon exceed their deadline, and a brief, whose recovery times out.
+        After reconnecting, the router learns the outcome of each and returns
+        it on query.
         """
         asks = {
-            'order': (asking.order, '', 'deadline_exceeded'),
-            'order-key': (asking.order, 'order', 'deadline_exceeded'),
-            'brief': (asking.brief, 'brief', 'outcome_unknown'),
+            'order': (harness.send_order, '', 'deadline_exceeded'),
+            'order-key': (harness.send_order, 'order', 'deadline_exceeded'),
+            'brief': (harness.send_brief, 'brief', 'outcome_unknown'),
         }
         await self.slow_down(app_s=0.5, stall=True)
-        asked = {
+        tasks = {
             name: asyncio.create_task(ask(self.first, name, key))
             for name, (ask, key, _) in asks.items()
         }
-        await asking.until_ran(self.cluster, *asked)
-        for way in self.relays.values():
-            way.refusing = True
-            way.cut()
+        await harness.wait_until_ran(self.cluster, *tasks)
+        for proxy in self.relays.values():
+            proxy.refusing = True
+            proxy.cut()
         await self.slow_down(stall=False)
-        told = await asyncio.gather(*asked.values())
-        for way in self.relays.values():
-            way.refusing = False
-        for one, (name, (_, key, code)) in zip(told, asks.items(), strict=True):
+        results = await asyncio.gather(*tasks.values())
+        for proxy in self.relays.values():
+            proxy.refusing = False
+        for item, (name, (_, key, code)) in zip(
+            results, asks.items(), strict=True
+        ):
             with self.subTest(name):
-                self.assertEqual((one.code, one.not_run), (code, None))
+                self.assertEqual((item.code, item.not_run), (code, None))
                 later = [
-                    await asking.settled(router, one)
+                    await harness.wait_for_outcome(router, item)
                     for router in (self.first, self.second)
                 ]
                 if key:
-                    later.append(await asking.settled(self.second, key=key))
-                self.assertTrue(all(one.answered for one in later), later)
-        ran = await asking.ran(self.cluster)
-        self.assertEqual([ran.count(name) for name in asked], [1] * len(asked))
+                    later.append(
+                        await harness.wait_for_outcome(self.second, key=key)
+                    )
+                self.assertTrue(all(item.succeeded for item in later), later)
+        run_counts = await harness.count_runs(self.cluster)
+        self.assertEqual(
+            [run_counts.count(name) for name in tasks], [1] * len(tasks)
+        )
 
     async def slow_down(self, app_s=0.0, stall=False):
-        """Sets how slow the service is, and whether the engine makes steps."""
+        """Sets the delay of the service, and whether the engine stalls."""
         await self.cluster.switch(
-            self.cluster.upstreams[asking.APP], delay_s=app_s
+            self.cluster.upstreams[harness.APP], delay_s=app_s
         )
         await self.cluster.switch(
-            self.cluster.upstreams[asking.ENGINE], stall=stall
+            self.cluster.upstreams[harness.ENGINE], stall=stall
         )
 
     @fixture.on_cluster
     async def test_request_that_nobody_knows_any_more(self):
-        """A shop repeats an order that was taken, as told to.
+        """A client repeats an order that ran, because it is not found.
 
-        An order without a key was unknown to the only router that knew it,
-        and that was killed. Nobody can tell now; "not found" is no "not run".
+        The outcome of an order without a key is unknown, and the only router
+        with a record of it is killed. "Not found" must not mean "not run".
         """
         await self.cluster.switch(
-            self.cluster.upstreams[asking.APP], close_orders=1
+            self.cluster.upstreams[harness.APP], close_orders=1
         )
-        told = await asking.order(self.first, 'gone')
+        result = await harness.send_order(self.first, 'gone')
         self.first.kill()
         await self.first.wait()
-        for ask in ({'told': told}, {'key': 'never-sent'}):
-            later = await asking.settled(self.second, **ask)
+        for ask in ({'result': result}, {'key': 'never-sent'}):
+            later = await harness.wait_for_outcome(self.second, **ask)
             self.assertEqual((later.status, later.not_run), (404, None))
 
     @fixture.on_cluster
-    async def test_router_that_dies_in_mid_answer(self):
-        """Every answer of a link stalls, because one was asked after.
+    async def test_router_killed_in_mid_answer(self):
+        """A query about one answer stalls all others on the link.
 
-        A router is killed after its caller took part of a streamed brief.
-        Asked through another one, its outcome is that it ran; what else runs
-        over the links of that router is not disturbed.
+        A router is killed after its client received part of a streamed brief.
+        Queried through another router, the outcome is that it ran; other
+        answers on the links of that router are unaffected.
         """
-        answer, asked = self.ask(TOKENS, 'cut', 'brief', idempotency_key='cut')
-        await self.until_tokens(TAKEN, answer)
-        whole, other = self.ask(TOKENS, 'whole', router=1)
-        await self.until_tokens(1, whole)
+        answer, tasks = self.start_request(
+            TOKENS, 'cut', 'brief', idempotency_key='cut'
+        )
+        await self.wait_for_tokens(MIN_TOKENS, answer)
+        other_answer, other_task = self.start_request(TOKENS, 'whole', router=1)
+        await self.wait_for_tokens(1, other_answer)
         ended = self.second.log_text().count('event=link_ended')
         self.first.kill()
-        await asked
-        later = await asking.settled(self.second, key='cut')
+        await tasks
+        later = await harness.wait_for_outcome(self.second, key='cut')
         self.assertEqual(later.not_run, False, later)
-        await other
-        self.assert_whole(whole, TOKENS)
+        await other_task
+        self.assert_whole(other_answer, TOKENS)
         self.assertEqual(
             self.second.log_text().count('event=link_ended'), ended
         )
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""docs/OPERATIONS.md tells the events and metrics that there are."""
+"""docs/OPERATIONS.md lists exactly the existing events and metrics."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 METRIC = re.compile(r'`(quetzalsill_\w+)')
 
 
-def known():
+def event_names():
     """Returns the names of all events."""
     return {name for found in event.EVENTS.values() for name in found}
 
 
-def written(package):
-    """Returns the code that may write the events of a package."""
+def source_text(package):
+    """Returns the source code that may log the events of a package."""
     folder = package.replace('_', '-')
     folders = [ROOT / 'packages' / folder]
     if package == GATEWAY:
@@ -38,13 +38,13 @@
 
 
 class OperationsPageTest(unittest.TestCase):
-    """An engineer on call searches for a line that was renamed."""
+    """The page lists an event or metric that was renamed."""
 
     def test_each_event_stands_on_the_page(self):
         for package in event_table.PACKAGES:
             found = list(event_table.rows(package))
-            least = 20 if package == GATEWAY else 10
-            self.assertGreater(len(found), least)
+            minimum = 20 if package == GATEWAY else 10
+            self.assertGreater(len(found), minimum)
             for row in found:
                 self.assertIn(row, PAGE)
 
@@ -54,7 +54,7 @@
     def test_no_other_event_stands_there(self):
         table = PAGE.partition('## Events')[2]
         named = set(re.findall(r'^\| `(\w+)`', table, re.MULTILINE))
-        self.assertEqual(named, known())
+        self.assertEqual(named, event_names())
 
     def test_each_metric_on_the_page_exists(self):
         self.assertTrue(meter.requests)
@@ -67,16 +67,16 @@
 
     def test_each_event_is_written_and_tells_its_fields(self):
         for package, found in event.EVENTS.items():
-            code = written(package)
+            code = source_text(package)
             for cls in found.values():
                 with self.subTest(f'{package}.{cls.__name__}'):
-                    # Called, or the value of a table that is.
+                    # Called directly, or listed in a table of events.
                     self.assertRegex(code, rf'event\.{cls.__name__}[(,]')
                     for field in dataclasses.fields(cls):
                         self.assertIn(f'      {field.name}: ', cls.__doc__)
 
-    def test_no_line_is_written_past_the_events(self):
-        """A line is added in passing, and its fields drift from the page."""
+    def test_no_log_line_bypasses_the_events(self):
+        """A log line without an event class is missing from the page."""
         for folder in SOURCES:
             for path in folder.rglob('*.py'):
                 is_product = 'quetzalsill-dev' not in path.parts
