--- a/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pauses.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/testing/pauses.py
@@ -30,14 +30,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ['Bounds', 'Pause', 'Result', 'main', 'run', 'generate']
+__all__ = ['Limits', 'Pause', 'Result', 'main', 'run', 'generate']
 
 POLL_S = 0.01
 MAX_RUN_S = 300.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Bounds:
+class Limits:
     """Limits of the pauses and of the gaps between them.
 
     Attributes:
@@ -82,26 +82,26 @@
     pauses: list[str]
 
 
-def generate(seed: int, bounds: Bounds) -> Iterator[Pause]:
+def generate(seed: int, limits: Limits) -> Iterator[Pause]:
     """Yields the infinite sequence of pauses of a seed."""
     rng = random.Random(seed)
     while True:
         yield Pause(
-            rng.expovariate(1 / bounds.gap_s),
+            rng.expovariate(1 / limits.gap_s),
             rng.random(),
-            rng.uniform(bounds.shortest_s, bounds.longest_s),
+            rng.uniform(limits.shortest_s, limits.longest_s),
         )
 
 
 def run(
-    test: str, seed: int, bounds: Bounds, only: str, folder: pathlib.Path
+    test: str, seed: int, limits: Limits, only: str, folder: pathlib.Path
 ) -> Result:
     """Runs a test once with the pauses of a seed.
 
     Args:
       test: Dotted name of a module, class or test.
       seed: Seed of the pauses.
-      bounds: Limits of the pauses and of the gaps between them.
+      limits: Limits of the pauses and of the gaps between them.
       only: Regular expression for the command lines of processes to pause.
       folder: Folder for the evidence of a failure.
     """
@@ -117,7 +117,7 @@
             start_new_session=True,
         )
         try:
-            pauses = list(_pause_all(process, generate(seed, bounds), only))
+            pauses = list(_pause_all(process, generate(seed, limits), only))
             process.wait()
         finally:
             with contextlib.suppress(ProcessLookupError):
@@ -215,13 +215,13 @@
     only: str,
 ) -> None:
     """Runs TEST once for each seed and saves the evidence of failures."""
-    bounds = Bounds(shortest_ms / 1000, longest_ms / 1000, gap_ms / 1000)
+    limits = Limits(shortest_ms / 1000, longest_ms / 1000, gap_ms / 1000)
     within = evidence.folder(pathlib.Path.cwd())
     failed = 0
     for seed in range(first, first + seeds):
         folder = within / f'{test}.seed-{seed}'
         folder.mkdir(parents=True, exist_ok=True)
-        result = run(test, seed, bounds, only, folder)
+        result = run(test, seed, limits, only, folder)
         failed += result.status != 0
         (folder / 'pauses.txt').write_text('\n'.join(result.pauses) + '\n')
         state = 'FAILED' if result.status else 'ok'
--- a/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
+++ b/packages/quetzalsill-dev/src/quetzalsill_dev/users_platform/store.py
@@ -57,7 +57,7 @@
         self._rows = versioned_rows.VersionedRows()
         self._changed = asyncio.Event()
         self._restores = 0
-        self._is_down = False
+        self._in_outage = False
 
     @property
     def version(self) -> int:
@@ -111,10 +111,10 @@
             after the immediate rewrites.
         """
         self.down = down
-        self._is_down = True
+        self._in_outage = True
         await asyncio.sleep(outage_s)
         self.load_snapshot(snapshot)
-        self._is_down = False
+        self._in_outage = False
         self.down = ''
         keys = list(self._rows.missing())
         rng.shuffle(keys)
@@ -160,7 +160,7 @@
             self._put_row(*key, lost[key])
 
     def _put_row(self, table: str, key: str, value: bytes | None) -> None:
-        if self._is_down:
+        if self._in_outage:
             self._rows.set_intended((table, key), value)
             return
         self._rows.write({(table, key): value})
--- a/tests/quetzalsill_dev/testing/test_pauses.py
+++ b/tests/quetzalsill_dev/testing/test_pauses.py
@@ -33,7 +33,7 @@
             child.wait()
             self.assertTrue(stopped)
 """
-OFTEN = pauses.Bounds(shortest_s=0.01, longest_s=0.02, gap_s=0.02)
+OFTEN = pauses.Limits(shortest_s=0.01, longest_s=0.02, gap_s=0.02)
 
 
 class PausesTest(unittest.TestCase):
