--- a/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/assignment.py
@@ -1,4 +1,4 @@
-"""Values given as KEY=VALUE on the command line."""
+"""Parses KEY=VALUE assignments of the command line."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 __all__ = ['apply']
 
 
-def _value(text: str) -> Any:
-    """Reads JSON; what is no JSON is a string."""
+def _parse_value(text: str) -> Any:
+    """Parses a JSON value; other text is taken as a string."""
     try:
         return json.loads(text)
     except ValueError:
@@ -22,15 +22,15 @@
 def apply(values: dict[str, Any], assignments: Iterable[str]) -> dict[str, Any]:
     """Returns a copy of the values with each `KEY=VALUE` applied.
 
-    Whether the key exists and the value fits is the router's to check.
+    The router checks whether the key exists and the value is allowed.
 
     Raises:
       click.UsageError: An assignment has no `=`.
     """
     changed = dict(values)
     for text in assignments:
-        name, sign, value = text.partition('=')
-        if not sign or not name:
+        name, separator, value = text.partition('=')
+        if not separator or not name:
             raise click.UsageError(f'{text!r} is not KEY=VALUE')
-        changed[name] = _value(value)
+        changed[name] = _parse_value(value)
     return changed
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with one router."""
+"""Sends one HTTP request to one router."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from quetzalsill.net import client
 
 __all__ = [
-    'Answer',
-    'AnswerLostError',
     'Call',
     'ExchangeError',
     'NotSentError',
+    'Response',
+    'ResponseLostError',
     'path',
-    'perform',
+    'send',
 ]
 
 _PREFIX = '/admin/v1'
@@ -31,19 +31,19 @@
 
 
 class ExchangeError(base.QuetzalsillError):
-    """A router gave no answer."""
+    """No complete response was received from a router."""
 
     code = 'no_answer'
 
 
 class NotSentError(ExchangeError):
-    """No connection came about, so the router saw nothing of the call."""
+    """The connection failed, so the router did not receive the call."""
 
     code = 'not_sent'
 
 
-class AnswerLostError(ExchangeError):
-    """The call was sent, or in part, and no whole answer came."""
+class ResponseLostError(ExchangeError):
+    """The call may have been sent, but no complete response arrived."""
 
     code = 'answer_lost'
 
@@ -66,13 +66,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Answer:
-    """What a router answered.
+class Response:
+    """A router's response.
 
     Attributes:
       router: Base URL of the router.
       status: HTTP status.
-      body: JSON data; None if the answer was no JSON.
+      body: JSON data; None if the body is not JSON.
     """
 
     router: str
@@ -81,10 +81,12 @@
 
 
 def path(*parts: str, **query: Any) -> str:
-    """Joins quoted parts to a path; query values of None are left out."""
+    """Builds a path of quoted parts; query values of None are omitted."""
     joined = ''.join(f'/{url_parse.quote(part, safe="")}' for part in parts)
-    given = {name: value for name, value in query.items() if value is not None}
-    return f'{joined}?{url_parse.urlencode(given)}' if given else joined
+    present = {
+        name: value for name, value in query.items() if value is not None
+    }
+    return f'{joined}?{url_parse.urlencode(present)}' if present else joined
 
 
 def _request(router: str, token: str, call: Call) -> blacksheep.Request:
@@ -100,25 +102,25 @@
     return req.with_content(blacksheep.Content(_JSON, data))
 
 
-def _decode(data: bytes | None) -> Any:
+def _parse_json(data: bytes | None) -> Any:
     try:
         return json.loads(data or b'')
     except ValueError:
         return None
 
 
-async def perform(
+async def send(
     session: client.Session,
     router: str,
     token: str,
     call: Call,
     timeout_s: float,
-) -> Answer:
-    """Sends a call to a router and reads the whole answer.
+) -> Response:
+    """Sends a call to a router and reads the complete response.
 
     Raises:
-      NotSentError: No connection came about.
-      AnswerLostError: The connection failed or was silent after that.
+      NotSentError: The connection failed or the request is invalid.
+      ResponseLostError: The connection failed or timed out after that.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -127,9 +129,9 @@
     except (net_error.ConnectFailedError, net_error.RequestInvalidError) as exc:
         raise NotSentError(f'{router}: {exc.detail}') from exc
     except net_error.NetError as exc:
-        raise AnswerLostError(f'{router}: {exc.detail}') from exc
+        raise ResponseLostError(f'{router}: {exc.detail}') from exc
     except TimeoutError as exc:
-        raise AnswerLostError(
+        raise ResponseLostError(
             f'{router}: no whole answer within {timeout_s:g} s'
         ) from exc
-    return Answer(router, resp.status, _decode(data))
+    return Response(router, resp.status, _parse_json(data))
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/output.py
@@ -1,4 +1,4 @@
-"""Prints what a command found: JSON, or aligned columns."""
+"""Prints results as JSON or as tables."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import click
 
-__all__ = ['cell', 'pairs', 'print_json', 'table']
+__all__ = ['cell', 'key_values', 'print_json', 'table']
 
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 
 def cell(value: Any) -> str:
-    """Renders a value for one cell of a table."""
+    """Formats a value for a table cell."""
     if value is None or value == '' or value == []:
         return '-'
     if isinstance(value, bool):
@@ -24,7 +24,8 @@
     if isinstance(value, dict):
         return json.dumps(value, sort_keys=True)
     text = str(value)
-    # Text of other operators, such as a note, may hold terminal controls.
+    # Text by other operators, such as a note, may contain terminal control
+    # sequences.
     return text if text.isprintable() else ascii(text)
 
 
@@ -33,17 +34,17 @@
     click.echo(json.dumps(value, indent=2, sort_keys=True))
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Prints rows below their heads in columns as wide as needed."""
-    lines = [list(heads), *([cell(value) for value in row] for row in rows)]
+def table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
+    """Prints a table with columns as wide as their widest cell."""
+    lines = [list(headers), *([cell(value) for value in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         padded = (
             text.ljust(width) for text, width in zip(line, widths, strict=True)
         )
-        click.echo(_GAP.join(padded).rstrip())
+        click.echo(_COLUMN_GAP.join(padded).rstrip())
 
 
-def pairs(values: dict[str, Any]) -> None:
-    """Prints the keys and values of one object, a line each."""
+def key_values(values: dict[str, Any]) -> None:
+    """Prints an object as a table with a row for each key."""
     table(('KEY', 'VALUE'), values.items())
--- a/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
+++ b/packages/quetzalsill-cli/src/quetzalsill_cli/rollout.py
@@ -1,4 +1,4 @@
-"""Which live node has which revision in force."""
+"""Tracks which revision is active on each node."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from quetzalsill_cli import exchange
 
 if TYPE_CHECKING:
-    from quetzalsill_cli import routers as cli_routers
+    from quetzalsill_cli import router_client
 
-__all__ = ['BOUND_S', 'Fleet', 'Node', 'look', 'wait']
+__all__ = ['WAIT_TIMEOUT_S', 'Fleet', 'Node', 'fetch_fleet', 'wait']
 
-BOUND_S = 14.0
-_POLL_S = 0.25
+WAIT_TIMEOUT_S = 14.0
+_POLL_INTERVAL_S = 0.25
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Node:
-    """A process as the routers that were asked see it.
+    """A router or sidecar, as seen by the queried routers.
 
     Attributes:
       name: Node name of a router; upstream name of a sidecar.
       kind: `router` or `sidecar`.
       state: `live`, `leaving` or `unlinked`.
-      availability_zone: Where it runs.
-      address: IP:PORT where it listens.
-      incarnation: Number of its present start; 0 if unknown.
-      revision: Configuration in force there; 0 if unknown.
-      load: Newest load of a sidecar, as JSON data; None if unknown.
+      availability_zone: Availability zone of the node.
+      address: IP:PORT that it listens on.
+      incarnation: Incarnation number of the process; 0 if unknown.
+      revision: Revision that is active there; 0 if unknown.
+      load: Latest load of a sidecar, as JSON data; None if unknown.
     """
 
     name: str
@@ -43,99 +43,99 @@
     revision: int
     load: Any
 
-    def plain(self) -> dict[str, Any]:
-        """Gives the node as JSON data."""
+    def to_json(self) -> dict[str, Any]:
+        """Returns the node as JSON data."""
         return dataclasses.asdict(self)
 
-    def place(self) -> tuple[str, str]:
-        """Gives what tells the node from all others."""
+    def key(self) -> tuple[str, str]:
+        """Returns the unique key of the node: its kind and name."""
         return self.kind, self.name
 
-    def age(self) -> tuple[bool, int, int]:
-        """Orders views of the same node, the newest last."""
+    def freshness(self) -> tuple[bool, int, int]:
+        """Returns a sort key for views of the same node, the latest last."""
         return self.state != 'unlinked', self.incarnation, self.revision
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fleet:
-    """All nodes that are known.
+    """All known nodes.
 
     Attributes:
-      nodes: By kind and name.
-      complete: The store confirmed to some router which routers are live.
+      nodes: Sorted by kind and name.
+      complete: Some router could read the live routers from the store.
     """
 
     nodes: list[Node]
     complete: bool
 
     def linked(self) -> list[Node]:
-        """Gives the nodes that some router sees now."""
+        """Returns the nodes that are linked to some queried router."""
         return [node for node in self.nodes if node.state != 'unlinked']
 
     def unlinked(self) -> list[Node]:
-        """Gives the sidecars that no asked router holds a link to."""
+        """Returns the sidecars that are linked to no queried router."""
         return [node for node in self.nodes if node.state == 'unlinked']
 
     def behind(self, revision: int) -> list[Node]:
-        """Gives the linked nodes that do not show the revision yet."""
+        """Returns the linked nodes with an older revision."""
         return [node for node in self.linked() if node.revision < revision]
 
 
-def _views(body: Any) -> Iterator[Node]:
-    """Yields the nodes of one answer; a router knows itself best."""
-    for plain in body['nodes']:
-        node = Node(**plain)
-        if node.place() == ('router', body['node']):
+def _parse_nodes(body: Any) -> Iterator[Node]:
+    """Yields the nodes of a response; takes a router's revision from itself."""
+    for data in body['nodes']:
+        node = Node(**data)
+        if node.key() == ('router', body['node']):
             node = dataclasses.replace(node, revision=body['revision'])
         yield node
 
 
-def _merge(views: Iterable[Node]) -> list[Node]:
+def _merge(nodes: Iterable[Node]) -> list[Node]:
     newest: dict[tuple[str, str], Node] = {}
-    for node in views:
-        known = newest.get(node.place())
-        if known is None or known.age() < node.age():
-            newest[node.place()] = node
-    return [newest[place] for place in sorted(newest)]
+    for node in nodes:
+        known = newest.get(node.key())
+        if known is None or known.freshness() < node.freshness():
+            newest[node.key()] = node
+    return [newest[key] for key in sorted(newest)]
 
 
-async def look(links: cli_routers.Routers) -> Fleet:
-    """Asks every router named and merges what they see.
+async def fetch_fleet(client: router_client.RouterClient) -> Fleet:
+    """Queries all routers and merges their views.
 
     Raises:
-      CommandError: None of them gave an answer.
+      CommandError: No router responded successfully.
     """
-    answers = await links.read_each(exchange.path('nodes'))
-    good = [answer.body for answer in answers if answer.status == 200]
-    if not good:
-        good = [await links.read(exchange.path('nodes'))]
-    nodes = _merge(node for body in good for node in _views(body))
-    return Fleet(nodes, any(body['complete'] for body in good))
+    responses = await client.get_from_all(exchange.path('nodes'))
+    bodies = [resp.body for resp in responses if resp.status == 200]
+    if not bodies:
+        bodies = [await client.get(exchange.path('nodes'))]
+    nodes = _merge(node for body in bodies for node in _parse_nodes(body))
+    return Fleet(nodes, any(body['complete'] for body in bodies))
 
 
 async def wait(
-    links: cli_routers.Routers, revision: int, bound_s: float
+    client: router_client.RouterClient, revision: int, timeout_s: float
 ) -> tuple[Fleet, list[Node]]:
-    """Looks until every linked node shows a revision, or the bound is up.
+    """Polls until every linked node has a revision, or the timeout expires.
 
-    A node that was linked at some look and lost its link before it showed
-    the revision still counts: a paused process is dropped from the links,
-    and wakes later with the old configuration.
+    A node that was linked at some poll and lost its link before it had the
+    revision still counts as behind: a paused process loses its links, and
+    resumes later with the old configuration.
 
     Returns:
-      The fleet at the last look, and the nodes that do not show it.
+      The fleet at the last poll, and the nodes that have an older revision.
     """
-    deadline = time.monotonic() + bound_s
-    seen: set[tuple[str, str]] = set()
+    deadline = time.monotonic() + timeout_s
+    known_linked: set[tuple[str, str]] = set()
     while True:
-        fleet = await look(links)
-        seen.update(node.place() for node in fleet.linked())
+        fleet = await fetch_fleet(client)
+        known_linked.update(node.key() for node in fleet.linked())
         behind = [
             node
             for node in fleet.nodes
-            if node.place() in seen and node.revision < revision
+            if node.key() in known_linked and node.revision < revision
         ]
         done = fleet.complete and not behind
-        if done or time.monotonic() + _POLL_S > deadline:
+        if done or time.monotonic() + _POLL_INTERVAL_S > deadline:
             return fleet, behind
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
--- a/tests/quetzalsill/telemetry/test_log_output.py
+++ b/tests/quetzalsill/telemetry/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and nobody waits for their reader."""
+"""Tests of the log output: rate limits, and writes that never block."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LogOutputTest(unittest.TestCase):
-    """A pipe whose reader stops, and goes on."""
+    """A pipe whose reader stops and resumes."""
 
     def setUp(self):
         self.read_fd, write_fd = os.pipe()
@@ -26,7 +26,7 @@
         self.addCleanup(self.stream.close)
 
     def write(self, count):
-        """Writes lines in a thread, which must come to its end."""
+        """Writes lines in a thread, which must not block."""
 
         def work():
             for _ in range(count):
@@ -35,13 +35,15 @@
         writing = threading.Thread(target=work, daemon=True)
         writing.start()
         writing.join(timeout=20)
-        self.assertFalse(writing.is_alive(), 'the writer waits for its reader')
+        self.assertFalse(
+            writing.is_alive(), 'the write blocks until the pipe is read'
+        )
 
-    def test_a_reader_that_stops_holds_nobody_up(self):
-        """The collector of logs hangs, and its pipe fills.
+    def test_a_reader_that_stops_does_not_block(self):
+        """A gateway stalls while the log collector does not read its pipe.
 
-        A gateway that waited would serve nobody until it goes on. Lines are
-        dropped and counted, and the count is told once it reads again.
+        Lines are dropped and counted instead, and the count is written once
+        the collector reads again.
         """
         self.write(20_000)
         self.assertGreater(self.log_output.unread, 0)
@@ -55,7 +57,7 @@
         self.assertTrue(tail.endswith('event=regained\n'))
         os.close(self.read_fd)
 
-    def test_a_reader_that_has_gone_holds_nobody_up(self):
+    def test_a_closed_reader_does_not_block(self):
         os.close(self.read_fd)
         self.write(10)
         self.assertGreater(self.log_output.unread, 0)
@@ -69,7 +71,7 @@
 
 
 class RateLimiterTest(unittest.TestCase):
-    """A burst of failures, each with its line."""
+    """Bursts of lines, with a clock under control of the test."""
 
     def setUp(self):
         self.clock = 0.0
@@ -90,14 +92,14 @@
             passed_count += 1
         return passed_count
 
-    def test_each_event_has_its_own_bound(self):
+    def test_each_event_has_its_own_limit(self):
         self.assertEqual(self.passed('a', 100), 20)
         self.assertEqual(self.passed('b', 5), 5)
         self.clock += 1.0
         self.assertEqual(self.passed('a', 100), 10)
         self.assertEqual(self.limiter.dropped, {'a': 170})
 
-    def test_what_was_dropped_is_told(self):
+    def test_dropped_lines_are_reported(self):
         stream = io.StringIO()
         lines = log_output.LogOutput(stream, self.limiter)
         self.passed('a', 25)
--- a/tests/quetzalsill/wire/test_link.py
+++ b/tests/quetzalsill/wire/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of links: handshake, heartbeat, and what a bad peer can do."""
+"""Tests of links: handshake, heartbeats and faulty peers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Timing:
-    """Bounds short enough for a test."""
+    """Timeouts short enough for a test."""
 
     idle_s: float = 0.05
     silence_s: float = 0.4
@@ -48,7 +48,7 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """Two ends in one process, over loopback."""
+    """Both ends of a link in one process, over loopback."""
 
     async def asyncSetUp(self):
         self.accepted = asyncio.Queue()
@@ -161,10 +161,11 @@
             self.assertEqual(caught.exception.reason, code)
 
     async def test_bad_first_frames_end_that_link_only(self):
-        """A port scanner or a broken router reaches the sidecar's port.
+        """A port scanner or a faulty router disturbs other links.
 
-        It sends an oversize or malformed first frame; it gets a Reject with
-        the code, and the link of another router works on.
+        It connects to the sidecar and sends an oversize or malformed first
+        frame. It must receive a Reject with the code, and the link of another
+        router must keep working.
         """
         conn = await self.dial()
         for data, code in (
@@ -195,11 +196,11 @@
         await conn.send(message.Ack('b'))
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
-    async def test_a_client_that_never_says_hello_is_dropped(self):
-        """Routers can't reach a sidecar although its process lives.
+    async def test_a_client_that_never_sends_hello_is_dropped(self):
+        """Routers can't connect to a sidecar although it is running.
 
         Clients connect, send nothing or a byte now and then, and hold the
-        connections for good (slow-loris).
+        connections indefinitely (slow-loris attack).
         """
         self.server = await self.serve(Timing(connect_s=0.2))
         reader, writer = await self.raw()
@@ -207,7 +208,7 @@
         answer = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         self.assertEqual(codec.decode(answer[4:]).code, 'handshake_timeout')
 
-    async def test_a_listener_that_never_answers_is_given_up(self):
+    async def test_a_listener_that_never_responds_times_out(self):
         async def never_answer(reader, writer):
             await reader.read()
             writer.close()
@@ -218,8 +219,8 @@
         with self.assertRaises(error.HandshakeTimeoutError):
             await self.dial(timing=Timing(connect_s=0.2), port=port)
 
-    async def test_a_welcome_that_comes_as_its_time_ends(self):
-        """A router that was paused takes a sidecar for silent, and waits."""
+    async def test_a_welcome_that_arrives_at_its_timeout_is_kept(self):
+        """After a pause, a router discards a Welcome that has arrived."""
         short = Timing(connect_s=0.1)
 
         def welcome_and_pause(msg):
@@ -230,7 +231,7 @@
         conn = await self.dial(timing=short)
         self.assertEqual(conn.peer.node, 'host-1')
 
-    async def test_nobody_listens(self):
+    async def test_dial_without_a_listener_fails(self):
         server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
@@ -247,11 +248,11 @@
         self.assertFalse(conn.closed)
 
     async def test_a_silent_link_is_dropped_and_a_new_one_works(self):
-        """Answers stop in the middle and never go on, nor do they fail.
+        """Responses stop in the middle, without an error.
 
-        Something between the ends lost track of the connection: both ends
-        see it open, nothing arrives. The link ends by LinkSilentError, and
-        a dial anew works.
+        A middlebox lost its state of the connection: both ends see it open,
+        and nothing arrives. The link must end with LinkSilentError, and a new
+        link must work.
         """
         proxy = await self.relay()
         for directions in ({}, {'up': False}, {'down': False}):
@@ -269,12 +270,12 @@
         await again.send(message.Ack('b'))
         self.assertEqual(await self.next_of(self.received), message.Ack('b'))
 
-    async def test_work_put_on_a_dead_idle_link_shows_it_at_once(self):
-        """A handset waits half a minute for an answer that never comes.
+    async def test_probe_detects_a_dead_idle_link(self):
+        """A request on a dead idle link waits half a minute for an error.
 
-        A node with many links asks idle ones rarely. One of them has died
-        unnoticed when a request is put on it; from then on it has to be
-        asked as often as any link that carries work.
+        A node with many links pings idle ones rarely. One of them is dead,
+        undetected, when a request is assigned to it; from then on it must be
+        pinged as often as any link that carries work.
         """
         heartbeat_factor = mock.Mock(return_value=10_000.0)
         self.server = await self.serve(
@@ -286,13 +287,13 @@
             conn = await self.dial(
                 port=proxy.port, heartbeat_factor=heartbeat_factor
             )
-            heard = asyncio.Event()
-            reading = asyncio.create_task(self.drain(conn, heard.set))
+            received_one = asyncio.Event()
+            reading = asyncio.create_task(self.drain(conn, received_one.set))
             remote_end = await self.next_of(self.accepted)
             await asyncio.sleep(4 * Timing().idle_s)
             if receives_first:
                 remote_end.send_nowait(message.Ack('a'))
-                await asyncio.wait_for(heard.wait(), TIMEOUT_S)
+                await asyncio.wait_for(received_one.wait(), TIMEOUT_S)
             proxy.silence()
             heartbeat_factor.return_value = 1.0
             conn.send_nowait(message.Ack('work'))
@@ -300,7 +301,7 @@
             with self.assertRaises(error.LinkSilentError):
                 await reading
 
-    async def test_idle_links_of_many_are_asked_by_the_dialling_end(self):
+    async def test_idle_links_are_pinged_by_the_dialling_end(self):
         for links in (1, 8, 9, 100, 1000):
             dialled, listened = (
                 heartbeat.dialling_factor(links),
@@ -312,11 +313,11 @@
                 self.assertLess(heartbeat.dialling_factor(100_000), listened)
                 self.assertAlmostEqual(dialled, min(20.0, links / 8))
 
-    async def test_a_peer_that_stops_reading_costs_bounded_memory(self):
+    async def test_unsent_bytes_are_limited(self):
         """The process grows until it is killed, with all its requests.
 
-        One peer stops reading while its connection stays open, and what is
-        sent to it piles up. The link is dropped at its bound instead.
+        A peer stops reading without closing its connection, and unsent data
+        accumulates. The link must be closed at its limit instead.
         """
         conn = await self.dial()
         remote_end = await self.next_of(self.accepted)
@@ -328,11 +329,11 @@
                 await asyncio.sleep(0)
         self.assertTrue(conn.closed)
 
-    async def test_only_holders_of_a_certificate_are_linked(self):
-        """A stranger on the network gives work to an engine, or takes it.
+    async def test_links_require_a_valid_certificate(self):
+        """An unauthorized node on the network sends work, or receives it.
 
-        One end shows an expired certificate, one of another authority, or
-        none; the link is refused before the credential is sent or read.
+        One end presents an expired certificate, one of another authority, or
+        none; the link must fail before the credential is sent or read.
         """
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -365,10 +366,10 @@
         while await self.next_of(self.ended) is not conn:
             pass
 
-    async def drain(self, conn, heard=lambda: None):
+    async def drain(self, conn, on_message=lambda: None):
         async with asyncio.timeout(TIMEOUT_S):
             async for _ in conn.messages():
-                heard()
+                on_message()
 
 
 if __name__ == '__main__':
--- a/tests/quetzalsill_cli/fixture.py
+++ b/tests/quetzalsill_cli/fixture.py
@@ -1,4 +1,4 @@
-"""Routers with the administration API, served to the command line."""
+"""Test fixtures: routers with the administration API for the command line."""
 
 from __future__ import annotations
 
@@ -17,32 +17,33 @@
 from quetzalsill_cli import plugin, run
 from tests.quetzalsill_router.admin import fake
 
-BOUND_S = 30
+TIMEOUT_S = 30
 
 
-class Lossy:
-    """Serves an application and cuts some answers off after the effect.
+class LossyApp:
+    """Wraps an application and truncates responses to writes.
 
     Attributes:
-      lose: So many writes are carried out and their answers cut off.
-      seen: Method, path and edit id of each call.
+      responses_to_lose: How many of the next writes take effect with their
+        responses truncated.
+      calls: Method, path and edit id of each call.
     """
 
     def __init__(self, app):
         self._app = app
-        self.lose = 0
-        self.seen = []
+        self.responses_to_lose = 0
+        self.calls = []
 
     async def __call__(self, scope, receive, send):
         if scope['type'] != 'http':
             return await self._app(scope, receive, send)
         headers = dict(scope['headers'])
         edit = headers.get(b'x-edit-id', b'').decode()
-        self.seen.append((scope['method'], scope['path'], edit))
-        if scope['method'] == 'GET' or not self.lose:
+        self.calls.append((scope['method'], scope['path'], edit))
+        if scope['method'] == 'GET' or not self.responses_to_lose:
             return await self._app(scope, receive, send)
-        self.lose -= 1
-        await self._app(scope, receive, _ignore)
+        self.responses_to_lose -= 1
+        await self._app(scope, receive, _discard)
         await send({
             'type': 'http.response.start',
             'status': 200,
@@ -51,19 +52,19 @@
         return None
 
 
-async def _ignore(message):
-    """Takes a message that the client must not see."""
+async def _discard(message):
+    """Drops a message of the response that is to be lost."""
 
 
-class Served:
-    """One router with its listener."""
+class ServedRouter:
+    """A router with its listener."""
 
     def __init__(self, router, tls):
         self.router = router
-        self.lossy = Lossy(router.app)
+        self.app = LossyApp(router.app)
         self._scheme = 'https' if tls else 'http'
         self._server = server.HttpServer(
-            self.lossy, section.Listen('127.0.0.1', 0), tls
+            self.app, section.Listen('127.0.0.1', 0), tls
         )
 
     async def start(self):
@@ -74,8 +75,8 @@
         await self._server.stop(1)
 
 
-class Routers:
-    """Routers on an event loop in a thread of its own."""
+class RouterThread:
+    """Runs routers on an event loop in a separate thread."""
 
     def __init__(self):
         self._loop = asyncio.new_event_loop()
@@ -85,13 +86,13 @@
 
     def run(self, coroutine):
         fut = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
-        return fut.result(BOUND_S)
+        return fut.result(TIMEOUT_S)
 
     def add(self, router, tls=None):
         return self.run(self._add(router, tls))
 
     async def _add(self, router, tls):
-        served = Served(router, tls)
+        served = ServedRouter(router, tls)
         await served.start()
         self._served.append(served)
         return served
@@ -100,47 +101,47 @@
         for served in self._served:
             self.run(served.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(BOUND_S)
+        self._thread.join(TIMEOUT_S)
         self._loop.close()
 
 
 def unused_url():
-    """Gives a URL at which nothing listens."""
+    """Returns a URL that nothing listens on."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return f'http://127.0.0.1:{sock.getsockname()[1]}'
 
 
-class FollowingPeer(fake.Peer):
-    """A sidecar that has in force what its router has, after a while."""
+class LaggingPeer(fake.Peer):
+    """A sidecar that reports revision 1 first, then its router's revision."""
 
-    def __init__(self, router, looks=0):
+    def __init__(self, router, stale_reads=0):
         super().__init__('ikeja-1')
         self._router = router
-        self.looks_left = looks
+        self.stale_reads_left = stale_reads
 
     @property
     def load(self):
-        """Gives a load, for some looks at revision 1."""
-        if self.looks_left:
-            self.looks_left -= 1
+        """A load with revision 1 for the first `stale_reads` reads."""
+        if self.stale_reads_left:
+            self.stale_reads_left -= 1
             return fake.load(1)
         return fake.load(self._router.holder.revision)
 
     @load.setter
     def load(self, value):
-        """Ignores the default of the field."""
+        """Ignores the default value that the dataclass sets."""
 
 
-class CommandCase(unittest.TestCase):
-    """Runs commands against one router with a first configuration."""
+class CommandTestCase(unittest.TestCase):
+    """Runs commands against a router with a first configuration."""
 
     def setUp(self):
-        self.routers = Routers()
+        self.routers = RouterThread()
         self.addCleanup(self.routers.close)
         self.router = fake.Router()
         self.router.install()
-        self.router.peers = [FollowingPeer(self.router)]
+        self.router.peers = [LaggingPeer(self.router)]
         self.served = self.routers.add(self.router)
         plugins = registry.Registry()
         plugin.register(plugins)
@@ -157,20 +158,20 @@
         return self.routers.add(router)
 
     def invoke(self, *arguments, urls=None, token=fake.OPERATOR, **options):
-        """Runs a command; gives its result."""
-        named = [
+        """Runs a command and returns its result."""
+        router_options = [
             word for url in urls or [self.served.url]
             for word in ('--router', url)
         ]  # fmt: skip
         return testing.CliRunner().invoke(
             self.command,
-            [*named, '--timeout', '5', *arguments],
+            [*router_options, '--timeout', '5', *arguments],
             env={'QUETZALSILL_TOKEN': token, 'QUETZALSILL_ROUTER': None},
             **options,
         )
 
     def file(self, text, name='configuration.json5'):
-        """Writes a file; gives its path."""
+        """Writes a file and returns its path."""
         path = self.folder / name
         path.write_text(text, encoding='utf-8')
         return str(path)
--- a/tests/quetzalsill_cli/test_read.py
+++ b/tests/quetzalsill_cli/test_read.py
@@ -1,4 +1,4 @@
-"""Tests of reads, options and credentials of the command line."""
+"""Tests of read commands, options and credentials."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 )
 
 
-class ReadTest(fixture.CommandCase):
-    """Reads, as tables and as JSON."""
+class ReadTest(fixture.CommandTestCase):
+    """Read commands, connection options and credentials."""
 
     def setUp(self):
         super().setUp()
@@ -78,9 +78,10 @@
         self.assertEqual(0, result.exit_code, result.output)
 
     def test_only_a_router_of_the_authority_gets_the_token(self):
-        """Someone answers at the router's address with another certificate.
+        """The token is sent only over a verified TLS connection.
 
-        The token must not be sent there.
+        A server at the router's address with a certificate of another
+        authority must not receive it.
         """
         own, other = (
             certificate.Authority(self.folder, name) for name in ('a', 'b')
@@ -97,14 +98,15 @@
             )  # fmt: skip
             self.assertEqual(code, result.exit_code, result.output)
             self.assertEqual(
-                code is failure.ExitCode.OK, bool(served.lossy.seen)
+                code is failure.ExitCode.OK, bool(served.app.calls)
             )
-            served.lossy.seen.clear()
+            served.app.calls.clear()
 
     def test_routers_that_demand_a_certificate(self):
-        """The routers' TLS names an authority, so operators must show theirs.
+        """Routers that verify client certificates accept that of --certificate.
 
-        The command line had no way to.
+        Operators need the option if the routers' TLS settings name a
+        certificate authority.
         """
         own, other = (
             certificate.Authority(self.folder, name) for name in ('a', 'b')
@@ -142,9 +144,10 @@
         self.assertEqual(failure.ExitCode.UNREACHABLE, result.exit_code)
 
     def test_a_router_without_configuration_is_passed_over(self):
-        """A router started while the store was down knows no operator.
+        """A router that started while the store was down is skipped.
 
-        "Unknown token" would send the operator to look for a lost credential.
+        It knows no operators yet. To report the token as unknown would make
+        the operator search for an error in the credential.
         """
         fresh = self.routers.add(fake.Router(name='entry-3'))
         result = self.invoke('status', urls=[fresh.url, self.served.url])
@@ -152,14 +155,14 @@
         result = self.invoke('status', urls=[fresh.url])
         self.assertEqual(failure.ExitCode.UNREACHABLE, result.exit_code)
 
-    def test_credentials_that_do_not_do(self):
+    def test_rejected_credentials(self):
         for token in ('', 'unknown'):
             result = self.invoke('status', token=token)
             self.assertEqual(failure.ExitCode.REFUSED, result.exit_code)
         result = self.invoke('upstream', 'drain', 'ikeja-1', token=fake.VIEWER)
         self.assertEqual(failure.ExitCode.REFUSED, result.exit_code)
 
-    def test_a_token_file_goes_before_the_environment(self):
+    def test_a_token_file_overrides_the_environment(self):
         path = self.file(f'{fake.OPERATOR}\n', 'token')
         result = self.invoke('--token-file', path, 'status', token='unknown')
         self.assertEqual(0, result.exit_code, result.output)
